--- a/crates/quartzlever-core/tests/world/sim.rs
+++ b/crates/quartzlever-core/tests/world/sim.rs
@@ -3,6 +3,7 @@
 
 mod calls;
 mod checks;
+mod digest;
 mod users;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,6 +21,7 @@
 use rand::{Rng, SeedableRng};
 
 pub use calls::CallFault;
+use digest::EffectDigest;
 
 pub const LEASE: Micros = 12 * SECOND;
 pub const CANCEL: Micros = 20 * SECOND;
@@ -206,6 +208,8 @@
     mistaken: BTreeSet<String>,
     /// So many of a hundred new machines never come up.
     pub never_up: u32,
+    /// Over all that controllers have wanted done.
+    digest: EffectDigest,
 }
 
 impl World {
@@ -263,6 +267,7 @@
             odd_tasks_wait: false,
             mistaken: BTreeSet::new(),
             never_up: 0,
+            digest: EffectDigest::new(),
         };
         for n in 0..names.len() {
             world.start(n);
--- a/crates/quartzlever-core/tests/world/sim/calls.rs
+++ b/crates/quartzlever-core/tests/world/sim/calls.rs
@@ -200,6 +200,7 @@
 
     /// Carries out what a controller wants done, until it ends.
     pub(super) fn carry_out_all(&mut self, n: usize, effects: Vec<Effect>) {
+        self.digest.add(n, self.now, &effects);
         let life = self.lives[n];
         for effect in effects {
             if self.lives[n] == life {
--- /dev/null
+++ b/crates/quartzlever-core/tests/world/sim/digest.rs
@@ -0,0 +1,283 @@
+//! A digest over everything that leaves the controllers of a world, to show that a change of the
+//! code has left behaviour alone: `tools/compare-digests` compares those of two commits.
+//!
+//! Hashed are the wire forms, and fixed numbers where there is none, so that the names of types,
+//! fields and variants do not matter. Lines for the log do not count.
+
+use std::cell::Cell;
+use std::fs::OpenOptions;
+use std::io::Write;
+use std::path::PathBuf;
+use std::{env, io, thread};
+
+use quartzlever_core::{Effect, Lane};
+use quartzlever_wire::cloud::{CloudCall, HostNames};
+use quartzlever_wire::peers;
+use quartzlever_wire::state::{HoldRequest, StateCall};
+use quartzlever_wire::workers::WorkerCall;
+use quartzlever_wire::{Micros, SECOND};
+use serde::Serialize;
+
+/// Names the folder that digests are written to; without it there are none.
+const FOLDER: &str = "EFFECT_DIGESTS";
+
+thread_local! {
+    /// Worlds that the test of this thread has made.
+    static WORLDS: Cell<usize> = const { Cell::new(0) };
+}
+
+/// The running digest of one world; it is written when the world is dropped.
+#[derive(Debug)]
+pub struct EffectDigest {
+    /// Where to write it, if at all.
+    folder: Option<PathBuf>,
+    /// Which world of its test this is.
+    world: usize,
+    effects: u64,
+    hash: Fnv,
+}
+
+impl EffectDigest {
+    /// The digest of the next world of this thread's test.
+    pub fn new() -> Self {
+        let world = WORLDS.get() + 1;
+        WORLDS.set(world);
+        let folder = env::var_os(FOLDER).map(PathBuf::from);
+        EffectDigest { folder, world, effects: 0, hash: Fnv::default() }
+    }
+
+    /// Takes in what a node wants done at this time.
+    pub fn add(&mut self, node: usize, now: Micros, effects: &[Effect]) {
+        if self.folder.is_none() {
+            return;
+        }
+        for effect in effects {
+            if matches!(effect, Effect::Note { .. }) {
+                continue;
+            }
+            self.effects += 1;
+            self.hash.number(node as u64);
+            self.hash.number(now);
+            self.hash.effect(effect);
+        }
+    }
+
+    fn write(&self) -> io::Result<()> {
+        let Some(folder) = &self.folder else { return Ok(()) };
+        let thread = thread::current();
+        let test = thread.name().unwrap_or("unnamed");
+        let line = format!("{test} {} {} {:016x}\n", self.world, self.effects, self.hash.0);
+        let mut file = OpenOptions::new().create(true).append(true).open(folder.join(test))?;
+        file.write_all(line.as_bytes())
+    }
+}
+
+impl Drop for EffectDigest {
+    fn drop(&mut self) {
+        let written = self.write();
+        if !thread::panicking() {
+            written.expect("a digest cannot be written");
+        }
+    }
+}
+
+/// The 64-bit FNV-1a hash.
+#[derive(Debug)]
+struct Fnv(u64);
+
+impl Default for Fnv {
+    fn default() -> Self {
+        Fnv(0xcbf2_9ce4_8422_2325)
+    }
+}
+
+impl Fnv {
+    fn raw(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    fn number(&mut self, number: u64) {
+        self.raw(&number.to_le_bytes());
+    }
+
+    fn optional_number(&mut self, number: Option<u64>) {
+        self.number(u64::from(number.is_some()));
+        self.number(number.unwrap_or(0));
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.raw(bytes);
+    }
+
+    fn text(&mut self, text: &str) {
+        self.bytes(text.as_bytes());
+    }
+
+    fn optional_text(&mut self, text: Option<&str>) {
+        self.number(u64::from(text.is_some()));
+        self.text(text.unwrap_or(""));
+    }
+
+    fn json(&mut self, message: &impl Serialize) {
+        self.bytes(&serde_json::to_vec(message).expect("a message is JSON"));
+    }
+
+    fn frame(&mut self, message: &impl Serialize) {
+        let mut frame = Vec::new();
+        peers::send(&mut frame, message).expect("a message fits into a frame");
+        self.bytes(&frame);
+    }
+
+    fn effect(&mut self, effect: &Effect) {
+        match effect {
+            Effect::Answer { id, status, body, retry_after_s, until } => {
+                self.number(1);
+                self.number(*id);
+                self.number(u64::from(*status));
+                self.json(body);
+                self.optional_number(retry_after_s.map(u64::from));
+                self.optional_number(*until);
+            }
+            Effect::Note { .. } => {}
+            Effect::AnswerPeer { id, answer } => {
+                self.number(2);
+                self.number(*id);
+                self.frame(answer);
+            }
+            Effect::State { token, lane, call } => {
+                self.number(3);
+                self.number(*token);
+                self.number(lane_number(*lane));
+                self.state_call(call);
+            }
+            Effect::Cloud { token, call, until } => {
+                self.number(4);
+                self.number(*token);
+                self.cloud_call(call);
+                self.number(*until);
+            }
+            Effect::Worker { token, address, call, until } => {
+                self.number(5);
+                self.number(*token);
+                self.text(address);
+                self.worker_call(call);
+                self.number(*until);
+            }
+            Effect::Peer { token, node, request } => {
+                self.number(6);
+                self.number(*token);
+                self.text(node);
+                self.frame(request);
+            }
+            Effect::End { why } => {
+                self.number(7);
+                self.text(why);
+            }
+            Effect::Share(share) => {
+                self.number(8);
+                self.number(share.to_bits());
+            }
+        }
+    }
+
+    fn state_call(&mut self, call: &StateCall) {
+        match call {
+            StateCall::Revision => self.number(1),
+            StateCall::Get(key) => {
+                self.number(2);
+                self.text(key);
+            }
+            StateCall::List { prefix, from } => {
+                self.number(3);
+                self.text(prefix);
+                self.optional_text(from.as_deref());
+            }
+            StateCall::Txn(txn) => {
+                self.number(4);
+                self.json(txn);
+            }
+            StateCall::Grant { life_ms } => {
+                self.number(5);
+                self.json(&HoldRequest { life_ms: *life_ms });
+            }
+            StateCall::Renew { lease } => {
+                self.number(6);
+                self.number(*lease);
+            }
+            StateCall::Watch { from, hold_ms } => {
+                self.number(7);
+                self.number(*from);
+                self.number(*hold_ms);
+            }
+        }
+    }
+
+    fn cloud_call(&mut self, call: &CloudCall) {
+        match call {
+            CloudCall::Catalogue => self.number(1),
+            CloudCall::Rent(hire) => {
+                self.number(2);
+                self.json(hire);
+            }
+            CloudCall::Return(hosts) => {
+                self.number(3);
+                self.json(&HostNames { hosts: hosts.clone() });
+            }
+            CloudCall::List { from } => {
+                self.number(4);
+                self.optional_text(from.as_deref());
+            }
+        }
+    }
+
+    fn worker_call(&mut self, call: &WorkerCall) {
+        match call {
+            WorkerCall::Status => self.number(1),
+            WorkerCall::Command(orders) => {
+                self.number(2);
+                self.json(orders);
+            }
+        }
+    }
+}
+
+fn lane_number(lane: Lane) -> u64 {
+    match lane {
+        Lane::Lease => 1,
+        Lane::Watch => 2,
+        Lane::Work => 3,
+        Lane::User => 4,
+    }
+}
+
+#[test]
+fn a_digest_tells_order_content_and_time_apart_and_passes_over_notes() {
+    let share = |share: f64| Effect::Share(share);
+    let end = |why: &str| Effect::End { why: why.to_owned() };
+    let note = || Effect::Note { weight: quartzlever_core::Weight::Info, text: "a line".into() };
+    let digest = |node: usize, now: Micros, effects: &[Effect]| {
+        let hash = Fnv::default();
+        // Nothing is written: the folder is taken away again before the drop.
+        let folder = Some(PathBuf::new());
+        let mut digest = EffectDigest { folder, world: 0, effects: 0, hash };
+        digest.add(node, now, effects);
+        digest.folder = None;
+        (digest.effects, digest.hash.0)
+    };
+    let first = digest(0, SECOND, &[share(0.5), end("x")]);
+    assert_eq!(first, digest(0, SECOND, &[share(0.5), note(), end("x")]));
+    assert_eq!(first.0, 2);
+    for other in [
+        digest(0, SECOND, &[end("x"), share(0.5)]),
+        digest(0, SECOND, &[share(0.25), end("x")]),
+        digest(0, SECOND, &[share(0.5), end("y")]),
+        digest(0, SECOND, &[share(0.5)]),
+        digest(1, SECOND, &[share(0.5), end("x")]),
+        digest(0, SECOND + 1, &[share(0.5), end("x")]),
+    ] {
+        assert_ne!(first, other);
+    }
+}
