--- a/crates/quartzlever-core/src/cache.rs
+++ b/crates/quartzlever-core/src/cache.rs
@@ -36,7 +36,7 @@
     pub newest: u64,
     pub parts: BTreeMap<String, (PartRecord, u64)>,
     /// Machines by the key of their block, with its stamp; and where each machine is found.
-    pub blocks: HashMap<String, (Hosts, u64)>,
+    pub blocks: BTreeMap<String, (Hosts, u64)>,
     pub hosts: HashMap<String, String>,
     pub live: BTreeMap<String, (LiveRecord, u64)>,
     /// Jobs whose records cannot be read; they are not over for that.
--- a/crates/quartzlever-core/src/fleet/renting.rs
+++ b/crates/quartzlever-core/src/fleet/renting.rs
@@ -1,6 +1,6 @@
 //! Renting machines: what is missing for the queue of a partition, and room kept for services.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
 use quartzlever_wire::cloud::{CloudCall, CloudReply, Hire, MachineType};
 use quartzlever_wire::peers::PeerRequest;
@@ -119,7 +119,7 @@
     run_times: &'a RunTimes,
     types: &'a BTreeMap<String, MachineType>,
     /// All claimed machines, whichever partition they belong to.
-    claimed: &'a HashMap<String, (Hosts, u64)>,
+    claimed: &'a BTreeMap<String, (Hosts, u64)>,
     now: Micros,
 }
 
