--- /dev/null
+++ b/crates/quartzlever-recovery/src/access.rs
@@ -0,0 +1,26 @@
+//! The environment that the rebuild runs in.
+//!
+//! This module owns the single trait by which the crate reaches a store, a clock and a log; no other module
+//! performs I/O or reads a clock. It knows nothing of the rebuild itself.
+
+use quartzlever_wire::state::{StateCall, StateReply};
+use quartzlever_wire::{CallError, Micros};
+
+/// Store, clocks, log and random numbers of the process that runs a rebuild.
+pub trait StateAccess {
+    /// Makes one call to the state service.
+    ///
+    /// # Errors
+    /// The call's [`CallError`], which says whether the call may have been carried out.
+    fn call(&mut self, call: &StateCall) -> Result<StateReply, CallError>;
+    /// The steady clock, in microseconds since an arbitrary moment; it never goes back.
+    fn now(&mut self) -> Micros;
+    /// The time of day, in microseconds since 1970.
+    fn wall(&mut self) -> Micros;
+    /// Blocks for this many microseconds.
+    fn pause(&mut self, span: Micros);
+    /// Writes one line to the operator's log.
+    fn note(&mut self, line: String);
+    /// A random number that no other attempt has drawn.
+    fn draw(&mut self) -> u64;
+}
--- a/crates/quartzlever-recovery/src/lib.rs
+++ b/crates/quartzlever-recovery/src/lib.rs
@@ -10,6 +10,7 @@
 //! - [`plan`]: which records a rebuild writes.
 //! - [`rebuild`]: the steps from the start of a process to an intact store.
 
+mod access;
 pub mod detection;
 pub mod format;
 pub mod generation;
@@ -20,21 +21,4 @@
 pub mod plan;
 pub mod rebuild;
 
-use quartzlever_wire::state::{StateCall, StateReply};
-use quartzlever_wire::{CallError, Micros};
-
-/// What the steps of this crate need from outside.
-pub trait StateAccess {
-    /// Makes one call to the state service.
-    fn call(&mut self, call: &StateCall) -> Result<StateReply, CallError>;
-    /// The steady clock.
-    fn now(&mut self) -> Micros;
-    /// The time of day.
-    fn wall(&mut self) -> Micros;
-    /// Waits.
-    fn pause(&mut self, span: Micros);
-    /// Leaves a line in the log.
-    fn note(&mut self, line: String);
-    /// A number that no other attempt has drawn.
-    fn draw(&mut self) -> u64;
-}
+pub use access::StateAccess;
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -1,48 +1,109 @@
 //! What a controller that had no part in a rebuild still knows: jobs that were accepted, done or cancelled
 //! in the last moments before the loss.
+//!
+//! Invariant: a contribution never replaces a record of the generation that serves, except a live job's by
+//! its final state; each transaction is on condition that the records are as they were read.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::pages::{PAGES, page_of_key};
-use quartzlever_wire::state::{LIVE, OVER, StateCall, Txn};
+use quartzlever_wire::state::{LIVE, OVER, StateCall, StateReply, Txn};
 
+use super::acceptance::Reading;
+use super::outcome::{Attempt, Interruption};
+use super::session::Session;
+use crate::access::StateAccess;
 use crate::generation::Generation;
 use crate::history::History;
-use crate::picture::Picture;
-
-/// Jobs that the records lack, or show as live though they are over, each as a transaction. Where the
-/// generation has a new line of revisions, final states are inherited instead, but for those of jobs that
-/// the records show as live.
-pub(super) fn contribution(
-    history: &History,
-    records: &Picture,
-    generation: &Generation,
-) -> Vec<StateCall> {
+use crate::identity::{ABSENT, Observed};
+use crate::picture::{Picture, Record};
+
+/// Whether this process knew anything that the records lacked.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Contribution {
+    /// It did, and the records have changed since they were read.
+    HandedIn,
+    Nothing,
+}
+
+/// Hands in what this process knows and the records of a newer generation lack. Once there is nothing left,
+/// the key that says that this controller is awaited goes.
+pub(super) fn contribute<A: StateAccess>(
+    session: &mut Session<'_, A>,
+    history: Option<&History>,
+    reading: &Reading,
+) -> Attempt<Contribution> {
+    let Reading { generation, picture, observed } = reading;
+    let calls = history.map(|history| transactions(history, picture, generation));
+    let calls = calls.unwrap_or_default();
+    for call in &calls {
+        match session.access().call(&generation.to_store(call))? {
+            StateReply::Committed(_) => {}
+            StateReply::Conflict(_) => return Err(Interruption::Overtaken),
+            _ => session.access().note(format!("the state service takes no {call:?}")),
+        }
+    }
+    if !calls.is_empty() {
+        let count = calls.len();
+        session.access().note(format!("{count} jobs were known to this controller alone"));
+        return Ok(Contribution::HandedIn);
+    }
+    remove_absence(session, observed)?;
+    Ok(Contribution::Nothing)
+}
+
+fn remove_absence<A: StateAccess>(
+    session: &mut Session<'_, A>,
+    observed: &Observed,
+) -> Attempt<()> {
+    let Some(absent) = observed.absent.get(session.node()) else { return Ok(()) };
+    let key = format!("{ABSENT}{}", session.node());
+    session.commit(Txn::default().when(&key, absent.stamp).delete(&key))
+}
+
+/// Jobs that the records lack, or show as live though they are over, each as a transaction.
+fn transactions(history: &History, records: &Picture, generation: &Generation) -> Vec<StateCall> {
     let known = &history.picture;
+    // With a new line of revisions, final states are inherited, but for those of jobs that the records
+    // show as live.
     let inherits = generation.identity.base != history.identity.base;
     let over = known.rows().iter().filter_map(|(key, record)| {
-        let job = key.strip_prefix(OVER).filter(|_| records.get(key).is_none())?;
-        let live_key = format!("{LIVE}{job}");
-        let live = records.get(&live_key);
-        if inherits && live.is_none() {
-            return None;
-        }
-        let txn = Txn::default()
-            .when(key, 0)
-            .when(&live_key, live.map_or(0, |record| record.stamp))
-            .write(key, Json::from_text(&record.value)?);
-        Some(if live.is_some() { txn.delete(live_key) } else { txn })
+        final_state(key, record, records).filter(|found| !inherits || found.contradicts_live)
     });
-    let live = known.rows().iter().filter_map(|(key, record)| {
-        let job = key.strip_prefix(LIVE)?;
-        let over_key = format!("{OVER}{job}");
-        let is_known = [key.as_str(), &over_key].iter().any(|k| records.get(k).is_some());
-        if is_known || known.get(&over_key).is_some() {
-            return None;
-        }
-        let txn = Txn::default().when(key, 0).when(over_key, 0);
-        Some(with_pages(txn.write(key, Json::from_text(&record.value)?), job, known))
-    });
-    over.chain(live).map(StateCall::Txn).collect()
+    let live =
+        known.rows().iter().filter_map(|(key, record)| live_job(key, record, known, records));
+    over.map(|found| found.txn).chain(live).map(StateCall::Txn).collect()
+}
+
+/// A final state that the records lack.
+struct FinalState {
+    txn: Txn,
+    /// The records show the job as live.
+    contradicts_live: bool,
+}
+
+fn final_state(key: &str, record: &Record, records: &Picture) -> Option<FinalState> {
+    let job = key.strip_prefix(OVER).filter(|_| records.get(key).is_none())?;
+    let live_key = format!("{LIVE}{job}");
+    let live = records.get(&live_key);
+    let txn = Txn::default()
+        .when(key, 0)
+        .when(&live_key, live.map_or(0, |record| record.stamp))
+        .write(key, Json::from_text(&record.value)?);
+    let contradicts_live = live.is_some();
+    let txn = if contradicts_live { txn.delete(live_key) } else { txn };
+    Some(FinalState { txn, contradicts_live })
+}
+
+/// A live job that the records lack, with its pages.
+fn live_job(key: &str, record: &Record, known: &Picture, records: &Picture) -> Option<Txn> {
+    let job = key.strip_prefix(LIVE)?;
+    let over_key = format!("{OVER}{job}");
+    let is_in_records = [key, &over_key].iter().any(|key| records.get(key).is_some());
+    if is_in_records || known.get(&over_key).is_some() {
+        return None;
+    }
+    let txn = Txn::default().when(key, 0).when(over_key, 0);
+    Some(with_pages(txn.write(key, Json::from_text(&record.value)?), job, known))
 }
 
 /// A job's pages of finished tasks go with its record.
--- a/crates/quartzlever-recovery/src/rebuild/extras.rs
+++ b/crates/quartzlever-recovery/src/rebuild/extras.rs
@@ -1,5 +1,8 @@
 //! What one candidate knows and another may lack: the last changes before the loss. They pass through the
 //! store, in pieces that a value holds, since the controllers may not reach each other.
+//!
+//! Pure functions from an observation to writes and changes. Invariant: [`collect`] returns exactly the
+//! changes that [`writes`] was given, whatever their length and characters.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::state::Change;
@@ -8,8 +11,8 @@
 use crate::picture::{KeyChange, Update};
 
 /// A piece takes a third of a value at the most: quotes in it are escaped, and its key comes on top.
-const PIECE_SHARE: usize = 3;
-const LEAST_PIECE: usize = 64;
+const PIECES_PER_VALUE: usize = 3;
+const MIN_PIECE_BYTES: usize = 64;
 
 /// The candidates that have a history of the latest generation.
 pub(super) fn informed(observed: &Observed) -> impl Iterator<Item = (&String, &Candidate)> {
@@ -24,27 +27,29 @@
 }
 
 /// Informed candidates whose changes after the common revision are not there yet.
-pub(super) fn missing(observed: &Observed) -> Vec<String> {
+pub(super) fn unpublished(observed: &Observed) -> Vec<String> {
     let common = common_revision(observed);
-    let is_missing = |c: &Candidate| c.extras_after.is_none_or(|after| after > common);
-    informed(observed).filter(|(_, c)| is_missing(c)).map(|(node, _)| node.clone()).collect()
+    let is_unpublished = |c: &Candidate| c.extras_after.is_none_or(|after| after > common);
+    informed(observed).filter(|(_, c)| is_unpublished(c)).map(|(node, _)| node.clone()).collect()
 }
 
-fn split(text: &str, most: usize) -> Vec<&str> {
+/// Cuts a text into pieces of at most `max_bytes`, between characters.
+fn split(text: &str, max_bytes: usize) -> Vec<&str> {
     let mut pieces = Vec::new();
     let mut rest = text;
-    while rest.len() > most {
-        let cut = (1..=most).rev().find(|at| rest.is_char_boundary(*at)).unwrap_or(rest.len());
-        let (piece, behind) = rest.split_at(cut);
+    while rest.len() > max_bytes {
+        let cut = (1..=max_bytes).rev().find(|at| rest.is_char_boundary(*at)).unwrap_or(rest.len());
+        let (piece, after) = rest.split_at(cut);
         pieces.push(piece);
-        rest = behind;
+        rest = after;
     }
     pieces.push(rest);
     pieces
 }
 
 fn pieces_of(change: &KeyChange, value_bytes: usize) -> Vec<ExtraPiece> {
-    let most = (value_bytes / PIECE_SHARE).saturating_sub(change.key.len()).max(LEAST_PIECE);
+    let max_bytes =
+        (value_bytes / PIECES_PER_VALUE).saturating_sub(change.key.len()).max(MIN_PIECE_BYTES);
     let piece = |text: Option<&str>, continues| ExtraPiece {
         key: change.key.clone(),
         stamp: change.stamp,
@@ -54,7 +59,7 @@
     match &change.value {
         None => vec![piece(None, false)],
         Some(value) => {
-            let texts = split(value, most);
+            let texts = split(value, max_bytes);
             let last = texts.len() - 1;
             texts.iter().enumerate().map(|(n, text)| piece(Some(text), n < last)).collect()
         }
@@ -62,7 +67,7 @@
 }
 
 /// The writes that tell the others of a candidate's changes.
-pub(super) fn publish(
+pub(super) fn writes(
     node: &str,
     changes: &[KeyChange],
     value_bytes: usize,
--- /dev/null
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -0,0 +1,76 @@
+//! Reading whole prefixes of the store, page by page.
+//!
+//! A listing of several pages is no snapshot: its revision is that of the first page where completeness is
+//! claimed ([`list_generation`]), and that of the last where only the latest state counts ([`observe`]).
+
+use std::collections::BTreeMap;
+
+use quartzlever_wire::CallError;
+use quartzlever_wire::state::{Rows, StateCall, StateReply};
+
+use crate::access::StateAccess;
+use crate::generation::Generation;
+use crate::identity::{Observed, RECOVERY};
+use crate::picture::{Picture, Record};
+
+/// Reads the keys of this crate.
+///
+/// # Errors
+/// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
+pub fn observe(access: &mut impl StateAccess) -> Result<Observed, CallError> {
+    let mut all = Vec::new();
+    let mut from: Option<String> = None;
+    loop {
+        let page = read_page(access, RECOVERY, from)?;
+        all.extend(page.rows);
+        if !page.has_next {
+            return Ok(Observed::of(&Rows { rows: all, has_next: false, epoch: page.epoch }));
+        }
+        from = all.last().map(|row| row.path.clone());
+    }
+}
+
+/// Reads all records of a generation; the picture is complete up to the revision of the first page.
+///
+/// # Errors
+/// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
+pub fn list_generation(
+    access: &mut impl StateAccess,
+    generation: &Generation,
+) -> Result<Picture, CallError> {
+    let mut records: BTreeMap<String, Record> = BTreeMap::new();
+    let mut from: Option<String> = None;
+    let mut revision = None;
+    loop {
+        let page = read_page(access, &generation.identity.namespace, from)?;
+        let has_next = page.has_next;
+        let last = page.rows.last().map(|row| row.path.clone());
+        let StateReply::Rows(own) = generation.from_store(StateReply::Rows(page)) else {
+            return Err(CallError::Unknown);
+        };
+        revision.get_or_insert(own.epoch);
+        records.extend(records_of(own));
+        match last.filter(|_| has_next) {
+            Some(last) => from = Some(last),
+            None => return Ok(Picture::new(revision.unwrap_or(0), records)),
+        }
+    }
+}
+
+fn read_page(
+    access: &mut impl StateAccess,
+    prefix: &str,
+    from: Option<String>,
+) -> Result<Rows, CallError> {
+    match access.call(&StateCall::List { prefix: prefix.to_owned(), from })? {
+        StateReply::Rows(page) => Ok(page),
+        _ => Err(CallError::Unknown),
+    }
+}
+
+fn records_of(rows: Rows) -> impl Iterator<Item = (String, Record)> {
+    rows.rows.into_iter().map(|row| {
+        let value = row.v.text().to_owned();
+        (row.path, Record { value, stamp: row.stamp })
+    })
+}
