--- a/crates/quartzlever-recovery/src/detection.rs
+++ b/crates/quartzlever-recovery/src/detection.rs
@@ -1,5 +1,7 @@
-//! What counts as a loss of the store's data. An outage, a refusal, a watch that is too old or late never
-//! does: only what an answer of the store itself shows.
+//! What counts as a loss of the store's data.
+//!
+//! Pure functions that compare what the store shows with what was known. Invariant: only an answer of the
+//! store itself shows a loss; an outage, a refusal, a watch that is too old or late never does.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +15,39 @@
 /// Why the store's data counts as lost.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Loss {
+    /// The store has no identity, though a cluster was known.
     #[error("the identity of the records is gone")]
     IdentityGone,
+    /// The store's identity is not the one that this process works with.
     #[error("the identity of the records is another one")]
     IdentityDiffers,
+    /// The store's revision is lower than one that was seen before.
     #[error("the revision went back from {from} to {to}")]
-    RevisionWentBack { from: u64, to: u64 },
+    RevisionWentBack {
+        /// The revision that was seen before, as the generation counts.
+        from: u64,
+        /// The revision that the store shows, as the generation counts.
+        to: u64,
+    },
+    /// The witness key of this controller has an earlier count than it has written.
     #[error(
         "a key of this controller is older than it has written it: {found} instead of {written}"
     )]
-    WitnessWentBack { written: u64, found: u64 },
+    WitnessWentBack {
+        /// The count that was written last.
+        written: u64,
+        /// The count in the store; zero without a key.
+        found: u64,
+    },
+    /// Records are absent, or older, that no change can have removed.
     #[error("{count} lasting records are missing or older than before, {example} among them")]
-    RecordsMissing { count: usize, example: String },
+    RecordsMissing {
+        /// How many records.
+        count: usize,
+        /// Key of one of them.
+        example: String,
+    },
+    /// The generation is no longer served, and the next one is not written yet.
     #[error("another controller has given the generation up")]
     GivenUp,
 }
@@ -32,10 +55,11 @@
 /// What a controller knew of the store when it last looked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Known<'a> {
-    pub identity: &'a Identity,
+    identity: &'a Identity,
     /// The latest revision that was seen, as the generation counts.
-    pub revision: u64,
-    pub witness: u64,
+    revision: u64,
+    /// The count of the own witness key that was written last.
+    witness: u64,
 }
 
 /// What an observation means for a controller.
@@ -49,10 +73,11 @@
     Newer(Generation),
     /// The store has another cluster's records.
     ForeignCluster,
+    /// The store has lost data.
     Lost(Loss),
 }
 
-/// Judges what was observed by what was known.
+/// Judges an observation by what `node` knew of the store; `None` if it has no history.
 pub fn judge(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Verdict {
     let Some(Stamped { value: identity, stamp }) = &observed.identity else {
         return if known.is_some() {
@@ -73,14 +98,15 @@
         Some(known) if identity.generation > known.identity.generation => {
             Verdict::Newer(generation)
         }
-        Some(known) => match went_back(node, known, identity, observed) {
+        Some(known) => match regression(node, known, identity, observed) {
             Some(loss) => Verdict::Lost(loss),
             None => Verdict::Intact(generation),
         },
     }
 }
 
-fn went_back(
+/// How the store stands behind what was known of the same generation.
+fn regression(
     node: &str,
     known: &Known<'_>,
     identity: &Identity,
@@ -108,25 +134,25 @@
     }
 }
 
-/// Whether a record that was there once may only change, but never go, or only by an end that stays.
-fn stays_for_good(key: &str) -> bool {
+/// Whether a record is never deleted.
+fn is_permanent(key: &str) -> bool {
     key.starts_with(OVER) || [CLUSTER_VERSION, CLUSTER_BLOCKS, CATALOGUE].contains(&key)
 }
 
 /// Whether a record of the picture is missing from the store's records, or older there, in a way that no
 /// change explains. The records were listed after the picture was taken.
-pub fn is_missing(key: &str, record: &Record, store: &BTreeMap<String, Record>) -> bool {
+fn is_missing(key: &str, record: &Record, store: &BTreeMap<String, Record>) -> bool {
     if let Some(found) = store.get(key) {
         return found.stamp < record.stamp;
     }
     match key.strip_prefix(LIVE) {
         Some(job) => !store.contains_key(&format!("{OVER}{job}")),
-        None => stays_for_good(key),
+        None => is_permanent(key),
     }
 }
 
-/// Lasting records of the picture that the store's records lack. Those up to the generation's base are
-/// inherited and may not be written yet.
+/// Records of the picture that the store's records lack in a way that no change explains, as a loss; `None`
+/// if there are none. Records up to the generation's `base` are inherited and may not be written yet.
 pub fn missing_records(
     picture: &Picture,
     base: u64,
--- a/crates/quartzlever-recovery/src/format.rs
+++ b/crates/quartzlever-recovery/src/format.rs
@@ -1,7 +1,10 @@
-//! The bytes of snapshots and logs: checksums over everything, a format version in front.
+//! The bytes of snapshots and logs.
 //!
-//! A snapshot is one frame after its header. A log is a sequence of frames; what follows the last whole
-//! frame is a torn tail and counts for nothing.
+//! This module owns the file format and performs no I/O. A file starts with a header: eight bytes of magic
+//! and the format's version. Frames follow, each with its length and checksum. A snapshot is one frame; a log
+//! is a sequence of frames, and bytes after the last whole frame are a torn end that counts for nothing.
+//!
+//! Invariant: no damaged byte is taken for content. A change of the bytes needs a new format version.
 
 use bincode::Options;
 use serde::de::DeserializeOwned;
@@ -12,39 +15,52 @@
 
 /// The first bytes of each file, and the version of what follows.
 const MAGIC: [u8; 8] = *b"qlstate\0";
-pub const FORMAT_VERSION: u32 = 1;
-const HEADER: usize = MAGIC.len() + 4;
+const FORMAT_VERSION: u32 = 1;
+const HEADER_BYTES: usize = MAGIC.len() + size_of::<u32>();
+/// The length in front of each frame.
+const FRAME_LENGTH_BYTES: usize = size_of::<u64>();
 /// Length and checksum in front of each frame.
-const FRAME_HEAD: usize = 8 + 4;
+const FRAME_HEADER_BYTES: usize = FRAME_LENGTH_BYTES + size_of::<u32>();
 
-/// Why a file cannot be read.
+/// Why a file cannot be read, or an entry not be written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FormatError {
+    /// The file does not begin with the magic bytes.
     #[error("not a file of quartzlever's recovery")]
     Foreign,
+    /// The file has a format version that this program does not know.
     #[error("written in format {0}; this program knows format {FORMAT_VERSION}")]
     Version(u32),
+    /// The content is damaged, in the way that is named.
     #[error("corrupt: {0}")]
     Corrupt(&'static str),
 }
 
-/// How long the disk took, as far as the log has measured it, in microseconds.
+/// How long writes to the disk took, as far as the log has measured it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteTimes {
+    /// Number of writes that were measured.
     pub count: u64,
+    /// Median, in microseconds.
     pub median: u64,
+    /// 99th percentile, in microseconds.
     pub p99: u64,
+    /// Longest write, in microseconds.
     pub longest: u64,
 }
 
 /// All records at one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
+    /// Cluster and generation of the records.
     pub identity: Identity,
+    /// The records are complete up to this revision.
     pub revision: u64,
-    /// Time of day, in microseconds since 1970.
+    /// Time of day of the snapshot, in microseconds since 1970.
     pub wall: u64,
+    /// Measured since the snapshot before.
     pub write_times: WriteTimes,
+    /// The records by key.
     pub rows: Vec<(String, Record)>,
 }
 
@@ -53,13 +69,18 @@
 pub enum LogEntry {
     /// The first frame: what the log continues.
     Begin {
+        /// Cluster and generation of the records.
         identity: Identity,
+        /// Revision of the snapshot before the log.
         revision: u64,
     },
+    /// Changes of records.
     Update(Update),
-    /// The log was written to at this time of day; the process's witness counter stood at that number.
+    /// A sign of life of the process that writes the log.
     Alive {
+        /// Time of day, in microseconds since 1970.
         wall: u64,
+        /// Count of the process's witness key.
         witness: u64,
     },
 }
@@ -76,7 +97,7 @@
 
 /// The content behind a file's header.
 fn body(bytes: &[u8]) -> Result<&[u8], FormatError> {
-    let head = bytes.get(..HEADER).ok_or(FormatError::Corrupt("no whole header"))?;
+    let head = bytes.get(..HEADER_BYTES).ok_or(FormatError::Corrupt("no whole header"))?;
     let (magic, version) = head.split_at(MAGIC.len());
     if magic != MAGIC {
         return Err(FormatError::Foreign);
@@ -85,7 +106,7 @@
     if version != FORMAT_VERSION {
         return Err(FormatError::Version(version));
     }
-    Ok(&bytes[HEADER..])
+    Ok(&bytes[HEADER_BYTES..])
 }
 
 fn push_frame(bytes: &mut Vec<u8>, value: &impl Serialize) -> Result<(), FormatError> {
@@ -99,11 +120,11 @@
 
 /// The first frame and what follows it; `None` where no whole frame is left.
 fn take_frame<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, &[u8])> {
-    let head = bytes.get(..FRAME_HEAD)?;
-    let length = u64::from_le_bytes(head[..8].try_into().ok()?);
-    let checksum = u32::from_le_bytes(head[8..].try_into().ok()?);
-    let end = FRAME_HEAD.checked_add(usize::try_from(length).ok()?)?;
-    let content = bytes.get(FRAME_HEAD..end)?;
+    let head = bytes.get(..FRAME_HEADER_BYTES)?;
+    let length = u64::from_le_bytes(head[..FRAME_LENGTH_BYTES].try_into().ok()?);
+    let checksum = u32::from_le_bytes(head[FRAME_LENGTH_BYTES..].try_into().ok()?);
+    let end = FRAME_HEADER_BYTES.checked_add(usize::try_from(length).ok()?)?;
+    let content = bytes.get(FRAME_HEADER_BYTES..end)?;
     if crc32fast::hash(content) != checksum {
         return None;
     }
@@ -111,12 +132,20 @@
 }
 
 impl Snapshot {
+    /// The content of a snapshot's file.
+    ///
+    /// # Errors
+    /// [`FormatError::Corrupt`] if a record cannot be encoded.
     pub fn to_bytes(&self) -> Result<Vec<u8>, FormatError> {
         let mut bytes = header();
         push_frame(&mut bytes, self)?;
         Ok(bytes)
     }
 
+    /// Reads the content of a snapshot's file.
+    ///
+    /// # Errors
+    /// [`FormatError`] if any byte is missing, damaged or too many.
     pub fn from_bytes(bytes: &[u8]) -> Result<Snapshot, FormatError> {
         match take_frame(body(bytes)?) {
             Some((snapshot, [])) => Ok(snapshot),
@@ -132,6 +161,9 @@
 }
 
 /// The bytes of an entry of a log.
+///
+/// # Errors
+/// [`FormatError::Corrupt`] if the entry cannot be encoded.
 pub fn log_frame(entry: &LogEntry) -> Result<Vec<u8>, FormatError> {
     let mut bytes = Vec::new();
     push_frame(&mut bytes, entry)?;
@@ -141,18 +173,22 @@
 /// The entries of a log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogContent {
+    /// In the order in which they were written.
     pub entries: Vec<LogEntry>,
-    /// Bytes after the last whole entry.
+    /// Number of bytes after the last whole entry.
     pub torn_bytes: usize,
 }
 
 /// Reads a log as far as its entries are whole.
+///
+/// # Errors
+/// [`FormatError`] if the header is not that of a file of this format.
 pub fn read_log(bytes: &[u8]) -> Result<LogContent, FormatError> {
     let mut rest = body(bytes)?;
     let mut entries = Vec::new();
-    while let Some((entry, behind)) = take_frame(rest) {
+    while let Some((entry, after)) = take_frame(rest) {
         entries.push(entry);
-        rest = behind;
+        rest = after;
     }
     Ok(LogContent { entries, torn_bytes: rest.len() })
 }
--- a/crates/quartzlever-recovery/src/generation.rs
+++ b/crates/quartzlever-recovery/src/generation.rs
@@ -1,8 +1,11 @@
-//! Keys and revisions of a generation, beside those of the store.
+//! Translation between the keys and revisions of a generation and those of the store.
 //!
 //! The rest of the program sees one line of revisions that never goes back, and its own keys only. In the
 //! store each generation's keys have a prefix of their own, and its revisions count from wherever the store
-//! began again. So no condition of an earlier generation can hold by accident in a later one.
+//! began again. This is the only module that translates; it keeps no state and makes no call.
+//!
+//! Invariant: no condition of an earlier generation can hold in a later one, since every transaction has the
+//! identity's key at its stamp as one more condition and a stamp from before the generation matches nothing.
 
 use quartzlever_wire::state::{
     Change, Condition, Event, Row, Rows, StateCall, StateReply, Txn, WatchAnswer,
@@ -11,20 +14,22 @@
 use crate::identity::{IDENTITY, Identity, RECOVERY, Stamped};
 
 /// Prefix of the namespaces of all generations but the first.
-pub const GENERATIONS: &str = "generation/";
+pub(crate) const GENERATIONS: &str = "generation/";
 
 /// A stamp that no key ever has: what a condition on a record of an earlier line becomes.
-const NEVER: u64 = u64::MAX >> 2;
+const UNMATCHED_STAMP: u64 = u64::MAX >> 2;
 
 /// The generation that a process works with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Generation {
+    /// Namespace, base and number of the generation.
     pub identity: Identity,
     /// Stamp of the identity's key in the store.
     pub stamp: u64,
 }
 
 impl Generation {
+    /// The generation that an identity in the store describes.
     pub fn new(identity: Stamped<Identity>) -> Generation {
         Generation { identity: identity.value, stamp: identity.stamp }
     }
@@ -44,7 +49,7 @@
         match stamp {
             0 => 0,
             stamp if stamp > self.identity.base => stamp - self.identity.base,
-            _ => NEVER,
+            _ => UNMATCHED_STAMP,
         }
     }
 
@@ -53,10 +58,10 @@
         in_store + self.identity.base
     }
 
-    /// The call that the store understands.
+    /// The call in the store's keys and revisions.
     pub fn to_store(&self, call: &StateCall) -> StateCall {
         match call {
-            // It brings the revision too, and what it belongs to.
+            // A listing tells the revision too, and which generation it belongs to.
             StateCall::Revision => StateCall::List { prefix: IDENTITY.into(), from: None },
             StateCall::Get(key) => StateCall::Get(self.key_in_store(key)),
             StateCall::List { prefix, from } => StateCall::List {
@@ -88,8 +93,8 @@
         Txn { conditions, changes: txn.changes.iter().map(change).collect() }
     }
 
-    /// The store's answer in the generation's terms.
-    pub fn from_store(&self, reply: StateReply) -> StateReply {
+    /// The store's answer in the generation's keys and revisions, without keys of other owners.
+    pub(crate) fn reply_from_store(&self, reply: StateReply) -> StateReply {
         match reply {
             StateReply::Revision(epoch) => StateReply::Revision(self.revision(epoch)),
             StateReply::Row(row) => StateReply::Row(row.and_then(|row| self.own_row(row))),
--- a/crates/quartzlever-recovery/src/guard.rs
+++ b/crates/quartzlever-recovery/src/guard.rs
@@ -1,7 +1,11 @@
-//! Calls to the state service, none of whose answers may come from a store that has lost data.
+//! Calls to the state service whose answers are checked for a loss of data.
 //!
-//! Absence is what a loss looks like, so whatever says that something is absent, and whatever prolongs the
-//! right to act, counts only after the identity of the records was read once more, later.
+//! This module owns the highest revision of the store that any answer has shown. Absence is what a loss looks
+//! like, so an answer that says that something is absent, or that prolongs the right to act, counts only
+//! after the identity of the records was read once more, later.
+//!
+//! Invariant: no answer of a store that has lost data passes. An outage or a refusal is never taken for a
+//! loss.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,36 +16,41 @@
 use crate::generation::Generation;
 use crate::identity::{IDENTITY, Observed};
 
-/// Why a call brought nothing.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a call has no answer that may be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GuardError {
-    Call(CallError),
+    /// The call failed, or its outcome is unknown.
+    #[error("the call to the state service failed: {0}")]
+    Call(#[from] CallError),
     /// The store has lost data. Nothing that this process knows may be acted on any more.
+    #[error("the state service has lost data: {0}")]
     Lost(Loss),
-    /// A record that should be there was not found; whether it is lost shows an audit.
+    /// A record that this process knows was not found. It may have been deleted since; an audit of all
+    /// records tells.
+    #[error("the state service lacks a record that is known here")]
     Suspect,
 }
 
-impl From<CallError> for GuardError {
-    fn from(error: CallError) -> GuardError {
-        GuardError::Call(error)
-    }
-}
-
-/// What a process holds against the store's answers.
+/// The generation and the revision that the store's answers are checked against.
 #[derive(Debug)]
 pub struct Guard {
+    /// The generation that this process works with.
     pub generation: Generation,
     /// The latest revision of the store that any answer has told of.
     highest: AtomicU64,
 }
 
 impl Guard {
+    /// A guard for a generation, whose identity was read at the store's revision `epoch` or before.
     pub fn new(generation: Generation, epoch: u64) -> Guard {
         Guard { generation, highest: AtomicU64::new(epoch) }
     }
 
-    /// Makes a call. `is_known` says whether a record is in this process's picture.
+    /// Makes a call in the generation's keys and revisions. `is_known` says whether a record is in this
+    /// process's picture.
+    ///
+    /// # Errors
+    /// [`GuardError`]; after [`GuardError::Lost`] no answer that came before may be acted on either.
     pub fn call(
         &self,
         store: &mut impl FnMut(&StateCall) -> Result<StateReply, CallError>,
@@ -74,10 +83,13 @@
             }
             _ => {}
         }
-        Ok(self.generation.from_store(reply))
+        Ok(self.generation.reply_from_store(reply))
     }
 
-    /// Reads the identity of the records once more.
+    /// Reads the identity of the records once more and checks it.
+    ///
+    /// # Errors
+    /// As of [`Guard::call`].
     pub fn verify(
         &self,
         store: &mut impl FnMut(&StateCall) -> Result<StateReply, CallError>,
@@ -89,7 +101,11 @@
         }
     }
 
-    /// Checks what an answer to a call that was sent when `floor` was known shows; the store's revision.
+    /// Checks an observation against the identity and against `floor`, the highest revision of the store
+    /// that was known when the call was sent; returns the store's revision.
+    ///
+    /// # Errors
+    /// [`GuardError::Lost`] if the identity is absent or another one, or the revision is below `floor`.
     pub fn check(&self, observed: &Observed, floor: u64) -> Result<u64, GuardError> {
         let Some(identity) = &observed.identity else {
             return Err(GuardError::Lost(Loss::IdentityGone));
@@ -106,7 +122,7 @@
         Ok(observed.epoch)
     }
 
-    /// The latest revision of the store that is known.
+    /// The latest revision of the store that any answer has shown.
     pub fn highest(&self) -> u64 {
         self.highest.load(Ordering::SeqCst)
     }
--- a/crates/quartzlever-recovery/src/identity.rs
+++ b/crates/quartzlever-recovery/src/identity.rs
@@ -1,4 +1,8 @@
-//! Which store this is: the keys under `recovery/`, which no generation's records hide.
+//! The keys under `recovery/`: which store this is, and what the controllers tell each other in a rebuild.
+//!
+//! This module owns the keys and the JSON of their values; both are read by controllers of other versions,
+//! so neither may change. The keys stand outside every generation's namespace, and no generation's records
+//! hide them. Invariant: of all keys under `recovery/`, only the [`Identity`] decides which records count.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Prefix of all keys of this crate.
-pub const RECOVERY: &str = "recovery/";
+pub(crate) const RECOVERY: &str = "recovery/";
 /// Key of the [`Identity`].
 pub const IDENTITY: &str = "recovery/identity";
 /// Key of the [`Lock`] of the controller that rebuilds.
@@ -15,10 +19,10 @@
 /// Prefix of the keys of [`Candidate`]s, by node.
 pub const CANDIDATES: &str = "recovery/candidates/";
 /// Prefix of the keys of [`ExtraPiece`]s, by node and number.
-pub const EXTRAS: &str = "recovery/extra/";
+pub(crate) const EXTRAS: &str = "recovery/extra/";
 /// Prefix of keys, by node, of controllers that were up before a loss and had no part in the rebuild: what
 /// they alone know is not in the records before they come back.
-pub const ABSENT: &str = "recovery/absent/";
+pub(crate) const ABSENT: &str = "recovery/absent/";
 /// Prefix of keys, by node, of controllers that came without any history. Such a one cannot tell records
 /// that were never there from lost ones until a controller with a history has compared them with its own.
 pub const UNVOUCHED: &str = "recovery/unvouched/";
@@ -31,6 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
+    /// The records are complete; controllers may act on them.
     Serving,
     /// The generation was given up; nobody acts before the next one serves.
     Rebuilding,
@@ -49,18 +54,20 @@
     /// What the generation's revisions are ahead of the store's: tokens and attempts are made of them
     /// and may never sink, though a store that lost everything counts from the beginning.
     pub base: u64,
+    /// Whether controllers may act on the records.
     pub phase: Phase,
 }
 
 /// A controller that waits for an intact store, with what it could rebuild it from; on its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// None if it has no history.
+    /// The generation of its history; `None` if it has no history.
     pub generation: Option<u32>,
-    /// The latest change that it knows, and how far it knows all of them.
+    /// Revision of the latest change that it knows.
     pub revision: u64,
+    /// It knows all changes up to this revision.
     pub complete_to: u64,
-    /// The changes after this revision that it knows are under [`EXTRAS`].
+    /// The changes after this revision that it knows are under `recovery/extra/`; `None` if none are.
     pub extras_after: Option<u64>,
     /// Whether its log surely has everything that it acted on.
     pub proven: bool,
@@ -69,14 +76,18 @@
 /// The controller that rebuilds; on its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lock {
+    /// Name of the controller.
     pub node: String,
+    /// Random number of its process.
     pub process: u64,
 }
 
 /// A part of the value of a change that a candidate knows and another may lack; on the candidate's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ExtraPiece {
+pub(crate) struct ExtraPiece {
+    /// Key of the record that was changed.
     pub key: String,
+    /// Revision of the change.
     pub stamp: u64,
     /// None if the key was deleted.
     pub text: Option<String>,
@@ -88,12 +99,13 @@
 /// pictures: those that knew everything up to this revision of the generation before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inheriting {
+    /// A revision of the generation before.
     pub known_to: u64,
 }
 
 /// A controller that had no part in a rebuild.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AbsentNode {
+pub(crate) struct AbsentNode {
     /// The generation that was rebuilt without it.
     pub generation: u32,
 }
@@ -102,28 +114,35 @@
 /// number, even if its revision has grown beyond the one last seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
+    /// Number of writes, counted from one.
     pub count: u64,
 }
 
 /// A record with the stamp of its key in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stamped<T> {
+    /// The record.
     pub value: T,
+    /// The store's revision of the key's last change.
     pub stamp: u64,
 }
 
 /// The keys under `recovery/` at one revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observed {
+    /// The identity of the records, if there is one.
     pub identity: Option<Stamped<Identity>>,
-    pub lock: Option<Stamped<Lock>>,
-    pub candidates: BTreeMap<String, Stamped<Candidate>>,
+    pub(crate) lock: Option<Stamped<Lock>>,
+    pub(crate) candidates: BTreeMap<String, Stamped<Candidate>>,
+    /// Counts of the witness keys, by node.
     pub witnesses: BTreeMap<String, u64>,
     /// Controllers whose knowledge the records lack.
-    pub absent: BTreeMap<String, Stamped<AbsentNode>>,
-    pub extras: Vec<ExtraPiece>,
+    pub(crate) absent: BTreeMap<String, Stamped<AbsentNode>>,
+    /// In the order of their keys.
+    pub(crate) extras: Vec<ExtraPiece>,
+    /// Present while some final states are not written.
     pub inheriting: Option<Stamped<Inheriting>>,
-    /// Stamps of the keys of controllers without a history.
+    /// Stamps of the keys of controllers without a history, by node.
     pub unvouched: BTreeMap<String, u64>,
     /// The store's own revision.
     pub epoch: u64,
--- a/crates/quartzlever-recovery/src/picture.rs
+++ b/crates/quartzlever-recovery/src/picture.rs
@@ -1,80 +1,29 @@
 //! All records that a controller has seen, complete up to a revision.
+//!
+//! The picture is plain memory: it takes in updates and never calls the store. Invariant: whatever the order
+//! in which updates arrive, and however often, the latest change of each key stands, and all changes up to
+//! [`Picture::revision`] are in it.
+
+mod update;
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-use quartzlever_wire::state::{
-    CLUSTER_NODES, Change, Event, NodeRecord, Row, StateCall, StateReply,
-};
+use quartzlever_wire::Json;
+use quartzlever_wire::state::{CLUSTER_NODES, NodeRecord};
 use serde::{Deserialize, Serialize};
 
+pub use update::{KeyChange, Update};
+
 /// A record: its JSON text, and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
+    /// JSON text.
     pub value: String,
+    /// Revision of the last change, as the generation counts.
     pub stamp: u64,
 }
 
-/// A change of one key; without a value it was deleted.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyChange {
-    pub key: String,
-    pub stamp: u64,
-    pub value: Option<String>,
-}
-
-/// Changes that an answer of the state service has shown.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Update {
-    pub changes: Vec<KeyChange>,
-    /// Together with what was known before, these are all changes up to this revision.
-    pub complete_to: Option<u64>,
-}
-
-impl Update {
-    /// What an answer to a call shows; nothing if it shows no change.
-    pub fn shown_by(call: &StateCall, reply: &StateReply) -> Option<Update> {
-        match (call, reply) {
-            (StateCall::Txn(txn), StateReply::Committed(stamp)) if !txn.changes.is_empty() => {
-                let changes = txn.changes.iter().map(|c| written(c, *stamp)).collect();
-                Some(Update { changes, complete_to: None })
-            }
-            (StateCall::Watch { .. }, StateReply::Watched(answer)) => {
-                let changes = answer.log.iter().map(told).collect();
-                Some(Update { changes, complete_to: Some(answer.epoch) })
-            }
-            (StateCall::Get(_), StateReply::Row(Some(row))) => {
-                Some(Update { changes: vec![read(row)], complete_to: None })
-            }
-            _ => None,
-        }
-    }
-}
-
-fn written(change: &Change, stamp: u64) -> KeyChange {
-    match change {
-        Change::Write { write, v, .. } => {
-            KeyChange { key: write.clone(), stamp, value: Some(v.text().to_owned()) }
-        }
-        Change::Delete { delete } => KeyChange { key: delete.clone(), stamp, value: None },
-    }
-}
-
-fn told(event: &Event) -> KeyChange {
-    match event {
-        Event::Write { write, v, stamp } => {
-            KeyChange { key: write.clone(), stamp: *stamp, value: Some(v.text().to_owned()) }
-        }
-        Event::Delete { delete, stamp } => {
-            KeyChange { key: delete.clone(), stamp: *stamp, value: None }
-        }
-    }
-}
-
-fn read(row: &Row) -> KeyChange {
-    KeyChange { key: row.path.clone(), stamp: row.stamp, value: Some(row.v.text().to_owned()) }
-}
-
 /// The records of a generation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Picture {
@@ -96,10 +45,12 @@
         self.revision
     }
 
+    /// The records by key.
     pub fn rows(&self) -> &BTreeMap<String, Record> {
         &self.rows
     }
 
+    /// The record at a key.
     pub fn get(&self, key: &str) -> Option<&Record> {
         self.rows.get(key)
     }
@@ -142,7 +93,8 @@
         }
     }
 
-    /// Inherited records that are not written anew yet, after a key.
+    /// Inherited records that are not written anew yet, those up to the generation's `base`, at keys after
+    /// `after`.
     pub fn inherited<'a>(
         &'a self,
         base: u64,
@@ -154,7 +106,7 @@
 
     /// What is known of changes after a revision. Of the deletions only those that came early are
     /// known; a job's end shows by its final state.
-    pub fn changes_after(&self, revision: u64) -> Vec<KeyChange> {
+    pub(crate) fn changes_after(&self, revision: u64) -> Vec<KeyChange> {
         let later = self.rows.iter().filter(|(_, record)| record.stamp > revision);
         let written = later.map(|(key, record)| KeyChange {
             key: key.clone(),
@@ -178,13 +130,13 @@
     }
 
     /// The nodes whose processes were up.
-    pub fn nodes_up(&self) -> impl Iterator<Item = &str> {
+    pub(crate) fn nodes_up(&self) -> impl Iterator<Item = &str> {
         let announced = self.rows.iter().filter(|(key, _)| key.starts_with(CLUSTER_NODES));
-        let readable = announced.filter(|(_, r)| serde_json_reads::<NodeRecord>(&r.value));
+        let readable = announced.filter(|(_, record)| is_node_record(&record.value));
         readable.filter_map(|(key, _)| key.strip_prefix(CLUSTER_NODES))
     }
 }
 
-fn serde_json_reads<T: serde::de::DeserializeOwned>(text: &str) -> bool {
-    quartzlever_wire::Json::from_text(text).is_some_and(|json| json.parse::<T>().is_some())
+fn is_node_record(text: &str) -> bool {
+    Json::from_text(text).is_some_and(|json| json.parse::<NodeRecord>().is_some())
 }
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -1,4 +1,7 @@
 //! Which records a rebuild writes: those of a controller's picture, and what the store still holds.
+//!
+//! Pure functions of the two. Invariant: a final state always stands before a live record of its job, and of
+//! two records whose revisions can be compared the later one stands.
 
 use std::collections::BTreeMap;
 
@@ -11,6 +14,7 @@
 /// What the store still holds of the generation that was given up, as that generation counts.
 #[derive(Clone, Debug, Default)]
 pub struct Survivors {
+    /// The records by the generation's own keys.
     pub rows: BTreeMap<String, Record>,
     /// The store's revisions never went back, so that its records and those of the picture can be
     /// compared by their stamps.
@@ -20,32 +24,40 @@
 /// What becomes of the records, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Jobs that are neither done nor cancelled, and those that are.
-    pub live_jobs: usize,
-    pub ended_jobs: usize,
+    /// Jobs that are neither done nor cancelled.
+    live_jobs: usize,
+    /// Jobs that are done or cancelled.
+    ended_jobs: usize,
     /// Machines that will be asked what they run, and adopted, or returned if they stay silent.
-    pub machines: usize,
-    /// Records of the picture that the store lacks, and records that only the store has.
-    pub restored: usize,
-    pub only_in_store: usize,
+    machines: usize,
+    /// Records of the picture that the store lacks.
+    restored: usize,
+    /// Records that only the store has.
+    only_in_store: usize,
     /// Records of the store that are left out, since a later state is known.
-    pub superseded: usize,
+    superseded: usize,
 }
 
 /// The records of the next generation, by the generation's own keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
+    /// JSON texts by key.
     pub records: BTreeMap<String, String>,
+    /// What becomes of the records.
     pub summary: Summary,
 }
 
 /// Whether a record belongs to a process that was up and is acquired anew.
-fn is_on_a_lease(key: &str) -> bool {
+fn is_bound_to_lease(key: &str) -> bool {
     [PARTS, HEARD, CLUSTER_NODES].iter().any(|prefix| key.starts_with(prefix))
 }
 
-/// The record of a key that both know, or one of them.
-fn choose<'a>(key: &str, picture: &'a Picture, survivors: &'a Survivors) -> Option<&'a Record> {
+/// The record of a key that stands: of two the later one, if their revisions can be compared.
+fn standing_record<'a>(
+    key: &str,
+    picture: &'a Picture,
+    survivors: &'a Survivors,
+) -> Option<&'a Record> {
     let (known, found) = (picture.get(key), survivors.rows.get(key));
     match (known, found) {
         (Some(known), Some(found)) if survivors.same_line && found.stamp > known.stamp => {
@@ -60,8 +72,8 @@
     }
 }
 
-/// Whether the job that a record belongs to is over, or not known, according to `records`.
-fn is_left_behind(key: &str, records: &BTreeMap<String, String>) -> bool {
+/// Whether `records` show the job of a live record as over, or the job of a page as over or unknown.
+fn is_obsolete(key: &str, records: &BTreeMap<String, String>) -> bool {
     if let Some(job) = key.strip_prefix(LIVE) {
         return records.contains_key(&format!("{OVER}{job}"));
     }
@@ -74,14 +86,14 @@
 pub fn plan(picture: &Picture, survivors: &Survivors) -> Plan {
     let keys = picture.rows().keys().chain(survivors.rows.keys());
     let mut records: BTreeMap<String, String> = BTreeMap::new();
-    for key in keys.filter(|key| !is_on_a_lease(key)) {
-        if let Some(record) = choose(key, picture, survivors) {
+    for key in keys.filter(|key| !is_bound_to_lease(key)) {
+        if let Some(record) = standing_record(key, picture, survivors) {
             records.insert(key.clone(), record.value.clone());
         }
     }
-    let left_behind: Vec<String> =
-        records.keys().filter(|key| is_left_behind(key, &records)).cloned().collect();
-    for key in &left_behind {
+    let obsolete: Vec<String> =
+        records.keys().filter(|key| is_obsolete(key, &records)).cloned().collect();
+    for key in &obsolete {
         records.remove(key);
     }
     let summary = summarise(&records, picture, survivors);
@@ -98,7 +110,7 @@
         let hosts = Json::from_text(value).and_then(|json| hosts_in(key, &json));
         hosts.map_or(0, |hosts| hosts.len())
     });
-    let store = survivors.rows.iter().filter(|(key, _)| !is_on_a_lease(key));
+    let store = survivors.rows.iter().filter(|(key, _)| !is_bound_to_lease(key));
     Summary {
         live_jobs: count(LIVE),
         ended_jobs: count(OVER),
@@ -110,9 +122,9 @@
 }
 
 impl Plan {
-    /// The changes that make the store's records those of the plan, by the generation's own keys:
-    /// only what differs where the generation keeps its namespace, and else all but the final states up to
-    /// the revision that every candidate knows, which are written later.
+    /// The changes that make the store's records those of the plan, by the generation's own keys: only what
+    /// differs where the generation keeps its namespace, and else all but the final states up to `known_to`,
+    /// the revision up to which every candidate knows all changes; those are written later.
     pub fn changes(&self, survivors: &Survivors, picture: &Picture, known_to: u64) -> Vec<Change> {
         let is_known = |key: &str| picture.get(key).is_some_and(|record| record.stamp <= known_to);
         let is_inherited =
--- a/crates/quartzlever-recovery/src/rebuild/inheritance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/inheritance.rs
@@ -39,7 +39,7 @@
         }
     }
     let call = StateCall::Txn(txn);
-    let reply = generation.from_store(store(&generation.to_store(&call))?);
+    let reply = generation.reply_from_store(store(&generation.to_store(&call))?);
     Ok(Update::shown_by(&call, &reply))
 }
 
--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -45,7 +45,7 @@
         let page = read_page(access, &generation.identity.namespace, from)?;
         let has_next = page.has_next;
         let last = page.rows.last().map(|row| row.path.clone());
-        let StateReply::Rows(own) = generation.from_store(StateReply::Rows(page)) else {
+        let StateReply::Rows(own) = generation.reply_from_store(StateReply::Rows(page)) else {
             return Err(CallError::Unknown);
         };
         revision.get_or_insert(own.epoch);
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -3,8 +3,7 @@
 //! What all controllers together have reached stands in the store alone, so a process derives its state anew
 //! from every look at the store ([`StateMachine::state`]), takes the one step of that state
 //! ([`StateMachine::advance`]), and looks again. A step that fails is never repeated by itself: the next look
-//! may
-//! lead to another state.
+//! may lead to another state.
 //!
 //! ```text
 //! no identity, identity lost or given up -> Electing   -> (lock won) next generation written -> Joining
