--- a/crates/quartzlever-recovery/src/format.rs
+++ b/crates/quartzlever-recovery/src/format.rs
@@ -33,7 +33,24 @@
     Version(u32),
     /// The content is damaged, in the way that is named.
     #[error("corrupt: {0}")]
-    Corrupt(&'static str),
+    Corrupt(Corruption),
+}
+
+/// What is wrong with the content of a file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Corruption {
+    /// The file ends before its header does.
+    #[error("no whole header")]
+    ShortHeader,
+    /// An entry or a snapshot cannot be encoded.
+    #[error("cannot be written")]
+    NotEncodable,
+    /// Bytes follow the frame of a snapshot.
+    #[error("bytes after the end")]
+    TrailingBytes,
+    /// The frame of a snapshot is not whole, or not what was written.
+    #[error("wrong checksum or length")]
+    DamagedFrame,
 }
 
 /// How long writes to the disk took, as far as the log has measured it.
@@ -97,7 +114,7 @@
 
 /// The content behind a file's header.
 fn body(bytes: &[u8]) -> Result<&[u8], FormatError> {
-    let head = bytes.get(..HEADER_BYTES).ok_or(FormatError::Corrupt("no whole header"))?;
+    let head = bytes.get(..HEADER_BYTES).ok_or(FormatError::Corrupt(Corruption::ShortHeader))?;
     let (magic, version) = head.split_at(MAGIC.len());
     if magic != MAGIC {
         return Err(FormatError::Foreign);
@@ -111,7 +128,7 @@
 
 fn push_frame(bytes: &mut Vec<u8>, value: &impl Serialize) -> Result<(), FormatError> {
     let content =
-        codec().serialize(value).map_err(|_| FormatError::Corrupt("cannot be written"))?;
+        codec().serialize(value).map_err(|_| FormatError::Corrupt(Corruption::NotEncodable))?;
     bytes.extend_from_slice(&(content.len() as u64).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&content).to_le_bytes());
     bytes.extend_from_slice(&content);
@@ -149,8 +166,8 @@
     pub fn from_bytes(bytes: &[u8]) -> Result<Snapshot, FormatError> {
         match take_frame(body(bytes)?) {
             Some((snapshot, [])) => Ok(snapshot),
-            Some(_) => Err(FormatError::Corrupt("bytes after the end")),
-            None => Err(FormatError::Corrupt("wrong checksum or length")),
+            Some(_) => Err(FormatError::Corrupt(Corruption::TrailingBytes)),
+            None => Err(FormatError::Corrupt(Corruption::DamagedFrame)),
         }
     }
 }
--- a/crates/quartzlever-recovery/src/history.rs
+++ b/crates/quartzlever-recovery/src/history.rs
@@ -92,16 +92,14 @@
     /// Takes in a log's entries. Those of a log that continues something else are left out.
     fn continue_with(&mut self, entries: Vec<LogEntry>) -> Result<(), LogError> {
         let mut entries = entries.into_iter();
-        match entries.next() {
-            Some(LogEntry::Begin { identity, revision }) => {
-                if identity != self.identity {
-                    return Err(LogError::OtherGeneration);
-                }
-                if revision > self.picture.newest() {
-                    return Err(LogError::Gap);
-                }
-            }
-            _ => return Err(LogError::NoBeginning),
+        let Some(LogEntry::Begin { identity, revision }) = entries.next() else {
+            return Err(LogError::NoBeginning);
+        };
+        if identity != self.identity {
+            return Err(LogError::OtherGeneration);
+        }
+        if revision > self.picture.newest() {
+            return Err(LogError::Gap);
         }
         for entry in entries {
             match entry {
@@ -117,12 +115,21 @@
     }
 }
 
+/// A snapshot with the number of its file.
+struct NumberedSnapshot {
+    number: u64,
+    snapshot: Snapshot,
+}
+
 /// The newest snapshot that can be read.
-fn newest_snapshot(files: &[StoredFiles], complaints: &mut Vec<String>) -> Option<(u64, Snapshot)> {
+fn newest_snapshot(
+    files: &[StoredFiles],
+    complaints: &mut Vec<String>,
+) -> Option<NumberedSnapshot> {
     files.iter().rev().find_map(|file| {
         let bytes = file.snapshot.as_ref()?;
         match Snapshot::from_bytes(bytes) {
-            Ok(snapshot) => Some((file.number, snapshot)),
+            Ok(snapshot) => Some(NumberedSnapshot { number: file.number, snapshot }),
             Err(error) => {
                 complaints.push(format!("snapshot {}: {error}; passed over", file.number));
                 None
@@ -171,9 +178,10 @@
 /// are no error; they are named in the complaints.
 pub fn read_history(files: &[StoredFiles]) -> LoadedHistory {
     let mut complaints = Vec::new();
-    let Some((number, snapshot)) = newest_snapshot(files, &mut complaints) else {
+    let Some(newest) = newest_snapshot(files, &mut complaints) else {
         return LoadedHistory { history: None, complaints };
     };
+    let NumberedSnapshot { number, snapshot } = newest;
     let history = History::of(snapshot);
     let mut reader = HistoryReader { history, previous_end: LogEnd::Whole, complaints };
     for file in files.iter().filter(|file| file.number >= number) {
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -1,7 +1,7 @@
 //! Which records a rebuild writes: those of a controller's picture, and what the store still holds.
 //!
 //! Pure functions of the two. Invariant: a final state always stands before a live record of its job, and of
-//! two records whose revisions can be compared the later one stands.
+//! two records of one key the later one stands where their revisions can be compared.
 
 use std::collections::BTreeMap;
 
@@ -52,7 +52,8 @@
     [PARTS, HEARD, CLUSTER_NODES].iter().any(|prefix| key.starts_with(prefix))
 }
 
-/// The record of a key that stands: of two the later one, if their revisions can be compared.
+/// The record of a key that stands: of two the later one where their revisions can be compared, and else
+/// that of the picture.
 fn standing_record<'a>(
     key: &str,
     picture: &'a Picture,
@@ -82,7 +83,7 @@
     is_over || !records.contains_key(&format!("{LIVE}{job}"))
 }
 
-/// The records of the next generation.
+/// Determines the records of the next generation.
 pub fn plan(picture: &Picture, survivors: &Survivors) -> Plan {
     let keys = picture.rows().keys().chain(survivors.rows.keys());
     let mut records: BTreeMap<String, String> = BTreeMap::new();
