--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -1,23 +1,36 @@
 //! The quartzlever controller.
+//!
+//! Modules use each other in one direction only. From the lowest to the highest, each uses only those
+//! before it:
+//!
+//! 1. `clock`, `exit_status`, `random`, `thread_pool`: nothing of this program but `clock`.
+//! 2. `settings`: what the program is told at its start.
+//! 3. `server`: connections of users and workers; `inbox`: the queues to the core's thread.
+//! 4. `recovery`: the store behind the guard and the log.
+//! 5. `node`: the core's thread, and the threads that carry out its effects.
+//! 6. `main`: the arguments; it starts everything, and no module uses it.
 
 mod clock;
+mod exit_status;
 mod inbox;
 mod node;
+mod random;
 mod recovery;
 mod server;
 mod settings;
 mod thread_pool;
 
-use std::collections::hash_map::RandomState;
-use std::hash::{BuildHasher, Hasher};
+use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 use quartzlever_core::Weight;
 
+use exit_status::BAD_SETTINGS;
 use recovery::commands::{self, CommandError};
 use recovery::{Directory, Recovery};
+use settings::Settings;
 
 /// A cluster scheduler by adaptive work stealing.
 ///
@@ -62,10 +75,6 @@
     Show { directory: PathBuf },
 }
 
-const BAD_SETTINGS: u8 = 2;
-/// Exit status of a program that is older than what all controllers have agreed on.
-pub(crate) const UNKNOWN_VERSION: u8 = 3;
-
 fn weight() -> Weight {
     match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => Weight::Debug,
@@ -74,19 +83,25 @@
     }
 }
 
-/// A number that no other process, and no other call, draws.
-pub(crate) fn random_number() -> u64 {
-    let mut hasher = RandomState::new().build_hasher();
-    hasher.write_u64(clock::wall());
-    hasher.write_u32(std::process::id());
-    hasher.finish()
+fn start_logging(weight: Weight) {
+    let level = match weight {
+        Weight::Error => tracing::Level::ERROR,
+        Weight::Info => tracing::Level::INFO,
+        Weight::Debug => tracing::Level::DEBUG,
+    };
+    tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_max_level(level)
+        .with_target(false)
+        .with_ansi(false)
+        .init();
 }
 
 /// The exit status of a command at the terminal.
 fn status_of(outcome: Result<(), CommandError>) -> ExitCode {
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error @ CommandError::Directory(_)) => bad_settings(&error),
+        Err(error @ CommandError::Directory(_)) => bad_settings(error),
         Err(error) => {
             eprintln!("quartzlever: {error}");
             ExitCode::FAILURE
@@ -94,64 +109,63 @@
     }
 }
 
-fn bad_settings(error: &dyn std::error::Error) -> ExitCode {
-    eprintln!("quartzlever: {error}");
+fn bad_settings(error: impl Into<Box<dyn Error>>) -> ExitCode {
+    eprintln!("quartzlever: {}", error.into());
     ExitCode::from(BAD_SETTINGS)
 }
 
 fn main() -> ExitCode {
-    let arguments = Arguments::parse();
+    let Arguments { config, operator, verb } = Arguments::parse();
     let weight = weight();
-    let level = match weight {
-        Weight::Error => tracing::Level::ERROR,
-        Weight::Info => tracing::Level::INFO,
-        Weight::Debug => tracing::Level::DEBUG,
-    };
-    tracing_subscriber::fmt()
-        .with_writer(std::io::stderr)
-        .with_max_level(level)
-        .with_target(false)
-        .with_ansi(false)
-        .init();
-    if let Some(Verb::Snapshot { verb }) = &arguments.verb {
-        return status_of(match verb {
-            SnapshotVerb::List { directory } => commands::list(directory),
-            SnapshotVerb::Verify { directory } => commands::verify(directory),
-            SnapshotVerb::Show { directory } => commands::show(directory),
-        });
+    start_logging(weight);
+    if let Some(Verb::Snapshot { verb }) = verb {
+        return show_snapshots(&verb);
     }
-    let Some(config) = arguments.config else {
-        eprintln!("quartzlever: --config FILE is missing");
-        return ExitCode::from(BAD_SETTINGS);
-    };
-    let settings = match settings::load(&config, arguments.operator.as_deref(), weight) {
+    let Some(config) = config else { return bad_settings("--config FILE is missing") };
+    let settings = match settings::load(&config, operator.as_deref(), weight) {
         Ok(settings) => settings,
-        Err(error) => return bad_settings(&error),
+        Err(error) => return bad_settings(error),
     };
-    let directory = settings.recovery.as_ref().map(|r| Directory::open(&r.directory)).transpose();
-    let directory = match directory {
+    let recovery = settings.recovery.as_ref();
+    let directory = match recovery.map(|own| Directory::open(&own.directory)).transpose() {
         Ok(directory) => directory,
-        Err(error) => return bad_settings(&error),
+        Err(error) => return bad_settings(error),
     };
-    if let Some(Verb::Check) = arguments.verb {
-        println!("{}: fine", config.display());
-        return ExitCode::SUCCESS;
-    }
-    if let Some(Verb::Rebuild { .. }) = arguments.verb {
-        let Some(recovery) = &settings.recovery else {
-            eprintln!("quartzlever: recovery: not switched on by --operator FILE");
-            return ExitCode::from(BAD_SETTINGS);
-        };
-        let (directory, node) = (&recovery.directory, &settings.core.node);
-        return status_of(commands::rebuild_dry_run(directory, &settings.state, node));
+    match verb {
+        Some(Verb::Check) => {
+            println!("{}: fine", config.display());
+            ExitCode::SUCCESS
+        }
+        Some(Verb::Rebuild { .. }) => rebuild_dry_run(&settings),
+        _ => run(settings, directory),
     }
+}
+
+fn show_snapshots(verb: &SnapshotVerb) -> ExitCode {
+    status_of(match verb {
+        SnapshotVerb::List { directory } => commands::list(directory),
+        SnapshotVerb::Verify { directory } => commands::verify(directory),
+        SnapshotVerb::Show { directory } => commands::show(directory),
+    })
+}
+
+fn rebuild_dry_run(settings: &Settings) -> ExitCode {
+    let Some(recovery) = &settings.recovery else {
+        return bad_settings("recovery: not switched on by --operator FILE");
+    };
+    let (directory, node) = (&recovery.directory, &settings.core.node);
+    status_of(commands::rebuild_dry_run(directory, &settings.state, node))
+}
+
+fn run(settings: Settings, directory: Option<Directory>) -> ExitCode {
     let recovery = match directory.map(Directory::lock).transpose() {
         Ok(directory) => directory.zip(settings.recovery.clone()),
-        Err(error) => return bad_settings(&error),
+        Err(error) => return bad_settings(error),
     };
     let recovery = recovery.map(|(directory, settings)| Recovery { settings, directory });
     // Differs between processes of one node, also when one follows the other at once.
-    match node::run(settings, recovery, random_number()) {
+    let seed = random::random_number();
+    match node::run(settings, recovery, seed) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("cannot run: {error}");
--- a/crates/quartzlever/src/node.rs
+++ b/crates/quartzlever/src/node.rs
@@ -18,6 +18,7 @@
 use quartzlever_wire::{CallError, Micros};
 
 use crate::clock::{Clock, wall};
+use crate::exit_status::UNKNOWN_VERSION;
 use crate::inbox::{Inbox, InboxReceiver, Item, Reply};
 use crate::recovery::{self, OwnLog, Recovery, StateService};
 use crate::server::{self, BUSY, BUSY_BODY, Port, Responder, Status};
@@ -384,7 +385,7 @@
         }
         Effect::End { why } => {
             tracing::error!("{why}");
-            std::process::exit(i32::from(crate::UNKNOWN_VERSION));
+            std::process::exit(i32::from(UNKNOWN_VERSION));
         }
         Effect::AnswerPeer { id, answer } => {
             if let Some(Reply::Peer(sender)) = waiting.replies.remove(&id) {
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -5,8 +5,8 @@
 mod directory;
 mod journal;
 mod monitor;
+mod peer_log;
 mod replication;
-mod settings;
 mod state;
 
 use std::io;
@@ -20,21 +20,17 @@
 use quartzlever_recovery::rebuild::{self, Local, RebuildSettings};
 
 use crate::clock::Clock;
-use crate::settings::Settings;
+use crate::random::random_number;
+use crate::settings::{RecoverySettings, Settings};
 use journal::Journal;
 use monitor::{Monitor, Pace};
 use replication::Replication;
 use state::{ClientAccess, GuardedState};
 
-pub use directory::{Directory, DirectoryError, OwnDirectory};
-pub use replication::{OwnLog, take_changes};
-pub use settings::{RecoveryEntry, RecoverySettings};
+pub use directory::{Directory, OwnDirectory};
+pub use peer_log::{OwnLog, take_changes};
 pub use state::StateService;
 
-/// What recovery asks of the state service beyond what the core asks, in requests a second: the looks at
-/// the identity, its check after each renewal, and the witness.
-pub const REQUESTS_A_SECOND: f64 = 2.0;
-
 /// Share of the state service's changes that may write inherited final states.
 const RESTORE_SHARE: f64 = 0.25;
 
@@ -56,7 +52,7 @@
     RebuildSettings {
         node: core.node.clone(),
         nodes: core.nodes.clone(),
-        process: crate::random_number(),
+        process: random_number(),
         gather: recovery.gather,
         lease_life: core.operator.lease_life,
         worker_lease: core.workers.lease,
--- a/crates/quartzlever/src/recovery/commands.rs
+++ b/crates/quartzlever/src/recovery/commands.rs
@@ -11,14 +11,14 @@
 use quartzlever_recovery::rebuild::{list_generation, observe};
 
 use crate::clock::{Clock, wall};
-use crate::recovery::Directory;
+use crate::recovery::directory::{Directory, DirectoryError};
 use crate::recovery::state::ClientAccess;
 
 /// Why a command could not tell what it was asked.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     #[error(transparent)]
-    Directory(#[from] super::DirectoryError),
+    Directory(#[from] DirectoryError),
     #[error("{0}")]
     Read(#[from] std::io::Error),
     #[error("no snapshot that can be read")]
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::wall;
 use crate::recovery::directory::{Directory, LogFile, OwnDirectory, WriteError};
-use crate::recovery::settings::RecoverySettings;
+use crate::settings::RecoverySettings;
 
 /// How long an answer of the state service is kept back for the disk.
 const PATIENCE: Duration = Duration::from_secs(1);
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -16,8 +16,8 @@
 use quartzlever_wire::{CallError, Json};
 
 use crate::clock::Clock;
-use crate::recovery::settings::RecoverySettings;
 use crate::recovery::state::{ClientAccess, GuardedState, begin_anew};
+use crate::settings::RecoverySettings;
 
 /// The witness key is written with every so many looks.
 const LOOKS_PER_WITNESS: u64 = 5;
--- /dev/null
+++ b/crates/quartzlever/src/recovery/peer_log.rs
@@ -0,0 +1,26 @@
+//! Changes that other controllers have committed, taken into this one's log.
+//!
+//! Owns the way to the log from the peers' connections. Never takes a change of another generation.
+
+use std::sync::{Arc, OnceLock};
+
+use quartzlever_recovery::picture::{KeyChange, Update};
+use quartzlever_wire::peers::{LoggedChanges, PeerAnswer};
+
+use crate::recovery::state::GuardedState;
+
+/// Where the changes of other controllers go once this one has an intact store.
+pub type OwnLog = Arc<OnceLock<Arc<GuardedState>>>;
+
+/// Takes another controller's changes into the log, if they belong to the same generation.
+pub fn take_changes(log: &OwnLog, told: LoggedChanges) -> PeerAnswer {
+    let Some(state) = log.get() else { return PeerAnswer::Nothing };
+    let LoggedChanges { cluster, generation, stamp, changes } = told;
+    let own = &state.guard.generation.identity;
+    if own.cluster != cluster || own.generation != generation {
+        return PeerAnswer::Nothing;
+    }
+    let changes = changes.into_iter().map(|(key, value)| KeyChange { key, stamp, value });
+    state.journal.record(Update { changes: changes.collect(), complete_to: None });
+    PeerAnswer::Logged
+}
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -7,18 +7,15 @@
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::OnceLock;
 use std::thread;
 use std::time::{Duration, Instant};
 
 use crossbeam_channel::{Receiver, Sender, bounded};
 use quartzlever_clients::PeerClient;
 use quartzlever_recovery::identity::Identity;
-use quartzlever_recovery::picture::{KeyChange, Update};
+use quartzlever_recovery::picture::Update;
 use quartzlever_wire::peers::{LoggedChanges, PeerAnswer, PeerRequest};
 
-use crate::recovery::state::GuardedState;
-
 /// A controller that gave none is not asked again for this time.
 const PAUSE: Duration = Duration::from_secs(2);
 /// Changes that wait for one controller; more are not told to it.
@@ -92,19 +89,3 @@
         }
     }
 }
-
-/// Where the changes of other controllers go once this one has an intact store.
-pub type OwnLog = Arc<OnceLock<Arc<GuardedState>>>;
-
-/// Takes another controller's changes into the log, if they belong to the same generation.
-pub fn take_changes(log: &OwnLog, told: LoggedChanges) -> PeerAnswer {
-    let Some(state) = log.get() else { return PeerAnswer::Nothing };
-    let LoggedChanges { cluster, generation, stamp, changes } = told;
-    let own = &state.guard.generation.identity;
-    if own.cluster != cluster || own.generation != generation {
-        return PeerAnswer::Nothing;
-    }
-    let changes = changes.into_iter().map(|(key, value)| KeyChange { key, stamp, value });
-    state.journal.record(Update { changes: changes.collect(), complete_to: None });
-    PeerAnswer::Logged
-}
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -17,6 +17,7 @@
 use quartzlever_wire::{CallError, Json, Micros};
 
 use crate::clock::{Clock, wall};
+use crate::random::random_number;
 use crate::recovery::journal::Journal;
 use crate::recovery::replication::Replication;
 
@@ -194,6 +195,6 @@
     }
 
     fn draw(&mut self) -> u64 {
-        crate::random_number()
+        random_number()
     }
 }
--- a/crates/quartzlever/src/server.rs
+++ b/crates/quartzlever/src/server.rs
@@ -21,6 +21,7 @@
 
 use crate::clock::Clock;
 use crate::inbox::{Inbox, Line};
+use crate::settings::Limits;
 use crate::thread_pool::{New, STACK, accept_loop};
 
 /// An idle connection is closed after this time, and when connections run short after a slice of
@@ -50,14 +51,6 @@
     pub kept: usize,
 }
 
-/// What the process may use.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
-    pub sockets: u32,
-    pub threads: u32,
-    pub memory_mb: f64,
-}
-
 /// What a connection costs, measured with hundreds of them (14 to 30 KB): its thread's stack as
 /// far as it is touched, buffers, and what the core keeps of its worker.
 const CONNECTION_MB: f64 = 0.035;
--- a/crates/quartzlever/src/recovery/settings.rs
+++ b/crates/quartzlever/src/settings/recovery.rs
@@ -1,11 +1,21 @@
-//! The operator's settings of recovery.
+//! The operator's settings of recovery: the key `recovery` of the operator's file.
+//!
+//! Owns the names, the defaults and the ranges of these fields. Never touches the directory they name.
 
 use std::path::PathBuf;
 
 use quartzlever_wire::Micros;
 use serde::Deserialize;
 
-use crate::settings::{BadSettings, Checker};
+use super::validation::{Checker, Field, Range, SettingsError, Violation};
+
+/// What recovery asks of the state service beyond what the core asks, in requests a second: the looks at
+/// the identity, its check after each renewal, and the witness.
+pub const REQUESTS_PER_SECOND: f64 = 2.0;
+
+/// The range of a size in megabytes.
+const MEGABYTES: Range = Range::new(0.1, 1e6);
+const BYTES_PER_MEGABYTE: f64 = 1024.0 * 1024.0;
 
 /// The key `recovery` of the operator's file, as it is written.
 #[derive(Debug, Deserialize)]
@@ -48,31 +58,36 @@
     pub most_bytes: u64,
 }
 
-const MEGABYTE: f64 = 1024.0 * 1024.0;
-
 impl RecoveryEntry {
     /// Checks the settings, but not the directory.
-    pub fn check(self, check: &Checker) -> Result<RecoverySettings, BadSettings> {
-        let span = |field: &str, value: Option<f64>, usual: f64, from: f64, to: f64| {
-            check.span(&format!("recovery.{field}"), value.unwrap_or(usual), from, to)
+    pub fn check(self, check: &Checker) -> Result<RecoverySettings, SettingsError> {
+        let duration = |name: &str, given: Option<f64>, default: f64, range: Range| {
+            let name = &format!("recovery.{name}");
+            check.duration(Field { name, value: given.unwrap_or(default), range })
         };
-        let size = |field: &str, value: Option<f64>, usual: f64| {
-            let megabytes =
-                check.amount(&format!("recovery.{field}"), value.unwrap_or(usual), 0.1, 1e6)?;
-            Ok::<u64, BadSettings>((megabytes * MEGABYTE) as u64)
+        let size = |name: &str, given: Option<f64>, default: f64| {
+            let name = &format!("recovery.{name}");
+            check
+                .amount(Field { name, value: given.unwrap_or(default), range: MEGABYTES })
+                .map(|megabytes| (megabytes * BYTES_PER_MEGABYTE) as u64)
         };
         let settings = RecoverySettings {
-            gather: span("gather_s", self.gather_s, 10.0, 1.0, 600.0)?,
-            acknowledge: span("acknowledge_s", self.acknowledge_s, 0.3, 0.05, 10.0)?,
-            check: span("check_s", self.check_s, 1.0, 0.1, 60.0)?,
-            audit: span("audit_s", self.audit_s, 600.0, 1.0, 86_400.0)?,
-            snapshot: span("snapshot_s", self.snapshot_s, 600.0, 1.0, 86_400.0)?,
+            gather: duration("gather_s", self.gather_s, 10.0, Range::new(1.0, 600.0))?,
+            acknowledge: duration(
+                "acknowledge_s",
+                self.acknowledge_s,
+                0.3,
+                Range::new(0.05, 10.0),
+            )?,
+            check: duration("check_s", self.check_s, 1.0, Range::new(0.1, 60.0))?,
+            audit: duration("audit_s", self.audit_s, 600.0, Range::new(1.0, 86_400.0))?,
+            snapshot: duration("snapshot_s", self.snapshot_s, 600.0, Range::new(1.0, 86_400.0))?,
             log_bytes: size("log_mb", self.log_mb, 16.0)?,
             most_bytes: size("most_mb", self.most_mb, 1024.0)?,
             directory: self.directory,
         };
         if settings.most_bytes < 2 * settings.log_bytes {
-            return Err(check.bad("recovery.most_mb", "must be twice log_mb at least"));
+            return Err(check.error("recovery.most_mb", Violation::BelowTwice("log_mb")));
         }
         Ok(settings)
     }
