--- a/crates/quartzlever/src/inbox.rs
+++ b/crates/quartzlever/src/inbox.rs
@@ -1,4 +1,7 @@
-//! The queue of commands of the core's thread, and the ways in.
+//! The queues of commands of the core's thread, and the ways in.
+//!
+//! Owns the queues and their bounds, and what connections may know without asking. Never looks into a
+//! command.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -10,13 +13,14 @@
 use quartzlever_wire::Micros;
 use quartzlever_wire::peers::PeerAnswer;
 
-use crate::server::Responder;
+use crate::responder::Responder;
 
 /// Where an answer goes.
 #[derive(Debug)]
 pub enum Reply {
     /// To its connection; a 503 takes its place if there is none by then.
-    Http(Responder, Micros),
+    Http { responder: Responder, until: Micros },
+    /// To the thread of the peer's connection, which waits for it.
     Peer(Sender<PeerAnswer>),
 }
 
@@ -27,19 +31,20 @@
     pub reply: Option<(RequestId, Reply)>,
 }
 
-/// How many submissions may wait for the core, and how many lookups and cancellations; more are
-/// shed at once. Those who ask about accepted jobs come first, and many are answered together, so
-/// that no job stays without an answer.
-const SUBMISSIONS_WAITING: usize = 64;
-const QUESTIONS_WAITING: usize = 1024;
+// How many submissions may wait for the core, and how many lookups and cancellations; more are
+// shed at once. Those who ask about accepted jobs come first, and many are answered together, so
+// that no job stays without an answer.
+const MAX_SUBMISSIONS: usize = 64;
+const MAX_QUESTIONS: usize = 1024;
 
-/// Whose request it is.
+/// The queue of a request, by who asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Line {
+pub enum Queue {
     /// Workers, services, health checks.
-    First,
+    Priority,
     /// Users who ask about a job or cancel it.
     Questions,
+    /// Users who submit a job.
     Submissions,
 }
 
@@ -47,19 +52,20 @@
 /// of users'. It needs no bound: each connection and each call has at most one item in it.
 #[derive(Clone)]
 pub struct Inbox {
-    first: Sender<Item>,
+    priority: Sender<Item>,
     questions: Sender<Item>,
     submissions: Sender<Item>,
     ids: Arc<AtomicU64>,
     core: Thread,
-    gate: Arc<Gate>,
+    published: Arc<Published>,
 }
 
 /// What connections may know without asking the core.
 #[derive(Debug)]
-struct Gate {
+struct Published {
     /// The core knows nothing yet: it would turn away every worker and health check.
-    starting: AtomicBool,
+    turns_away: AtomicBool,
+    /// Requests that were turned away since the core last asked.
     turned_away: AtomicU32,
     /// Until then the node can take requests, as far as the core has said.
     ready_until: AtomicU64,
@@ -67,24 +73,24 @@
 
 /// The core's end of the queues.
 pub struct InboxReceiver {
-    pub first: Receiver<Item>,
+    pub priority: Receiver<Item>,
     pub questions: Receiver<Item>,
     pub submissions: Receiver<Item>,
-    gate: Arc<Gate>,
+    published: Arc<Published>,
 }
 
 impl InboxReceiver {
     /// Tells connections whether the core is still starting and until when the node can take
     /// requests; how many they have turned away since.
-    pub fn tell_state(&self, starting: bool, ready_until: Micros) -> u32 {
-        self.gate.starting.store(starting, Ordering::Relaxed);
-        self.gate.ready_until.store(ready_until, Ordering::Relaxed);
-        self.gate.turned_away.swap(0, Ordering::Relaxed)
+    pub fn publish(&self, starting: bool, ready_until: Micros) -> u32 {
+        self.published.turns_away.store(starting, Ordering::Relaxed);
+        self.published.ready_until.store(ready_until, Ordering::Relaxed);
+        self.published.turned_away.swap(0, Ordering::Relaxed)
     }
 
     /// Whether nothing waits in any queue.
     pub fn is_empty(&self) -> bool {
-        self.first.is_empty() && self.questions.is_empty() && self.submissions.is_empty()
+        self.priority.is_empty() && self.questions.is_empty() && self.submissions.is_empty()
     }
 
     /// Waits until something comes, at most for this time. A receiver of a channel that waits
@@ -100,42 +106,43 @@
 impl Inbox {
     /// The queues of the calling thread.
     pub fn new() -> (Inbox, InboxReceiver) {
-        let (first, first_out) = unbounded();
-        let (questions, questions_out) = bounded(QUESTIONS_WAITING);
-        let (submissions, submissions_out) = bounded(SUBMISSIONS_WAITING);
-        let ids = Arc::new(AtomicU64::new(1));
-        let gate = Arc::new(Gate {
-            starting: AtomicBool::new(false),
+        let (priority, priority_receiver) = unbounded();
+        let (questions, questions_receiver) = bounded(MAX_QUESTIONS);
+        let (submissions, submissions_receiver) = bounded(MAX_SUBMISSIONS);
+        let published = Arc::new(Published {
+            turns_away: AtomicBool::new(false),
             turned_away: AtomicU32::new(0),
             ready_until: AtomicU64::new(0),
         });
-        let incoming = InboxReceiver {
-            first: first_out,
-            questions: questions_out,
-            submissions: submissions_out,
-            gate: gate.clone(),
+        let receiver = InboxReceiver {
+            priority: priority_receiver,
+            questions: questions_receiver,
+            submissions: submissions_receiver,
+            published: published.clone(),
         };
-        (Inbox { first, questions, submissions, ids, core: thread::current(), gate }, incoming)
+        let ids = Arc::new(AtomicU64::new(1));
+        let core = thread::current();
+        (Inbox { priority, questions, submissions, ids, core, published }, receiver)
     }
 
     /// Whether workers and health checks are to be turned away without asking the core.
-    pub fn starting(&self) -> bool {
-        let starting = self.gate.starting.load(Ordering::Relaxed);
+    pub fn turns_away(&self) -> bool {
+        let starting = self.published.turns_away.load(Ordering::Relaxed);
         if starting {
-            self.gate.turned_away.fetch_add(1, Ordering::Relaxed);
+            self.published.turned_away.fetch_add(1, Ordering::Relaxed);
         }
         starting
     }
 
     /// Whether the core has said of late that the node can take requests.
-    pub fn ready(&self, now: Micros) -> bool {
-        now < self.gate.ready_until.load(Ordering::Relaxed)
+    pub fn is_ready(&self, now: Micros) -> bool {
+        now < self.published.ready_until.load(Ordering::Relaxed)
     }
 
     /// Hands in the result of a call.
-    pub fn tell(&self, command: Command) {
+    pub fn deliver(&self, command: Command) {
         // Fails only when the core's thread has ended, and then the process ends.
-        let _ = self.first.send(Item { command, reply: None });
+        let _ = self.priority.send(Item { command, reply: None });
         self.core.unpark();
     }
 
@@ -143,17 +150,18 @@
     /// is full.
     pub fn ask(
         &self,
-        line: Line,
+        queue: Queue,
         responder: Responder,
         until: Micros,
         command: impl FnOnce(RequestId) -> Command,
     ) -> Result<(), Responder> {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
-        let item = Item { command: command(id), reply: Some((id, Reply::Http(responder, until))) };
-        let queue = match line {
-            Line::First => &self.first,
-            Line::Questions => &self.questions,
-            Line::Submissions => &self.submissions,
+        let reply = Reply::Http { responder, until };
+        let item = Item { command: command(id), reply: Some((id, reply)) };
+        let queue = match queue {
+            Queue::Priority => &self.priority,
+            Queue::Questions => &self.questions,
+            Queue::Submissions => &self.submissions,
         };
         match queue.try_send(item) {
             Ok(()) => {
@@ -161,7 +169,7 @@
                 Ok(())
             }
             Err(refused) => match refused.into_inner().reply {
-                Some((_, Reply::Http(responder, _))) => Err(responder),
+                Some((_, Reply::Http { responder, .. })) => Err(responder),
                 _ => Ok(()),
             },
         }
@@ -176,7 +184,7 @@
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = bounded(1);
         let item = Item { command: command(id), reply: Some((id, Reply::Peer(sender))) };
-        self.first.send(item).ok()?;
+        self.priority.send(item).ok()?;
         self.core.unpark();
         receiver.recv_timeout(patience).ok()
     }
--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -5,10 +5,11 @@
 //!
 //! 1. `clock`, `exit_status`, `random`, `thread_pool`: nothing of this program but `clock`.
 //! 2. `settings`: what the program is told at its start.
-//! 3. `server`: connections of users and workers; `inbox`: the queues to the core's thread.
-//! 4. `recovery`: the store behind the guard and the log.
-//! 5. `node`: the core's thread, and the threads that carry out its effects.
-//! 6. `main`: the arguments; it starts everything, and no module uses it.
+//! 3. `responder`: sockets and answers; `inbox`: the queues to the core's thread.
+//! 4. `server`: connections of users and workers.
+//! 5. `recovery`: the store behind the guard and the log; it uses nothing of 3 and 4.
+//! 6. `node`: the core's thread, and the threads that carry out its effects.
+//! 7. `main`: the arguments; it starts everything, and no module uses it.
 
 mod clock;
 mod exit_status;
@@ -16,6 +17,7 @@
 mod node;
 mod random;
 mod recovery;
+mod responder;
 mod server;
 mod settings;
 mod thread_pool;
--- a/crates/quartzlever/src/node.rs
+++ b/crates/quartzlever/src/node.rs
@@ -21,9 +21,10 @@
 use crate::exit_status::UNKNOWN_VERSION;
 use crate::inbox::{Inbox, InboxReceiver, Item, Reply};
 use crate::recovery::{self, OwnLog, Recovery, StateService};
-use crate::server::{self, BUSY, BUSY_BODY, Port, Responder, Status};
+use crate::responder::{BUSY, BUSY_BODY, Responder, Status};
+use crate::server::{self, Port};
 use crate::settings::Settings;
-use crate::thread_pool;
+use crate::thread_pool::{self, Accepted};
 
 const STACK: usize = 192 * 1024;
 const TICK: Duration = Duration::from_millis(200);
@@ -118,7 +119,7 @@
                         let allowed = requests.wait(1.0, keep, patience);
                         let result =
                             if allowed { client.call(&call) } else { Err(CallError::Refused) };
-                        inbox.tell(Command::State { token, result });
+                        inbox.deliver(Command::State { token, result });
                     }
                 })?;
             }
@@ -137,7 +138,7 @@
                     let late = matches!(call, CloudCall::Return(_)) && clock.now() >= until;
                     let allowed = allowed && !late;
                     let result = if allowed { client.call(&call) } else { Err(CallError::Refused) };
-                    inbox.tell(Command::Cloud { token, result });
+                    inbox.deliver(Command::Cloud { token, result });
                 }
             })?;
         }
@@ -154,7 +155,7 @@
                     } else {
                         Err(CallError::Refused)
                     };
-                    inbox.tell(Command::Worker { token, result });
+                    inbox.deliver(Command::Worker { token, result });
                 }
             })?;
         }
@@ -171,7 +172,7 @@
                         Some(address) => client.call(*address, &request),
                         None => Err(CallError::Refused),
                     };
-                    inbox.tell(Command::Asked { token, result });
+                    inbox.deliver(Command::Asked { token, result });
                 }
             })?;
         }
@@ -183,27 +184,32 @@
 /// Serves peers: a thread for each connection, each asking one thing at a time.
 fn serve_peers(address: SocketAddr, inbox: Inbox, log: OwnLog) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
-    thread_pool::accept_loop("peers", listener, PEER_CONNECTIONS, move |mut stream, new| {
-        drop(new);
-        let set = stream
-            .set_read_timeout(Some(PEER_IDLE))
-            .and_then(|()| stream.set_write_timeout(Some(PEER_PATIENCE)))
-            .and_then(|()| stream.set_nodelay(true));
-        if set.is_err() {
-            return;
-        }
-        while let Ok(request) = peers::receive::<PeerRequest>(&mut stream) {
-            let answer = match request {
-                PeerRequest::Logged(changes) => recovery::take_changes(&log, changes),
-                request => inbox
-                    .ask_for_peer(PEER_PATIENCE, |id| Command::Peer { id, request })
-                    .unwrap_or(PeerAnswer::Nothing),
-            };
-            if peers::send(&mut stream, &answer).is_err() {
+    thread_pool::accept_loop(
+        "peers",
+        listener,
+        PEER_CONNECTIONS,
+        move |Accepted { mut stream, new }| {
+            drop(new);
+            let set = stream
+                .set_read_timeout(Some(PEER_IDLE))
+                .and_then(|()| stream.set_write_timeout(Some(PEER_PATIENCE)))
+                .and_then(|()| stream.set_nodelay(true));
+            if set.is_err() {
                 return;
             }
-        }
-    })
+            while let Ok(request) = peers::receive::<PeerRequest>(&mut stream) {
+                let answer = match request {
+                    PeerRequest::Logged(changes) => recovery::take_changes(&log, changes),
+                    request => inbox
+                        .ask_for_peer(PEER_PATIENCE, |id| Command::Peer { id, request })
+                        .unwrap_or(PeerAnswer::Nothing),
+                };
+                if peers::send(&mut stream, &answer).is_err() {
+                    return;
+                }
+            }
+        },
+    )
 }
 
 /// Runs a controller until the process is ended.
@@ -243,13 +249,13 @@
         })?;
         let mut message = Vec::new();
         while !opening.is_finished() {
-            incoming.tell_state(true, 0);
+            incoming.publish(true, 0);
             incoming.sleep(TICK);
-            let all = incoming.first.try_iter().chain(incoming.questions.try_iter());
+            let all = incoming.priority.try_iter().chain(incoming.questions.try_iter());
             for Item { reply, .. } in all.chain(incoming.submissions.try_iter()) {
                 // A peer whose reply is dropped is told nothing.
-                if let Some((_, Reply::Http(responder, _))) = reply {
-                    responder.taken();
+                if let Some((_, Reply::Http { responder, .. })) = reply {
+                    responder.mark_taken();
                     responder.send(&BUSY, BUSY_BODY, &mut message);
                 }
             }
@@ -271,7 +277,7 @@
 
 impl Waiting {
     fn await_answer(&mut self, id: RequestId, reply: Reply) {
-        if let Reply::Http(_, end) = reply {
+        if let Reply::Http { until: end, .. } = reply {
             self.ends.push(Reverse((end, id)));
         }
         self.replies.insert(id, reply);
@@ -283,7 +289,7 @@
             && end <= now
         {
             self.ends.pop();
-            if let Some(Reply::Http(responder, _)) = self.replies.remove(&id) {
+            if let Some(Reply::Http { responder, .. }) = self.replies.remove(&id) {
                 responder.send(&BUSY, BUSY_BODY, &mut self.message);
             }
         }
@@ -321,25 +327,27 @@
             incoming.sleep(Duration::from_micros(tick_at + lazy - now));
         }
         let now = clock.now();
-        let late = now - last > LATE || incoming.first.len() > BATCH;
+        let late = now - last > LATE || incoming.priority.len() > BATCH;
         let mut batch: Vec<Command> = Vec::new();
         let mut take = |Item { command, reply }: Item| {
-            if let Some((_, Reply::Http(responder, _))) = &reply {
-                responder.taken();
+            if let Some((_, Reply::Http { responder, .. })) = &reply {
+                responder.mark_taken();
             }
             match reply {
                 // Its asker has given up: what would be done for it comes too late.
-                Some((_, Reply::Http(responder, end))) if end <= now => {
+                Some((_, Reply::Http { responder, until: end })) if end <= now => {
                     responder.send(&BUSY, BUSY_BODY, &mut waiting.message);
                     return;
                 }
-                Some((_, Reply::Http(responder, _))) if late && responder.given_up() => return,
+                Some((_, Reply::Http { responder, .. })) if late && responder.is_given_up() => {
+                    return;
+                }
                 Some((id, reply)) => waiting.await_answer(id, reply),
                 None => {}
             }
             batch.push(command);
         };
-        incoming.first.try_iter().take(BATCH).for_each(&mut take);
+        incoming.priority.try_iter().take(BATCH).for_each(&mut take);
         incoming.questions.try_iter().take(QUESTION_BATCH).for_each(&mut take);
         incoming.submissions.try_iter().take(SUBMISSION_BATCH).for_each(&mut take);
         waiting.give_up(now);
@@ -347,7 +355,7 @@
         if still > STILL_TOLD {
             tracing::info!("stood still for {:.1} s", still as f64 / 1e6);
         }
-        behind |= still > STOOD_STILL || incoming.first.len() > BATCH;
+        behind |= still > STOOD_STILL || incoming.priority.len() > BATCH;
         last = now;
         if now >= tick_at {
             ticked = Some(now);
@@ -361,7 +369,7 @@
             carry_out(effect, &threads, &mut waiting, clock);
         }
         let ready_until = if core.is_ready() { now + READY_FOR } else { 0 };
-        core.turned_away_unasked(incoming.tell_state(core.starting(), ready_until));
+        core.turned_away_unasked(incoming.publish(core.starting(), ready_until));
         if (!core.starting() || now >= open_at)
             && let Some(port) = port.take()
         {
@@ -374,7 +382,7 @@
     // A queue or a waiting request that is gone means that nobody wants the result.
     match effect {
         Effect::Answer { id, status, body, retry_after_s, until } => {
-            if let Some(Reply::Http(responder, _)) = waiting.replies.remove(&id) {
+            if let Some(Reply::Http { responder, .. }) = waiting.replies.remove(&id) {
                 if until.is_some_and(|until| clock.now() >= until) {
                     // The right to act has run out on the way here.
                     responder.send(&BUSY, BUSY_BODY, &mut waiting.message);
--- a/crates/quartzlever/src/thread_pool.rs
+++ b/crates/quartzlever/src/thread_pool.rs
@@ -3,6 +3,8 @@
 //! While all workers look for a node that is entitled, each makes a connection a second for one
 //! answer. A thread started for each cost more than all the rest, so a thread that is done waits
 //! a while for the next connection. It waits by parking: a channel's receiver would spin first.
+//!
+//! Owns the threads that accept and serve, and the bounds on both. Never reads from a connection.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -12,20 +14,20 @@
 use std::time::{Duration, Instant};
 
 /// The stack of a thread that serves connections.
-pub const STACK: usize = 128 * 1024;
+pub const STACK_BYTES: usize = 128 * 1024;
 /// How long a thread without a connection stays.
-const KEPT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause after a connection that could not be accepted.
-const NOT_ACCEPTED: Duration = Duration::from_millis(20);
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// So many connections may be new, their first request not with the core yet; others wait to be
 /// accepted. Behind hundreds of threads that were ready to run, each with a connection that a
 /// worker had given up already, a renewed lease came too late to be of use.
-const MOST_NEW: usize = 32;
+const MAX_NEW: usize = 32;
 
 /// How many connections are new.
 #[derive(Debug)]
-struct News {
+struct NewConnections {
     count: AtomicUsize,
     /// Accepts connections, when there are not too many.
     acceptor: Thread,
@@ -33,31 +35,38 @@
 
 /// A connection that is new for as long as this lives.
 #[derive(Debug)]
-pub struct New(Arc<News>);
+pub struct NewConnection(Arc<NewConnections>);
 
-impl Drop for New {
+impl Drop for NewConnection {
     fn drop(&mut self) {
-        if self.0.count.fetch_sub(1, Ordering::AcqRel) >= MOST_NEW {
+        if self.0.count.fetch_sub(1, Ordering::AcqRel) >= MAX_NEW {
             self.0.acceptor.unpark();
         }
     }
 }
 
-impl News {
+impl NewConnections {
     /// Another new connection, once there may be one.
-    fn wait(self: &Arc<Self>) -> New {
-        while self.count.load(Ordering::Acquire) >= MOST_NEW {
-            thread::park_timeout(NOT_ACCEPTED);
+    fn wait(self: &Arc<Self>) -> NewConnection {
+        while self.count.load(Ordering::Acquire) >= MAX_NEW {
+            thread::park_timeout(ACCEPT_PAUSE);
         }
         self.count.fetch_add(1, Ordering::AcqRel);
-        New(self.clone())
+        NewConnection(self.clone())
     }
 }
 
-/// Where a thread without a connection waits for one.
-struct Berth {
+/// A connection that was accepted just now.
+#[derive(Debug)]
+pub struct Accepted {
+    pub stream: TcpStream,
+    pub new: NewConnection,
+}
+
+/// A thread without a connection, and the place for its next one.
+struct IdleThread {
     thread: Thread,
-    stream: Mutex<Option<(TcpStream, New)>>,
+    next: Mutex<Option<Accepted>>,
 }
 
 struct ThreadPool<H> {
@@ -65,75 +74,81 @@
     /// Connections that are served.
     open: AtomicUsize,
     /// Threads without one; the last to come is the first to go on.
-    idle: Mutex<Vec<Arc<Berth>>>,
+    idle: Mutex<Vec<Arc<IdleThread>>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Accepts connections for good, at most `most` at a time; more are closed at once.
+/// Accepts connections on a thread of its own, at most `most` at a time; more are closed at once. That
+/// thread lives as long as the process; those that serve end when they have long been idle, and nobody
+/// joins them.
 pub fn accept_loop(
     name: &str,
     listener: TcpListener,
     most: usize,
-    handle: impl Fn(TcpStream, New) + Send + Sync + 'static,
+    handle: impl Fn(Accepted) + Send + Sync + 'static,
 ) -> io::Result<()> {
     let thread_pool =
         Arc::new(ThreadPool { handle, open: AtomicUsize::new(0), idle: Mutex::default() });
-    let label = name.to_owned();
-    thread::Builder::new().name(format!("{name}-accept")).stack_size(STACK).spawn(move || {
-        let news = Arc::new(News { count: AtomicUsize::new(0), acceptor: thread::current() });
-        loop {
-            let new = news.wait();
-            let Ok((stream, _)) = listener.accept() else {
-                // No free sockets, or a connection that was given up.
-                thread::sleep(NOT_ACCEPTED);
-                continue;
-            };
-            if thread_pool.open.fetch_add(1, Ordering::Relaxed) >= most
-                || !thread_pool.clone().give(&label, (stream, new))
-            {
-                thread_pool.open.fetch_sub(1, Ordering::Relaxed);
+    let thread_name = name.to_owned();
+    thread::Builder::new().name(format!("{name}-accept")).stack_size(STACK_BYTES).spawn(
+        move || {
+            let acceptor = thread::current();
+            let new_connections = Arc::new(NewConnections { count: AtomicUsize::new(0), acceptor });
+            loop {
+                let new = new_connections.wait();
+                let Ok((stream, _)) = listener.accept() else {
+                    // No free sockets, or a connection that was given up.
+                    thread::sleep(ACCEPT_PAUSE);
+                    continue;
+                };
+                let accepted = Accepted { stream, new };
+                if thread_pool.open.fetch_add(1, Ordering::Relaxed) >= most
+                    || !thread_pool.clone().give(&thread_name, accepted)
+                {
+                    thread_pool.open.fetch_sub(1, Ordering::Relaxed);
+                }
             }
-        }
-    })?;
+        },
+    )?;
     Ok(())
 }
 
-impl<H: Fn(TcpStream, New) + Send + Sync + 'static> ThreadPool<H> {
+impl<H: Fn(Accepted) + Send + Sync + 'static> ThreadPool<H> {
     /// Has a connection served by a thread that is there, or else by a new one; `false` if there
     /// can be none.
-    fn give(self: Arc<Self>, label: &str, stream: (TcpStream, New)) -> bool {
-        let berth = lock(&self.idle).pop();
-        if let Some(berth) = berth {
-            *lock(&berth.stream) = Some(stream);
-            berth.thread.unpark();
+    fn give(self: Arc<Self>, thread_name: &str, accepted: Accepted) -> bool {
+        let idle_thread = lock(&self.idle).pop();
+        if let Some(idle_thread) = idle_thread {
+            *lock(&idle_thread.next) = Some(accepted);
+            idle_thread.thread.unpark();
             return true;
         }
-        let thread = thread::Builder::new().name(label.to_owned()).stack_size(STACK);
-        thread.spawn(move || self.serve(stream)).is_ok()
+        let thread = thread::Builder::new().name(thread_name.to_owned()).stack_size(STACK_BYTES);
+        thread.spawn(move || self.serve(accepted)).is_ok()
     }
 
-    fn serve(&self, mut stream: (TcpStream, New)) {
-        let berth = Arc::new(Berth { thread: thread::current(), stream: Mutex::new(None) });
+    fn serve(&self, mut accepted: Accepted) {
+        let own = Arc::new(IdleThread { thread: thread::current(), next: Mutex::new(None) });
         loop {
-            (self.handle)(stream.0, stream.1);
+            (self.handle)(accepted);
             self.open.fetch_sub(1, Ordering::Relaxed);
-            lock(&self.idle).push(berth.clone());
-            match self.next(&berth) {
-                Some(next) => stream = next,
+            lock(&self.idle).push(own.clone());
+            match self.next(&own) {
+                Some(next) => accepted = next,
                 None => return,
             }
         }
     }
 
     /// The next connection for a thread, if one comes in time.
-    fn next(&self, berth: &Arc<Berth>) -> Option<(TcpStream, New)> {
-        let end = Instant::now() + KEPT;
+    fn next(&self, own: &Arc<IdleThread>) -> Option<Accepted> {
+        let end = Instant::now() + IDLE_TIMEOUT;
         loop {
-            if let Some(stream) = lock(&berth.stream).take() {
-                return Some(stream);
+            if let Some(accepted) = lock(&own.next).take() {
+                return Some(accepted);
             }
             let left = end.saturating_duration_since(Instant::now());
             if !left.is_zero() {
@@ -141,7 +156,7 @@
                 continue;
             }
             let mut idle = lock(&self.idle);
-            match idle.iter().position(|b| Arc::ptr_eq(b, berth)) {
+            match idle.iter().position(|idle_thread| Arc::ptr_eq(idle_thread, own)) {
                 Some(at) => {
                     idle.remove(at);
                     return None;
--- a/crates/quartzlever/src/thread_pool/tests.rs
+++ b/crates/quartzlever/src/thread_pool/tests.rs
@@ -9,7 +9,7 @@
     let address = listener.local_addr().expect("an address");
     let threads = Arc::new(Mutex::new(std::collections::HashSet::new()));
     let seen = threads.clone();
-    accept_loop("test", listener, 2, move |mut stream, new| {
+    accept_loop("test", listener, 2, move |Accepted { mut stream, new }| {
         drop(new);
         lock(&seen).insert(thread::current().id());
         let mut byte = [0];
@@ -48,23 +48,23 @@
     let held = Arc::new(Mutex::new(Vec::new()));
     let (kept, tell) = (held.clone(), crossbeam_channel::unbounded());
     let told = tell.0;
-    accept_loop("test", listener, 1000, move |stream, new| {
-        lock(&kept).push((stream, new));
+    accept_loop("test", listener, 1000, move |accepted| {
+        lock(&kept).push(accepted);
         let _ = told.send(());
     })
     .expect("a thread");
     let streams: Vec<TcpStream> =
-        (0..MOST_NEW + 5).map(|_| TcpStream::connect(address).expect("connects")).collect();
-    for _ in 0..MOST_NEW {
+        (0..MAX_NEW + 5).map(|_| TcpStream::connect(address).expect("connects")).collect();
+    for _ in 0..MAX_NEW {
         tell.1.recv().expect("accepted");
     }
-    assert!(tell.1.try_recv().is_err(), "no more than {MOST_NEW} at first");
+    assert!(tell.1.try_recv().is_err(), "no more than {MAX_NEW} at first");
     // Each that is new no longer lets another one in.
     for n in 0..5 {
-        assert_eq!(lock(&held).len(), MOST_NEW);
+        assert_eq!(lock(&held).len(), MAX_NEW);
         let oldest = lock(&held).remove(0);
         drop(oldest);
         tell.1.recv().unwrap_or_else(|e| panic!("number {n}: {e}"));
     }
-    assert_eq!(streams.len(), MOST_NEW + 5);
+    assert_eq!(streams.len(), MAX_NEW + 5);
 }
