--- /dev/null
+++ b/crates/quartzlever/src/node/executors/peers.rs
@@ -0,0 +1,75 @@
+//! Calls to the other controllers.
+//!
+//! Owns the threads of these calls. Never calls a node that the settings do not name.
+
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use crossbeam_channel::{Receiver, Sender, unbounded};
+use quartzlever_clients::PeerClient;
+use quartzlever_core::{Command, Token};
+use quartzlever_wire::CallError;
+use quartzlever_wire::peers::PeerRequest;
+
+use super::thread::spawn;
+use crate::inbox::Inbox;
+
+const THREADS: usize = 3;
+
+struct Job {
+    token: Token,
+    node: String,
+    request: PeerRequest,
+}
+
+/// Makes calls to the other controllers.
+pub struct PeerExecutor {
+    queue: Sender<Job>,
+}
+
+impl PeerExecutor {
+    /// Starts the threads.
+    pub fn start(peers: &[(String, SocketAddr)], inbox: &Inbox) -> io::Result<PeerExecutor> {
+        let (queue, receiver) = unbounded();
+        let client = Arc::new(PeerClient::default());
+        let addresses: Arc<HashMap<String, SocketAddr>> = Arc::new(peers.iter().cloned().collect());
+        for _ in 0..THREADS {
+            let thread = PeerThread {
+                jobs: receiver.clone(),
+                client: client.clone(),
+                addresses: addresses.clone(),
+                inbox: inbox.clone(),
+            };
+            spawn("peer", move || thread.run())?;
+        }
+        Ok(PeerExecutor { queue })
+    }
+
+    /// Has a node asked.
+    pub fn submit(&self, token: Token, node: String, request: PeerRequest) {
+        // A queue that is gone means that nobody wants the result.
+        let _ = self.queue.send(Job { token, node, request });
+    }
+}
+
+/// A thread for calls to other controllers; lives as long as the process.
+struct PeerThread {
+    jobs: Receiver<Job>,
+    client: Arc<PeerClient>,
+    addresses: Arc<HashMap<String, SocketAddr>>,
+    inbox: Inbox,
+}
+
+impl PeerThread {
+    fn run(self) {
+        for Job { token, node, request } in &self.jobs {
+            let result = match self.addresses.get(&node) {
+                Some(address) => self.client.call(*address, &request),
+                None => Err(CallError::Refused),
+            };
+            self.inbox.deliver(Command::Asked { token, result });
+        }
+    }
+}
--- /dev/null
+++ b/crates/quartzlever/src/node/executors/thread.rs
@@ -0,0 +1,14 @@
+//! The threads of the executors.
+//!
+//! Owns the size of their stacks. Never joins a thread.
+
+use std::io;
+use std::thread;
+
+const STACK_BYTES: usize = 192 * 1024;
+
+/// Starts a thread that lives as long as the process.
+pub fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
+    let thread = thread::Builder::new().name(name.to_owned()).stack_size(STACK_BYTES);
+    thread.spawn(work).map(|_| ())
+}
