--- a/crates/quartzlever/src/clock.rs
+++ b/crates/quartzlever/src/clock.rs
@@ -1,4 +1,7 @@
 //! The clocks of a process, in whole microseconds.
+//!
+//! Owns the two readings of time. Never mixes them: deadlines are of the steady clock, and the time of day
+//! is only for what outlasts the process.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -14,10 +17,12 @@
 const ORIGIN: Micros = 1_000_000_000_000;
 
 impl Clock {
+    /// A clock that starts now.
     pub fn new() -> Self {
         Clock { start: Instant::now() }
     }
 
+    /// The time since before the start, never going back.
     pub fn now(&self) -> Micros {
         ORIGIN + self.start.elapsed().as_micros() as Micros
     }
--- a/crates/quartzlever/src/random.rs
+++ b/crates/quartzlever/src/random.rs
@@ -1,4 +1,6 @@
 //! Numbers that differ between processes and between calls.
+//!
+//! Owns how they are drawn. Never keeps a seed, and is no source of secrets.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -1,5 +1,10 @@
 //! Rebuilding lost state, as the operator has switched it on: the files, the threads, and the way of a
 //! process to an intact store.
+//!
+//! Owns the order in which a process comes to such a store. Never decides what is rebuilt: the crate
+//! `quartzlever-recovery` does, without threads or files. `directory` has the files, `journal` the log,
+//! `replication` and `peer_log` the other controllers' logs, `state` the guarded store, `monitor` the
+//! search for loss, `commands` what an operator asks at a terminal.
 
 pub mod commands;
 mod directory;
--- a/crates/quartzlever/src/recovery/commands.rs
+++ b/crates/quartzlever/src/recovery/commands.rs
@@ -1,4 +1,6 @@
 //! What an operator asks of the files from a terminal.
+//!
+//! Owns the texts of the answers. Never writes a file or to the store.
 
 use std::path::Path;
 
--- a/crates/quartzlever/src/recovery/directory.rs
+++ b/crates/quartzlever/src/recovery/directory.rs
@@ -2,6 +2,8 @@
 //!
 //! Files have numbers: `snapshot-N` holds all records, `log-N` the changes after it. Snapshots come into
 //! place whole, by a rename; the pair before the newest is kept, in case that one cannot be read.
+//!
+//! Owns the names of the files and the order of writes to the disk. Never interprets a record.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -112,11 +114,13 @@
         self.path.join(MARK).exists()
     }
 
+    /// Sets the mark.
     pub fn mark(&self) -> io::Result<()> {
         File::create(self.path.join(MARK))?.sync_all()?;
         self.sync()
     }
 
+    /// Removes the mark; fine if it is not there.
     pub fn unmark(&self) -> io::Result<()> {
         match fs::remove_file(self.path.join(MARK)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -3,6 +3,9 @@
 //!
 //! So nothing that the program does rests on a record that its log lacks. Where the disk fails, or takes too
 //! long, the program goes on without it and says so: the mark in the directory is removed first.
+//!
+//! Owns the picture and the files of the directory. Never calls the store. Its thread ends when nobody
+//! holds a way to it any more, which is with the process; nobody joins it.
 
 use std::io;
 use std::sync::Arc;
@@ -149,17 +152,19 @@
         picture.recv_timeout(PATIENCE).ok()
     }
 
+    /// Tells the log how often the process has written its witness key.
     pub fn witness_written(&self, count: u64) {
         let _ = self.requests.send(Request::Witness(count));
     }
 
+    /// The revision up to which all changes are in the picture.
     pub fn complete_to(&self) -> u64 {
         self.complete_to.load(Ordering::SeqCst)
     }
 }
 
 /// Removes the mark, waiting no longer than for a write: the disk may hang in this too. The log's age shows
-/// then that it was not written.
+/// then that it was not written. The thread is not joined, since it may hang with the disk.
 fn unmark_in_time(directory: &Directory) {
     let (done, removed) = bounded(1);
     let directory = directory.clone();
@@ -212,6 +217,18 @@
     }
 }
 
+/// What a batch of requests comes to.
+#[derive(Default)]
+struct Batch {
+    /// What goes to the log.
+    entries: Vec<LogEntry>,
+    /// Those who wait until it is there.
+    waiting: Vec<Sender<()>>,
+    /// Another picture has taken the present one's place.
+    is_replaced: bool,
+}
+
+/// What the journal's thread owns.
 struct Writer {
     own: OwnDirectory,
     settings: RecoverySettings,
@@ -244,54 +261,61 @@
     }
 
     /// Takes a batch in: all its changes go to the disk together.
-    fn take(&mut self, batch: Vec<Request>) {
-        let mut entries = Vec::new();
-        let mut waiting = Vec::new();
-        let mut replaced = false;
-        for request in batch {
-            match request {
-                Request::Record { update, written } => {
-                    entries.push(LogEntry::Update(update.clone()));
-                    self.picture.apply(update);
-                    waiting.push(written);
-                }
-                Request::Replace { picture, written } => {
-                    if picture.revision() >= self.picture.revision() {
-                        let base = self.identity.base;
-                        let before = std::mem::replace(&mut self.picture, picture);
-                        let inherited = before.inherited(base, "");
-                        let inherited = inherited.map(|(key, r)| (key.clone(), r.value.clone()));
-                        self.picture.inherit(inherited, base);
-                        replaced = true;
-                    }
-                    waiting.push(written);
-                }
-                Request::Get { key, answer } => {
-                    let _ = answer.send(self.picture.get(&key).cloned());
-                }
-                Request::Inherited { after, most, answer } => {
-                    let inherited = self.picture.inherited(self.identity.base, &after).take(most);
-                    let _ = answer.send(inherited.map(|(k, r)| (k.clone(), r.clone())).collect());
-                }
-                Request::Picture { answer } => {
-                    let _ = answer.send(self.picture.clone());
-                }
-                Request::Witness(count) => self.witness = self.witness.max(count),
-            }
+    fn take(&mut self, requests: Vec<Request>) {
+        let mut batch = Batch::default();
+        for request in requests {
+            self.take_request(request, &mut batch);
         }
-        entries.push(LogEntry::Alive { wall: wall(), witness: self.witness });
-        self.append(&entries);
+        batch.entries.push(LogEntry::Alive { wall: wall(), witness: self.witness });
+        self.append(&batch.entries);
         self.set_due_mark();
-        if replaced || self.needs_snapshot() {
+        if batch.is_replaced || self.needs_snapshot() {
             self.take_snapshot();
         }
         self.complete_to.store(self.picture.revision(), Ordering::SeqCst);
-        for written in waiting {
+        for written in batch.waiting {
             // Whoever no longer waits has been told that the disk is slow.
             let _ = written.send(());
         }
     }
 
+    fn take_request(&mut self, request: Request, batch: &mut Batch) {
+        match request {
+            Request::Record { update, written } => {
+                batch.entries.push(LogEntry::Update(update.clone()));
+                self.picture.apply(update);
+                batch.waiting.push(written);
+            }
+            Request::Replace { picture, written } => {
+                if picture.revision() >= self.picture.revision() {
+                    self.replace(picture);
+                    batch.is_replaced = true;
+                }
+                batch.waiting.push(written);
+            }
+            Request::Get { key, answer } => {
+                let _ = answer.send(self.picture.get(&key).cloned());
+            }
+            Request::Inherited { after, most, answer } => {
+                let inherited = self.picture.inherited(self.identity.base, &after).take(most);
+                let _ = answer.send(inherited.map(|(k, r)| (k.clone(), r.clone())).collect());
+            }
+            Request::Picture { answer } => {
+                let _ = answer.send(self.picture.clone());
+            }
+            Request::Witness(count) => self.witness = self.witness.max(count),
+        }
+    }
+
+    /// Puts a picture in the present one's place; what that one has inherited stays.
+    fn replace(&mut self, picture: Picture) {
+        let base = self.identity.base;
+        let before = std::mem::replace(&mut self.picture, picture);
+        let inherited = before.inherited(base, "");
+        let inherited = inherited.map(|(key, r)| (key.clone(), r.value.clone()));
+        self.picture.inherit(inherited, base);
+    }
+
     /// Sets the mark again. Whatever was told to the program without being waited for was in the queue before
     /// the program began to wait again, so it was appended with the batch after that.
     fn set_due_mark(&mut self) {
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -1,4 +1,7 @@
 //! The thread that looks for loss where nothing else would notice it.
+//!
+//! Owns this controller's witness key and the writing of inherited final states. Never mends a loss: the
+//! process begins anew instead.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -49,6 +52,7 @@
 }
 
 impl Monitor {
+    /// Starts the thread, which lives as long as the process.
     pub fn start(
         state: Arc<GuardedState>,
         settings: RecoverySettings,
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -3,6 +3,8 @@
 //! A controller may end in the same moment as the store loses data, and be away while the records are rebuilt.
 //! What it has told users just before must be known to another one then. One acknowledgement is enough; where no
 //! other controller gives one in time, the program goes on without.
+//!
+//! Owns a queue and a thread for each other controller. Never waits for more than one acknowledgement.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,7 +37,7 @@
 }
 
 impl Replication {
-    /// Starts a thread for each of the other controllers.
+    /// Starts a thread for each of the other controllers. Each lives as long as the process.
     pub fn start(
         identity: Identity,
         peers: &[(String, SocketAddr)],
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -1,5 +1,8 @@
 //! The state service as the rest of the program sees it: every answer was guarded against loss, and is in
 //! the log before it is known.
+//!
+//! Owns the order of guard, journal and replication in a call, and how a process that has lost data begins
+//! anew. Never hands out a reply that the guard has not passed.
 
 use std::os::unix::process::CommandExt;
 use std::process::Command;
@@ -29,6 +32,7 @@
 }
 
 impl StateService {
+    /// Makes a call.
     pub fn call(&self, call: &StateCall) -> Result<StateReply, CallError> {
         match self {
             StateService::Direct(client) => client.call(call),
