--- a/crates/quartzlever/src/inbox.rs
+++ b/crates/quartzlever/src/inbox.rs
@@ -28,7 +28,14 @@
 #[derive(Debug)]
 pub struct Item {
     pub command: Command,
-    pub reply: Option<(RequestId, Reply)>,
+    pub waiter: Option<Waiter>,
+}
+
+/// Somebody who waits for an answer.
+#[derive(Debug)]
+pub struct Waiter {
+    pub id: RequestId,
+    pub reply: Reply,
 }
 
 // How many submissions may wait for the core, and how many lookups and cancellations; more are
@@ -142,7 +149,7 @@
     /// Hands in the result of a call.
     pub fn deliver(&self, command: Command) {
         // Fails only when the core's thread has ended, and then the process ends.
-        let _ = self.priority.send(Item { command, reply: None });
+        let _ = self.priority.send(Item { command, waiter: None });
         self.core.unpark();
     }
 
@@ -157,7 +164,7 @@
     ) -> Result<(), Responder> {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
         let reply = Reply::Http { responder, until };
-        let item = Item { command: command(id), reply: Some((id, reply)) };
+        let item = Item { command: command(id), waiter: Some(Waiter { id, reply }) };
         let queue = match queue {
             Queue::Priority => &self.priority,
             Queue::Questions => &self.questions,
@@ -168,8 +175,8 @@
                 self.core.unpark();
                 Ok(())
             }
-            Err(refused) => match refused.into_inner().reply {
-                Some((_, Reply::Http { responder, .. })) => Err(responder),
+            Err(refused) => match refused.into_inner().waiter {
+                Some(Waiter { reply: Reply::Http { responder, .. }, .. }) => Err(responder),
                 _ => Ok(()),
             },
         }
@@ -183,7 +190,8 @@
     ) -> Option<PeerAnswer> {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = bounded(1);
-        let item = Item { command: command(id), reply: Some((id, Reply::Peer(sender))) };
+        let item =
+            Item { command: command(id), waiter: Some(Waiter { id, reply: Reply::Peer(sender) }) };
         self.priority.send(item).ok()?;
         self.core.unpark();
         receiver.recv_timeout(patience).ok()
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -13,7 +13,7 @@
 use super::pending::PendingReplies;
 use crate::clock::{Clock, wall};
 use crate::exit_status::UNKNOWN_VERSION;
-use crate::inbox::{InboxReceiver, Item, Reply};
+use crate::inbox::{InboxReceiver, Item, Reply, Waiter};
 use crate::responder::Status;
 use crate::server::Port;
 
@@ -180,26 +180,27 @@
     }
 }
 
-/// The command of an item; none if what would be done for its asker comes too late.
+/// The command of an item; none if its asker has given up: what would be done for it comes too late.
 fn take_command(
     item: Item,
     now: Micros,
     late: bool,
     pending: &mut PendingReplies,
 ) -> Option<Command> {
-    let Item { command, reply } = item;
-    if let Some((_, Reply::Http { responder, .. })) = &reply {
+    let Item { command, waiter } = item;
+    let Some(Waiter { id, reply }) = waiter else { return Some(command) };
+    if let Reply::Http { responder, .. } = &reply {
         responder.mark_taken();
     }
     match reply {
-        // Its asker has given up: what would be done for it comes too late.
-        Some((_, Reply::Http { responder, until })) if until <= now => {
+        Reply::Http { responder, until } if until <= now => {
             pending.send_busy(responder);
-            return None;
+            None
+        }
+        Reply::Http { responder, .. } if late && responder.is_given_up() => None,
+        reply => {
+            pending.insert(id, reply);
+            Some(command)
         }
-        Some((_, Reply::Http { responder, .. })) if late && responder.is_given_up() => return None,
-        Some((id, reply)) => pending.insert(id, reply),
-        None => {}
     }
-    Some(command)
 }
--- a/crates/quartzlever/src/node/executors/peers.rs
+++ b/crates/quartzlever/src/node/executors/peers.rs
@@ -15,6 +15,7 @@
 
 use super::thread::spawn;
 use crate::inbox::Inbox;
+use crate::settings::Peer;
 
 const THREADS: usize = 3;
 
@@ -31,10 +32,11 @@
 
 impl PeerExecutor {
     /// Starts the threads.
-    pub fn start(peers: &[(String, SocketAddr)], inbox: &Inbox) -> io::Result<PeerExecutor> {
+    pub fn start(peers: &[Peer], inbox: &Inbox) -> io::Result<PeerExecutor> {
         let (queue, receiver) = unbounded();
         let client = Arc::new(PeerClient::default());
-        let addresses: Arc<HashMap<String, SocketAddr>> = Arc::new(peers.iter().cloned().collect());
+        let addresses = peers.iter().map(|peer| (peer.node.clone(), peer.address));
+        let addresses: Arc<HashMap<String, SocketAddr>> = Arc::new(addresses.collect());
         for _ in 0..THREADS {
             let thread = PeerThread {
                 jobs: receiver.clone(),
@@ -73,3 +75,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever/src/node/executors/workers.rs
+++ b/crates/quartzlever/src/node/executors/workers.rs
@@ -72,3 +72,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever/src/node/startup.rs
+++ b/crates/quartzlever/src/node/startup.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::inbox::{InboxReceiver, Item, Reply};
+use crate::inbox::{InboxReceiver, Item, Reply, Waiter};
 use crate::recovery::{self, OwnLog, Recovery, StateService};
 use crate::responder::{BUSY, BUSY_BODY};
 use crate::settings::Settings;
@@ -41,9 +41,9 @@
 /// Tells all that wait to come back; `message` is where answers are written.
 fn turn_away(incoming: &InboxReceiver, message: &mut Vec<u8>) {
     let all = incoming.priority.try_iter().chain(incoming.questions.try_iter());
-    for Item { reply, .. } in all.chain(incoming.submissions.try_iter()) {
+    for Item { waiter, .. } in all.chain(incoming.submissions.try_iter()) {
         // A peer whose reply is dropped is told nothing.
-        if let Some((_, Reply::Http { responder, .. })) = reply {
+        if let Some(Waiter { reply: Reply::Http { responder, .. }, .. }) = waiter {
             responder.mark_taken();
             responder.send(&BUSY, BUSY_BODY, message);
         }
--- a/crates/quartzlever/src/recovery/peer_log.rs
+++ b/crates/quartzlever/src/recovery/peer_log.rs
@@ -13,9 +13,9 @@
 pub type OwnLog = Arc<OnceLock<Arc<GuardedState>>>;
 
 /// Takes another controller's changes into the log, if they belong to the same generation.
-pub fn take_changes(log: &OwnLog, told: LoggedChanges) -> PeerAnswer {
+pub fn take_changes(log: &OwnLog, logged: LoggedChanges) -> PeerAnswer {
     let Some(state) = log.get() else { return PeerAnswer::Nothing };
-    let LoggedChanges { cluster, generation, stamp, changes } = told;
+    let LoggedChanges { cluster, generation, stamp, changes } = logged;
     let own = &state.guard.generation.identity;
     if own.cluster != cluster || own.generation != generation {
         return PeerAnswer::Nothing;
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -18,12 +18,15 @@
 use quartzlever_recovery::picture::Update;
 use quartzlever_wire::peers::{LoggedChanges, PeerAnswer, PeerRequest};
 
+use crate::settings::Peer;
+
 /// A controller that gave none is not asked again for this time.
 const PAUSE: Duration = Duration::from_secs(2);
 /// Changes that wait for one controller; more are not told to it.
-const MOST_WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 
-struct Item {
+/// The changes of a transaction, for one controller.
+struct Entry {
     changes: Arc<LoggedChanges>,
     acknowledged: Sender<()>,
 }
@@ -31,7 +34,7 @@
 /// The ways to the other controllers' logs.
 pub struct Replication {
     identity: Identity,
-    peers: Vec<Sender<Item>>,
+    peers: Vec<Sender<Entry>>,
     /// How long an acknowledgement is waited for.
     patience: Duration,
 }
@@ -40,19 +43,19 @@
     /// Starts a thread for each of the other controllers. Each lives as long as the process.
     pub fn start(
         identity: Identity,
-        peers: &[(String, SocketAddr)],
+        peers: &[Peer],
         patience: Duration,
     ) -> io::Result<Replication> {
-        let mut lines = Vec::new();
-        for (node, address) in peers {
-            let (sender, receiver) = bounded(MOST_WAITING);
+        let mut queues = Vec::new();
+        for Peer { node, address } in peers {
+            let (sender, receiver) = bounded(MAX_WAITING);
             let address = *address;
             thread::Builder::new()
                 .name(format!("log-{node}"))
-                .spawn(move || tell(address, &receiver))?;
-            lines.push(sender);
+                .spawn(move || send_changes(address, &receiver))?;
+            queues.push(sender);
         }
-        Ok(Replication { identity, peers: lines, patience })
+        Ok(Replication { identity, peers: queues, patience })
     }
 
     /// Comes back when another controller has the changes of a transaction in its log, or when none is to be
@@ -65,9 +68,9 @@
         let changes = Arc::new(LoggedChanges { cluster, generation, stamp, changes });
         let (acknowledged, first) = bounded(self.peers.len());
         for peer in &self.peers {
-            let item = Item { changes: changes.clone(), acknowledged: acknowledged.clone() };
+            let entry = Entry { changes: changes.clone(), acknowledged: acknowledged.clone() };
             // One that has fallen behind learns of the changes by its watch.
-            let _ = peer.try_send(item);
+            let _ = peer.try_send(entry);
         }
         drop(acknowledged);
         // It ends at once when every one of them has been given up.
@@ -75,11 +78,11 @@
     }
 }
 
-/// Tells one controller of changes, one after the other.
-fn tell(address: SocketAddr, items: &Receiver<Item>) {
+/// Sends changes to one controller, one after the other.
+fn send_changes(address: SocketAddr, entries: &Receiver<Entry>) {
     let client = PeerClient::default();
     let mut silent_until = Instant::now();
-    for Item { changes, acknowledged } in items {
+    for Entry { changes, acknowledged } in entries {
         if Instant::now() < silent_until {
             continue;
         }
--- a/crates/quartzlever/src/responder.rs
+++ b/crates/quartzlever/src/responder.rs
@@ -104,7 +104,9 @@
 
     /// A request of the connection is taken up.
     fn mark_taken(&self) {
-        drop(self.new.lock().unwrap_or_else(|e| e.into_inner()).take());
+        let new = self.new.lock().unwrap_or_else(|e| e.into_inner()).take();
+        // Without the lock, since this may wake the thread that accepts.
+        drop(new);
     }
 }
 
--- a/crates/quartzlever/src/server.rs
+++ b/crates/quartzlever/src/server.rs
@@ -37,7 +37,7 @@
 const BACKLOG: i32 = 128;
 
 /// A port that is taken but not served yet: whoever comes is refused by the system at no cost. All
-/// workers knock every second at a node that has just started, and turning them away one by one
+/// workers connect every second to a node that has just started, and turning them away one by one
 /// took it 14 s of what it needed to come to be of use.
 pub struct Port {
     socket: Socket,
--- a/crates/quartzlever/src/server/tests.rs
+++ b/crates/quartzlever/src/server/tests.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use super::*;
-use crate::inbox::Reply;
+use crate::inbox::{Reply, Waiter};
 use crate::responder::Status;
 
 /// A worker that reports over a connection for as long as it may.
@@ -51,7 +51,7 @@
     thread::spawn(move || {
         let mut scratch = Vec::new();
         for item in incoming.priority {
-            if let Some((_, Reply::Http { responder, .. })) = item.reply {
+            if let Some(Waiter { reply: Reply::Http { responder, .. }, .. }) = item.waiter {
                 responder.send(&Status { status: 200, retry_after_s: None }, b"{}", &mut scratch);
             }
         }
--- a/crates/quartzlever/src/settings.rs
+++ b/crates/quartzlever/src/settings.rs
@@ -18,7 +18,7 @@
 use operator::OperatorSettings;
 use platform::PlatformSettings;
 
-pub use platform::Limits;
+pub use platform::{Limits, Peer};
 pub use recovery::RecoverySettings;
 pub use validation::SettingsError;
 
@@ -33,8 +33,8 @@
     pub api: SocketAddr,
     /// Where the other controllers are served.
     pub internal: SocketAddr,
-    /// The other controllers, by their names.
-    pub peers: Vec<(String, SocketAddr)>,
+    /// The other controllers.
+    pub peers: Vec<Peer>,
     /// The address of the cloud.
     pub cloud: String,
     /// The address of the state service.
--- a/crates/quartzlever/src/settings/platform.rs
+++ b/crates/quartzlever/src/settings/platform.rs
@@ -185,7 +185,14 @@
     /// All of them, in order.
     pub nodes: Vec<String>,
     /// The others.
-    pub peers: Vec<(String, SocketAddr)>,
+    pub peers: Vec<Peer>,
+}
+
+/// Another controller.
+#[derive(Clone, Debug)]
+pub struct Peer {
+    pub node: String,
+    pub address: SocketAddr,
 }
 
 /// Reads and checks the text of the platform's file. Of several bad fields the first one checked is told.
@@ -243,7 +250,8 @@
         if nodes.contains(&name) {
             return Err(check.error("seeds.node_name", Violation::Duplicate(name)));
         }
-        peers.push((name.clone(), check.address("seeds.addr", &seed.addr)?));
+        let address = check.address("seeds.addr", &seed.addr)?;
+        peers.push(Peer { node: name.clone(), address });
         nodes.push(name);
     }
     nodes.sort();
