--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -1,4 +1,7 @@
 //! The thread that looks for loss where nothing else would notice it.
+//!
+//! Owns this controller's witness key and the writing of inherited final states. Never mends a loss: the
+//! process begins anew instead.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,8 +19,8 @@
 use quartzlever_wire::{CallError, Json};
 
 use crate::clock::Clock;
-use crate::recovery::settings::RecoverySettings;
 use crate::recovery::state::{ClientAccess, GuardedState, begin_anew};
+use crate::settings::RecoverySettings;
 
 /// The witness key is written with every so many looks.
 const LOOKS_PER_WITNESS: u64 = 5;
@@ -49,6 +52,7 @@
 }
 
 impl Monitor {
+    /// Starts the thread, which lives as long as the process.
     pub fn start(
         state: Arc<GuardedState>,
         settings: RecoverySettings,
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -1,5 +1,8 @@
 //! The state service as the rest of the program sees it: every answer was guarded against loss, and is in
 //! the log before it is known.
+//!
+//! Owns the order of guard, journal and replication in a call, and how a process that has lost data begins
+//! anew. Never hands out a reply that the guard has not passed.
 
 use std::os::unix::process::CommandExt;
 use std::process::Command;
@@ -17,6 +20,7 @@
 use quartzlever_wire::{CallError, Json, Micros};
 
 use crate::clock::{Clock, wall};
+use crate::random::random_number;
 use crate::recovery::journal::Journal;
 use crate::recovery::replication::Replication;
 
@@ -28,6 +32,7 @@
 }
 
 impl StateService {
+    /// Makes a call.
     pub fn call(&self, call: &StateCall) -> Result<StateReply, CallError> {
         match self {
             StateService::Direct(client) => client.call(call),
@@ -194,6 +199,6 @@
     }
 
     fn draw(&mut self) -> u64 {
-        crate::random_number()
+        random_number()
     }
 }
