--- a/crates/quartzlever-clients/src/cloud.rs
+++ b/crates/quartzlever-clients/src/cloud.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quartzlever_wire::CallError;
-use quartzlever_wire::cloud::{Catalogue, CloudCall, CloudReply, HostNames, Rentals};
+use quartzlever_wire::cloud::{Catalogue, CloudCall, CloudReply, HostNames, InstancePage};
 
 use crate::http::{agent, call, to_body};
 
@@ -34,12 +34,12 @@
                     _ => Err(CallError::Refused),
                 }
             }
-            CloudCall::Rent(hire) => {
+            CloudCall::ScaleOut(request) => {
                 let reply =
-                    call(self.agent.post(&format!("{base}/rentals")), Some(to_body(hire)?))?;
+                    call(self.agent.post(&format!("{base}/rentals")), Some(to_body(request)?))?;
                 let refused = || reply.body.windows(11).any(|w| w == b"no capacity");
                 match reply.status {
-                    200 => Ok(CloudReply::Rented(reply.json::<HostNames>()?.hosts)),
+                    200 => Ok(CloudReply::ScaledOut(reply.json::<HostNames>()?.hosts)),
                     503 if refused() => Ok(CloudReply::NoCapacity),
                     // Malformed for the cloud, so never to be had.
                     400 => Ok(CloudReply::NoCapacity),
@@ -50,7 +50,7 @@
                 let body = to_body(&HostNames { hosts: hosts.clone() })?;
                 let reply = call(self.agent.post(&format!("{base}/rentals/return")), Some(body))?;
                 match reply.status {
-                    200 => Ok(CloudReply::Returned),
+                    200 => Ok(CloudReply::ScaledIn),
                     _ => Err(CallError::Refused),
                 }
             }
@@ -61,7 +61,7 @@
                 }
                 let reply = call(request, None)?;
                 match reply.status {
-                    200 => Ok(CloudReply::Listed(reply.json::<Rentals>()?)),
+                    200 => Ok(CloudReply::Listed(reply.json::<InstancePage>()?)),
                     _ => Err(CallError::Refused),
                 }
             }
--- a/crates/quartzlever-clients/src/http.rs
+++ b/crates/quartzlever-clients/src/http.rs
@@ -6,7 +6,7 @@
 use quartzlever_wire::CallError;
 use serde::de::DeserializeOwned;
 
-/// The longest answer that is read. Pages of the state service hold 512 KiB, those of the cloud 500
+/// The longest answer that is read. Pages of the store hold 512 KiB, those of the cloud 500
 /// machines, and all blocks of 4,000 machines together half a megabyte. Only a watch that has missed a lot
 /// brings more; its answer is cut short and the records are listed instead, in pages.
 const MOST_ANSWER: u64 = 4 << 20;
--- a/crates/quartzlever-clients/src/lib.rs
+++ b/crates/quartzlever-clients/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of everything that a controller calls: the state service, the cloud, workers and
+//! Clients of everything that a controller calls: the store, the cloud, workers and
 //! other controllers.
 //!
 //! Every call has a deadline, connections are reused, and calls that count against a rate limit
@@ -11,11 +11,11 @@
 mod cloud;
 mod http;
 mod peer;
-mod state;
+mod store;
 mod worker;
 
 pub use budget::Budget;
 pub use cloud::CloudClient;
 pub use peer::PeerClient;
-pub use state::StateClient;
+pub use store::StoreClient;
 pub use worker::WorkerClient;
--- a/crates/quartzlever-clients/src/state.rs
+++ b/crates/quartzlever-clients/src/store.rs
@@ -1,57 +1,59 @@
-//! Client of the state service.
+//! Client of the store.
 
 use std::time::Duration;
 
 use quartzlever_wire::CallError;
-use quartzlever_wire::state::{
-    HoldAnswer, HoldRequest, NOBODY, Row, Rows, StateCall, StateReply, TxnAnswer, WatchAnswer,
+use quartzlever_wire::store::{
+    GrantAnswer, GrantRequest, REVISION_PROBE_KEY, Row, Rows, StoreCall, StoreReply, TxnAnswer,
+    WatchAnswer,
 };
 
 use crate::http::{Reply, agent, call, to_body};
 
-/// Client of the state service.
+/// Client of the store.
 #[derive(Clone, Debug)]
-pub struct StateClient {
+pub struct StoreClient {
     base: String,
     quick: ureq::Agent,
-    patient: ureq::Agent,
+    can_wait_for_heartbeat: ureq::Agent,
 }
 
 const CONNECT: Duration = Duration::from_millis(700);
 const WHOLE: Duration = Duration::from_millis(1500);
 
-impl StateClient {
-    /// A client of the state service at this address and port.
+impl StoreClient {
+    /// A client of the store at this address and port.
     pub fn new(address: &str) -> Self {
-        StateClient {
+        StoreClient {
             base: format!("http://{address}"),
             quick: agent(CONNECT, WHOLE, 10),
             // A watch stays open for its time, and in an outage for longer. One whose connection
             // is dead must not keep the cache of the records old for long.
-            patient: agent(CONNECT, Duration::from_secs(12), 2),
+            can_wait_for_heartbeat: agent(CONNECT, Duration::from_secs(12), 2),
         }
     }
 
     /// Makes one call and waits for its answer.
-    pub fn call(&self, what: &StateCall) -> Result<StateReply, CallError> {
+    pub fn call(&self, what: &StoreCall) -> Result<StoreReply, CallError> {
         let base = &self.base;
         match what {
-            StateCall::Revision => {
-                let reply = call(self.quick.get(&format!("{base}/keys/{NOBODY}")), None)?;
+            StoreCall::Revision => {
+                let reply =
+                    call(self.quick.get(&format!("{base}/keys/{REVISION_PROBE_KEY}")), None)?;
                 match reply.status {
-                    404 => Ok(StateReply::Revision(reply.json::<TxnAnswer>()?.epoch)),
+                    404 => Ok(StoreReply::Revision(reply.json::<TxnAnswer>()?.revision)),
                     _ => Err(failure(&reply)),
                 }
             }
-            StateCall::Get(key) => {
+            StoreCall::Get(key) => {
                 let reply = call(self.quick.get(&format!("{base}/keys/{key}")), None)?;
                 match reply.status {
-                    200 => Ok(StateReply::Row(Some(reply.json::<Row>()?))),
-                    404 => Ok(StateReply::Row(None)),
+                    200 => Ok(StoreReply::Row(Some(reply.json::<Row>()?))),
+                    404 => Ok(StoreReply::Row(None)),
                     _ => Err(failure(&reply)),
                 }
             }
-            StateCall::List { prefix, from } => {
+            StoreCall::List { prefix, from } => {
                 let mut request = self
                     .quick
                     .get(&format!("{base}/keys"))
@@ -62,45 +64,45 @@
                 }
                 let reply = call(request, None)?;
                 match reply.status {
-                    200 => Ok(StateReply::Rows(reply.json::<Rows>()?)),
+                    200 => Ok(StoreReply::Rows(reply.json::<Rows>()?)),
                     _ => Err(failure(&reply)),
                 }
             }
-            StateCall::Txn(txn) => {
+            StoreCall::Txn(txn) => {
                 let reply = call(self.quick.post(&format!("{base}/multi")), Some(to_body(txn)?))?;
                 match reply.status {
-                    200 => Ok(StateReply::Committed(reply.json::<TxnAnswer>()?.epoch)),
+                    200 => Ok(StoreReply::Committed(reply.json::<TxnAnswer>()?.revision)),
                     409 => {
                         let answer = reply.json::<TxnAnswer>()?;
-                        Ok(StateReply::Conflict(answer.failed.unwrap_or_default()))
+                        Ok(StoreReply::Conflict(answer.failed.unwrap_or_default()))
                     }
                     400 if reply.body.windows(13).any(|w| w == b"no such lease") => {
-                        Ok(StateReply::NoLease)
+                        Ok(StoreReply::NoLease)
                     }
-                    400 => Ok(StateReply::TooLarge),
+                    400 => Ok(StoreReply::TooLarge),
                     _ => Err(failure(&reply)),
                 }
             }
-            StateCall::Grant { life_ms } => {
-                let body = to_body(&HoldRequest { life_ms: *life_ms })?;
+            StoreCall::Grant { life_ms } => {
+                let body = to_body(&GrantRequest { life_ms: *life_ms })?;
                 let reply = call(self.quick.post(&format!("{base}/holds")), Some(body))?;
                 match reply.status {
-                    200 => Ok(StateReply::Granted(reply.json::<HoldAnswer>()?.charter)),
+                    200 => Ok(StoreReply::Granted(reply.json::<GrantAnswer>()?.lease_id)),
                     _ => Err(failure(&reply)),
                 }
             }
-            StateCall::Renew { lease } => {
+            StoreCall::Renew { lease } => {
                 let request = self.quick.post(&format!("{base}/holds/{lease}/renew"));
                 let reply = call(request, Some(b"{}".to_vec()))?;
                 match reply.status {
-                    200 => Ok(StateReply::Renewed),
-                    404 => Ok(StateReply::NoLease),
+                    200 => Ok(StoreReply::Renewed),
+                    404 => Ok(StoreReply::NoLease),
                     _ => Err(failure(&reply)),
                 }
             }
-            StateCall::Watch { from, hold_ms } => {
+            StoreCall::Watch { from, hold_ms } => {
                 let request = self
-                    .patient
+                    .can_wait_for_heartbeat
                     .get(&format!("{base}/watch"))
                     .query("under", "")
                     .query("from", &from.to_string())
@@ -108,11 +110,11 @@
                 let reply = call(request, None)?;
                 match reply.status {
                     // It holds all changes since then, however many. Asked again it would only be
-                    // longer, and nothing be known until the state service had forgotten them;
+                    // longer, and nothing be known until the store had forgotten them;
                     // listed, the records come in pages.
-                    200 if reply.cut_short => Ok(StateReply::TooOld),
-                    200 => Ok(StateReply::Watched(reply.json::<WatchAnswer>()?)),
-                    410 => Ok(StateReply::TooOld),
+                    200 if reply.cut_short => Ok(StoreReply::TooOld),
+                    200 => Ok(StoreReply::Watched(reply.json::<WatchAnswer>()?)),
+                    410 => Ok(StoreReply::TooOld),
                     _ => Err(failure(&reply)),
                 }
             }
--- a/crates/quartzlever-clients/src/worker.rs
+++ b/crates/quartzlever-clients/src/worker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use quartzlever_wire::CallError;
-use quartzlever_wire::workers::{Report, WorkerCall, WorkerReply};
+use quartzlever_wire::workers::{Heartbeat, WorkerCall, WorkerReply};
 
 use crate::http::{agent, call, to_body};
 
@@ -24,14 +24,14 @@
     pub fn call(&self, address: &str, what: &WorkerCall) -> Result<WorkerReply, CallError> {
         let reply = match what {
             WorkerCall::Status => call(self.agent.get(&format!("http://{address}/status")), None)?,
-            WorkerCall::Command(orders) => call(
+            WorkerCall::Command(commands) => call(
                 self.agent.post(&format!("http://{address}/commands")),
-                Some(to_body(orders)?),
+                Some(to_body(commands)?),
             )?,
         };
-        let report = || Report::parse(&reply.body).ok_or(CallError::Unknown);
+        let report = || Heartbeat::parse(&reply.body).ok_or(CallError::Unknown);
         match reply.status {
-            200 => Ok(WorkerReply::Report(report()?)),
+            200 => Ok(WorkerReply::Status(report()?)),
             409 => Ok(WorkerReply::Refused(report()?)),
             400 => Err(CallError::Refused),
             _ => Err(CallError::Unknown),
--- a/crates/quartzlever-clients/tests/watch.rs
+++ b/crates/quartzlever-clients/tests/watch.rs
@@ -4,8 +4,8 @@
 use std::net::TcpListener;
 use std::thread;
 
-use quartzlever_clients::StateClient;
-use quartzlever_wire::state::{StateCall, StateReply};
+use quartzlever_clients::StoreClient;
+use quartzlever_wire::store::{StoreCall, StoreReply};
 
 /// Answers one request with this body; gives the address to ask.
 fn answer_once(body: String) -> String {
@@ -22,7 +22,7 @@
 }
 
 /// A process that has fallen far behind is told of all that it missed at once. An answer that was too
-/// long to be read was asked for again, each time longer, until the state service had forgotten the
+/// long to be read was asked for again, each time longer, until the store had forgotten the
 /// changes: minutes in which the process knew nothing new.
 #[test]
 fn changes_too_many_to_read_are_listed_instead() {
@@ -31,9 +31,9 @@
         let value = "x".repeat(bytes);
         let log = format!(r#"[{{"write":"live/a","v":"{value}","stamp":7}}]"#);
         let address = answer_once(format!(r#"{{"epoch":7,"log":{log}}}"#));
-        let call = StateCall::Watch { from: 6, hold_ms: 100 };
-        let reply = StateClient::new(&address).call(&call).expect("it is answered");
-        assert_eq!(reply == StateReply::TooOld, listed, "{bytes} bytes: {}", listed);
-        assert_eq!(matches!(reply, StateReply::Watched(_)), !listed, "{bytes} bytes");
+        let call = StoreCall::Watch { from: 6, hold_ms: 100 };
+        let reply = StoreClient::new(&address).call(&call).expect("it is answered");
+        assert_eq!(reply == StoreReply::TooOld, listed, "{bytes} bytes: {}", listed);
+        assert_eq!(matches!(reply, StoreReply::Watched(_)), !listed, "{bytes} bytes");
     }
 }
--- a/crates/quartzlever-core/examples/cost.rs
+++ b/crates/quartzlever-core/examples/cost.rs
@@ -1,4 +1,4 @@
-//! What the core itself costs: processor time for a report, a submission and a tick, with as
+//! What the core itself costs: processor time for a heartbeat, a submission and a tick, with as
 //! many machines as asked for, all busy, and about as many tasks ready in the queue, in jobs of so
 //! many tasks.
 //! `cargo run --release -p quartzlever-core --example cost [MACHINES [READY [TASKS]]]`
@@ -7,17 +7,17 @@
 use std::time::{Duration, Instant};
 
 use quartzlever_core::{
-    Answer, Command, Config, Core, Effect, Operator, Team, Weight, WorkerTimes,
+    Answer, Command, Config, Core, Effect, LogLevel, Operator, Team, WorkerTimes,
 };
-use quartzlever_standin::jobs;
-use quartzlever_standin::{Cloud, Store, Worker};
+use quartzlever_testkit::jobs;
+use quartzlever_testkit::{Cloud, Store, Worker};
 use quartzlever_wire::users::JobSpec;
-use quartzlever_wire::workers::{Orders, WorkerCall, WorkerReply};
+use quartzlever_wire::workers::{WorkerCall, WorkerCommands, WorkerReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 const LEASE: Micros = 30 * SECOND;
 
-struct World {
+struct Simulation {
     core: Core,
     store: Store,
     cloud: Cloud,
@@ -26,52 +26,56 @@
     spent: BTreeMap<&'static str, (Duration, u32)>,
 }
 
-impl World {
+impl Simulation {
     /// EffectThreads in a command, carries out what it brings, and notes what the first step cost.
-    fn take(&mut self, kind: &'static str, command: Command) -> Option<Orders> {
+    fn take(&mut self, kind: &'static str, command: Command) -> Option<WorkerCommands> {
         let begin = Instant::now();
         let mut effects = self.core.step(self.now, vec![command]);
         let entry = self.spent.entry(kind).or_default();
         entry.0 += begin.elapsed();
         entry.1 += 1;
-        let mut orders = None;
+        let mut commands = None;
         while !effects.is_empty() {
             let replies: Vec<Command> =
-                effects.into_iter().filter_map(|e| self.carry_out(e, &mut orders)).collect();
+                effects.into_iter().filter_map(|e| self.carry_out(e, &mut commands)).collect();
             if replies.is_empty() {
                 break;
             }
             effects = self.core.step(self.now, replies);
         }
-        orders
+        commands
     }
 
-    fn carry_out(&mut self, effect: Effect, orders: &mut Option<Orders>) -> Option<Command> {
+    fn carry_out(
+        &mut self,
+        effect: Effect,
+        commands: &mut Option<WorkerCommands>,
+    ) -> Option<Command> {
         match effect {
-            Effect::State { token, call, .. } => {
-                Some(Command::State { token, result: self.store.call(self.now, &call) })
+            Effect::Store { call_id, call, .. } => {
+                Some(Command::StoreReply { call_id, result: self.store.call(self.now, &call) })
             }
-            Effect::Cloud { token, call, .. } => {
+            Effect::Cloud { call_id, call, .. } => {
                 let reply = self.cloud.call(&call);
-                for (name, rental) in &self.cloud.machines {
+                for (name, instance) in &self.cloud.machines {
                     if !self.workers.contains_key(name) {
-                        let worker = Worker::new(rental.clone(), LEASE, 20 * SECOND, self.now);
+                        let worker = Worker::new(instance.clone(), LEASE, 20 * SECOND, self.now);
                         self.workers.insert(name.clone(), worker);
                     }
                 }
-                Some(Command::Cloud { token, result: Ok(reply) })
+                Some(Command::CloudReply { call_id, result: Ok(reply) })
             }
-            Effect::Worker { token, address, call, .. } => {
+            Effect::Worker { call_id, address, call, .. } => {
                 let worker = self.workers.get_mut(address.trim_end_matches(":9000"));
                 let result = worker.ok_or(CallError::Refused).map(|w| match &call {
-                    WorkerCall::Status => WorkerReply::Report(w.report()),
-                    WorkerCall::Command(orders) => w.command(orders, self.now),
+                    WorkerCall::Status => WorkerReply::Status(w.heartbeat()),
+                    WorkerCall::Command(commands) => w.command(commands, self.now),
                 });
-                Some(Command::Worker { token, result })
+                Some(Command::WorkerReply { call_id, result })
             }
             Effect::Answer { body, .. } => {
-                if let Answer::Orders(given) = body {
-                    *orders = Some(given);
+                if let Answer::WorkerCommands(given) = body {
+                    *commands = Some(given);
                 }
                 None
             }
@@ -89,27 +93,27 @@
     let machines = arguments.next().flatten().unwrap_or(16);
     let ready = arguments.next().flatten().unwrap_or(0) as u32;
     let tasks = arguments.next().flatten().unwrap_or(12).max(1) as u32;
-    let cfg = Config {
+    let config = Config {
         node: "one".into(),
         zone: "a".into(),
         nodes: vec!["one".into()],
         zones: vec!["a".into()],
         teams: vec![Team { name: "free".into(), ..Team::default() }],
         objectives: Vec::new(),
-        workers: WorkerTimes { report: 3 * SECOND, lease: LEASE, cancel: 2 * LEASE },
-        state_rps: 300.0,
-        state_write_rps: 300.0,
+        workers: WorkerTimes { heartbeat_interval: 3 * SECOND, lease: LEASE, cancel: 2 * LEASE },
+        store_rps: 300.0,
+        store_write_rps: 300.0,
         value_bytes: 16 * 1024,
-        block_bytes: 16 * 1024,
+        group_bytes: 16 * 1024,
         txn_ops: 24,
         version: quartzlever_core::VERSION,
         machine_capacity: 10_000,
         operator: Operator::default(),
-        notes: Weight::Error,
+        log_level: LogLevel::Error,
     };
     let now = 1_000 * SECOND;
-    let mut world = World {
-        core: Core::new(cfg, 1, now),
+    let mut simulation = Simulation {
+        core: Core::new(config, 1, now),
         store: Store::default(),
         cloud: Cloud::new(32.0, &["a"], machines),
         workers: BTreeMap::new(),
@@ -120,41 +124,41 @@
     let mut jobs = 0;
     // As many tasks as machines can run in the time between two jobs, plus those to be ready.
     let room = 16 * machines as u32;
-    // Three minutes; a report of each machine every three seconds.
+    // Three minutes; a heartbeat of each machine every three seconds.
     for tick in 0..900_u32 {
-        world.now += SECOND / 5;
-        let wall = world.now;
-        world.take("tick", Command::Tick { wall, behind: false });
+        simulation.now += SECOND / 5;
+        let wall = simulation.now;
+        simulation.take("tick", Command::Tick { wall, behind: false });
         let mut due = u32::from(tick.is_multiple_of(10)) * room / (10 * tasks) + 1;
         if tick == 1 {
             due = (room + ready) / tasks + 1;
         }
         for _ in 0..if tick == 1 || tick.is_multiple_of(10) { due } else { 0 } {
             (id, jobs) = (id + 1, jobs + 1);
-            world.take("submission", Command::Submit { id, spec: Box::new(job(jobs, tasks)) });
+            simulation.take("submission", Command::Submit { id, spec: Box::new(job(jobs, tasks)) });
         }
-        let names: Vec<String> = world.workers.keys().cloned().collect();
+        let names: Vec<String> = simulation.workers.keys().cloned().collect();
         for (n, name) in names.iter().enumerate() {
-            let now = world.now;
-            let Some(worker) = world.workers.get_mut(name) else { continue };
+            let now = simulation.now;
+            let Some(worker) = simulation.workers.get_mut(name) else { continue };
             worker.pass(now);
             if !(tick as usize + n).is_multiple_of(15) {
                 continue;
             }
-            let report = worker.report();
-            let session = report.session;
+            let heartbeat = worker.heartbeat();
+            let incarnation = heartbeat.incarnation;
             id += 1;
-            let orders = world.take("report", Command::Report { id, report });
-            if let (Some(orders), Some(worker)) = (orders, world.workers.get_mut(name)) {
-                worker.answered(&orders, now, session, now);
+            let commands = simulation.take("report", Command::Heartbeat { id, heartbeat });
+            if let (Some(commands), Some(worker)) = (commands, simulation.workers.get_mut(name)) {
+                worker.answered(&commands, now, incarnation, now);
             }
         }
-        let cloud = &world.cloud;
-        world.workers.retain(|name, _| !cloud.gone.contains(name));
+        let cloud = &simulation.cloud;
+        simulation.workers.retain(|name, _| !cloud.gone.contains(name));
     }
-    for (kind, (spent, count)) in &world.spent {
+    for (kind, (spent, count)) in &simulation.spent {
         let each = spent.as_secs_f64() * 1e6 / f64::from(*count);
         println!("{kind}: {count} times, {each:.1} microseconds each");
     }
-    println!("jobs over: {}", world.store.keys("over/").len());
+    println!("jobs over: {}", simulation.store.keys("over/").len());
 }
--- a/crates/quartzlever-core/src/fleet/arrivals.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances.rs
@@ -27,17 +27,17 @@
 
 /// A rented machine that has not reported yet.
 #[derive(Clone, Debug)]
-pub struct Expected {
-    pub kind: String,
+pub struct PendingInstance {
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub since: Micros,
 }
 
-impl Expected {
+impl PendingInstance {
     /// What was asked for to get it.
     pub fn offer(&self) -> Offer {
-        (self.kind.clone(), self.zone.clone(), self.spot)
+        (self.machine_type.clone(), self.zone.clone(), self.spot)
     }
 
     /// Whether a service waits for it no longer.
@@ -66,29 +66,31 @@
         more: Micros,
         now: Micros,
     ) -> bool {
-        let boot = types.get(&self.kind).map_or(UNKNOWN_BOOT_S, |kind| kind.ready_s);
+        let boot = types
+            .get(&self.machine_type)
+            .map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.ready_s);
         now.saturating_sub(self.since) > micros_from_secs(boots * boot) + more
     }
 }
 
 /// The machines of a partition that are on their way, and which kinds come late lately.
 #[derive(Debug, Default)]
-pub struct Arrivals {
-    expected: BTreeMap<String, Expected>,
+pub struct PendingInstances {
+    expected: BTreeMap<String, PendingInstance>,
     /// When the last machine of each kind came that was not late, by when it was asked for.
     in_time: BTreeMap<Offer, Micros>,
     /// Late machines that the log was told of.
-    told_late: usize,
+    logged_late: usize,
 }
 
-impl Arrivals {
+impl PendingInstances {
     /// A machine was rented.
-    pub fn expect(&mut self, host: &str, expected: Expected) {
+    pub fn expect(&mut self, host: &str, expected: PendingInstance) {
         self.expected.insert(host.to_owned(), expected);
     }
 
     /// A machine has come up, here or for another partition, or it is gone.
-    pub fn forget(&mut self, host: &str) -> Option<Expected> {
+    pub fn forget(&mut self, host: &str) -> Option<PendingInstance> {
         self.expected.remove(host)
     }
 
@@ -117,7 +119,7 @@
     }
 
     /// All that are awaited.
-    pub fn iter(&self) -> impl Iterator<Item = &Expected> {
+    pub fn iter(&self) -> impl Iterator<Item = &PendingInstance> {
         self.expected.values()
     }
 
@@ -151,17 +153,17 @@
     }
 
     /// How many machines are late, and how many are awaited, if that is news for the log.
-    pub fn news(
+    pub fn late_count_change(
         &mut self,
         types: &BTreeMap<String, MachineType>,
         now: Micros,
     ) -> Option<(usize, usize)> {
         let late = self.expected.values().filter(|e| e.is_late(types, now)).count();
-        let is_news = (late > 0) != (self.told_late > 0) || late > 2 * self.told_late;
-        if !is_news {
+        let is_ahead_of_cache = (late > 0) != (self.logged_late > 0) || late > 2 * self.logged_late;
+        if !is_ahead_of_cache {
             return None;
         }
-        self.told_late = late;
+        self.logged_late = late;
         Some((late, self.expected.len()))
     }
 }
--- a/crates/quartzlever-core/src/fleet/arrivals/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
@@ -3,12 +3,12 @@
 use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::{Micros, SECOND};
 
-use super::{Arrivals, Expected};
+use super::{PendingInstance, PendingInstances};
 
 const NOW: Micros = 1_000 * SECOND;
 
 fn types() -> BTreeMap<String, MachineType> {
-    let kind = MachineType {
+    let machine_type = MachineType {
         name: "m".into(),
         cpus: 8.0,
         gpus: 0.0,
@@ -20,11 +20,11 @@
         ready_s: 10.0,
         zones: vec!["a".into()],
     };
-    BTreeMap::from([("m".to_owned(), kind)])
+    BTreeMap::from([("m".to_owned(), machine_type)])
 }
 
-fn rented(since: Micros) -> Expected {
-    Expected { kind: "m".into(), zone: "a".into(), spot: true, since }
+fn rented(since: Micros) -> PendingInstance {
+    PendingInstance { machine_type: "m".into(), zone: "a".into(), spot: true, since }
 }
 
 /// (seconds since it was rented; a service waits for it no longer, it is late, it is returned)
@@ -64,16 +64,16 @@
     ];
     for (late, came, asked) in cases {
         let types = types();
-        let mut arrivals = Arrivals::default();
+        let mut pending_instances = PendingInstances::default();
         for n in 0..late {
-            arrivals.expect(&format!("late-{n}"), rented(NOW + 10 * SECOND));
+            pending_instances.expect(&format!("late-{n}"), rented(NOW + 10 * SECOND));
         }
         for (n, (since, at)) in came.iter().enumerate() {
             let host = format!("came-{n}");
-            arrivals.expect(&host, rented(NOW + since * SECOND));
-            arrivals.arrived(&host, Some(&types), NOW + at * SECOND);
+            pending_instances.expect(&host, rented(NOW + since * SECOND));
+            pending_instances.arrived(&host, Some(&types), NOW + at * SECOND);
         }
-        let offers = arrivals.late_offers(&types, NOW + 40 * SECOND);
+        let offers = pending_instances.late_offers(&types, NOW + 40 * SECOND);
         assert_eq!(offers.is_empty(), asked, "{late} late, {came:?}");
     }
 }
@@ -82,19 +82,23 @@
 #[test]
 fn late_machines_are_told_of_once() {
     let types = types();
-    let mut arrivals = Arrivals::default();
-    arrivals.expect("n-1", rented(NOW));
+    let mut pending_instances = PendingInstances::default();
+    pending_instances.expect("n-1", rented(NOW));
     for (after, told) in [(5, None), (25, Some((1, 1))), (26, None)] {
-        assert_eq!(arrivals.news(&types, NOW + after * SECOND), told, "{after} s");
+        assert_eq!(
+            pending_instances.late_count_change(&types, NOW + after * SECOND),
+            told,
+            "{after} s"
+        );
     }
     for n in 2..5 {
-        arrivals.expect(&format!("n-{n}"), rented(NOW));
+        pending_instances.expect(&format!("n-{n}"), rented(NOW));
     }
-    assert_eq!(arrivals.news(&types, NOW + 27 * SECOND), Some((4, 4)));
+    assert_eq!(pending_instances.late_count_change(&types, NOW + 27 * SECOND), Some((4, 4)));
     // No more than a request may name; the others go with the next.
     for most in [3, 1, 0] {
-        assert_eq!(arrivals.take_given_up(&types, NOW + 60 * SECOND, 3).len(), most);
+        assert_eq!(pending_instances.take_given_up(&types, NOW + 60 * SECOND, 3).len(), most);
     }
-    assert_eq!(arrivals.news(&types, NOW + 60 * SECOND), Some((0, 0)));
-    assert!(arrivals.is_empty());
+    assert_eq!(pending_instances.late_count_change(&types, NOW + 60 * SECOND), Some((0, 0)));
+    assert!(pending_instances.is_empty());
 }
--- a/crates/quartzlever-core/src/fleet/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -1,12 +1,12 @@
 //! Which machines are returned, and what a restart knows of them.
 
-use super::ReturnReason;
+use super::ScaleInReason;
 use crate::testing::*;
 
 #[test]
 fn a_restart_while_the_cloud_is_down_knows_the_types() {
     use crate::messages::{Command, Effect};
-    use quartzlever_wire::state::{CATALOGUE, Row, StateCall};
+    use quartzlever_wire::store::{CATALOGUE_KEY, Row, StoreCall};
     // (whether an earlier process kept the catalogue, whether types are known in the end)
     for (kept, known) in [(true, true), (false, false)] {
         let mut core = core();
@@ -14,28 +14,28 @@
             core.types.take().iter().flat_map(|t| t.values().cloned()).collect();
         let asked = core.step(NOW, Vec::new());
         let cloud = asked.iter().find_map(|e| match e {
-            Effect::Cloud { token, .. } => Some(*token),
+            Effect::Cloud { call_id, .. } => Some(*call_id),
             _ => None,
         });
-        let Some(token) = cloud else { panic!("the cloud is not asked") };
-        let down = Command::Cloud { token, result: Err(CallError::Refused) };
+        let Some(call_id) = cloud else { panic!("the cloud is not asked") };
+        let down = Command::CloudReply { call_id, result: Err(CallError::Refused) };
         let read = core.step(NOW, vec![down]);
-        let token = read.iter().find_map(|e| match e {
-            Effect::State { token, call: StateCall::Get(key), .. } if key == CATALOGUE => {
-                Some(*token)
+        let call_id = read.iter().find_map(|e| match e {
+            Effect::Store { call_id, call: StoreCall::Get(key), .. } if key == CATALOGUE_KEY => {
+                Some(*call_id)
             }
             _ => None,
         });
-        let Some(token) = token else { panic!("the kept catalogue is not read") };
+        let Some(call_id) = call_id else { panic!("the kept catalogue is not read") };
         let v = serde_json::json!({ "chassis": types });
         let row = Row {
-            path: CATALOGUE.into(),
+            path: CATALOGUE_KEY.into(),
             v: quartzlever_wire::Json::of(&v),
-            stamp: 3,
-            charter: None,
+            mod_revision: 3,
+            lease_id: None,
         };
-        let result = Ok(StateReply::Row(kept.then_some(row)));
-        core.step(NOW, vec![Command::State { token, result }]);
+        let result = Ok(StoreReply::Row(kept.then_some(row)));
+        core.step(NOW, vec![Command::StoreReply { call_id, result }]);
         assert_eq!(core.types.is_some(), known, "kept {kept}");
     }
 }
@@ -45,27 +45,27 @@
     // (seconds since the takeover, whether copies come all the time, whether it is returned)
     for (after, copies, returned) in [(1, true, false), (30, true, true), (30, false, true)] {
         let mut core = core();
-        if let Some(part) = core.parts.get_mut("one") {
-            part.acquired = NOW;
-            part.barrier_open = false;
-            if let Some(machine) = part.machines.get_mut("n-1") {
-                (machine.fenced, machine.proven) = (false, false);
+        if let Some(partition) = core.partitions.get_mut("one") {
+            partition.acquired = NOW;
+            partition.recovery_complete = false;
+            if let Some(machine) = partition.machines.get_mut("n-1") {
+                (machine.fenced, machine.verified) = (false, false);
             }
         }
-        let mut gone = false;
+        let mut terminated = false;
         for step in 1..=after * 2 {
             let mut commands = vec![Command::Tick { wall: NOW, behind: false }];
             if copies {
-                let report = report_from("n-1", 1, step, 4, &[]);
-                commands.push(Command::Report { id: step, report });
+                let heartbeat = heartbeat_from("n-1", 1, step, 4, &[]);
+                commands.push(Command::Heartbeat { id: step, heartbeat });
             }
             let effects = core.step(NOW + step * SECOND / 2, commands);
-            gone |= effects.iter().any(|e| {
+            terminated |= effects.iter().any(|e| {
                 matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::Return(h), .. }
                     if h.contains(&"n-1".to_owned()))
             });
         }
-        assert_eq!(gone, returned, "{after} s, copies {copies}");
+        assert_eq!(terminated, returned, "{after} s, copies {copies}");
     }
 }
 
@@ -77,26 +77,27 @@
         [(0, 7, false), (1, 7, false), (2, 7, true), (0, 13, true), (2, 4, false)]
     {
         let mut core = core();
-        (core.cfg.workers.report, core.cfg.workers.lease) = (6 * SECOND, 34 * SECOND);
-        if let Some(part) = core.parts.get_mut("one") {
-            part.barrier_open = false;
-            if let Some(machine) = part.machines.get_mut("n-1") {
-                (machine.fenced, machine.proven) = (false, false);
+        (core.config.workers.heartbeat_interval, core.config.workers.lease) =
+            (6 * SECOND, 34 * SECOND);
+        if let Some(partition) = core.partitions.get_mut("one") {
+            partition.recovery_complete = false;
+            if let Some(machine) = partition.machines.get_mut("n-1") {
+                (machine.fenced, machine.verified) = (false, false);
                 machine.failed_calls = failed;
             }
             // One that was heard, so that the zone does not count as cut off.
-            let record = part.machines["n-1"].record.clone();
-            part.add_machine("n-2", record, true, NOW + after * SECOND);
+            let record = partition.machines["n-1"].record.clone();
+            partition.add_machine("n-2", record, true, NOW + after * SECOND);
         }
         core.step(NOW + after * SECOND, Vec::new());
-        let wanted = core.parts["one"].machines.get("n-1").and_then(|m| m.return_wanted);
+        let wanted = core.partitions["one"].machines.get("n-1").and_then(|m| m.scale_in_reason);
         assert_eq!(wanted.is_some(), given_up, "{failed} calls, {after} s");
     }
 }
 
 #[test]
 fn a_machine_that_heeds_nothing_gets_no_more_and_is_returned() {
-    // What each later report shows of the attempt that answers told it to run; whether it may
+    // What each later heartbeat shows of the attempt that answers told it to run; whether it may
     // get more after the first of them, and whether it is returned in the end.
     for (name, shows, usable, returned) in [
         ("it hears", [true, true, true], true, false),
@@ -104,58 +105,63 @@
         ("it hears nothing", [false, false, false], false, true),
     ] {
         let mut core = core();
-        absorb_job(&mut core, &spec(1), 10, NOW);
-        core.step(NOW, vec![Command::Report { id: 1, report: report_from("n-1", 1, 1, 5, &[]) }]);
-        let part = &core.parts["one"];
-        let attempt = part.jobs["req-1"].located.values().next().map(|p| p.attempt);
+        reconcile_test_job(&mut core, &spec(1), 10, NOW);
+        core.step(
+            NOW,
+            vec![Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-1", 1, 1, 5, &[]) }],
+        );
+        let partition = &core.partitions["one"];
+        let attempt = partition.jobs["req-1"].assignments.values().next().map(|p| p.attempt);
         let Some(attempt) = attempt else { panic!("{name}: not started") };
-        let mut gone = false;
+        let mut terminated = false;
         for (n, shown) in shows.into_iter().enumerate() {
             let now = NOW + (n as u64 + 1) * SECOND;
             let attempts: &[u64] = if shown { &[attempt] } else { &[] };
-            let next = report_from("n-1", 1, n as u64 + 2, 5, attempts);
-            core.step(now, vec![Command::Report { id: 2 + n as u64, report: next }]);
+            let next = heartbeat_from("n-1", 1, n as u64 + 2, 5, attempts);
+            core.step(now, vec![Command::Heartbeat { id: 2 + n as u64, heartbeat: next }]);
             if n == 0 {
-                let machine = &core.parts["one"].machines["n-1"];
+                let machine = &core.partitions["one"].machines["n-1"];
                 assert_eq!(machine.usable(), usable, "{name}");
             }
-            gone |= core.parts["one"].machines["n-1"].return_wanted == Some(ReturnReason::Deaf);
+            terminated |= core.partitions["one"].machines["n-1"].scale_in_reason
+                == Some(ScaleInReason::IgnoresCommands);
         }
         let effects = core.step(NOW + 4 * SECOND, Vec::new());
-        gone |= effects.iter().any(|e| {
+        terminated |= effects.iter().any(|e| {
             matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::Return(_), .. })
         });
-        assert_eq!(gone, returned, "{name}");
+        assert_eq!(terminated, returned, "{name}");
         // Until it is proven empty its task stays where it may be.
-        let located = core.parts["one"].jobs["req-1"].located.len();
-        assert_eq!(located, 1, "{name}: not started elsewhere");
+        let assignments = core.partitions["one"].jobs["req-1"].assignments.len();
+        assert_eq!(assignments, 1, "{name}: not started elsewhere");
     }
 }
 
 #[test]
 fn a_zone_that_fell_silent_holds_up_a_recovery_for_half_a_lease() {
     // (proven before, seconds of silence, whether the machines are given up), leases of 34 s
-    for (proven, quiet, given_up) in
+    for (verified, quiet, given_up) in
         [(false, 16, false), (false, 18, true), (true, 18, false), (true, 36, true)]
     {
         let mut core = core();
-        (core.cfg.workers.report, core.cfg.workers.lease) = (6 * SECOND, 34 * SECOND);
-        if let Some(part) = core.parts.get_mut("one") {
-            let record = part.machines["n-1"].record.clone();
+        (core.config.workers.heartbeat_interval, core.config.workers.lease) =
+            (6 * SECOND, 34 * SECOND);
+        if let Some(partition) = core.partitions.get_mut("one") {
+            let record = partition.machines["n-1"].record.clone();
             for name in ["n-2", "n-3"] {
-                part.add_machine(name, record.clone(), false, NOW);
+                partition.add_machine(name, record.clone(), false, NOW);
             }
-            for machine in part.machines.values_mut() {
-                (machine.fenced, machine.proven) = (proven, proven);
+            for machine in partition.machines.values_mut() {
+                (machine.fenced, machine.verified) = (verified, verified);
                 machine.idle_since = None;
                 machine.failed_calls = 9;
             }
-            part.barrier_open = proven;
+            partition.recovery_complete = verified;
         }
         core.step(NOW + quiet * SECOND, Vec::new());
-        let machines = &core.parts["one"].machines;
-        let wanted = machines.values().filter(|m| m.return_wanted.is_some()).count();
-        assert_eq!(wanted, if given_up { 3 } else { 0 }, "{proven} {quiet}");
+        let machines = &core.partitions["one"].machines;
+        let wanted = machines.values().filter(|m| m.scale_in_reason.is_some()).count();
+        assert_eq!(wanted, if given_up { 3 } else { 0 }, "{verified} {quiet}");
     }
 }
 
@@ -163,32 +169,32 @@
 fn nobody_is_silent_to_a_node_that_did_not_listen() {
     // (seconds since anything was heard; whether the process stood still or is behind; how many
     // reports are in the first batch after that; machines returned)
-    for (name, quiet, behind, heard, gone) in [
+    for (name, quiet, behind, heard, terminated) in [
         ("all is silent, and the node listened", 13, false, 0, 10),
         ("it stood still, and nothing is read yet", 13, true, 0, 0),
         ("it stood still, and has read some", 13, true, 4, 0),
         ("it listened, and some are there", 13, false, 4, 6),
     ] {
         let mut core = with_cache(&[("one", "one", 5)]);
-        ten_machines(&mut core, NOW);
+        with_ten_machines(&mut core, NOW);
         let now = NOW + quiet * SECOND;
         let mut commands = vec![Command::Tick { wall: NOW, behind }];
         for n in 1..=heard {
-            let report = report_idle(&format!("n-{n}"), 9, 5);
-            commands.push(Command::Report { id: n, report });
+            let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
+            commands.push(Command::Heartbeat { id: n, heartbeat });
         }
-        assert_eq!(returned(&core.step(now, commands)), gone, "{name}");
+        assert_eq!(returned(&core.step(now, commands)), terminated, "{name}");
         // In the end the silent ones go all the same.
         let mut late = 0;
         for step in 1..=30 {
             let now = now + step * SECOND / 2;
-            let reports = (1..=heard).map(|n| Command::Report {
+            let heartbeats = (1..=heard).map(|n| Command::Heartbeat {
                 id: 100 + n,
-                report: report_idle(&format!("n-{n}"), 10 + step, 5),
+                heartbeat: idle_heartbeat(&format!("n-{n}"), 10 + step, 5),
             });
-            late += returned(&core.step(now, reports.collect()));
+            late += returned(&core.step(now, heartbeats.collect()));
         }
-        assert_eq!(late + gone, 10 - heard as usize, "{name}: later");
+        assert_eq!(late + terminated, 10 - heard as usize, "{name}: later");
     }
 }
 
@@ -210,29 +216,32 @@
         let mut core = core();
         let mut record = record("0-3", "");
         if service {
-            record.job.shape = Shape::Daemon;
+            record.job.shape = Shape::Service;
         }
-        core.absorb(record, 10);
-        core.step(NOW, vec![Command::Report { id: 1, report: report_from("n-1", 1, 1, 5, &[]) }]);
-        let part = core.parts.get_mut("one").expect("it is held");
-        assert!(part.machines["n-1"].serves() == service, "{n}");
+        core.reconcile_job(record, 10);
+        core.step(
+            NOW,
+            vec![Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-1", 1, 1, 5, &[]) }],
+        );
+        let partition = core.partitions.get_mut("one").expect("it is held");
+        assert!(partition.machines["n-1"].serves() == service, "{n}");
         for other in 0..others {
             let name = format!("x-{other}");
-            part.add_machine(&name, host_record(&name, "one"), true, NOW);
+            partition.add_machine(&name, machine_record_of(&name, "one"), true, NOW);
         }
         let (mut asked, mut returned_at) = (None, None);
         // All of a zone together get their whole lease, 10 s and a bit.
-        let (late, silent) = (core.cfg.late_report(), 12 * SECOND);
+        let (late, silent) = (core.config.late_heartbeat_after(), 12 * SECOND);
         for step in 1..=30 {
             let now = NOW + step * SECOND / 2;
             let mut batch = vec![Command::Tick { wall: now, behind: false }];
-            if fails && let Some(token) = asked.take() {
-                batch.push(Command::Worker { token, result: Err(CallError::Unknown) });
+            if fails && let Some(call_id) = asked.take() {
+                batch.push(Command::WorkerReply { call_id, result: Err(CallError::Unknown) });
             }
             for effect in core.step(now, batch) {
                 match effect {
-                    Effect::Worker { token, address, .. } if address.starts_with("n-1") => {
-                        asked = Some(token);
+                    Effect::Worker { call_id, address, .. } if address.starts_with("n-1") => {
+                        asked = Some(call_id);
                     }
                     Effect::Cloud { call: CloudCall::Return(hosts), .. }
                         if hosts.contains(&"n-1".to_owned()) =>
@@ -257,43 +266,43 @@
     // (seconds that the zone was cut off, seconds after its end, machines returned)
     for (cut_s, after, returned) in [(8, 1, 0), (8, 6, 9)] {
         let mut core = core();
-        let part = core.parts.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("it is held");
         for n in 0..10 {
             let name = format!("x-{n}");
-            let mut host = host_record(&name, "one");
+            let mut host = machine_record_of(&name, "one");
             (host.zone, host.spot) = ("b".into(), false);
-            part.add_machine(&name, host, true, NOW);
+            partition.add_machine(&name, host, true, NOW);
         }
         for n in 0..10 {
             core.step(
                 NOW,
-                vec![Command::Report {
+                vec![Command::Heartbeat {
                     id: n,
-                    report: report_from(&format!("x-{n}"), 1, 1, 5, &[]),
+                    heartbeat: heartbeat_from(&format!("x-{n}"), 1, 1, 5, &[]),
                 }],
             );
         }
-        core.cfg.operator.silent_return = 4 * SECOND;
-        core.cfg.operator.idle_boots = 1_000.0;
-        let mut gone = 0;
+        core.config.operator.silent_return = 4 * SECOND;
+        core.config.operator.idle_boots = 1_000.0;
+        let mut terminated = 0;
         let end = cut_s + after;
         for step in 1..=2 * end {
             let now = NOW + step * SECOND / 2;
             let mut batch = vec![Command::Tick { wall: now, behind: false }];
-            let own = report_from("n-1", 1, step + 1, 5, &[]);
-            batch.push(Command::Report { id: 100, report: own });
+            let own = heartbeat_from("n-1", 1, step + 1, 5, &[]);
+            batch.push(Command::Heartbeat { id: 100, heartbeat: own });
             if step >= 2 * cut_s {
                 // One machine of the zone is heard again; the others come in their time, or never.
-                let first = report_from("x-0", 1, step + 1, 5, &[]);
-                batch.push(Command::Report { id: 101, report: first });
+                let first = heartbeat_from("x-0", 1, step + 1, 5, &[]);
+                batch.push(Command::Heartbeat { id: 101, heartbeat: first });
             }
             for effect in core.step(now, batch) {
                 if let Effect::Cloud { call: CloudCall::Return(hosts), .. } = effect {
-                    gone += hosts.iter().filter(|h| h.starts_with("x-")).count();
+                    terminated += hosts.iter().filter(|h| h.starts_with("x-")).count();
                 }
             }
         }
-        assert_eq!(gone, returned, "cut for {cut_s} s, {after} s after its end");
+        assert_eq!(terminated, returned, "cut for {cut_s} s, {after} s after its end");
     }
 }
 
@@ -302,15 +311,15 @@
 
 /// The machines that a step asks for.
 fn rented(effects: Vec<Effect>) -> Hires {
-    let hire = |effect| match effect {
-        Effect::Cloud { call: CloudCall::Rent(hire), .. } => {
-            Some((hire.zone, hire.spot, hire.count))
+    let request = |effect| match effect {
+        Effect::Cloud { call: CloudCall::ScaleOut(request), .. } => {
+            Some((request.zone, request.spot, request.count))
         }
         _ => None,
     };
-    let mut hires: Hires = effects.into_iter().filter_map(hire).collect();
-    hires.sort();
-    hires
+    let mut scale_outs: Hires = effects.into_iter().filter_map(request).collect();
+    scale_outs.sort();
+    scale_outs
 }
 
 /// Half of a service that is spread over zones waited out a second boot, since one machine had room
@@ -335,8 +344,8 @@
             list.iter().map(|(name, zone)| (name.as_str(), "m", *zone, false)).collect();
         machines(&mut core, &list);
         let service = JobSpec {
-            shape: Shape::Daemon,
-            rank: Rank::Prod,
+            shape: Shape::Service,
+            priority: Priority::Prod,
             cpus: 1.0,
             spot: false,
             spread: *spread,
@@ -382,11 +391,11 @@
         list_records(&mut core, &rows, 9);
         if let Some(seconds) = raised_after {
             core.now = NOW + seconds * SECOND;
-            core.cluster_row(&raised_version(10));
+            core.apply_cluster_row(&raised_version(10));
         }
-        core.lease.sure_until = NOW + 900 * SECOND;
+        core.lease.valid_until = NOW + 900 * SECOND;
         let now = NOW + after * SECOND;
-        core.cache.viewed = now;
+        core.cache.view_as_of = now;
         let batch = vec![Command::Tick { wall: now, behind: false }];
         assert_eq!(rented(core.step(now, batch)), asked, "case {n}");
     }
@@ -402,12 +411,16 @@
         machines(&mut core, &[]);
         let types = core.types.clone().expect("known");
         let boot = quartzlever_wire::micros_from_secs(types["m"].ready_s * boots);
-        let part = core.parts.get_mut("one").expect("it is held");
-        let expected =
-            Expected { kind: "m".into(), zone: "a".into(), spot: false, since: NOW - boot };
-        part.fleet.arrivals.expect("n-7", expected);
+        let partition = core.partitions.get_mut("one").expect("it is held");
+        let expected = PendingInstance {
+            machine_type: "m".into(),
+            zone: "a".into(),
+            spot: false,
+            since: NOW - boot,
+        };
+        partition.autoscaling.pending_instances.expect("n-7", expected);
         let offer = ("m".to_owned(), "a".to_owned(), false);
-        assert_eq!(part.has_standby(&types, &offer, NOW), counted, "{boots} boots");
+        assert_eq!(partition.has_warm_capacity(&types, &offer, NOW), counted, "{boots} boots");
     }
 }
 
@@ -502,37 +515,39 @@
     for case in &cases {
         let mut core = core();
         let types = core.types.as_mut().map(Arc::make_mut).expect("known");
-        types.values_mut().for_each(|kind| kind.market_price = Some(0.4));
-        let at_hand: Vec<_> = case.at_hand.iter().map(|kind| ("s-1", *kind, "a", true)).collect();
+        types.values_mut().for_each(|machine_type| machine_type.market_price = Some(0.4));
+        let at_hand: Vec<_> =
+            case.at_hand.iter().map(|machine_type| ("s-1", *machine_type, "a", true)).collect();
         machines(&mut core, &at_hand);
         // Work of higher rank that fills what is at hand for long.
-        let full = JobSpec { cpus: 8.0, rank: Rank::Prod, expect_s: 600.0, ..spec(1) };
+        let full = JobSpec { cpus: 8.0, priority: Priority::Prod, expect_s: 600.0, ..spec(1) };
         if case.at_hand.is_some() {
             queue_job(&mut core, &JobSpec { id: "req-9".into(), ..full }, 10);
         }
         // Tasks for two machines: the second has to be worth its price again.
-        let types = case.only.map(|kind| vec![kind.into()]);
+        let types = case.only.map(|machine_type| vec![machine_type.into()]);
         let spec = JobSpec { types, expect_s: 60.0, ..spec(8) };
-        absorb_job(&mut core, &spec, 11, NOW);
+        reconcile_test_job(&mut core, &spec, 11, NOW);
         if case.elsewhere {
-            let hosts = Hosts::from([("n-9".to_owned(), host_record("n-9", "two"))]);
-            core.cache.blocks.insert(block_key("n-9"), (hosts, 3));
+            let hosts = MachineRecords::from([("n-9".to_owned(), machine_record_of("n-9", "two"))]);
+            core.cache.ownership_groups.insert(large_group_key("n-9"), (hosts, 3));
         }
         let now = NOW + case.age_s * SECOND + SECOND;
-        let part = core.parts.get_mut("one").expect("it is held");
-        part.fleet.refuse_spot(&["m", "x"], &["a", "b"], now + SECOND);
-        let job = part.jobs.get_mut("req-1").expect("it is known");
+        let partition = core.partitions.get_mut("one").expect("it is held");
+        partition.autoscaling.refuse_spot(&["m", "x"], &["a", "b"], now + SECOND);
+        let job = partition.jobs.get_mut("req-1").expect("it is known");
         job.since = NOW;
         for n in 0..case.failed_on {
             job.failures.note(&format!("gone-{n}"), NOW, SECOND, NOW);
         }
-        for machine in part.machines.values_mut() {
-            (machine.heard, machine.answered) = (now, now);
+        for machine in partition.machines.values_mut() {
+            (machine.last_heartbeat_at, machine.last_answered_at) = (now, now);
             machine.fenced = case.fenced;
         }
-        core.cache.viewed = now;
-        let hires = rented(core.step(now, vec![Command::Tick { wall: now, behind: false }]));
-        let ordinary: u32 = hires.iter().filter(|hire| !hire.1).map(|hire| hire.2).sum();
-        assert_eq!(ordinary, case.asked, "{}: {hires:?}", case.name);
+        core.cache.view_as_of = now;
+        let scale_outs = rented(core.step(now, vec![Command::Tick { wall: now, behind: false }]));
+        let ordinary: u32 =
+            scale_outs.iter().filter(|request| !request.1).map(|request| request.2).sum();
+        assert_eq!(ordinary, case.asked, "{}: {scale_outs:?}", case.name);
     }
 }
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -13,7 +13,7 @@
 }
 
 impl Team {
-    /// Whether the team has a limit, so that its jobs have to run in one part.
+    /// Whether the team has a limit, so that its jobs have to run in one partition.
     pub fn limited(&self) -> bool {
         self.cpus_max > 0.0 || self.gpus_max > 0.0
     }
@@ -21,19 +21,19 @@
 
 /// An aim of the users on starting or finishing.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Objective {
+pub enum ServiceLevelObjective {
     Deadline { class: String, share: f64, times: f64 },
     Wait { class: String, share: f64, within: Micros },
     Finished { class: String, share: f64, within: Micros },
 }
 
-impl Objective {
+impl ServiceLevelObjective {
     /// The class of jobs that the aim is on.
     pub fn class(&self) -> &str {
         match self {
-            Objective::Deadline { class, .. }
-            | Objective::Wait { class, .. }
-            | Objective::Finished { class, .. } => class,
+            ServiceLevelObjective::Deadline { class, .. }
+            | ServiceLevelObjective::Wait { class, .. }
+            | ServiceLevelObjective::Finished { class, .. } => class,
         }
     }
 }
@@ -41,7 +41,7 @@
 /// The times that workers keep to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerTimes {
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     pub lease: Micros,
     /// Within this time of a confirmed cancellation all tasks of the job must be gone.
     pub cancel: Micros,
@@ -58,15 +58,15 @@
     pub steal_start: Micros,
     /// Longest wait after failed steals.
     pub steal_cap: Micros,
-    /// Life of the lease that a controller's parts hang on.
+    /// Life of the lease that a controller's partitions hang on.
     pub lease_life: Micros,
-    /// How long a part must be absent before a peer takes it over.
+    /// How long a partition must be absent before a peer takes it over.
     pub takeover_after: Micros,
-    /// How long a home node must have stayed up before its part is handed back.
+    /// How long a home node must have stayed up before its partition is handed back.
     pub handback_after: Micros,
     /// How long a cheap machine may be idle before it is returned, in boot times of its type.
     pub idle_boots: f64,
-    /// How much a part's machines may cost together, in the lowest prices of their types, before
+    /// How much a partition's machines may cost together, in the lowest prices of their types, before
     /// dear ones are no longer rented.
     pub price_cap: f64,
     /// How long a machine may be silent before it is returned.
@@ -98,19 +98,19 @@
 pub struct Config {
     pub node: String,
     pub zone: String,
-    /// All controller names, its own among them; each names a part.
+    /// All controller names, its own among them; each names a partition.
     pub nodes: Vec<String>,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<ServiceLevelObjective>,
     pub workers: WorkerTimes,
-    /// What all controllers together may ask of the state service and change in it, a second.
-    pub state_rps: f64,
-    pub state_write_rps: f64,
+    /// What all controllers together may ask of the store and change in it, a second.
+    pub store_rps: f64,
+    pub store_write_rps: f64,
     /// The lower of a value's present and coming limit; and the present one, to which blocks of
     /// machines keep while a controller may be of the first version.
     pub value_bytes: usize,
-    pub block_bytes: usize,
+    pub group_bytes: usize,
     pub txn_ops: usize,
     /// The version that this process tells the others; 1 tells nothing, as the first version did.
     pub version: u32,
@@ -118,7 +118,7 @@
     pub machine_capacity: usize,
     pub operator: Operator,
     /// Notes of less weight than this are not even written.
-    pub notes: crate::messages::Weight,
+    pub log_level: crate::messages::LogLevel,
 }
 
 /// How fast the steady clocks of two machines may drift apart, in parts of 10,000
@@ -142,7 +142,7 @@
 /// The longest that a watch stays open without news.
 const LONGEST_WATCH: Micros = 5 * SECOND;
 
-/// What a node without a part may use of an equal share.
+/// What a node without a partition may use of an equal share.
 const WITHOUT_PART: f64 = 0.5;
 
 impl Config {
@@ -154,8 +154,8 @@
         self.team(team).is_some_and(Team::limited)
     }
 
-    /// The part that runs all jobs of a limited team, chosen by the team's name.
-    pub fn part_of_team(&self, team: &str) -> &str {
+    /// The partition that runs all jobs of a limited team, chosen by the team's name.
+    pub fn partition_of_team(&self, team: &str) -> &str {
         let mut names: Vec<&String> = self.nodes.iter().collect();
         names.sort();
         // FNV-1a: the same on every node and in every version.
@@ -165,18 +165,18 @@
         names[(hash % names.len() as u64) as usize]
     }
 
-    /// The part of a limit for all nodes that falls to one node, when so many hold parts and it
-    /// does so itself or not. Nodes without a part ask for little and leave the rest to those
+    /// The part of a limit for all nodes that falls to one node, when so many hold partitions and it
+    /// does so itself or not. Nodes without a partition ask for little and leave the rest to those
     /// who have the work: with a third of the requests, a node that was left with everything
     /// turned away 60 submissions in 10 s while two thirds lay idle.
-    pub fn share_of_limits(&self, holders: usize, holds: bool) -> f64 {
+    pub fn share_of_limits(&self, leaders: usize, holds_lease: bool) -> f64 {
         let nodes = self.nodes.len().max(1);
-        let holders = holders.min(nodes);
-        if holders == 0 {
+        let leaders = leaders.min(nodes);
+        if leaders == 0 {
             return 1.0 / nodes as f64;
         }
         let idle = WITHOUT_PART / nodes as f64;
-        if holds { (1.0 - idle * (nodes - holders) as f64) / holders as f64 } else { idle }
+        if holds_lease { (1.0 - idle * (nodes - leaders) as f64) / leaders as f64 } else { idle }
     }
 
     /// How old the view of the jobs may be while workers get orders or have their leases renewed.
@@ -210,9 +210,9 @@
         self.workers.cancel / 2
     }
 
-    /// So long after the last one a report is late: they come up to a quarter later than they should.
-    pub fn late_report(&self) -> Micros {
-        self.workers.report * 13 / 10
+    /// So long after the last one a heartbeat is late: they come up to a quarter later than they should.
+    pub fn late_heartbeat_after(&self) -> Micros {
+        self.workers.heartbeat_interval * 13 / 10
     }
 
     /// How long a silent machine needs to lose its lease for certain.
--- a/crates/quartzlever-core/src/jobs.rs
+++ b/crates/quartzlever-core/src/jobs.rs
@@ -1,10 +1,13 @@
 //! Jobs: what users ask for, and the writing of each job's record.
 
+pub mod pages;
+
 use std::collections::BTreeMap;
 
 use quartzlever_wire::peers::PeerRequest;
-use quartzlever_wire::state::{
-    LIVE, LiveRecord, OVER, OverRecord, PARTS, Row, Share, StateCall, StateReply, Txn,
+use quartzlever_wire::store::{
+    ACTIVE_JOB_PREFIX, ActiveJobRecord, PARTITION_PREFIX, Row, Share, StoreCall, StoreReply,
+    TERMINAL_JOB_PREFIX, TerminalJobRecord, Txn,
 };
 use quartzlever_wire::users::{JobAnswer, JobPhase, JobSpec, JobView};
 use quartzlever_wire::workers::TaskId;
@@ -12,28 +15,28 @@
 use rand::seq::IndexedRandom;
 
 use crate::config::Config;
-use crate::engine::{Core, Waiting};
-use crate::leases::parse;
-use crate::ledger::Change;
-use crate::messages::{Answer, Lane, RequestId, Weight};
-use crate::pages::{Pages, ProgressWrite, WriteRoom};
-use crate::partition::{Partition, PartitionJob, live_key};
-use crate::stealing::PeerWork;
+use crate::jobs::pages::{Pages, ProgressWrite, WriteLimits};
+use crate::leadership::parse;
+use crate::messages::{Answer, CallPriority, LogLevel, RequestId};
+use crate::partition::{Partition, PartitionJob, active_job_key};
+use crate::router::{Core, PendingStoreCall};
+use crate::stealing::PendingPeerCall;
+use crate::store::write_budget::WriteKind;
 
 /// Users' requests under way beyond which new ones are shed at once.
-const MOST_USER_CALLS: usize = 64;
+const MAX_USER_CALLS: usize = 64;
 /// Submissions are shed earlier, so that lookups and cancellations still pass.
-const MOST_SUBMISSIONS: usize = 40;
-const CANCEL_TRIES: u32 = 6;
+const MAX_SUBMISSIONS: usize = 40;
+const MAX_CANCEL_ATTEMPTS: u32 = 6;
 const WRITE_RETRY: Micros = SECOND / 2;
 
 /// A transaction that changes the record of a job.
 #[derive(Debug)]
 pub(crate) struct JobWrite {
-    pub part: String,
+    pub partition: String,
     pub term: u64,
     pub job: String,
-    pub kind: JobWriteKind,
+    pub action: JobWriteAction,
     /// The newly finished tasks that it records.
     pub recorded: Ranges,
     /// The pages that it writes, with all that is finished of each.
@@ -42,7 +45,7 @@
 
 /// What a transaction does with the record of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum JobWriteKind {
+pub(crate) enum JobWriteAction {
     /// Writes it anew.
     Record,
     /// Writes pages only, on condition of the record as it is.
@@ -51,7 +54,7 @@
     End,
 }
 
-/// Why a job is read from the state service.
+/// Why a job is read from the store.
 #[derive(Debug)]
 pub(crate) enum Purpose {
     /// Whether a submission that cannot be accepted is of a known job; `refuse` says whether an
@@ -65,7 +68,7 @@
         id: RequestId,
         job: String,
     },
-    Abort {
+    Cancel {
         id: RequestId,
         job: String,
         tries: u32,
@@ -75,9 +78,9 @@
 impl Purpose {
     fn request(&self) -> RequestId {
         match self {
-            Purpose::Submit { id, .. } | Purpose::Lookup { id, .. } | Purpose::Abort { id, .. } => {
-                *id
-            }
+            Purpose::Submit { id, .. }
+            | Purpose::Lookup { id, .. }
+            | Purpose::Cancel { id, .. } => *id,
         }
     }
 
@@ -85,14 +88,14 @@
         match self {
             Purpose::Submit { job, .. }
             | Purpose::Lookup { job, .. }
-            | Purpose::Abort { job, .. } => job,
+            | Purpose::Cancel { job, .. } => job,
         }
     }
 }
 
 /// Whether a job could ever run, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Feasibility {
     Fits,
     Never,
     /// The machine types are not known yet.
@@ -100,24 +103,25 @@
 }
 
 /// Decides whether a job can ever run.
-pub fn verdict<'a>(
-    cfg: &Config,
+pub fn feasibility<'a>(
+    config: &Config,
     types: Option<impl Iterator<Item = &'a quartzlever_wire::cloud::MachineType>>,
     spec: &JobSpec,
-) -> Verdict {
-    let Some(team) = cfg.team(&spec.team) else { return Verdict::Never };
+) -> Feasibility {
+    let Some(team) = config.team(&spec.team) else { return Feasibility::Never };
     let over = |want: f64, most: f64| most > 0.0 && want > most;
     // All replicas of a service run at once.
     let at_once = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
     if over(spec.cpus * at_once, team.cpus_max) || over(spec.gpus * at_once, team.gpus_max) {
-        return Verdict::Never;
+        return Feasibility::Never;
     }
-    let Some(mut types) = types else { return Verdict::Unsure };
+    let Some(mut types) = types else { return Feasibility::Unsure };
     let fits = types.any(|t| {
-        crate::placement::type_allowed(spec, t)
-            && crate::machine::Amounts::of_type(t).fits(&crate::machine::Amounts::of_job(spec))
+        crate::scheduling::placement::type_allowed(spec, t)
+            && crate::machines::machine::Resources::capacity_of(t)
+                .fits(&crate::machines::machine::Resources::required_by(spec))
     });
-    if fits { Verdict::Fits } else { Verdict::Never }
+    if fits { Feasibility::Fits } else { Feasibility::Never }
 }
 
 impl Core {
@@ -126,103 +130,113 @@
     }
 
     /// Starts a call for a user.
-    fn user_call(&mut self, call: StateCall, waiting: Waiting) {
-        self.user_calls += 1;
-        self.state(Lane::User, call, waiting);
+    fn user_call(&mut self, call: StoreCall, waiting: PendingStoreCall) {
+        self.user_calls_in_flight += 1;
+        self.call_store(CallPriority::User, call, waiting);
     }
 
     /// Reads a job for a user, unless too many calls of users are under way.
     pub(crate) fn read_for_user(&mut self, purpose: Purpose) {
-        if self.user_calls >= MOST_USER_CALLS {
-            return self.later(purpose.request(), 503, "busy");
+        if self.user_calls_in_flight >= MAX_USER_CALLS {
+            return self.reject_retryable(purpose.request(), 503, "busy");
         }
         self.read(purpose);
     }
 
     fn read(&mut self, purpose: Purpose) {
-        let call = StateCall::Get(live_key(purpose.job()));
-        self.user_call(call, Waiting::ReadLive { purpose });
+        let call = StoreCall::Get(active_job_key(purpose.job()));
+        self.user_call(call, PendingStoreCall::ReadActiveJob { purpose });
     }
 
     pub(crate) fn submit(&mut self, id: RequestId, spec: Box<JobSpec>) {
-        if let Some(over) = self.finals.get(&spec.id) {
+        if let Some(over) = self.terminal_jobs.get(&spec.id) {
             let phase = over.phase;
             return self.user_answer(id, 200, &spec.id, phase);
         }
-        if self.user_calls >= MOST_SUBMISSIONS || self.ledger.exhausted() {
-            return self.later(id, 429, "busy");
+        if self.user_calls_in_flight >= MAX_SUBMISSIONS || self.write_budget.exhausted() {
+            return self.reject_retryable(id, 429, "busy");
         }
         let types = self.types.as_ref().map(|t| t.values());
-        let refuse = match verdict(&self.cfg, types, &spec) {
+        let refuse = match feasibility(&self.config, types, &spec) {
             // An earlier version could not read its record.
-            Verdict::Fits if spec.is_service() && !self.cluster.services() => Some(false),
-            Verdict::Fits => None,
-            Verdict::Never => Some(true),
-            Verdict::Unsure => Some(false),
+            Feasibility::Fits if spec.is_service() && !self.cluster.services() => Some(false),
+            Feasibility::Fits => None,
+            Feasibility::Never => Some(true),
+            Feasibility::Unsure => Some(false),
         };
         let target = self.accept_target(&spec);
-        let (Some((part, term)), None) = (target, refuse) else {
+        let (Some((partition, term)), None) = (target, refuse) else {
             let refuse = refuse.unwrap_or(false);
             return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse });
         };
-        let share = Share { part: part.clone(), term, tasks: Ranges::first(spec.tasks) };
-        let record = LiveRecord::new((*spec).clone(), self.wall(), vec![share]);
+        let share = Share { partition: partition.clone(), term, tasks: Ranges::first(spec.tasks) };
+        let record = ActiveJobRecord::new((*spec).clone(), self.wall(), vec![share]);
         let value = Json::of(&record);
         if value.text().len() > self.limits.value_bytes {
             // Nothing could ever be kept of such a job; a known one is still answered as known.
             return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse: true });
         }
-        let live = live_key(&spec.id);
-        let mut txn = Txn::default().when(live.clone(), 0).when(format!("{OVER}{}", spec.id), 0);
+        let active_key = active_job_key(&spec.id);
+        let mut txn = Txn::default()
+            .when(active_key.clone(), 0)
+            .when(format!("{TERMINAL_JOB_PREFIX}{}", spec.id), 0);
         if term > 0 {
-            txn = txn.when(format!("{PARTS}{part}"), term);
-        }
-        let txn = txn.write(live, value);
-        self.ledger.spend(1);
-        self.user_call(StateCall::Txn(txn), Waiting::Accept { id, record: Box::new(record) });
+            txn = txn.when(format!("{PARTITION_PREFIX}{partition}"), term);
+        }
+        let txn = txn.write(active_key, value);
+        self.write_budget.spend(1);
+        self.user_call(
+            StoreCall::Txn(txn),
+            PendingStoreCall::Accept { id, record: Box::new(record) },
+        );
     }
 
-    /// The part that a new job enters, with its term.
+    /// The partition that a new job enters, with its term.
     fn accept_target(&mut self, spec: &JobSpec) -> Option<(String, u64)> {
-        if self.cfg.limited(&spec.team) {
-            let part = self.cfg.part_of_team(&spec.team);
-            let term = self.cache.parts.get(part).map_or(0, |(_, stamp)| *stamp);
-            return Some((part.to_owned(), term));
-        }
-        if self.sure()
-            && let Some(part) =
-                self.parts.get(&self.cfg.node).or_else(|| self.parts.values().next())
+        if self.config.limited(&spec.team) {
+            let partition = self.config.partition_of_team(&spec.team);
+            let term =
+                self.cache.partitions.get(partition).map_or(0, |(_, mod_revision)| *mod_revision);
+            return Some((partition.to_owned(), term));
+        }
+        if self.may_act()
+            && let Some(partition) =
+                self.partitions.get(&self.config.node).or_else(|| self.partitions.values().next())
         {
-            let own = (part.name.clone(), part.term);
-            return Some(self.lighter_part(&own.0).unwrap_or(own));
-        }
-        // A node without a part, such as one that is back and waits for its own, accepts into
-        // another's: the write has that part's term as its condition, and the watch tells the holder.
-        let held: Vec<(&String, &u64)> =
-            self.cache.parts.iter().map(|(name, (_, stamp))| (name, stamp)).collect();
-        held.choose(&mut self.rng).map(|(name, stamp)| ((*name).clone(), **stamp))
+            let own = (partition.name.clone(), partition.term);
+            return Some(self.less_loaded_partition(&own.0).unwrap_or(own));
+        }
+        // A node without a partition, such as one that is back and waits for its own, accepts into
+        // another's: the write has that partition's term as its condition, and the watch tells the leader.
+        let held: Vec<(&String, &u64)> = self
+            .cache
+            .partitions
+            .iter()
+            .map(|(name, (_, mod_revision))| (name, mod_revision))
+            .collect();
+        held.choose(&mut self.rng).map(|(name, mod_revision)| ((*name).clone(), **mod_revision))
     }
 
-    /// A part of another node that a new job enters instead of this one, which has more tasks than
+    /// A partition of another node that a new job enters instead of this one, which has more tasks than
     /// its processor could serve machines for, while the other has less than half. Each task
-    /// brings a machine at the most, and a part never gives machines away: of three controllers one
+    /// brings a machine at the most, and a partition never gives machines away: of three controllers one
     /// had two thirds of them and went under, with the others at a quarter of their share.
-    fn lighter_part(&self, own: &str) -> Option<(String, u64)> {
+    fn less_loaded_partition(&self, own: &str) -> Option<(String, u64)> {
         let others = || {
-            self.cache.parts.iter().filter(|(name, (record, _))| {
-                *name != own && record.node == **name && !self.parts.contains_key(*name)
+            self.cache.partitions.iter().filter(|(name, (record, _))| {
+                *name != own && record.node == **name && !self.partitions.contains_key(*name)
             })
         };
         others().next()?;
         let mut tasks: BTreeMap<&str, usize> = BTreeMap::new();
-        for (record, _) in self.cache.live.values() {
+        for (record, _) in self.cache.active_jobs.values() {
             for share in &record.shares {
                 // What is finished counts until the job is over: nothing hangs on it.
-                *tasks.entry(share.part.as_str()).or_default() += share.tasks.len() as usize;
+                *tasks.entry(share.partition.as_str()).or_default() += share.tasks.len() as usize;
             }
         }
-        let of = |part: &str| tasks.get(part).copied().unwrap_or(0);
-        if of(own) <= self.cfg.machine_capacity {
+        let of = |partition: &str| tasks.get(partition).copied().unwrap_or(0);
+        if of(own) <= self.config.machine_capacity {
             return None;
         }
         let (name, (_, term)) = others().min_by_key(|(name, _)| of(name))?;
@@ -232,103 +246,130 @@
     pub(crate) fn accept_answered(
         &mut self,
         id: RequestId,
-        record: LiveRecord,
-        result: Result<StateReply, CallError>,
+        record: ActiveJobRecord,
+        result: Result<StoreReply, CallError>,
     ) {
-        self.user_calls -= 1;
+        self.user_calls_in_flight -= 1;
         let job = record.job.id.clone();
         match result {
-            Ok(StateReply::Committed(stamp)) => {
-                // Whichever node holds the part hears of it by the watch; here it may start now.
-                self.absorb(record, stamp);
+            Ok(StoreReply::Committed(mod_revision)) => {
+                // Whichever node holds the partition hears of it by the watch; here it may start now.
+                self.reconcile_job(record, mod_revision);
                 // It may be over by now, and a user may have been told so at another node.
-                match self.finals.get(&job).map(|over| over.phase) {
+                match self.terminal_jobs.get(&job).map(|over| over.phase) {
                     Some(phase) => self.user_answer(id, 200, &job, phase),
                     None => self.user_answer(id, 201, &job, JobPhase::Queued),
                 }
             }
-            Ok(StateReply::Conflict(failed)) => {
-                let known = failed.iter().any(|k| k.starts_with(LIVE) || k.starts_with(OVER));
+            Ok(StoreReply::Conflict(failed)) => {
+                let known = failed.iter().any(|k| {
+                    k.starts_with(ACTIVE_JOB_PREFIX) || k.starts_with(TERMINAL_JOB_PREFIX)
+                });
                 if known {
                     self.read(Purpose::Submit { id, job, refuse: false });
                 } else {
-                    self.later(id, 503, "the part has changed hands");
+                    self.reject_retryable(id, 503, "the part has changed hands");
                 }
             }
-            _ => self.later(id, 503, "not written"),
+            _ => self.reject_retryable(id, 503, "not written"),
         }
     }
 
-    pub(crate) fn abort(&mut self, id: RequestId, job: String) {
-        if let Some(over) = self.finals.get(&job) {
+    pub(crate) fn cancel(&mut self, id: RequestId, job: String) {
+        if let Some(over) = self.terminal_jobs.get(&job) {
             let phase = over.phase;
             return self.user_answer(id, 200, &job, phase);
         }
-        self.read_for_user(Purpose::Abort { id, job, tries: 0 });
+        self.read_for_user(Purpose::Cancel { id, job, tries: 0 });
     }
 
-    pub(crate) fn view_over(&mut self, id: RequestId, job: &str, over: &OverRecord) {
+    pub(crate) fn answer_terminal_job(
+        &mut self,
+        id: RequestId,
+        job: &str,
+        over: &TerminalJobRecord,
+    ) {
         let view = JobView { id: job.to_owned(), phase: over.phase, done: over.done, running: 0 };
         self.answer(id, 200, Answer::View(view));
     }
 
-    pub(crate) fn live_read(&mut self, purpose: Purpose, result: Result<StateReply, CallError>) {
-        self.user_calls -= 1;
+    pub(crate) fn active_job_read(
+        &mut self,
+        purpose: Purpose,
+        result: Result<StoreReply, CallError>,
+    ) {
+        self.user_calls_in_flight -= 1;
         let row: Row = match result {
-            Ok(StateReply::Row(Some(row))) => row,
-            Ok(StateReply::Row(None)) => {
-                let call = StateCall::Get(format!("{OVER}{}", purpose.job()));
-                return self.user_call(call, Waiting::ReadOver { purpose });
+            Ok(StoreReply::Row(Some(row))) => row,
+            Ok(StoreReply::Row(None)) => {
+                let call = StoreCall::Get(format!("{TERMINAL_JOB_PREFIX}{}", purpose.job()));
+                return self.user_call(call, PendingStoreCall::ReadTerminalJob { purpose });
+            }
+            _ => {
+                return self.reject_retryable(
+                    purpose.request(),
+                    503,
+                    "the state service gives no answer",
+                );
             }
-            _ => return self.later(purpose.request(), 503, "the state service gives no answer"),
         };
-        let record = parse::<LiveRecord>(&row);
+        let record = parse::<ActiveJobRecord>(&row);
         if record.is_none() {
             let path = row.path.clone();
-            self.note(Weight::Error, || format!("unreadable record: {path}"));
+            self.log(LogLevel::Error, || format!("unreadable record: {path}"));
         }
         match purpose {
             Purpose::Submit { id, job, .. } => {
-                let phase = record.map_or(JobPhase::Queued, |r| self.view_live(&r).phase);
+                let phase = record.map_or(JobPhase::Queued, |r| self.view_active_job(&r).phase);
                 self.user_answer(id, 200, &job, phase);
             }
             Purpose::Lookup { id, job } => {
                 // Whatever its record looks like, the job was accepted and is not over.
-                let unread = JobView { id: job, phase: JobPhase::Queued, done: 0, running: 0 };
-                let view = record.map_or(unread, |r| self.view_live(&r));
+                let unreadable_jobs =
+                    JobView { id: job, phase: JobPhase::Queued, done: 0, running: 0 };
+                let view = record.map_or(unreadable_jobs, |r| self.view_active_job(&r));
                 self.answer(id, 200, Answer::View(view));
             }
-            Purpose::Abort { id, job, tries } => {
+            Purpose::Cancel { id, job, tries } => {
                 let done = record.map_or(0, |r| r.finished.len());
-                let over = OverRecord { phase: JobPhase::Aborted, done };
-                let live = live_key(&job);
+                let over = TerminalJobRecord { phase: JobPhase::Cancelled, done };
+                let active_key = active_job_key(&job);
                 let txn = Txn::default()
-                    .when(live.clone(), row.stamp)
-                    .delete(live)
-                    .write(format!("{OVER}{job}"), Json::of(&over));
-                self.ledger.spend(2);
-                self.user_call(StateCall::Txn(txn), Waiting::Cancel { id, job, done, tries });
+                    .when(active_key.clone(), row.mod_revision)
+                    .delete(active_key)
+                    .write(format!("{TERMINAL_JOB_PREFIX}{job}"), Json::of(&over));
+                self.write_budget.spend(2);
+                self.user_call(
+                    StoreCall::Txn(txn),
+                    PendingStoreCall::Cancel { id, job, done, tries },
+                );
             }
         }
     }
 
-    pub(crate) fn over_read(&mut self, purpose: Purpose, result: Result<StateReply, CallError>) {
-        self.user_calls -= 1;
+    pub(crate) fn terminal_job_read(
+        &mut self,
+        purpose: Purpose,
+        result: Result<StoreReply, CallError>,
+    ) {
+        self.user_calls_in_flight -= 1;
         let over = match result {
-            Ok(StateReply::Row(Some(row))) => {
-                let over = parse::<OverRecord>(&row);
+            Ok(StoreReply::Row(Some(row))) => {
+                let over = parse::<TerminalJobRecord>(&row);
                 if over.is_none() {
-                    self.note(Weight::Error, || format!("unreadable record: {}", row.path));
+                    self.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
                 }
                 over
             }
-            Ok(StateReply::Row(None)) => {
+            Ok(StoreReply::Row(None)) => {
                 return match purpose {
                     Purpose::Submit { id, refuse: true, .. } => {
                         self.answer(id, 422, Answer::Error { error: "can never run" });
                     }
-                    Purpose::Submit { id, .. } => self.later(id, 503, "cannot decide yet"),
-                    Purpose::Lookup { id, .. } | Purpose::Abort { id, .. } => {
+                    Purpose::Submit { id, .. } => {
+                        self.reject_retryable(id, 503, "cannot decide yet")
+                    }
+                    Purpose::Lookup { id, .. } | Purpose::Cancel { id, .. } => {
                         self.answer(id, 404, Answer::Error { error: "unknown job" });
                     }
                 };
@@ -336,13 +377,17 @@
             _ => None,
         };
         let Some(over) = over else {
-            return self.later(purpose.request(), 503, "the state service gives no answer");
+            return self.reject_retryable(
+                purpose.request(),
+                503,
+                "the state service gives no answer",
+            );
         };
         let job = purpose.job().to_owned();
-        self.job_over(&job, over.clone());
+        self.job_terminated(&job, over.clone());
         match purpose {
-            Purpose::Lookup { id, .. } => self.view_over(id, &job, &over),
-            Purpose::Submit { id, .. } | Purpose::Abort { id, .. } => {
+            Purpose::Lookup { id, .. } => self.answer_terminal_job(id, &job, &over),
+            Purpose::Submit { id, .. } | Purpose::Cancel { id, .. } => {
                 self.user_answer(id, 200, &job, over.phase);
             }
         }
@@ -354,33 +399,36 @@
         job: String,
         done: u32,
         tries: u32,
-        result: Result<StateReply, CallError>,
+        result: Result<StoreReply, CallError>,
     ) {
-        self.user_calls -= 1;
+        self.user_calls_in_flight -= 1;
         match result {
-            Ok(StateReply::Committed(_)) => {
-                self.tell_cancelled(&job, done);
-                self.job_over(&job, OverRecord { phase: JobPhase::Aborted, done });
-                self.user_answer(id, 200, &job, JobPhase::Aborted);
+            Ok(StoreReply::Committed(_)) => {
+                self.notify_cancelled(&job, done);
+                self.job_terminated(&job, TerminalJobRecord { phase: JobPhase::Cancelled, done });
+                self.user_answer(id, 200, &job, JobPhase::Cancelled);
             }
-            Ok(StateReply::Conflict(_)) if tries < CANCEL_TRIES => {
-                self.read(Purpose::Abort { id, job, tries: tries + 1 });
+            Ok(StoreReply::Conflict(_)) if tries < MAX_CANCEL_ATTEMPTS => {
+                self.read(Purpose::Cancel { id, job, tries: tries + 1 });
             }
-            _ => self.later(id, 503, "not written"),
+            _ => self.reject_retryable(id, 503, "not written"),
         }
     }
 
-    /// Tells the holders of a job that was just cancelled, so that its tasks end sooner where the
+    /// Tells the leaders of a job that was just cancelled, so that its tasks end sooner where the
     /// watch is late. Nothing rests on it.
-    fn tell_cancelled(&mut self, job: &str, done: u32) {
-        let Some((record, _)) = self.cache.live.get(job) else { return };
-        let mut nodes: Vec<&str> =
-            record.shares.iter().filter_map(|share| self.holder_of(&share.part)).collect();
+    fn notify_cancelled(&mut self, job: &str, done: u32) {
+        let Some((record, _)) = self.cache.active_jobs.get(job) else { return };
+        let mut nodes: Vec<&str> = record
+            .shares
+            .iter()
+            .filter_map(|share| self.other_leader_of(&share.partition))
+            .collect();
         nodes.sort_unstable();
         nodes.dedup();
         for node in nodes.into_iter().map(str::to_owned).collect::<Vec<_>>() {
             let request = PeerRequest::Cancelled { job: job.to_owned(), done };
-            self.ask_peer(&node, request, PeerWork::Told);
+            self.ask_peer(&node, request, PendingPeerCall::Notification);
         }
     }
 
@@ -388,54 +436,60 @@
     /// has waited longest, as far as the account of changes allows.
     pub(crate) fn write_jobs(&mut self) {
         let now = self.now;
-        let mut due: Vec<(Change, Micros, String, String)> = Vec::new();
-        let progress = self.ledger.has(Change::Progress, 1);
-        for (name, part) in self.parts.iter_mut().filter(|(_, p)| p.active()) {
+        let mut due: Vec<(WriteKind, Micros, String, String)> = Vec::new();
+        let progress = self.write_budget.has(WriteKind::Progress, 1);
+        for (name, partition) in self.partitions.iter_mut().filter(|(_, p)| p.active()) {
             let mut done_with = Vec::new();
-            for (id, job) in &part.jobs {
-                if job.writing || now < job.write_after {
+            for (id, job) in &partition.jobs {
+                if job.writing || now < job.write_not_before {
                     continue;
                 }
-                if job.idle() && !job.wants_write {
+                if job.idle() && !job.needs_write {
                     if job.may_end_here(name) {
                         if job.all_finished() {
-                            due.push((Change::Finish, job.write_after, name.clone(), id.clone()));
+                            due.push((
+                                WriteKind::Finish,
+                                job.write_not_before,
+                                name.clone(),
+                                id.clone(),
+                            ));
                         }
                     } else if job.record.owned_by(name).is_empty() {
                         done_with.push(id.clone());
                     }
-                } else if job.doubtful || job.wants_write || !job.finished.is_empty() {
+                } else if job.write_outcome_unknown || job.needs_write || !job.finished.is_empty() {
                     let ends = job.all_finished();
-                    let kind = if ends { Change::Finish } else { Change::Progress };
+                    let write_kind = if ends { WriteKind::Finish } else { WriteKind::Progress };
                     if !ends && !progress {
                         continue;
                     }
-                    due.push((kind, job.write_after, name.clone(), id.clone()));
+                    due.push((write_kind, job.write_not_before, name.clone(), id.clone()));
                 }
             }
             for id in done_with {
-                part.jobs.swap_remove(&id);
+                partition.jobs.swap_remove(&id);
             }
         }
         due.sort();
-        for (kind, _, part, id) in due {
-            let changes = if kind == Change::Finish { 2 } else { 1 };
-            if !self.ledger.allows(kind, changes) {
+        for (write_kind, _, partition, id) in due {
+            let changes = if write_kind == WriteKind::Finish { 2 } else { 1 };
+            if !self.write_budget.try_spend(write_kind, changes) {
                 break;
             }
-            self.write_job(&part, &id);
+            self.write_job(&partition, &id);
         }
     }
 
     fn write_job(&mut self, name: &str, id: &str) {
         let now = self.now;
-        let pause = self.cfg.operator.progress_write;
-        let room = WriteRoom { value_bytes: self.limits.value_bytes, pages: self.page_room() };
+        let pause = self.config.operator.progress_write;
+        let room =
+            WriteLimits { value_bytes: self.limits.value_bytes, pages: self.affordable_pages() };
         let paging = self.cluster.pages();
-        let Some(part) = self.parts.get_mut(name) else { return };
-        let (term, base) = (part.term, part.txn());
-        let Some(job) = part.jobs.get_mut(id) else { return };
-        let base = base.when(live_key(id), job.stamp);
+        let Some(partition) = self.partitions.get_mut(name) else { return };
+        let (term, base) = (partition.term, partition.txn());
+        let Some(job) = partition.jobs.get_mut(id) else { return };
+        let base = base.when(active_job_key(id), job.mod_revision);
         let planned = if job.all_finished() {
             Some(end_of_job(base, job))
         } else {
@@ -447,153 +501,176 @@
             progress.map(|progress| progress_of_job(base, id, progress, &self.pages))
         };
         let Some((txn, planned)) = planned else {
-            job.write_after = now + 2 * pause;
+            job.write_not_before = now + 2 * pause;
             return;
         };
         job.writing = true;
-        job.wants_write = false;
-        job.write_after = now + pause;
-        let PlannedWrite { kind, recorded, pages } = planned;
-        self.ledger.spend(pages.len());
-        let write =
-            JobWrite { part: name.to_owned(), term, job: id.to_owned(), kind, recorded, pages };
-        self.state(Lane::Work, StateCall::Txn(txn), Waiting::JobWrite(Box::new(write)));
+        job.needs_write = false;
+        job.write_not_before = now + pause;
+        let PlannedWrite { action, recorded, pages } = planned;
+        self.write_budget.spend(pages.len());
+        let write = JobWrite {
+            partition: name.to_owned(),
+            term,
+            job: id.to_owned(),
+            action,
+            recorded,
+            pages,
+        };
+        self.call_store(
+            CallPriority::Work,
+            StoreCall::Txn(txn),
+            PendingStoreCall::JobWrite(Box::new(write)),
+        );
     }
 
-    pub(crate) fn job_written(&mut self, write: JobWrite, result: Result<StateReply, CallError>) {
-        let JobWrite { part: name, term, job: id, kind, recorded, pages } = write;
-        if let Ok(StateReply::Committed(stamp)) = result {
-            if kind != JobWriteKind::PagesOnly {
-                self.stamps.saw(&id, stamp);
+    pub(crate) fn job_written(&mut self, write: JobWrite, result: Result<StoreReply, CallError>) {
+        let JobWrite { partition: name, term, job: id, action, recorded, pages } = write;
+        if let Ok(StoreReply::Committed(mod_revision)) = result {
+            if action != JobWriteAction::PagesOnly {
+                self.mod_revisions.saw(&id, mod_revision);
             }
             for (number, finished) in pages {
-                self.page_known(&id, number, finished, stamp);
+                self.record_page(&id, number, finished, mod_revision);
             }
         }
         let now = self.now;
-        let Some(part) = self.part_at(&name, term) else { return };
-        let Some(job) = part.jobs.get_mut(&id) else { return };
+        let Some(partition) = self.partition_at_term(&name, term) else { return };
+        let Some(job) = partition.jobs.get_mut(&id) else { return };
         job.writing = false;
         match result {
-            Ok(StateReply::Committed(stamp)) => match kind {
-                JobWriteKind::End => {
+            Ok(StoreReply::Committed(mod_revision)) => match action {
+                JobWriteAction::End => {
                     let done = job.record.job.tasks;
-                    self.job_over(&id, OverRecord { phase: JobPhase::Done, done });
+                    self.job_terminated(&id, TerminalJobRecord { phase: JobPhase::Done, done });
                 }
-                JobWriteKind::PagesOnly => {
-                    job.wants_write = true;
-                    job.write_after = now + WRITE_RETRY;
+                JobWriteAction::PagesOnly => {
+                    job.needs_write = true;
+                    job.write_not_before = now + WRITE_RETRY;
+                }
+                JobWriteAction::Record => {
+                    self.progress_written(&name, &id, &recorded, mod_revision)
                 }
-                JobWriteKind::Record => self.progress_written(&name, &id, &recorded, stamp),
             },
-            Ok(StateReply::Conflict(failed)) => {
-                if failed.contains(&format!("{PARTS}{name}")) {
-                    return self.lose_part(&name, term);
+            Ok(StoreReply::Conflict(failed)) => {
+                if failed.contains(&format!("{PARTITION_PREFIX}{name}")) {
+                    return self.lose_partition(&name, term);
                 }
                 job.writing = true;
                 self.reread_job(&name, term, &id);
             }
             Ok(_) | Err(_) => {
-                job.wants_write = true;
-                job.write_after = now + WRITE_RETRY;
+                job.needs_write = true;
+                job.write_not_before = now + WRITE_RETRY;
             }
         }
     }
 
     /// The record of a job is in force with newly finished tasks.
-    fn progress_written(&mut self, name: &str, id: &str, recorded: &Ranges, stamp: u64) {
-        let Some(part) = self.parts.get_mut(name) else { return };
-        let Some(job) = part.jobs.get_mut(id) else { return };
+    fn progress_written(&mut self, name: &str, id: &str, recorded: &Ranges, mod_revision: u64) {
+        let Some(partition) = self.partitions.get_mut(name) else { return };
+        let Some(job) = partition.jobs.get_mut(id) else { return };
         job.finished.subtract(recorded);
-        if stamp > job.stamp {
-            job.stamp = stamp;
+        if mod_revision > job.mod_revision {
+            job.mod_revision = mod_revision;
             job.record.finished.add(recorded);
             job.record.started = true;
         }
-        let record = (job.stamp == stamp).then(|| job.record.clone());
-        if job.doubtful {
-            // Ours came into force at that stamp, so the doubtful one never will.
-            job.doubtful = false;
-            let cut = std::mem::take(&mut job.cutting);
+        let record = (job.mod_revision == mod_revision).then(|| job.record.clone());
+        if job.write_outcome_unknown {
+            // Ours came into force at that modification revision, so the doubtful one never will.
+            job.write_outcome_unknown = false;
+            let cut = std::mem::take(&mut job.moving);
             job.ready.add(&cut);
-            part.place_wanted = true;
+            partition.placement_wanted = true;
         }
         if let Some(record) = record {
             // So the watch, which tells of it too, brings nothing new.
-            self.absorb(record, stamp);
+            self.reconcile_job(record, mod_revision);
         }
     }
 
-    pub(crate) fn reread_job(&mut self, part: &str, term: u64, job: &str) {
-        let waiting = Waiting::Reread { part: part.into(), term, job: job.into() };
-        self.state(Lane::Work, StateCall::Get(live_key(job)), waiting);
+    pub(crate) fn reread_job(&mut self, partition: &str, term: u64, job: &str) {
+        let waiting =
+            PendingStoreCall::Reread { partition: partition.into(), term, job: job.into() };
+        self.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), waiting);
     }
 
-    pub(crate) fn reread(
+    pub(crate) fn active_job_reread(
         &mut self,
         name: &str,
         term: u64,
         id: &str,
-        result: Result<StateReply, CallError>,
+        result: Result<StoreReply, CallError>,
     ) {
         let now = self.now;
-        let Some(part) = self.part_at(name, term) else { return };
-        let Some(job) = part.jobs.get_mut(id) else { return };
+        let Some(partition) = self.partition_at_term(name, term) else { return };
+        let Some(job) = partition.jobs.get_mut(id) else { return };
         job.writing = false;
         match result {
-            Ok(StateReply::Row(Some(row))) => {
-                if let Some(record) = parse::<LiveRecord>(&row) {
-                    self.absorb(record, row.stamp);
+            Ok(StoreReply::Row(Some(row))) => {
+                if let Some(record) = parse::<ActiveJobRecord>(&row) {
+                    self.reconcile_job(record, row.mod_revision);
                 }
             }
-            Ok(StateReply::Row(None)) => {
+            Ok(StoreReply::Row(None)) => {
                 job.writing = true;
-                let waiting = Waiting::RereadOver { part: name.into(), term, job: id.to_owned() };
-                self.state(Lane::Work, StateCall::Get(format!("{OVER}{id}")), waiting);
+                let waiting = PendingStoreCall::RereadTerminalJob {
+                    partition: name.into(),
+                    term,
+                    job: id.to_owned(),
+                };
+                self.call_store(
+                    CallPriority::Work,
+                    StoreCall::Get(format!("{TERMINAL_JOB_PREFIX}{id}")),
+                    waiting,
+                );
             }
             _ => {
-                job.wants_write = true;
-                job.write_after = now + WRITE_RETRY;
+                job.needs_write = true;
+                job.write_not_before = now + WRITE_RETRY;
             }
         }
     }
 
-    pub(crate) fn reread_over(
+    pub(crate) fn terminal_job_reread(
         &mut self,
         name: &str,
         term: u64,
         id: &str,
-        result: Result<StateReply, CallError>,
+        result: Result<StoreReply, CallError>,
     ) {
         let now = self.now;
-        if let Ok(StateReply::Row(Some(row))) = &result
-            && let Some(over) = parse::<OverRecord>(row)
+        if let Ok(StoreReply::Row(Some(row))) = &result
+            && let Some(over) = parse::<TerminalJobRecord>(row)
         {
-            return self.job_over(id, over);
+            return self.job_terminated(id, over);
         }
-        if let Some(part) = self.part_at(name, term)
-            && let Some(job) = part.jobs.get_mut(id)
+        if let Some(partition) = self.partition_at_term(name, term)
+            && let Some(job) = partition.jobs.get_mut(id)
         {
             job.writing = false;
-            job.wants_write = true;
-            job.write_after = now + WRITE_RETRY;
+            job.needs_write = true;
+            job.write_not_before = now + WRITE_RETRY;
         }
     }
 }
 
 /// What a planned transaction will have done.
 pub(crate) struct PlannedWrite {
-    pub kind: JobWriteKind,
+    pub action: JobWriteAction,
     pub recorded: Ranges,
     pub pages: Vec<(u32, Ranges)>,
 }
 
 fn end_of_job(txn: Txn, job: &PartitionJob) -> (Txn, PlannedWrite) {
     let spec = job.spec();
-    let over = OverRecord { phase: JobPhase::Done, done: spec.tasks };
-    let txn = txn.delete(live_key(&spec.id)).write(format!("{OVER}{}", spec.id), Json::of(&over));
+    let over = TerminalJobRecord { phase: JobPhase::Done, done: spec.tasks };
+    let txn = txn
+        .delete(active_job_key(&spec.id))
+        .write(format!("{TERMINAL_JOB_PREFIX}{}", spec.id), Json::of(&over));
     let recorded = job.finished.clone();
-    (txn, PlannedWrite { kind: JobWriteKind::End, recorded, pages: Vec::new() })
+    (txn, PlannedWrite { action: JobWriteAction::End, recorded, pages: Vec::new() })
 }
 
 /// Makes a transaction record the progress of a job.
@@ -605,11 +682,11 @@
 ) -> (Txn, PlannedWrite) {
     let ProgressWrite { record, pages, recorded } = progress;
     let txn = known.add_to(txn, id, &pages);
-    let (txn, kind) = match record {
-        Some(record) => (txn.write(live_key(id), Json::of(&record)), JobWriteKind::Record),
-        None => (txn, JobWriteKind::PagesOnly),
+    let (txn, action) = match record {
+        Some(record) => (txn.write(active_job_key(id), Json::of(&record)), JobWriteAction::Record),
+        None => (txn, JobWriteAction::PagesOnly),
     };
-    (txn, PlannedWrite { kind, recorded, pages })
+    (txn, PlannedWrite { action, recorded, pages })
 }
 
 /// While a controller may be of the first version, a record keeps what fits: too many gaps are not
@@ -619,37 +696,42 @@
     let mut record = job.begun_record();
     let recorded = record.finished.clone();
     record.finished.add(&job.finished);
-    let mut told = job.finished.clone();
+    let mut recorded_now = job.finished.clone();
     let mut length = Json::of(&record).text().len();
     if length > value_bytes {
-        told = fitting(&mut record, &recorded, &told, value_bytes);
+        recorded_now = fitting(&mut record, &recorded, &recorded_now, value_bytes);
         length = Json::of(&record).text().len();
-        if told.is_empty() && (length > value_bytes || !job.doubtful) {
+        if recorded_now.is_empty() && (length > value_bytes || !job.write_outcome_unknown) {
             return None;
         }
     }
-    Some(ProgressWrite { record: Some(record), pages: Vec::new(), recorded: told })
+    Some(ProgressWrite { record: Some(record), pages: Vec::new(), recorded: recorded_now })
 }
 
 /// Puts as much of what has finished into a record as keeps it within a value's limit, the longest
 /// ranges first, and gives what that is.
-fn fitting(record: &mut LiveRecord, recorded: &Ranges, finished: &Ranges, most: usize) -> Ranges {
+fn fitting(
+    record: &mut ActiveJobRecord,
+    recorded: &Ranges,
+    finished: &Ranges,
+    most: usize,
+) -> Ranges {
     /// So many ranges are tried: they fill gaps or are long, and the rest can wait.
     const TRIED: usize = 64;
     record.finished = recorded.clone();
     let room = most.saturating_sub(Json::of(&*record).text().len() - recorded.to_string().len());
     let mut ranges: Vec<Ranges> = finished.ranges().map(Ranges::of).collect();
     ranges.sort_by_key(|r| std::cmp::Reverse(r.len()));
-    let (mut kept, mut told) = (recorded.clone(), Ranges::default());
+    let (mut kept, mut recorded_now) = (recorded.clone(), Ranges::default());
     for range in ranges.into_iter().take(TRIED) {
         let with = kept.union(&range);
         if with.to_string().len() <= room {
             kept = with;
-            told.add(&range);
+            recorded_now.add(&range);
         }
     }
     record.finished = kept;
-    told
+    recorded_now
 }
 
 impl Partition {
@@ -657,8 +739,8 @@
     pub fn finish(&mut self, id: &str, index: u32, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.ready.remove(index);
-        job.held.remove(index);
-        if let Some(place) = job.located.get(&index).cloned()
+        job.awaiting_recovery.remove(index);
+        if let Some(place) = job.assignments.get(&index).cloned()
             && let Some(machine) = self.machines.get_mut(&place.machine)
             && let Some(slot) =
                 machine.slots.get_mut(&(TaskId { job: id.to_owned(), index }, place.attempt))
@@ -668,10 +750,10 @@
             self.urgent.insert(place.machine);
         }
         if job.record.owned_by(&self.name).contains(index) {
-            job.good += 1;
+            job.succeeded += 1;
             job.finished.insert(index);
             if job.all_finished() {
-                job.write_after = now;
+                job.write_not_before = now;
             }
         }
     }
--- a/crates/quartzlever-core/src/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -4,29 +4,29 @@
 //! tasks end in a bad order. Then the worst of them move to pages, each a key of its own. That a
 //! task has finished stays true for good, so pages only grow while the job lives, and whatever has
 //! been seen of them may be joined with any view of the record: a late view knows less, never
-//! anything wrong. Every page is written on condition of the record's stamp, so none can appear
+//! anything wrong. Every page is written on condition of the record's modification revision, so none can appear
 //! after the job is done or cancelled; what is left of such jobs is removed later.
 
 use std::collections::BTreeMap;
 
 use quartzlever_wire::pages::{PageRecord, page_key, page_of_key, page_of_task, tasks_of_page};
-use quartzlever_wire::state::{LiveRecord, Row, StateCall, Txn};
+use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, Txn};
 use quartzlever_wire::{Json, Micros, Ranges, SECOND};
 
-use crate::engine::{Core, Waiting};
-use crate::leases::parse;
-use crate::ledger::Change;
-use crate::messages::{Lane, Weight};
-use crate::partition::{Partition, live_key};
+use crate::leadership::parse;
+use crate::messages::{CallPriority, LogLevel};
+use crate::partition::{Partition, active_job_key};
+use crate::router::{Core, PendingStoreCall};
+use crate::store::write_budget::WriteKind;
 
 /// Leftover pages are removed no more often, so that the watch can tell of the last removal.
 const REMOVE_PAUSE: Micros = 2 * SECOND;
 
-/// A page as the state service has it.
+/// A page as the store has it.
 #[derive(Clone, Debug)]
 struct Page {
     finished: Ranges,
-    stamp: u64,
+    mod_revision: u64,
 }
 
 /// The pages of all jobs, as far as they are known.
@@ -38,7 +38,7 @@
 
 /// What one transaction may take of a job's progress.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WriteRoom {
+pub(crate) struct WriteLimits {
     /// The largest value.
     pub value_bytes: usize,
     /// How many pages may be written beside the record.
@@ -49,7 +49,7 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct ProgressWrite {
     /// The record as it will be stored; none if only pages are written since it does not fit yet.
-    pub record: Option<LiveRecord>,
+    pub record: Option<ActiveJobRecord>,
     /// Pages that are written, with all finished tasks of each.
     pub pages: Vec<(u32, Ranges)>,
     /// The newly finished tasks that are recorded by this.
@@ -58,17 +58,17 @@
 
 impl Pages {
     /// Takes in a page as it is at a revision; a later one may be known already.
-    pub fn insert(&mut self, job: &str, number: u32, finished: Ranges, stamp: u64) {
+    pub fn insert(&mut self, job: &str, number: u32, finished: Ranges, mod_revision: u64) {
         let pages = self.jobs.entry(job.to_owned()).or_default();
-        if pages.get(&number).is_none_or(|known| known.stamp < stamp) {
-            pages.insert(number, Page { finished, stamp });
+        if pages.get(&number).is_none_or(|known| known.mod_revision < mod_revision) {
+            pages.insert(number, Page { finished, mod_revision });
         }
     }
 
     /// A page was removed at a revision.
-    pub fn remove(&mut self, job: &str, number: u32, stamp: u64) {
+    pub fn remove(&mut self, job: &str, number: u32, mod_revision: u64) {
         let Some(pages) = self.jobs.get_mut(job) else { return };
-        if pages.get(&number).is_some_and(|known| known.stamp <= stamp) {
+        if pages.get(&number).is_some_and(|known| known.mod_revision <= mod_revision) {
             pages.remove(&number);
         }
         if pages.is_empty() {
@@ -94,13 +94,13 @@
         self.jobs.contains_key(job)
     }
 
-    /// The stamp of a page, 0 if it does not exist.
-    fn stamp(&self, job: &str, number: u32) -> u64 {
-        self.jobs.get(job).and_then(|pages| pages.get(&number)).map_or(0, |page| page.stamp)
+    /// The modification revision of a page, 0 if it does not exist.
+    fn mod_revision(&self, job: &str, number: u32) -> u64 {
+        self.jobs.get(job).and_then(|pages| pages.get(&number)).map_or(0, |page| page.mod_revision)
     }
 
     /// A record as it is stored: without the finished tasks that pages hold.
-    pub fn stored_form(&self, record: &LiveRecord) -> LiveRecord {
+    pub fn stored_form(&self, record: &ActiveJobRecord) -> ActiveJobRecord {
         let mut stored = record.clone();
         if self.has(&record.job.id) {
             stored.finished.subtract(&self.finished_of(&record.job.id));
@@ -113,18 +113,18 @@
     /// already. None if nothing can be written that fits.
     pub fn plan(
         &self,
-        record: &LiveRecord,
+        record: &ActiveJobRecord,
         new: &Ranges,
-        room: WriteRoom,
+        room: WriteLimits,
     ) -> Option<ProgressWrite> {
         let stored = self.stored_form(record);
         let unpaged = stored.finished.clone();
-        let mut bare = LiveRecord { finished: Ranges::default(), ..stored };
+        let mut bare = ActiveJobRecord { finished: Ranges::default(), ..stored };
         let text_room =
-            |bare: &LiveRecord| room.value_bytes.checked_sub(Json::of(bare).text().len());
+            |bare: &ActiveJobRecord| room.value_bytes.checked_sub(Json::of(bare).text().len());
         let all = unpaged.union(new);
         if text_length(&all) <= text_room(&bare)? {
-            let record = Some(LiveRecord { finished: all, ..bare });
+            let record = Some(ActiveJobRecord { finished: all, ..bare });
             return Some(ProgressWrite { record, pages: Vec::new(), recorded: new.clone() });
         }
         bare.paged = true;
@@ -138,13 +138,13 @@
         if !chosen.is_empty() && text_length(&rest) <= most {
             let pages = self.with_content(&bare.job.id, &chosen, &all);
             return Some(ProgressWrite {
-                record: Some(LiveRecord { finished: rest, ..bare }),
+                record: Some(ActiveJobRecord { finished: rest, ..bare }),
                 pages,
                 recorded,
             });
         }
         // The stored record itself has outgrown the limit. What it lists goes to pages first; only
-        // that, so that no task counts as recorded without a new stamp of the record.
+        // that, so that no task counts as recorded without a new modification revision of the record.
         let chosen = longest_pages(&unpaged, most / 2, room.pages + 1);
         let pages = self.with_content(&bare.job.id, &chosen, &unpaged);
         let write = ProgressWrite { record: None, pages, recorded: Ranges::default() };
@@ -169,7 +169,7 @@
         for (number, finished) in pages {
             let key = page_key(job, *number);
             let value = Json::of(&PageRecord::new(*number, finished));
-            txn = txn.when(key.clone(), self.stamp(job, *number)).write(key, value);
+            txn = txn.when(key.clone(), self.mod_revision(job, *number)).write(key, value);
         }
         txn
     }
@@ -214,90 +214,99 @@
 
 impl Core {
     /// How many pages may be written beside a record now.
-    pub(crate) fn page_room(&self) -> usize {
-        let affordable = |pages: &usize| self.ledger.has(Change::Progress, *pages);
+    pub(crate) fn affordable_pages(&self) -> usize {
+        let affordable = |pages: &usize| self.write_budget.has(WriteKind::Progress, *pages);
         (1..self.limits.txn_ops).rev().find(affordable).unwrap_or(0)
     }
 
-    /// A page as the state service has it.
-    pub(crate) fn page_row(&mut self, row: &Row) {
+    /// A page as the store has it.
+    pub(crate) fn apply_page_row(&mut self, row: &Row) {
         let Some((job, number)) = page_of_key(&row.path) else { return };
         let Some(finished) = parse::<PageRecord>(row).and_then(|record| record.tasks(number))
         else {
-            return self.note(Weight::Error, || format!("unreadable record: {}", row.path));
+            return self.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
         };
-        self.page_known(job, number, finished, row.stamp);
+        self.record_page(job, number, finished, row.mod_revision);
     }
 
-    /// A page is in force at a stamp.
-    pub(crate) fn page_known(&mut self, job: &str, number: u32, finished: Ranges, stamp: u64) {
-        if let Some((record, _)) = self.cache.live.get_mut(job) {
+    /// A page is in force at a modification revision.
+    pub(crate) fn record_page(
+        &mut self,
+        job: &str,
+        number: u32,
+        finished: Ranges,
+        mod_revision: u64,
+    ) {
+        if let Some((record, _)) = self.cache.active_jobs.get_mut(job) {
             record.finished.add(&finished);
         }
-        for part in self.parts.values_mut().filter(|part| part.loaded) {
-            part.page_recorded(job, number, &finished);
+        for partition in self.partitions.values_mut().filter(|partition| partition.loaded) {
+            partition.page_recorded(job, number, &finished);
         }
-        self.pages.insert(job, number, finished, stamp);
+        self.pages.insert(job, number, finished, mod_revision);
     }
 
-    pub(crate) fn page_deleted(&mut self, path: &str, stamp: u64) {
+    pub(crate) fn page_deleted(&mut self, path: &str, mod_revision: u64) {
         if let Some((job, number)) = page_of_key(path) {
-            self.pages.remove(job, number, stamp);
+            self.pages.remove(job, number, mod_revision);
         }
     }
 
     /// Joins a record with all that is known to have finished of its job.
-    pub(crate) fn join_finished(&self, record: &mut LiveRecord) {
+    pub(crate) fn join_finished(&self, record: &mut ActiveJobRecord) {
         let job = &record.job.id;
         if !record.paged && !self.pages.has(job) {
             return;
         }
         record.paged = true;
         record.finished.add(&self.pages.finished_of(job));
-        if let Some((known, _)) = self.cache.live.get(job) {
+        if let Some((known, _)) = self.cache.active_jobs.get(job) {
             record.finished.add(&known.finished);
         }
     }
 
     /// Removes pages of jobs that are over, as far as the account of changes allows. One node does
-    /// so: the holder of the first partition.
+    /// so: the leader of the first partition.
     pub(crate) fn remove_leftover_pages(&mut self) {
-        if self.now < self.pages.remove_after || self.pages.jobs.is_empty() || !self.sure() {
+        if self.now < self.pages.remove_after || self.pages.jobs.is_empty() || !self.may_act() {
             return;
         }
-        let Some((first, _)) = self.cache.parts.first_key_value() else { return };
-        let Some(part) = self.parts.get(first).filter(|part| part.active()) else { return };
-        let is_over = |job: &&String| !self.cache.is_live(job);
-        let Some(job) = self.pages.jobs.keys().find(is_over).cloned() else { return };
+        let Some((first, _)) = self.cache.partitions.first_key_value() else { return };
+        let Some(partition) = self.partitions.get(first).filter(|partition| partition.active())
+        else {
+            return;
+        };
+        let is_terminal = |job: &&String| !self.cache.is_active_job(job);
+        let Some(job) = self.pages.jobs.keys().find(is_terminal).cloned() else { return };
         let pages: Vec<(u32, u64)> = self.pages.jobs[&job]
             .iter()
-            .map(|(number, page)| (*number, page.stamp))
+            .map(|(number, page)| (*number, page.mod_revision))
             .take(self.limits.txn_ops)
             .collect();
-        let mut txn = part.txn().when(live_key(&job), 0);
-        for (number, stamp) in &pages {
+        let mut txn = partition.txn().when(active_job_key(&job), 0);
+        for (number, mod_revision) in &pages {
             let key = page_key(&job, *number);
-            txn = txn.when(key.clone(), *stamp).delete(key);
+            txn = txn.when(key.clone(), *mod_revision).delete(key);
         }
-        if !self.ledger.allows(Change::Tidy, pages.len()) {
+        if !self.write_budget.try_spend(WriteKind::GarbageCollection, pages.len()) {
             return;
         }
         self.pages.remove_after = self.now + REMOVE_PAUSE;
-        self.state(Lane::Work, StateCall::Txn(txn), Waiting::Nothing);
+        self.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 }
 
 impl Partition {
-    /// A page of a job, which another holder may have written, records these tasks as finished.
+    /// A page of a job, which another leader may have written, records these tasks as finished.
     fn page_recorded(&mut self, id: &str, number: u32, finished: &Ranges) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.record.paged = true;
-        // Most pages are of this holder's own writing: a look at the page's tasks alone is cheap.
+        // Most pages are of this leader's own writing: a look at the page's tasks alone is cheap.
         let new = finished.minus(&tasks_of_page(&job.record.finished, number));
         job.record.finished.add(&new);
         job.ready.subtract(&new);
-        job.held.subtract(&new);
-        job.cutting.subtract(&new);
+        job.awaiting_recovery.subtract(&new);
+        job.moving.subtract(&new);
         job.finished.subtract(&new);
     }
 }
--- a/crates/quartzlever-core/src/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -1,15 +1,15 @@
 //! Progress of large jobs under limits that sink, with crashes, takeovers and late writes between.
 
-use quartzlever_standin::Store;
+use quartzlever_testkit::Store;
 use quartzlever_wire::pages::{PAGE_TASKS, PageRecord, page_key, page_of_key};
-use quartzlever_wire::state::{PARTS, Txn};
+use quartzlever_wire::store::{PARTITION_PREFIX, Txn};
 
-use super::{Pages, ProgressWrite, WriteRoom};
-use crate::jobs::{JobWriteKind, PlannedWrite, progress_of_job};
+use super::{Pages, ProgressWrite, WriteLimits};
+use crate::jobs::{JobWriteAction, PlannedWrite, progress_of_job};
 use crate::testing::*;
 
 const ID: &str = "req-1";
-const LIVE: &str = "live/req-1";
+const ACTIVE_JOB_PREFIX: &str = "live/req-1";
 /// More than any conversion here needs.
 const MOST_WRITES: usize = 600;
 
@@ -17,17 +17,17 @@
     (0..tasks).filter(|task| task % 2 == 0).collect()
 }
 
-/// A holder's view of one job, and the store that it writes to.
-struct Holder {
+/// A leader's view of one job, and the store that it writes to.
+struct Leader {
     pages: Pages,
-    record: LiveRecord,
-    stamp: u64,
+    record: ActiveJobRecord,
+    mod_revision: u64,
     term: u64,
 }
 
-fn commit(store: &mut Store, txn: Txn) -> Result<u64, StateReply> {
-    match store.call(NOW, &StateCall::Txn(txn)).expect("the store is up") {
-        StateReply::Committed(stamp) => Ok(stamp),
+fn commit(store: &mut Store, txn: Txn) -> Result<u64, StoreReply> {
+    match store.call(NOW, &StoreCall::Txn(txn)).expect("the store is up") {
+        StoreReply::Committed(mod_revision) => Ok(mod_revision),
         other => Err(other),
     }
 }
@@ -37,14 +37,15 @@
     let mut store = Store::default();
     let mut record = record_of(1, tasks, "one");
     record.finished = finished.clone();
-    commit(&mut store, Txn::default().write(LIVE, Json::of(&record))).expect("accepted");
+    commit(&mut store, Txn::default().write(ACTIVE_JOB_PREFIX, Json::of(&record)))
+        .expect("accepted");
     store
 }
 
 /// All tasks that the store knows to have finished.
 fn recorded(store: &Store) -> Ranges {
-    let (live, _) = store.get(LIVE).expect("the job is live");
-    let mut finished = live.parse::<LiveRecord>().expect("a record").finished;
+    let (active, _) = store.get(ACTIVE_JOB_PREFIX).expect("the job is live");
+    let mut finished = active.parse::<ActiveJobRecord>().expect("a record").finished;
     for key in store.keys("pages/") {
         let (_, number) = page_of_key(&key).expect("the key of a page");
         let (value, _) = store.get(&key).expect("a page");
@@ -54,45 +55,47 @@
     finished
 }
 
-impl Holder {
+impl Leader {
     /// Takes the partition over and reads everything anew, as after a crash.
-    fn take_over(store: &mut Store) -> Holder {
-        let holder = PartRecord { node: "one".into(), process: store.revision() };
-        let key = format!("{PARTS}one");
-        let term = commit(store, Txn::default().write(key, Json::of(&holder))).expect("acquired");
-        let (value, stamp) = store.get(LIVE).expect("the job is live");
-        let mut record = value.parse::<LiveRecord>().expect("a record");
+    fn take_over(store: &mut Store) -> Leader {
+        let leader = PartitionRecord { node: "one".into(), process: store.revision() };
+        let key = format!("{PARTITION_PREFIX}one");
+        let term = commit(store, Txn::default().write(key, Json::of(&leader))).expect("acquired");
+        let (value, mod_revision) = store.get(ACTIVE_JOB_PREFIX).expect("the job is live");
+        let mut record = value.parse::<ActiveJobRecord>().expect("a record");
         let mut pages = Pages::default();
         for key in store.keys("pages/") {
             let (job, number) = page_of_key(&key).expect("the key of a page");
-            let (value, stamp) = store.get(&key).expect("a page");
+            let (value, mod_revision) = store.get(&key).expect("a page");
             let page = value.parse::<PageRecord>().and_then(|page| page.tasks(number));
-            pages.insert(job, number, page.expect("a page's tasks"), stamp);
+            pages.insert(job, number, page.expect("a page's tasks"), mod_revision);
         }
         record.finished.add(&pages.finished_of(ID));
-        Holder { pages, record, stamp, term }
+        Leader { pages, record, mod_revision, term }
     }
 
-    fn plan(&self, new: &Ranges, room: WriteRoom) -> Option<(Txn, PlannedWrite)> {
+    fn plan(&self, new: &Ranges, room: WriteLimits) -> Option<(Txn, PlannedWrite)> {
         let progress = self.pages.plan(&self.record, new, room)?;
-        let txn = Txn::default().when(format!("{PARTS}one"), self.term).when(LIVE, self.stamp);
+        let txn = Txn::default()
+            .when(format!("{PARTITION_PREFIX}one"), self.term)
+            .when(ACTIVE_JOB_PREFIX, self.mod_revision);
         Some(progress_of_job(txn, ID, progress, &self.pages))
     }
 
-    fn committed(&mut self, write: PlannedWrite, stamp: u64) {
+    fn committed(&mut self, write: PlannedWrite, mod_revision: u64) {
         for (number, finished) in write.pages {
             self.record.finished.add(&finished);
-            self.pages.insert(ID, number, finished, stamp);
+            self.pages.insert(ID, number, finished, mod_revision);
         }
         self.record.finished.add(&write.recorded);
-        if write.kind == JobWriteKind::Record {
-            self.stamp = stamp;
+        if write.action == JobWriteAction::Record {
+            self.mod_revision = mod_revision;
         }
     }
 }
 
-fn room(value_bytes: usize, ops: usize) -> WriteRoom {
-    WriteRoom { value_bytes, pages: ops - 1 }
+fn room(value_bytes: usize, ops: usize) -> WriteLimits {
+    WriteLimits { value_bytes, pages: ops - 1 }
 }
 
 #[test]
@@ -103,23 +106,23 @@
         let all = every_second(tasks);
         let mut store = store_with_job(tasks, &Ranges::default());
         (store.value_limit, store.ops_limit) = (value_bytes, ops);
-        let mut holder = Holder::take_over(&mut store);
+        let mut leader = Leader::take_over(&mut store);
         let mut writes = 0;
         // They end a few pages at a time, and each is written until nothing is left.
         for batch in 0..10 {
             let mut new = all.within(batch * tasks / 10..(batch + 1) * tasks / 10);
             while !new.is_empty() {
-                let planned = holder.plan(&new, room(value_bytes, ops));
+                let planned = leader.plan(&new, room(value_bytes, ops));
                 let (txn, write) = planned.expect("something can be written");
                 new.subtract(&write.recorded);
-                let stamp = commit(&mut store, txn).expect("it fits");
-                holder.committed(write, stamp);
+                let mod_revision = commit(&mut store, txn).expect("it fits");
+                leader.committed(write, mod_revision);
                 writes += 1;
                 assert!(writes < MOST_WRITES, "{value_bytes} {ops}: no end");
             }
         }
         assert!(recorded(&store) == all, "{value_bytes} {ops}");
-        let next = Holder::take_over(&mut store);
+        let next = Leader::take_over(&mut store);
         assert!(next.record.finished == all, "{value_bytes} {ops}");
         assert_eq!(store.too_large, 0, "{value_bytes} {ops}: nothing too large was tried");
     }
@@ -127,12 +130,12 @@
 
 /// What happens at a step of a conversion.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     LimitsSink,
-    /// The holder crashes before the write, or right after it.
+    /// The leader crashes before the write, or right after it.
     CrashBefore,
     CrashAfter,
-    /// The write comes into force only after the next holder has taken over.
+    /// The write comes into force only after the next leader has taken over.
     LateWrite,
 }
 
@@ -140,7 +143,7 @@
 /// was recorded stays recorded, what counts as recorded is, and the rest follows.
 #[test]
 fn a_conversion_survives_trouble_at_every_step() {
-    use Trouble::*;
+    use Fault::*;
     const TASKS: u32 = 6 * PAGE_TASKS;
     let (old, mut all) = (every_second(3 * PAGE_TASKS), every_second(TASKS));
     // Tasks of the pages that are converted end meanwhile.
@@ -152,7 +155,7 @@
             let name = format!("{trouble:?} at step {at}");
             let (mut value_bytes, mut ops) = (1024, 4);
             let mut store = store_with_job(TASKS, &old);
-            let mut holder = Holder::take_over(&mut store);
+            let mut leader = Leader::take_over(&mut store);
             let (mut step, mut known) = (0, old.clone());
             while recorded(&store) != all {
                 assert!(step < MOST_WRITES, "{name}: no end");
@@ -160,29 +163,30 @@
                     (value_bytes, ops) = (600, 2);
                 }
                 (store.value_limit, store.ops_limit) = (value_bytes, ops);
-                let new = all.minus(&holder.record.finished);
-                let planned = holder.plan(&new, room(value_bytes, ops));
+                let new = all.minus(&leader.record.finished);
+                let planned = leader.plan(&new, room(value_bytes, ops));
                 let (txn, write) = planned.expect("something can be written");
                 if trouble == LateWrite && step == at {
-                    holder = Holder::take_over(&mut store);
+                    leader = Leader::take_over(&mut store);
                     let late = commit(&mut store, txn);
-                    assert!(matches!(late, Err(StateReply::Conflict(_))), "{name}: {late:?}");
+                    assert!(matches!(late, Err(StoreReply::Conflict(_))), "{name}: {late:?}");
                 } else if trouble == CrashBefore && step == at {
-                    holder = Holder::take_over(&mut store);
+                    leader = Leader::take_over(&mut store);
                 } else {
                     known.add(&write.recorded);
                     let before = recorded(&store);
-                    let stamp = commit(&mut store, txn).unwrap_or_else(|e| panic!("{name}: {e:?}"));
-                    // Others would not notice what is new without a new stamp of the record.
-                    let silent = write.kind == JobWriteKind::PagesOnly;
+                    let mod_revision =
+                        commit(&mut store, txn).unwrap_or_else(|e| panic!("{name}: {e:?}"));
+                    // Others would not notice what is new without a new modification revision of the record.
+                    let silent = write.action == JobWriteAction::PagesOnly;
                     assert!(!silent || recorded(&store) == before, "{name}: step {step}");
-                    holder.committed(write, stamp);
+                    leader.committed(write, mod_revision);
                     if trouble == CrashAfter && step == at {
-                        holder = Holder::take_over(&mut store);
+                        leader = Leader::take_over(&mut store);
                     }
                 }
                 assert!(known.minus(&recorded(&store)).is_empty(), "{name}: step {step} lost some");
-                assert!(holder.record.finished == recorded(&store), "{name}: step {step}");
+                assert!(leader.record.finished == recorded(&store), "{name}: step {step}");
                 step += 1;
             }
             if at > step {
@@ -192,22 +196,22 @@
     }
 }
 
-/// A holder that has read the record again, but has not heard yet of a page that another holder has
+/// A leader that has read the record again, but has not heard yet of a page that another leader has
 /// written with it, does not overwrite that page.
 #[test]
 fn a_late_view_of_a_page_overwrites_nothing() {
     let mut store = store_with_job(PAGE_TASKS, &Ranges::default());
-    let mut first = Holder::take_over(&mut store);
-    let mut second = Holder { pages: Pages::default(), record: first.record.clone(), ..first };
+    let mut first = Leader::take_over(&mut store);
+    let mut second = Leader { pages: Pages::default(), record: first.record.clone(), ..first };
     let evens = every_second(PAGE_TASKS);
     let (txn, write) = first.plan(&evens, room(1024, 4)).expect("it is written");
-    assert_eq!((write.kind, write.pages.len()), (JobWriteKind::Record, 1));
-    let stamp = commit(&mut store, txn).expect("in force");
-    first.committed(write, stamp);
-    second.stamp = stamp;
+    assert_eq!((write.action, write.pages.len()), (JobWriteAction::Record, 1));
+    let mod_revision = commit(&mut store, txn).expect("in force");
+    first.committed(write, mod_revision);
+    second.mod_revision = mod_revision;
     let odds = Ranges::first(PAGE_TASKS).minus(&evens);
     let (late, _) = second.plan(&odds, room(1024, 4)).expect("it is tried");
-    assert!(matches!(commit(&mut store, late), Err(StateReply::Conflict(_))));
+    assert!(matches!(commit(&mut store, late), Err(StoreReply::Conflict(_))));
     assert!(recorded(&store) == evens);
 }
 
@@ -216,19 +220,20 @@
 fn a_job_that_is_over_gets_no_pages() {
     let all = every_second(6 * PAGE_TASKS);
     let mut store = store_with_job(6 * PAGE_TASKS, &all);
-    let mut holder = Holder::take_over(&mut store);
-    let (txn, write) = holder.plan(&Ranges::default(), room(1024, 4)).expect("a first step");
-    let stamp = commit(&mut store, txn).expect("in force");
-    holder.committed(write, stamp);
-    let (late, _) = holder.plan(&Ranges::of(1..2), room(1024, 4)).expect("a second step");
-    let over = OverRecord { phase: JobPhase::Aborted, done: 0 };
-    let cancel = Txn::default().when(LIVE, holder.stamp).delete(LIVE);
+    let mut leader = Leader::take_over(&mut store);
+    let (txn, write) = leader.plan(&Ranges::default(), room(1024, 4)).expect("a first step");
+    let mod_revision = commit(&mut store, txn).expect("in force");
+    leader.committed(write, mod_revision);
+    let (late, _) = leader.plan(&Ranges::of(1..2), room(1024, 4)).expect("a second step");
+    let over = TerminalJobRecord { phase: JobPhase::Cancelled, done: 0 };
+    let cancel =
+        Txn::default().when(ACTIVE_JOB_PREFIX, leader.mod_revision).delete(ACTIVE_JOB_PREFIX);
     commit(&mut store, cancel.write("over/req-1", Json::of(&over))).expect("cancelled");
     let before = store.keys("pages/");
     assert!(!before.is_empty());
-    assert!(matches!(commit(&mut store, late), Err(StateReply::Conflict(_))));
+    assert!(matches!(commit(&mut store, late), Err(StoreReply::Conflict(_))));
     assert_eq!(store.keys("pages/"), before);
-    assert!(store.get(LIVE).is_none());
+    assert!(store.get(ACTIVE_JOB_PREFIX).is_none());
 }
 
 #[test]
@@ -241,14 +246,14 @@
     for (value_bytes, most_pages, written) in
         [(bare - 1, 3, false), (bare + 20, 0, false), (bare + 20, 1, true), (bare + 400, 0, true)]
     {
-        let room = WriteRoom { value_bytes, pages: most_pages };
+        let room = WriteLimits { value_bytes, pages: most_pages };
         let plan = pages.plan(&record, &new, room);
         assert_eq!(plan.is_some(), written, "{value_bytes} {most_pages}: {plan:?}");
     }
     // A small job keeps to its record: no page is written without need.
     record.finished = Ranges::of(0..4);
     let small = Ranges::of(6..8);
-    let room = WriteRoom { value_bytes: 1024, pages: 9 };
+    let room = WriteLimits { value_bytes: 1024, pages: 9 };
     let Some(ProgressWrite { record: Some(stored), pages, recorded }) =
         pages.plan(&record, &small, room)
     else {
@@ -258,12 +263,12 @@
     assert!(!stored.paged && !Json::of(&stored).text().contains("paged"));
 }
 
-fn page_event(number: u32, finished: &Ranges, stamp: u64) -> Row {
+fn page_event(number: u32, finished: &Ranges, mod_revision: u64) -> Row {
     let v = Json::of(&PageRecord::new(number, finished));
-    Row { path: page_key(ID, number), v, stamp, charter: None }
+    Row { path: page_key(ID, number), v, mod_revision, lease_id: None }
 }
 
-/// Two holders may record the last tasks in different pages without knowing of each other: whoever
+/// Two leaders may record the last tasks in different pages without knowing of each other: whoever
 /// learns that all are done ends the job, also one that has no task of it any more, or that has just
 /// taken over.
 #[test]
@@ -278,13 +283,13 @@
         record.paged = true;
         record.finished = Ranges::of(own_tasks);
         if taken_over {
-            core.page_row(&page_event(0, &Ranges::of(2..4), 11));
-            core.absorb(record, 10);
+            core.apply_page_row(&page_event(0, &Ranges::of(2..4), 11));
+            core.reconcile_job(record, 10);
         } else {
-            core.absorb(record, 10);
+            core.reconcile_job(record, 10);
             let before = core.step(NOW + SECOND, Vec::new());
             assert!(!format!("{before:?}").contains("over/req-1"), "{name}: not yet");
-            core.page_row(&page_event(0, &Ranges::of(2..4), 11));
+            core.apply_page_row(&page_event(0, &Ranges::of(2..4), 11));
         }
         let effects = core.step(NOW + 2 * SECOND, Vec::new());
         assert!(format!("{effects:?}").contains("over/req-1"), "{name}: {effects:?}");
@@ -298,13 +303,13 @@
     let mut core = core();
     let mut first = record("0-3", "");
     first.finished = Ranges::of(0..2);
-    core.absorb(first.clone(), 10);
+    core.reconcile_job(first.clone(), 10);
     // The finished tasks have moved to a page, whose event is still under way.
-    let moved = LiveRecord { finished: Ranges::default(), paged: true, ..first };
-    core.absorb(moved, 11);
-    let ready = |core: &Core| core.parts["one"].jobs[ID].ready.to_string();
+    let moved = ActiveJobRecord { finished: Ranges::default(), paged: true, ..first };
+    core.reconcile_job(moved, 11);
+    let ready = |core: &Core| core.partitions["one"].jobs[ID].ready.to_string();
     assert_eq!(ready(&core), "2-3");
-    core.page_row(&page_event(0, &Ranges::of(0..3), 11));
+    core.apply_page_row(&page_event(0, &Ranges::of(0..3), 11));
     assert_eq!(ready(&core), "3", "what the page tells beyond that counts too");
 }
 
@@ -313,19 +318,21 @@
 #[test]
 fn leftover_pages_are_removed() {
     // (whether the job is live, whether this node holds the first partition, removed)
-    for (live, first, removed) in [(false, true, 2), (true, true, 0), (false, false, 0)] {
+    for (active, first, removed) in [(false, true, 2), (true, true, 0), (false, false, 0)] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         if !first {
-            core.cache.parts.insert("a".into(), (PartRecord { node: "a".into(), process: 1 }, 4));
+            core.cache
+                .partitions
+                .insert("a".into(), (PartitionRecord { node: "a".into(), process: 1 }, 4));
         }
-        core.page_row(&page_event(0, &Ranges::of(0..3), 8));
-        core.page_row(&page_event(1, &Ranges::of(PAGE_TASKS..PAGE_TASKS + 3), 9));
-        if live {
-            core.absorb(record("0-3", ""), 10);
+        core.apply_page_row(&page_event(0, &Ranges::of(0..3), 8));
+        core.apply_page_row(&page_event(1, &Ranges::of(PAGE_TASKS..PAGE_TASKS + 3), 9));
+        if active {
+            core.reconcile_job(record("0-3", ""), 10);
         }
         let txns = |effects: Vec<Effect>| -> Vec<Txn> {
             let txn = |e| match e {
-                Effect::State { call: StateCall::Txn(txn), .. } => Some(txn),
+                Effect::Store { call: StoreCall::Txn(txn), .. } => Some(txn),
                 _ => None,
             };
             let removes = |t: &Txn| format!("{:?}", t.changes).contains("pages/");
@@ -333,9 +340,13 @@
         };
         let found = txns(core.step(NOW + SECOND, Vec::new()));
         let count: usize = found.iter().map(|txn| txn.changes.len()).sum();
-        assert_eq!(count, removed, "live {live}, first {first}: {found:?}");
-        let stamps: Vec<u64> = found.iter().flat_map(|t| &t.conditions).map(|c| c.stamp).collect();
+        assert_eq!(count, removed, "live {active}, first {first}: {found:?}");
+        let mod_revisions: Vec<u64> =
+            found.iter().flat_map(|t| &t.conditions).map(|c| c.mod_revision).collect();
         let wanted = if removed > 0 { vec![5, 0, 8, 9] } else { vec![] };
-        assert_eq!(stamps, wanted, "on condition of the partition, no live job, and the pages");
+        assert_eq!(
+            mod_revisions, wanted,
+            "on condition of the partition, no live job, and the pages"
+        );
     }
 }
--- a/crates/quartzlever-core/src/jobs/tests.rs
+++ b/crates/quartzlever-core/src/jobs/tests.rs
@@ -1,10 +1,10 @@
-//! Which part a new job enters.
+//! Which partition a new job enters.
 
 use crate::testing::*;
 
 #[test]
 fn a_node_without_a_part_accepts_into_anothers() {
-    // (whether this node holds its part, who holds parts by its copy; the condition of the
+    // (whether this node holds its partition, who holds partitions by its copy; the condition of the
     // acceptance beside the job's own keys, none if the job is not accepted at all)
     type Case<'a> = (bool, &'a [(&'a str, &'a str, u64)], Option<(&'a str, u64)>);
     let cases: &[Case] = &[
@@ -13,18 +13,18 @@
         (false, &[("two", "two", 6)], Some(("parts/two", 6))),
         (false, &[], None),
     ];
-    for (n, (holds, parts, condition)) in cases.iter().enumerate() {
-        let mut core = with_cache(parts);
-        if !holds {
-            core.parts.clear();
+    for (n, (holds_lease, partitions, condition)) in cases.iter().enumerate() {
+        let mut core = with_cache(partitions);
+        if !holds_lease {
+            core.partitions.clear();
         }
         let submit = Command::Submit { id: 9, spec: Box::new(spec(2)) };
         let effects = core.step(NOW, vec![submit]);
         let found = effects.iter().find_map(|e| match e {
-            Effect::State { call: StateCall::Txn(txn), .. } if !txn.changes.is_empty() => {
-                let live = txn.conditions.iter().any(|c| c.path == "live/req-1");
-                let part = txn.conditions.iter().find(|c| c.path.starts_with("parts/"));
-                part.filter(|_| live).map(|c| (c.path.clone(), c.stamp))
+            Effect::Store { call: StoreCall::Txn(txn), .. } if !txn.changes.is_empty() => {
+                let active = txn.conditions.iter().any(|c| c.path == "live/req-1");
+                let partition = txn.conditions.iter().find(|c| c.path.starts_with("parts/"));
+                partition.filter(|_| active).map(|c| (c.path.clone(), c.mod_revision))
             }
             _ => None,
         });
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_job_enters_a_part_that_has_far_less_where_the_processor_is_short() {
-    // (machines that the processor serves, tasks of the own part, of the other; the part that a job enters)
+    // (machines that the processor serves, tasks of the own partition, of the other; the partition that a job enters)
     for (machine_capacity, own, other, enters) in [
         (100, 0, 0, "one"),
         (100, 90, 0, "one"),
@@ -46,28 +46,28 @@
         (100, 150, 80, "one"),
         (1_000, 150, 0, "one"),
     ] {
-        let mut core = with_holders(machine_capacity);
-        for (number, tasks, part) in [(1, own, "one"), (2, other, "two")] {
+        let mut core = with_leaders(machine_capacity);
+        for (number, tasks, partition) in [(1, own, "one"), (2, other, "two")] {
             if tasks > 0 {
-                core.absorb(record_of(number, tasks, part), 10);
+                core.reconcile_job(record_of(number, tasks, partition), 10);
             }
         }
         let mut new = spec(4);
         new.id = "req-9".into();
         let submit = Command::Submit { id: 1, spec: Box::new(new) };
         let effects = core.step(NOW, vec![submit]);
-        // Every job is written on condition of the term of the part that it enters.
+        // Every job is written on condition of the term of the partition that it enters.
         let term = effects.iter().find_map(|e| match e {
-            Effect::State { call: StateCall::Txn(txn), .. } => {
+            Effect::Store { call: StoreCall::Txn(txn), .. } => {
                 let mut terms = txn.conditions.iter().filter(|c| c.path.starts_with("parts/"));
-                terms.next().map(|c| (c.path.clone(), c.stamp))
+                terms.next().map(|c| (c.path.clone(), c.mod_revision))
             }
             _ => None,
         });
-        let stamp = if enters == "one" { 5 } else { 6 };
+        let mod_revision = if enters == "one" { 5 } else { 6 };
         assert_eq!(
             term,
-            Some((format!("parts/{enters}"), stamp)),
+            Some((format!("parts/{enters}"), mod_revision)),
             "{machine_capacity} {own} {other}"
         );
     }
@@ -85,7 +85,7 @@
             spec.team = "nobody".into();
             Command::Submit { id, spec: Box::new(spec) }
         }),
-        ("cancellation", |id| Command::Abort { id, job: "req-1".into() }),
+        ("cancellation", |id| Command::Cancel { id, job: "req-1".into() }),
     ];
     // (whether its end is what cannot be read, question, status)
     for (over, ask, status) in [
@@ -104,29 +104,29 @@
             let effects = core.step(NOW + step * SECOND / 10, std::mem::take(&mut batch));
             for effect in effects {
                 match effect {
-                    Effect::State { token, call, .. } => {
+                    Effect::Store { call_id, call, .. } => {
                         let row = |path: &str| Row {
                             path: path.into(),
                             v: Json::of(&"not a record"),
-                            stamp: 7,
-                            charter: None,
+                            mod_revision: 7,
+                            lease_id: None,
                         };
                         let reply = match &call {
-                            StateCall::Get(key) if *key == format!("live/{}", job()) && !over => {
-                                StateReply::Row(Some(row(key)))
+                            StoreCall::Get(key) if *key == format!("live/{}", job()) && !over => {
+                                StoreReply::Row(Some(row(key)))
                             }
-                            StateCall::Get(key) if key.starts_with("over/") && over => {
-                                StateReply::Row(Some(row(key)))
+                            StoreCall::Get(key) if key.starts_with("over/") && over => {
+                                StoreReply::Row(Some(row(key)))
                             }
-                            StateCall::Get(_) => StateReply::Row(None),
-                            StateCall::Revision => StateReply::Revision(0),
-                            StateCall::Txn(_) => StateReply::Committed(8),
+                            StoreCall::Get(_) => StoreReply::Row(None),
+                            StoreCall::Revision => StoreReply::Revision(0),
+                            StoreCall::Txn(_) => StoreReply::Committed(8),
                             _ => continue,
                         };
-                        batch.push(Command::State { token, result: Ok(reply) });
+                        batch.push(Command::StoreReply { call_id, result: Ok(reply) });
                     }
                     Effect::Answer { id: 9, status, .. } => answer = Some(status),
-                    Effect::Note { text, .. } => logged |= text.contains("unreadable record"),
+                    Effect::Log { text, .. } => logged |= text.contains("unreadable record"),
                     _ => {}
                 }
             }
--- a/crates/quartzlever-core/src/diagnosis.rs
+++ b/crates/quartzlever-core/src/leadership/awaited.rs
@@ -2,12 +2,12 @@
 
 use std::fmt;
 
-use crate::engine::Core;
+use crate::router::Core;
 
 /// A condition that is not met yet, without which a controller or one of its partitions cannot go on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Awaited {
-    /// A lease in the state service that is surely alive.
+    /// A lease in the store that is surely alive.
     Lease,
     /// The announcement of this process's version.
     Announcement,
@@ -23,11 +23,11 @@
     Unattended { partition: String },
     /// The records have not come to the acquisition of a partition.
     PartitionRecords { partition: String },
-    /// Machines of a partition that are not proven to be free of earlier holders' tasks.
+    /// Machines of a partition that are not proven to be free of earlier leaders' tasks.
     Recovery { partition: String, machines: usize },
     /// A partition has ready tasks, and no machine at hand, rented or asked for.
     Machines { partition: String, ready: u32 },
-    /// Changes are owed to the account of the state service's limit.
+    /// Changes are owed to the account of the store's limit.
     ChangeBudget,
 }
 
@@ -56,19 +56,19 @@
 impl Core {
     /// Whether this process acts for a partition now.
     pub fn acts_for(&self, partition: &str) -> bool {
-        self.sure() && self.parts.get(partition).is_some_and(|p| p.active())
+        self.may_act() && self.partitions.get(partition).is_some_and(|p| p.active())
     }
 
     /// Everything that this process waits for.
     pub fn awaited(&self) -> Vec<Awaited> {
         let conditions = [
-            (!self.holds(), Awaited::Lease),
+            (!self.holds_lease(), Awaited::Lease),
             (!self.has_announced(), Awaited::Announcement),
             (!self.cache.loaded(), Awaited::Records),
-            (self.holds() && !self.sure(), Awaited::FreshView),
+            (self.holds_lease() && !self.may_act(), Awaited::FreshView),
             (self.types.is_none(), Awaited::Catalogue),
-            (self.parts.is_empty(), Awaited::Partition),
-            (self.ledger.exhausted(), Awaited::ChangeBudget),
+            (self.partitions.is_empty(), Awaited::Partition),
+            (self.write_budget.exhausted(), Awaited::ChangeBudget),
         ];
         let mut awaited: Vec<Awaited> =
             conditions.into_iter().filter(|(unmet, _)| *unmet).map(|(_, what)| what).collect();
@@ -79,24 +79,25 @@
 
     /// Partitions whose keys name this process although it does not act for them.
     fn unattended(&self) -> impl Iterator<Item = Awaited> {
-        let ours = self.cache.parts.iter().filter(|(name, (record, _))| {
+        let ours = self.cache.partitions.iter().filter(|(name, (record, _))| {
             record.process == self.process
-                && record.node == self.cfg.node
-                && !self.parts.contains_key(*name)
+                && record.node == self.config.node
+                && !self.partitions.contains_key(*name)
         });
         ours.map(|(name, _)| Awaited::Unattended { partition: name.clone() })
     }
 
     fn awaited_by_partitions(&self) -> impl Iterator<Item = Awaited> {
-        self.parts.values().filter_map(|part| {
-            let partition = part.name.clone();
-            let unproven = part.machines.values().filter(|m| !m.proven).count();
-            let ready: u32 = part.jobs.values().map(|job| job.ready.len()).sum();
-            if !part.active() {
+        self.partitions.values().filter_map(|held| {
+            let partition = held.name.clone();
+            let unverified = held.machines.values().filter(|m| !m.verified).count();
+            let ready: u32 = held.jobs.values().map(|job| job.ready.len()).sum();
+            if !held.active() {
                 Some(Awaited::PartitionRecords { partition })
-            } else if !part.barrier_open {
-                Some(Awaited::Recovery { partition, machines: unproven })
-            } else if ready > 0 && part.machines.is_empty() && part.fleet.is_nothing_coming() {
+            } else if !held.recovery_complete {
+                Some(Awaited::Recovery { partition, machines: unverified })
+            } else if ready > 0 && held.machines.is_empty() && held.autoscaling.is_nothing_coming()
+            {
                 Some(Awaited::Machines { partition, ready })
             } else {
                 None
--- a/crates/quartzlever-core/src/leases/tests.rs
+++ b/crates/quartzlever-core/src/leadership/tests.rs
@@ -1,4 +1,4 @@
-//! Parts that change hands, and what is read of the store.
+//! Partitions that change hands, and what is read of the store.
 
 use crate::testing::*;
 
@@ -6,17 +6,17 @@
 fn a_part_is_given_back_once() {
     // (what the release brings, how many more releases follow within a second)
     for (name, brings, more) in [
-        ("given up", Ok(StateReply::Committed(20)), 0),
-        ("another's already", Ok(StateReply::Conflict(vec!["parts/two".into()])), 0),
+        ("given up", Ok(StoreReply::Committed(20)), 0),
+        ("another's already", Ok(StoreReply::Conflict(vec!["parts/two".into()])), 0),
         ("not carried out", Err(CallError::Refused), 1),
         ("unknown", Err(CallError::Unknown), 1),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "one", 6)]);
-        core.home_asks.insert("two".into(), (NOW - 60 * SECOND, NOW));
+        core.handback_requests.insert("two".into(), (NOW - 60 * SECOND, NOW));
         let first = changes(&core.step(NOW, Vec::new()), "parts/two");
         assert_eq!(first.len(), 1, "{name}: asked for long enough");
         // The cache does not know of it yet; the home node still asks.
-        let result = Command::State { token: first[0], result: brings };
+        let result = Command::StoreReply { call_id: first[0], result: brings };
         let mut again = changes(&core.step(NOW + SECOND / 20, vec![result]), "parts/two");
         for step in 2..20 {
             again.extend(changes(&core.step(NOW + step * SECOND / 20, Vec::new()), "parts/two"));
@@ -27,8 +27,8 @@
 
 #[test]
 fn what_is_known_by_its_stamp_is_not_read() {
-    // An unreadable record shows whether it was read. (key, stamp, whether it is)
-    for (key, stamp, read) in [
+    // An unreadable record shows whether it was read. (key, modification revision, whether it is)
+    for (key, mod_revision, read) in [
         ("live/req-1", 10, false),
         ("live/req-1", 9, false),
         ("live/req-1", 11, true),
@@ -36,19 +36,19 @@
         ("live/req-3", 11, false),
         ("over/req-3", 11, false),
     ] {
-        let mut core = with_holders(100);
-        core.cfg.notes = crate::messages::Weight::Error;
-        core.absorb(record_of(1, 4, "one"), 10);
-        core.job_over("req-3", OverRecord { phase: JobPhase::Done, done: 4 });
+        let mut core = with_leaders(100);
+        core.config.log_level = crate::messages::LogLevel::Error;
+        core.reconcile_job(record_of(1, 4, "one"), 10);
+        core.job_terminated("req-3", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
         core.cache.revision = 8;
         core.cache.watch = 1;
         let v = Json::of(&"no record");
-        let log = vec![Event::Write { write: key.into(), v, stamp }];
-        core.watched(1, NOW, Ok(StateReply::Watched(WatchAnswer { epoch: 12, log })));
-        let noted = core.out.iter().any(|e| matches!(e, Effect::Note { .. }));
-        assert_eq!(noted, read, "{key} {stamp}");
-        assert_eq!(core.cache.revision, 12, "{key} {stamp}");
-        assert!(core.cache.live.contains_key("req-1"), "a job stays known");
+        let log = vec![Event::Write { write: key.into(), v, mod_revision }];
+        core.watched(1, NOW, Ok(StoreReply::Watched(WatchAnswer { revision: 12, log })));
+        let noted = core.out.iter().any(|e| matches!(e, Effect::Log { .. }));
+        assert_eq!(noted, read, "{key} {mod_revision}");
+        assert_eq!(core.cache.revision, 12, "{key} {mod_revision}");
+        assert!(core.cache.active_jobs.contains_key("req-1"), "a job stays known");
     }
 }
 
@@ -56,35 +56,35 @@
 /// enough, nor is a fresh view from before the lease was renewed after a time without.
 #[test]
 fn a_holder_acts_only_on_a_fresh_view() {
-    let watched = |epoch| Ok(StateReply::Watched(WatchAnswer { epoch, log: Vec::new() }));
+    let watched = |revision| Ok(StoreReply::Watched(WatchAnswer { revision, log: Vec::new() }));
     let mut core = core();
     core.cache.loaded = true;
-    core.cfg.workers.cancel = 40 * SECOND;
+    core.config.workers.cancel = 40 * SECOND;
     // 40 s less a lease of 10 s and a margin of 3 s, with drift.
-    let bound = core.cfg.view_bound();
+    let bound = core.config.view_bound();
     assert!(bound > 26 * SECOND && bound < 27 * SECOND, "{bound}");
     let at = |core: &mut Core, after: Micros| {
         core.now = NOW + after;
-        core.sure()
+        core.may_act()
     };
     assert!(at(&mut core, bound - 1) && !at(&mut core, bound));
     // The watch was sent 5 s after the view, and tells nothing new.
     core.watched(1, NOW + 5 * SECOND, watched(12));
     assert!(at(&mut core, 5 * SECOND + bound - 1) && !at(&mut core, 5 * SECOND + bound));
     // A read of the revision counts from its sending, but only once the cache has come to it.
-    core.fenced(Vec::new(), NOW + 9 * SECOND, Ok(StateReply::Revision(14)));
+    core.fenced(Vec::new(), NOW + 9 * SECOND, Ok(StoreReply::Revision(14)));
     assert!(!at(&mut core, 5 * SECOND + bound));
     core.watched(2, NOW + 6 * SECOND, watched(13));
     assert!(!at(&mut core, 6 * SECOND + bound));
     core.watched(3, NOW + 7 * SECOND, watched(14));
     assert!(at(&mut core, 9 * SECOND + bound - 1));
     // Renewed after a time without a sure lease: the view must be newer than that renewal.
-    core.lease.sure_until = NOW;
+    core.lease.valid_until = NOW;
     core.now = NOW + 20 * SECOND;
-    core.renewed(NOW + 19 * SECOND, 1, Ok(StateReply::Renewed));
-    assert!(core.holds() && !core.sure(), "the view is from before the renewal");
-    core.fenced(Vec::new(), NOW + 19 * SECOND, Ok(StateReply::Revision(14)));
-    assert!(core.sure());
+    core.renewed(NOW + 19 * SECOND, 1, Ok(StoreReply::Renewed));
+    assert!(core.holds_lease() && !core.may_act(), "the view is from before the renewal");
+    core.fenced(Vec::new(), NOW + 19 * SECOND, Ok(StoreReply::Revision(14)));
+    assert!(core.may_act());
 }
 
 /// The bound holds for whatever the settings say; where it cannot, that is said.
@@ -99,40 +99,43 @@
         (60, 30, false),
         (1, 1, false),
     ] {
-        let mut cfg = core().cfg;
-        (cfg.workers.lease, cfg.workers.cancel) = (lease * SECOND, cancel * SECOND);
-        assert_eq!(cfg.leases_meet_cancel(), meets, "{lease} {cancel}");
-        let latest = cfg.view_bound() + cfg.workers.lease;
-        assert!(!meets || latest + 2 * SECOND < cfg.workers.cancel, "{lease} {cancel}: {latest}");
-        assert!(cfg.watch_hold() < cfg.view_bound() / 2, "{lease} {cancel}");
-        let mut told = Core::new(cfg, 1, NOW);
+        let mut config = core().config;
+        (config.workers.lease, config.workers.cancel) = (lease * SECOND, cancel * SECOND);
+        assert_eq!(config.leases_meet_cancel(), meets, "{lease} {cancel}");
+        let latest = config.view_bound() + config.workers.lease;
+        assert!(
+            !meets || latest + 2 * SECOND < config.workers.cancel,
+            "{lease} {cancel}: {latest}"
+        );
+        assert!(config.watch_hold() < config.view_bound() / 2, "{lease} {cancel}");
+        let mut told = Core::new(config, 1, NOW);
         let effects = told.step(NOW, Vec::new());
         let named = effects
             .iter()
-            .any(|e| matches!(e, Effect::Note { text, .. } if text.contains("workers.cancel_s")));
+            .any(|e| matches!(e, Effect::Log { text, .. } if text.contains("workers.cancel_s")));
         assert_eq!(named, !meets, "{lease} {cancel}");
     }
 }
 
-/// Its own partition is absent, and the state service refuses what it is asked: each refusal was
+/// Its own partition is absent, and the store refuses what it is asked: each refusal was
 /// followed by the next attempt at once, a hundred a second, and each counted against the limit of changes.
 #[test]
 fn a_refused_acquisition_is_repeated_after_a_pause() {
     for (name, brings) in [
         ("refused", Err(CallError::Refused)),
         ("too often", Err(CallError::TooOften)),
-        ("conflict", Ok(StateReply::Conflict(vec!["parts/one".into()]))),
+        ("conflict", Ok(StoreReply::Conflict(vec!["parts/one".into()]))),
     ] {
         let mut core = with_cache(&[("two", "two", 6)]);
-        core.parts.clear();
-        core.cluster_row(&announcement("one", core.process, 4));
+        core.partitions.clear();
+        core.apply_cluster_row(&announcement("one", core.process, 4));
         let (mut attempts, mut answers) = (0, Vec::new());
         for step in 0..200 {
             let now = NOW + step * SECOND / 100;
             let effects = core.step(now, std::mem::take(&mut answers));
-            for token in changes(&effects, "parts/one") {
+            for call_id in changes(&effects, "parts/one") {
                 attempts += 1;
-                answers.push(Command::State { token, result: brings.clone() });
+                answers.push(Command::StoreReply { call_id, result: brings.clone() });
             }
         }
         assert!((4..=9).contains(&attempts), "{name}: {attempts} attempts in 2 s");
--- a/crates/quartzlever-core/src/failures.rs
+++ b/crates/quartzlever-core/src/machines/failures.rs
@@ -9,12 +9,12 @@
 use quartzlever_wire::{Micros, SECOND};
 
 /// A job that failed on so many machines, and ran well on none, is taken as mistaken itself.
-const MISTAKEN_AFTER: usize = 3;
+const FAILS_EVERYWHERE_AFTER_MACHINES: usize = 3;
 /// Wait after the first round of failures; each round doubles it, so many times at the most.
 const FIRST_PAUSE: Micros = SECOND;
 const MOST_DOUBLINGS: u32 = 5;
 /// A job that fails everywhere is tried with so many tasks at once.
-pub const TASKS_ON_TRIAL: u32 = 1;
+pub const MAX_TRIAL_TASKS: u32 = 1;
 /// Failures in a row that make a machine suspect.
 const SUSPECT_AFTER: u32 = 2;
 /// Tasks that failed on one machine only have been tried on another by then, image and all.
@@ -31,7 +31,7 @@
     /// How long the longest failed attempt was seen to run.
     longest_run: Micros,
     /// An attempt has run for much longer than any that failed.
-    outlived: bool,
+    outran_failures: bool,
 }
 
 impl JobFailures {
@@ -47,7 +47,7 @@
         if self.rounds == 0 || placed > self.round_began {
             self.rounds += 1;
             self.round_began = now;
-            self.outlived = false;
+            self.outran_failures = false;
         }
         self.last = now;
     }
@@ -83,14 +83,14 @@
     }
 
     /// Whether the failures speak against the job, as long as no task of it was done.
-    pub fn speak_against_job(&self) -> bool {
-        self.machines.len() >= MISTAKEN_AFTER && !self.outlived
+    pub fn blame_job(&self) -> bool {
+        self.machines.len() >= FAILS_EVERYWHERE_AFTER_MACHINES && !self.outran_failures
     }
 
     /// An attempt of the job has run for so long by now: if that is longer by `margin` than any that
     /// failed, it was the machines that failed.
     pub fn runs(&mut self, ran: Micros, margin: Micros) {
-        self.outlived |= ran > self.longest_run + margin;
+        self.outran_failures |= ran > self.longest_run + margin;
     }
 
     /// Earlier failures count no more.
@@ -157,10 +157,10 @@
     }
 
     /// Whether it is the machine that fails.
-    pub fn speak_against_machine(&self, now: Micros) -> bool {
-        let proven = self.count >= SUSPECT_AFTER
+    pub fn blame_machine(&self, now: Micros) -> bool {
+        let verified = self.count >= SUSPECT_AFTER
             && self.jobs.values().any(|elsewhere| *elsewhere == Elsewhere::RunsWell);
-        proven || (self.several_only_here() && self.had_time(now))
+        verified || (self.several_only_here() && self.had_time(now))
     }
 
     /// Whether it may be the machine or the jobs: nothing more is given to it until that has shown.
--- a/crates/quartzlever-core/src/failures/tests.rs
+++ b/crates/quartzlever-core/src/machines/failures/tests.rs
@@ -24,7 +24,7 @@
 /// (machines that the job failed on, how long a failed attempt ran, how long another one runs, mistaken)
 #[test]
 fn a_job_that_fails_on_three_machines_and_runs_on_none_is_mistaken() {
-    for (machines, ran, runs, mistaken) in [
+    for (machines, ran, runs, fails_everywhere) in [
         (1, 2, 0, false),
         (2, 2, 0, false),
         (3, 2, 0, true),
@@ -38,10 +38,10 @@
             failures.note(&format!("n-{machine}"), NOW, ran * SECOND, NOW + ran * SECOND);
         }
         failures.runs(runs * SECOND, 12 * SECOND);
-        assert_eq!(failures.speak_against_job(), mistaken, "{machines} {ran} {runs}");
+        assert_eq!(failures.blame_job(), fails_everywhere, "{machines} {ran} {runs}");
         // It has failed once more since, so that attempt showed nothing.
         failures.note("n-0", NOW + 60 * SECOND, ran * SECOND, NOW + 90 * SECOND);
-        assert_eq!(failures.speak_against_job(), machines >= 3, "{machines} {ran} {runs} again");
+        assert_eq!(failures.blame_job(), machines >= 3, "{machines} {ran} {runs} again");
     }
 }
 
@@ -89,10 +89,10 @@
             }
         }
         for (at, blamed) in [NOW, NOW + 30 * SECOND].into_iter().zip(blamed) {
-            assert_eq!(failures.speak_against_machine(at), blamed, "{name}");
+            assert_eq!(failures.blame_machine(at), blamed, "{name}");
             assert!(!(blamed && failures.in_doubt(at)), "{name}");
         }
         failures.forget();
-        assert!(!failures.speak_against_machine(NOW + 60 * SECOND), "{name}: a task was done");
+        assert!(!failures.blame_machine(NOW + 60 * SECOND), "{name}: a task was done");
     }
 }
--- a/crates/quartzlever-core/src/claims/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -2,26 +2,26 @@
 
 use super::*;
 use crate::testing::*;
-use quartzlever_wire::state::{BlocksRecord, Change as StateChange};
+use quartzlever_wire::store::{Change as StoreChange, GroupSizeRecord};
 
 /// What is reckoned record by record is never less than what is written.
 #[test]
 fn a_block_is_reckoned_as_long_as_it_is_written() {
     for names in [&["n-1"][..], &["n-1", "n-22", "n-333"], &["a\"b", "n-\u{e9}"]] {
-        let mut hosts = Hosts::new();
+        let mut hosts = MachineRecords::new();
         let mut length = written_length(&hosts) + 16;
         for (n, name) in names.iter().enumerate() {
-            let record = HostRecord {
-                part: "one".into(),
+            let record = MachineRecord {
+                partition: "one".into(),
                 address: format!("10.1.0.{n}:9000"),
-                kind: "\"big\"".into(),
+                machine_type: "\"big\"".into(),
                 zone: String::new(),
                 spot: n == 0,
             };
             length += name.len() + 4 + written_length(&record);
             hosts.insert((*name).to_owned(), record);
         }
-        let written = written_length(&HostBlock { m: hosts });
+        let written = written_length(&MachineGroupRecord { m: hosts });
         assert!(length >= written, "{names:?}: {length} for {written}");
     }
 }
@@ -31,56 +31,57 @@
     // (what the write brings, what the block is read as after that; machines in the end)
     let block = |names: &[&str]| {
         let record = |n: &&str| {
-            let mut host = core().parts["one"].machines["n-1"].record.clone();
+            let mut host = core().partitions["one"].machines["n-1"].record.clone();
             host.address = format!("{n}:9000");
             ((*n).to_owned(), host)
         };
-        serde_json::json!(HostBlock { m: names.iter().map(record).collect() })
+        serde_json::json!(MachineGroupRecord { m: names.iter().map(record).collect() })
     };
     for (name, brings, found, machines) in [
-        ("in force", Ok(StateReply::Committed(20)), None, 2),
+        ("in force", Ok(StoreReply::Committed(20)), None, 2),
         ("unknown, and it was carried out", Err(CallError::Unknown), Some(block(&["n-9"])), 2),
         ("unknown, and it was not", Err(CallError::Unknown), Some(block(&["n-8"])), 3),
     ] {
         let mut core = core();
         core.cache.loaded = true;
-        core.lease.next = NOW + 900 * SECOND;
-        core.want_claim(1, report_from("n-9", 1, 1, 0, &[]), "one", 5);
+        core.lease.next_renewal_at = NOW + 900 * SECOND;
+        core.request_ownership(1, heartbeat_from("n-9", 1, 1, 0, &[]), "one", 5);
         let txn = |effects: &[Effect]| {
             effects.iter().find_map(|e| match e {
-                Effect::State { token, call: StateCall::Txn(txn), .. }
+                Effect::Store { call_id, call: StoreCall::Txn(txn), .. }
                     if txn.conditions.iter().any(|c| c.path.starts_with("hosts/")) =>
                 {
-                    Some(*token)
+                    Some(*call_id)
                 }
                 _ => None,
             })
         };
-        let Some(token) = txn(&core.step(NOW + SECOND, Vec::new())) else { panic!("{name}") };
-        let effects = core.step(NOW + SECOND, vec![Command::State { token, result: brings }]);
+        let Some(call_id) = txn(&core.step(NOW + SECOND, Vec::new())) else { panic!("{name}") };
+        let effects =
+            core.step(NOW + SECOND, vec![Command::StoreReply { call_id, result: brings }]);
         if let Some(v) = found {
-            let token = effects.iter().find_map(|e| match e {
-                Effect::State { token, call: StateCall::Get(_), .. } => Some(*token),
+            let call_id = effects.iter().find_map(|e| match e {
+                Effect::Store { call_id, call: StoreCall::Get(_), .. } => Some(*call_id),
                 _ => None,
             });
-            let Some(token) = token else { panic!("{name}: not read back") };
-            let path = block_key("n-9");
-            let row = quartzlever_wire::state::Row {
+            let Some(call_id) = call_id else { panic!("{name}: not read back") };
+            let path = large_group_key("n-9");
+            let row = quartzlever_wire::store::Row {
                 path,
                 v: quartzlever_wire::Json::of(&v),
-                stamp: 21,
-                charter: None,
+                mod_revision: 21,
+                lease_id: None,
             };
-            let result = Ok(StateReply::Row(Some(row)));
-            core.step(NOW + 2 * SECOND, vec![Command::State { token, result }]);
-            if let Some(token) = txn(&core.step(NOW + 4 * SECOND, Vec::new())) {
-                let result = Ok(StateReply::Committed(22));
-                core.step(NOW + 4 * SECOND, vec![Command::State { token, result }]);
+            let result = Ok(StoreReply::Row(Some(row)));
+            core.step(NOW + 2 * SECOND, vec![Command::StoreReply { call_id, result }]);
+            if let Some(call_id) = txn(&core.step(NOW + 4 * SECOND, Vec::new())) {
+                let result = Ok(StoreReply::Committed(22));
+                core.step(NOW + 4 * SECOND, vec![Command::StoreReply { call_id, result }]);
             }
         }
-        let part = &core.parts["one"];
-        assert!(part.machines.contains_key("n-9"), "{name}");
-        assert_eq!(part.machines.len(), machines, "{name}");
+        let partition = &core.partitions["one"];
+        assert!(partition.machines.contains_key("n-9"), "{name}");
+        assert_eq!(partition.machines.len(), machines, "{name}");
     }
 }
 
@@ -94,31 +95,34 @@
 }
 
 fn in_two_blocks(large: &str, small: &str) {
-    let block = |part: &str| {
-        Json::of(&HostBlock {
-            m: Hosts::from([("n-000231".to_owned(), host_record("n-000231", part))]),
+    let block = |partition: &str| {
+        Json::of(&MachineGroupRecord {
+            m: MachineRecords::from([(
+                "n-000231".to_owned(),
+                machine_record_of("n-000231", partition),
+            )]),
         })
     };
-    let row = |path: &str, part: &str, stamp| Row {
+    let row = |path: &str, partition: &str, mod_revision| Row {
         path: path.into(),
-        v: block(part),
-        stamp,
-        charter: None,
+        v: block(partition),
+        mod_revision,
+        lease_id: None,
     };
     for order in [[0, 1], [1, 0]] {
         for news in [true, false] {
             let mut core = core();
             let rows = [row(small, "two", 20), row(large, "one", 21)];
             for n in order {
-                core.block_row(&rows[n], news && order == [0, 1]);
+                core.apply_group_row(&rows[n], news && order == [0, 1]);
             }
-            let owner = core.part_of_host("n-000231").map(|r| r.part.clone());
+            let owner = core.machine_record("n-000231").map(|r| r.partition.clone());
             assert_eq!(owner.as_deref(), Some("two"), "{order:?}");
-            assert!(!core.parts["one"].machines.contains_key("n-000231"), "{order:?} {news}");
+            assert!(!core.partitions["one"].machines.contains_key("n-000231"), "{order:?} {news}");
             assert_eq!(core.cache.machines_of("one").count(), 0, "{order:?}");
             assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
             // The end of the large block leaves the small one's machine where it is.
-            core.block_seen(large, Hosts::new(), 22);
+            core.apply_group_change(large, MachineRecords::new(), 22);
             assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
         }
     }
@@ -128,7 +132,7 @@
 /// has the agreement on the size as a condition, and waits until all earlier claims are known.
 #[test]
 fn a_claim_depends_on_the_agreed_size_of_blocks() {
-    // (agreed size and its stamp, how far the cache has come, the key that is written)
+    // (agreed size and its modification revision, how far the cache has come, the key that is written)
     for (agreed, revision, key) in [
         (None, 30, Some("hosts/n-~16~14")),
         (Some((4, 20)), 30, Some("hosts/n-~4~57")),
@@ -139,29 +143,29 @@
         let mut core = core();
         core.cache.loaded = true;
         core.cache.revision = revision;
-        (core.cfg.value_bytes, core.lease.next) = (2048, NOW + 900 * SECOND);
-        core.cluster_row(&raised_version(10));
-        if let Some((size, stamp)) = agreed {
-            let v = Json::of(&BlocksRecord { size });
-            let path = CLUSTER_BLOCKS.into();
-            core.cluster_row(&Row { path, v, stamp, charter: None });
+        (core.config.value_bytes, core.lease.next_renewal_at) = (2048, NOW + 900 * SECOND);
+        core.apply_cluster_row(&raised_version(10));
+        if let Some((size, mod_revision)) = agreed {
+            let v = Json::of(&GroupSizeRecord { size });
+            let path = GROUP_SIZE_KEY.into();
+            core.apply_cluster_row(&Row { path, v, mod_revision, lease_id: None });
         }
-        core.want_claim(1, report_idle("n-000231", 1, 0), "one", 5);
+        core.request_ownership(1, idle_heartbeat("n-000231", 1, 0), "one", 5);
         let effects = core.step(NOW + SECOND, Vec::new());
         let written = effects.iter().find_map(|effect| match effect {
-            Effect::State { call: StateCall::Txn(txn), .. } => {
-                let writes = |c: &&StateChange| matches!(c, StateChange::Write { write, .. } if write.starts_with("hosts/"));
+            Effect::Store { call: StoreCall::Txn(txn), .. } => {
+                let writes = |c: &&StoreChange| matches!(c, StoreChange::Write { write, .. } if write.starts_with("hosts/"));
                 txn.changes.iter().find(writes).map(|change| (change, txn))
             }
             _ => None,
         });
         assert_eq!(written.is_some(), key.is_some(), "{agreed:?}: {effects:?}");
-        let (Some((StateChange::Write { write, .. }, txn)), Some(key)) = (written, key) else {
+        let (Some((StoreChange::Write { write, .. }, txn)), Some(key)) = (written, key) else {
             continue;
         };
         assert_eq!(write, key, "{agreed:?}");
-        let stamp = agreed.map_or(0, |(_, stamp)| stamp);
-        let condition = txn.conditions.iter().find(|c| c.path == CLUSTER_BLOCKS);
-        assert_eq!(condition.map(|c| c.stamp), Some(stamp), "{agreed:?}");
+        let mod_revision = agreed.map_or(0, |(_, mod_revision)| mod_revision);
+        let condition = txn.conditions.iter().find(|c| c.path == GROUP_SIZE_KEY);
+        assert_eq!(condition.map(|c| c.mod_revision), Some(mod_revision), "{agreed:?}");
     }
 }
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -2,9 +2,9 @@
 
 use quartzlever_wire::cloud::{CloudCall, CloudReply};
 use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
-use quartzlever_wire::state::{StateCall, StateReply};
+use quartzlever_wire::store::{StoreCall, StoreReply};
 use quartzlever_wire::users::{JobAnswer, JobSpec, JobView};
-use quartzlever_wire::workers::{Orders, Report, WorkerCall, WorkerReply};
+use quartzlever_wire::workers::{Heartbeat, WorkerCall, WorkerCommands, WorkerReply};
 use quartzlever_wire::{CallError, Micros};
 use serde::Serialize;
 
@@ -12,7 +12,7 @@
 pub type RequestId = u64;
 
 /// Names an effect whose answer is awaited.
-pub type Token = u64;
+pub type CallId = u64;
 
 /// One piece of work for the core.
 #[derive(Clone, Debug)]
@@ -25,35 +25,35 @@
         id: RequestId,
         job: String,
     },
-    Abort {
+    Cancel {
         id: RequestId,
         job: String,
     },
     Ready {
         id: RequestId,
     },
-    Report {
+    Heartbeat {
         id: RequestId,
-        report: Report,
+        heartbeat: Heartbeat,
     },
-    Peer {
+    PeerRequest {
         id: RequestId,
         request: PeerRequest,
     },
-    State {
-        token: Token,
-        result: Result<StateReply, CallError>,
+    StoreReply {
+        call_id: CallId,
+        result: Result<StoreReply, CallError>,
     },
-    Cloud {
-        token: Token,
+    CloudReply {
+        call_id: CallId,
         result: Result<CloudReply, CallError>,
     },
-    Worker {
-        token: Token,
+    WorkerReply {
+        call_id: CallId,
         result: Result<WorkerReply, CallError>,
     },
-    Asked {
-        token: Token,
+    PeerReply {
+        call_id: CallId,
         result: Result<PeerAnswer, CallError>,
     },
     /// Time passes; `wall` is the time of day in microseconds since 1970. `behind` says that the
@@ -69,22 +69,22 @@
     /// ask about jobs, then submissions.
     pub fn class(&self) -> u8 {
         match self {
-            Command::Report { .. }
-            | Command::State { .. }
-            | Command::Cloud { .. }
-            | Command::Worker { .. }
-            | Command::Asked { .. } => 0,
-            Command::Tick { .. } | Command::Peer { .. } | Command::Ready { .. } => 1,
-            Command::Lookup { .. } | Command::Abort { .. } => 2,
+            Command::Heartbeat { .. }
+            | Command::StoreReply { .. }
+            | Command::CloudReply { .. }
+            | Command::WorkerReply { .. }
+            | Command::PeerReply { .. } => 0,
+            Command::Tick { .. } | Command::PeerRequest { .. } | Command::Ready { .. } => 1,
+            Command::Lookup { .. } | Command::Cancel { .. } => 2,
             Command::Submit { .. } => 3,
         }
     }
 }
 
-/// How urgent a call to the state service is; each lane has threads of its own.
+/// How urgent a call to the store is; each lane has threads of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lane {
-    /// Leases and parts.
+pub enum CallPriority {
+    /// Leases and partitions.
     Lease,
     /// Open watches.
     Watch,
@@ -96,7 +96,7 @@
 
 /// How much a note in the log matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Weight {
+pub enum LogLevel {
     Error,
     Info,
     Debug,
@@ -107,11 +107,13 @@
 #[serde(untagged)]
 pub enum Answer {
     /// What a worker is to do.
-    Orders(Orders),
+    WorkerCommands(WorkerCommands),
     Job(JobAnswer),
     View(JobView),
-    Steward {
-        steward: String,
+    /// The worker is sent on to the leader of its partition.
+    Leader {
+        #[serde(rename = "steward")]
+        leader: String,
     },
     Ready {
         ready: bool,
@@ -134,41 +136,41 @@
         until: Option<Micros>,
     },
     /// A line for the log.
-    Note {
-        weight: Weight,
+    Log {
+        log_level: LogLevel,
         text: String,
     },
     AnswerPeer {
         id: RequestId,
         answer: PeerAnswer,
     },
-    State {
-        token: Token,
-        lane: Lane,
-        call: StateCall,
+    Store {
+        call_id: CallId,
+        call_priority: CallPriority,
+        call: StoreCall,
     },
     /// Call the cloud; machines are not returned any more after `until`.
     Cloud {
-        token: Token,
+        call_id: CallId,
         call: CloudCall,
         until: Micros,
     },
     /// Call a worker, but not after `until`.
     Worker {
-        token: Token,
+        call_id: CallId,
         address: String,
         call: WorkerCall,
         until: Micros,
     },
     Peer {
-        token: Token,
+        call_id: CallId,
         node: String,
         request: PeerRequest,
     },
     /// The process cannot go on, for this reason.
-    End {
+    Terminate {
         why: String,
     },
-    /// From now on this node may use so much of what the state service and the cloud allow.
-    Share(f64),
+    /// From now on this node may use so much of what the store and the cloud allow.
+    RateShare(f64),
 }
