--- /dev/null
+++ b/crates/quartzlever-core/src/router.rs
@@ -0,0 +1,791 @@
+//! The one owner of all state of a process.
+
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+use quartzlever_wire::cloud::{CloudCall, CloudReply};
+use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
+use quartzlever_wire::store::{
+    ActiveJobRecord, Change as StoreChange, MachineRecords, StoreCall, StoreReply,
+};
+use quartzlever_wire::workers::{Heartbeat, WorkerCall, WorkerReply};
+use quartzlever_wire::{CallError, Micros, SECOND};
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+
+use crate::autoscaling::PendingCloudCall;
+use crate::config::Config;
+use crate::jobs::pages::Pages;
+use crate::jobs::{JobWrite, Purpose};
+use crate::leadership::reachability::Reachability;
+use crate::machines::ownership::PendingGroupChange;
+use crate::messages::{Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId};
+use crate::partition::{Partition, Types};
+use crate::scheduling::placement::RunTimes;
+use crate::stealing::Stealing;
+use crate::store::cache::{Cache, LatestRevisions, TerminalJobs};
+use crate::store::listing::Section;
+use crate::store::lookups::{Asked, Lookups};
+use crate::store::write_budget::WriteBudget;
+use crate::upgrade::{Cluster, ClusterWrite};
+
+/// What an answer from the store belongs to.
+#[derive(Debug)]
+pub(crate) enum PendingStoreCall {
+    /// Nothing depends on the answer: a hint for a peer, or the removal of what nobody needs.
+    Ignored,
+    /// The kept catalogue is read, or written.
+    KeptCatalogue,
+    Grant {
+        sent: Micros,
+    },
+    Renew {
+        sent: Micros,
+        lease: u64,
+    },
+    Acquire {
+        partition: String,
+        lease: u64,
+    },
+    Release {
+        partition: String,
+        mod_revision: u64,
+    },
+    /// A page of the records is listed.
+    List {
+        listing: u64,
+        section: Section,
+    },
+    /// A version was announced, or raised.
+    Cluster {
+        write: ClusterWrite,
+        lease: u64,
+    },
+    /// Machines move from a block of the first form to small ones.
+    SplitGroup {
+        key: String,
+        small: Vec<(String, MachineRecords)>,
+        whole: bool,
+    },
+    Watch {
+        number: u64,
+        sent: Micros,
+    },
+    /// The present revision, for the questions that wait for it, and for the age of the view.
+    Revision {
+        asked: Vec<Asked>,
+        sent: Micros,
+    },
+    ReadActiveJob {
+        purpose: Purpose,
+    },
+    ReadTerminalJob {
+        purpose: Purpose,
+    },
+    Accept {
+        id: RequestId,
+        record: Box<ActiveJobRecord>,
+    },
+    Cancel {
+        id: RequestId,
+        job: String,
+        done: u32,
+        tries: u32,
+    },
+    JobWrite(Box<JobWrite>),
+    Reread {
+        partition: String,
+        term: u64,
+        job: String,
+    },
+    RereadTerminalJob {
+        partition: String,
+        term: u64,
+        job: String,
+    },
+    StealWrite {
+        partition: String,
+        term: u64,
+        request: Option<RequestId>,
+        moved: Vec<crate::stealing::Move>,
+    },
+    /// A block of machines, as it will be; what was added and dropped, and for which terms.
+    WriteGroup {
+        key: String,
+        hosts: MachineRecords,
+        added: BTreeSet<String>,
+        dropped: BTreeSet<String>,
+        partitions: BTreeMap<String, u64>,
+    },
+    ReadGroup {
+        key: String,
+    },
+}
+
+/// What an answer from a worker belongs to.
+#[derive(Debug, Default)]
+pub(crate) struct PendingWorkerCall {
+    pub partition: String,
+    pub term: u64,
+    pub machine: String,
+    pub runs: Vec<crate::machines::machine::SlotKey>,
+    /// A machine that nobody knew is asked whether it is there.
+    pub confirms_presence: bool,
+    /// Any machine is asked, to see whether workers are reached from here.
+    pub probe: bool,
+}
+
+/// The state lease that all partitions of this process hang on.
+#[derive(Debug, Default)]
+pub(crate) struct Lease {
+    pub id: Option<u64>,
+    /// Until then the lease is surely alive.
+    pub valid_until: Micros,
+    /// When the renewal was sent that ended the latest time without a sure lease. The view must
+    /// have been read later: a leader that was away may have missed anything.
+    pub regained_at: Micros,
+    pub call_pending: bool,
+    pub next_renewal_at: Micros,
+}
+
+/// Whether the store is to be reached from here.
+#[derive(Debug, Default)]
+pub(crate) struct StoreConnectivity {
+    /// When it last answered.
+    pub last_reply_at: Micros,
+    /// When a peer last said that it is reached from there while it is not from here.
+    pub isolated_at: Option<Micros>,
+    peers_asked_at: Micros,
+    /// The log was told that it is out of reach.
+    outage_logged: bool,
+}
+
+/// The store counts as out of reach after this time; a lease is renewed more often.
+pub(crate) const STORE_UNREACHABLE_AFTER: Micros = 4 * SECOND;
+const PEER_PROBE_INTERVAL: Micros = SECOND;
+
+/// What the store takes in one transaction.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Limits {
+    pub value_bytes: usize,
+    pub txn_ops: usize,
+    /// The largest value by its own answers alone, whatever the settings say of limits to come.
+    pub learned_value_bytes: usize,
+}
+
+/// How large a transaction was: its largest value, and its changes.
+#[derive(Clone, Copy, Debug)]
+struct TransactionSize {
+    value: usize,
+    ops: usize,
+}
+
+/// Limits are never learned to be lower: the end of a job takes as much.
+const LEAST_VALUE: usize = 512;
+const LEAST_OPS: usize = 2;
+
+/// All state of a controller.
+pub struct Core {
+    pub(crate) config: Config,
+    pub(crate) rng: SmallRng,
+    /// Tells this process from earlier ones of the same node.
+    pub(crate) process: u64,
+    pub(crate) started: Micros,
+    pub(crate) now: Micros,
+    /// Time of day minus steady time.
+    pub(crate) wall_offset: Option<i64>,
+    next_call_id: CallId,
+    pub(crate) out: Vec<Effect>,
+    pub(crate) pending_store_calls: HashMap<CallId, PendingStoreCall>,
+    pub(crate) pending_worker_calls: HashMap<CallId, PendingWorkerCall>,
+    pub(crate) pending_cloud_calls: HashMap<CallId, PendingCloudCall>,
+    pub(crate) pending_peer_calls: HashMap<CallId, crate::stealing::PendingPeerCall>,
+    pub(crate) lease: Lease,
+    pub(crate) cache: Cache,
+    pub(crate) partitions: BTreeMap<String, Partition>,
+    pub(crate) store_connectivity: StoreConnectivity,
+    pub(crate) cluster: Cluster,
+    pub(crate) pages: Pages,
+    /// What the store takes, as far as is known.
+    pub(crate) limits: Limits,
+    transaction_sizes: HashMap<CallId, TransactionSize>,
+    pub(crate) reachability: Reachability,
+    pub(crate) write_budget: WriteBudget,
+    pub(crate) group_changes: BTreeMap<String, PendingGroupChange>,
+    /// A block is being split; when the next one may be.
+    pub(crate) splitting: bool,
+    pub(crate) next_split_at: Micros,
+    pub(crate) lookups: Lookups,
+    /// Heartbeats of machines that nobody knew, while the machines are asked.
+    pub(crate) awaiting_presence_check: HashMap<String, (RequestId, Heartbeat)>,
+    /// Partitions whose keys are being changed; those whose change failed, and when the next may be made.
+    pub(crate) partitions_being_written: BTreeSet<String>,
+    pub(crate) partition_retry_at: BTreeMap<String, Micros>,
+    pub(crate) releasing: BTreeSet<String>,
+    /// Partitions that are being taken from a process that has not given them up.
+    pub(crate) evicting: BTreeSet<String>,
+    /// The next one is taken this way no sooner.
+    pub(crate) next_eviction_at: Micros,
+    /// Since when each absent partition has been missing.
+    pub(crate) absent_since: BTreeMap<String, Micros>,
+    /// Home nodes that ask for their partition: since when, and last asked.
+    pub(crate) handback_requests: BTreeMap<String, (Micros, Micros)>,
+    pub(crate) types: Option<Types>,
+    pub(crate) cloud: crate::autoscaling::Cloud,
+    pub(crate) terminal_jobs: TerminalJobs,
+    pub(crate) mod_revisions: LatestRevisions,
+    pub(crate) user_calls_in_flight: usize,
+    pub(crate) stealing: Stealing,
+    pub(crate) run_times: RunTimes,
+    /// This node's part of the limits of the store and the cloud.
+    share: f64,
+    /// What was turned away lately and why, for the log, and when that is told next.
+    rejected: BTreeMap<(u16, &'static str), u32>,
+    next_rejection_log_at: Micros,
+    /// When all machines are looked at next, and all jobs for what is to be written.
+    next_machine_check_at: Micros,
+    next_job_write_at: Micros,
+    next_group_write_at: Micros,
+}
+
+/// Shortest time between two looks at all machines, at all jobs for what is to be written, and at
+/// the blocks of machines that are to change.
+const CHECK_INTERVAL: Micros = SECOND;
+const JOB_WRITE_INTERVAL: Micros = SECOND / 5;
+const GROUP_WRITE_INTERVAL: Micros = SECOND / 10;
+/// Why everybody is turned away until the cache is there.
+pub(crate) const STARTING: &str = "starting";
+/// How often the log says what was turned away.
+const REJECTION_LOG_INTERVAL: Micros = 10 * SECOND;
+
+impl Core {
+    /// A controller that has just started. `seed` must differ between processes of one node.
+    pub fn new(config: Config, seed: u64, now: Micros) -> Self {
+        let mut core = Core {
+            stealing: Stealing::new(&config),
+            rng: SmallRng::seed_from_u64(seed),
+            process: seed,
+            started: now,
+            now,
+            wall_offset: None,
+            next_call_id: 0,
+            out: Vec::new(),
+            pending_store_calls: HashMap::new(),
+            pending_worker_calls: HashMap::new(),
+            pending_cloud_calls: HashMap::new(),
+            pending_peer_calls: HashMap::new(),
+            lease: Lease::default(),
+            cache: Cache::default(),
+            partitions: BTreeMap::new(),
+            store_connectivity: StoreConnectivity {
+                last_reply_at: now,
+                ..StoreConnectivity::default()
+            },
+            cluster: Cluster::default(),
+            pages: Pages::default(),
+            limits: Limits {
+                value_bytes: config.value_bytes,
+                txn_ops: config.txn_ops,
+                learned_value_bytes: usize::MAX,
+            },
+            transaction_sizes: HashMap::new(),
+            reachability: Reachability::new(now),
+            write_budget: WriteBudget::new(now),
+            group_changes: BTreeMap::new(),
+            splitting: false,
+            next_split_at: 0,
+            lookups: Lookups::default(),
+            awaiting_presence_check: HashMap::new(),
+            partitions_being_written: BTreeSet::new(),
+            partition_retry_at: BTreeMap::new(),
+            releasing: BTreeSet::new(),
+            evicting: BTreeSet::new(),
+            next_eviction_at: 0,
+            absent_since: BTreeMap::new(),
+            handback_requests: BTreeMap::new(),
+            types: None,
+            cloud: crate::autoscaling::Cloud::default(),
+            terminal_jobs: TerminalJobs::default(),
+            mod_revisions: LatestRevisions::default(),
+            user_calls_in_flight: 0,
+            run_times: RunTimes::default(),
+            share: 0.0,
+            rejected: BTreeMap::new(),
+            next_rejection_log_at: now,
+            next_machine_check_at: 0,
+            next_job_write_at: 0,
+            next_group_write_at: 0,
+            config,
+        };
+        if !core.config.leases_meet_cancel() {
+            core.log(LogLevel::Error, || {
+                "workers.cancel_s is too short for workers.lease_s: what cannot be reached is not \
+                 gone in time by its lease alone"
+                    .into()
+            });
+        }
+        core
+    }
+
+    /// Works through a batch and says what is to be done.
+    pub fn step(&mut self, now: Micros, mut commands: Vec<Command>) -> Vec<Effect> {
+        self.now = self.now.max(now);
+        // A node without a partition changes little, and those with partitions share what there is.
+        let leaders = self.cache.leaders();
+        let sharers =
+            leaders.max(if self.partitions.is_empty() { self.config.nodes.len() } else { 1 });
+        self.write_budget.pass(self.now, self.config.store_write_rps, sharers);
+        let share = self.config.share_of_limits(leaders, !self.partitions.is_empty());
+        if share != self.share {
+            self.share = share;
+            self.out.push(Effect::RateShare(share));
+        }
+        // What workers and users say concerns no partition's leader.
+        let concerns_leaders = commands.is_empty()
+            || commands.iter().any(|c| {
+                !matches!(
+                    c,
+                    Command::Heartbeat { .. }
+                        | Command::WorkerReply { .. }
+                        | Command::Lookup { .. }
+                        | Command::Submit { .. }
+                )
+            });
+        commands.sort_by_key(Command::class);
+        for command in commands {
+            self.dispatch(command);
+        }
+        self.renew_lease();
+        self.poll_store_connectivity();
+        self.poll_cache();
+        self.poll_cluster_version();
+        self.poll_reachability();
+        if concerns_leaders {
+            self.poll_leadership();
+        }
+        self.decide();
+        self.poll_lookups();
+        std::mem::take(&mut self.out)
+    }
+
+    fn dispatch(&mut self, command: Command) {
+        match command {
+            Command::Submit { id, spec } => self.submit(id, spec),
+            Command::Lookup { id, job } => self.lookup(id, job),
+            Command::Cancel { id, job } => self.cancel(id, job),
+            Command::Ready { id } => self.ready(id),
+            Command::Heartbeat { id, heartbeat } => self.handle_heartbeat(id, heartbeat),
+            Command::PeerRequest { id, request } => self.peer_request(id, request),
+            Command::StoreReply { call_id, result } => {
+                if result.is_ok() {
+                    self.store_replied();
+                }
+                self.learn_limits(call_id, &result);
+                if let Some(waiting) = self.pending_store_calls.remove(&call_id) {
+                    self.dispatch_store_reply(waiting, result);
+                }
+            }
+            Command::CloudReply { call_id, result } => {
+                if let Some(work) = self.pending_cloud_calls.remove(&call_id) {
+                    self.dispatch_cloud_reply(work, result);
+                }
+            }
+            Command::WorkerReply { call_id, result } => {
+                if let Some(wait) = self.pending_worker_calls.remove(&call_id) {
+                    self.dispatch_worker_reply(call_id, wait, result);
+                }
+            }
+            Command::PeerReply { call_id, result } => {
+                if let Some(work) = self.pending_peer_calls.remove(&call_id) {
+                    self.dispatch_peer_reply(work, result);
+                }
+            }
+            Command::Tick { wall, behind } => {
+                if behind {
+                    self.reachability.listening_since = self.now;
+                }
+                self.wall_offset = Some(wall as i64 - self.now as i64);
+            }
+        }
+    }
+
+    /// Shortest time between two calls of a kind that may use this share of all requests.
+    pub(crate) fn min_interval_for(&self, share: f64) -> Micros {
+        let rate = self.config.store_rps * share * self.share;
+        quartzlever_wire::micros_from_secs(1.0 / rate.max(0.1))
+    }
+
+    /// Whether this process surely holds its lease.
+    pub(crate) fn holds_lease(&self) -> bool {
+        self.lease.id.is_some() && self.now < self.lease.valid_until
+    }
+
+    /// Until when this process may act for its partitions: as long as its lease is surely alive and its
+    /// view of the jobs fresh. One does not follow from the other: while the store refused
+    /// a leader alone and then everybody, its lease lived on, its watch told nothing, and another
+    /// node had confirmed cancellations.
+    pub(crate) fn authority_expires_at(&self) -> Micros {
+        let caught_up = self.cache.view_as_of >= self.lease.regained_at;
+        if self.lease.id.is_none() || !caught_up {
+            return 0;
+        }
+        self.lease.valid_until.min(self.cache.view_as_of + self.config.view_bound())
+    }
+
+    /// Whether this process may act for its partitions.
+    pub(crate) fn may_act(&self) -> bool {
+        self.now < self.authority_expires_at()
+    }
+
+    /// The present time of day.
+    pub(crate) fn wall(&self) -> Micros {
+        (self.now as i64 + self.wall_offset.unwrap_or(0)).max(0) as Micros
+    }
+
+    pub(crate) fn call_id(&mut self) -> CallId {
+        self.next_call_id += 1;
+        self.next_call_id
+    }
+
+    /// A transaction that is refused for its size, or for coming too often, shows a limit lower
+    /// than the settings say: from then on less is written at once, or less often.
+    fn learn_limits(&mut self, call_id: CallId, result: &Result<StoreReply, CallError>) {
+        let Some(size) = self.transaction_sizes.remove(&call_id) else { return };
+        match result {
+            Ok(StoreReply::TooLarge) => {
+                // Which of the two it was is not said.
+                let before = self.limits;
+                let limits = &mut self.limits;
+                if size.value > LEAST_VALUE {
+                    let lower = (size.value * 3 / 4).max(LEAST_VALUE);
+                    limits.value_bytes = limits.value_bytes.min(lower);
+                    limits.learned_value_bytes = limits.learned_value_bytes.min(lower);
+                }
+                if size.ops > LEAST_OPS {
+                    limits.txn_ops = limits.txn_ops.min(size.ops - 1);
+                }
+                let Limits { value_bytes, txn_ops, .. } = *limits;
+                // Once for each limit that is learned.
+                let is_lower = before.value_bytes > value_bytes || before.txn_ops > txn_ops;
+                self.log(if is_lower { LogLevel::Error } else { LogLevel::Debug }, || {
+                    let TransactionSize { value, ops } = size;
+                    format!(
+                        "the state service takes no transaction of {ops} changes with a value of \
+                         {value} bytes: from now on {txn_ops} and {value_bytes}"
+                    )
+                });
+            }
+            Err(CallError::TooOften) if self.write_budget.throttle(self.now) => {
+                self.log(LogLevel::Error, || "the state service allows fewer changes".into());
+            }
+            _ => {}
+        }
+    }
+
+    pub(crate) fn call_store(
+        &mut self,
+        call_priority: CallPriority,
+        call: StoreCall,
+        waiting: PendingStoreCall,
+    ) {
+        let call_id = self.call_id();
+        if let StoreCall::Txn(txn) = &call {
+            let value = |c: &StoreChange| match c {
+                StoreChange::Write { v, .. } => v.text().len(),
+                StoreChange::Delete { .. } => 0,
+            };
+            let value = txn.changes.iter().map(value).max().unwrap_or(0);
+            self.transaction_sizes
+                .insert(call_id, TransactionSize { value, ops: txn.changes.len() });
+        }
+        self.pending_store_calls.insert(call_id, waiting);
+        self.out.push(Effect::Store { call_id, call_priority, call });
+    }
+
+    pub(crate) fn cloud_call(&mut self, call: CloudCall, work: PendingCloudCall) {
+        let call_id = self.call_id();
+        self.pending_cloud_calls.insert(call_id, work);
+        let until = self.lease.valid_until;
+        self.out.push(Effect::Cloud { call_id, call, until });
+    }
+
+    pub(crate) fn worker_call(
+        &mut self,
+        address: String,
+        call: WorkerCall,
+        wait: PendingWorkerCall,
+    ) -> CallId {
+        let call_id = self.call_id();
+        self.pending_worker_calls.insert(call_id, wait);
+        let until = self.authority_expires_at();
+        self.out.push(Effect::Worker { call_id, address, call, until });
+        call_id
+    }
+
+    pub(crate) fn ask_peer(
+        &mut self,
+        node: &str,
+        request: PeerRequest,
+        work: crate::stealing::PendingPeerCall,
+    ) {
+        let call_id = self.call_id();
+        self.pending_peer_calls.insert(call_id, work);
+        self.out.push(Effect::Peer { call_id, node: node.to_owned(), request });
+    }
+
+    pub(crate) fn answer(&mut self, id: RequestId, status: u16, body: Answer) {
+        self.out.push(Effect::Answer { id, status, body, retry_after_s: None, until: None });
+    }
+
+    /// Tells a user to come back, at once.
+    pub(crate) fn reject_retryable(&mut self, id: RequestId, status: u16, why: &'static str) {
+        let body = Answer::Error { error: why };
+        *self.rejected.entry((status, why)).or_default() += 1;
+        self.out.push(Effect::Answer { id, status, body, retry_after_s: Some(1), until: None });
+    }
+
+    /// Whether nothing of the service is known yet, so that every worker and every health check is
+    /// turned away.
+    pub fn starting(&self) -> bool {
+        !self.cache.loaded() && self.partitions.is_empty()
+    }
+
+    /// Whether something is to be placed at a certain time, or as soon as may be.
+    pub fn awaits_time(&self) -> bool {
+        self.partitions.values().any(|p| p.placement_wanted || p.placement_due_at.is_some())
+    }
+
+    /// So many were turned away for that reason without asking.
+    pub fn count_rejected(&mut self, count: u32) {
+        if count > 0 {
+            *self.rejected.entry((503, STARTING)).or_default() += count;
+        }
+    }
+
+    /// Says now and then what was turned away, and why: nothing else shows an overload.
+    fn log_rejected(&mut self) {
+        if self.now < self.next_rejection_log_at {
+            return;
+        }
+        self.next_rejection_log_at = self.now + REJECTION_LOG_INTERVAL;
+        let rejected = std::mem::take(&mut self.rejected);
+        if !rejected.is_empty() {
+            let each: Vec<String> =
+                rejected.iter().map(|((status, why), n)| format!("{status} {why} ({n})")).collect();
+            self.log(LogLevel::Info, || format!("turned away lately: {}", each.join(", ")));
+        }
+    }
+
+    /// Leaves a line in the log, if it is of enough weight.
+    pub(crate) fn log(&mut self, log_level: LogLevel, text: impl FnOnce() -> String) {
+        if log_level <= self.config.log_level {
+            self.out.push(Effect::Log { log_level, text: text() });
+        }
+    }
+
+    /// The store has answered.
+    fn store_replied(&mut self) {
+        let silent = self.now.saturating_sub(self.store_connectivity.last_reply_at) / SECOND;
+        self.store_connectivity.last_reply_at = self.now;
+        self.store_connectivity.isolated_at = None;
+        if std::mem::take(&mut self.store_connectivity.outage_logged) {
+            self.log(LogLevel::Info, || {
+                format!("the state service answers again, after {silent} s without an answer")
+            });
+        }
+    }
+
+    /// A peer reaches the store while this node does not.
+    pub(crate) fn peer_reaches_store(&mut self) {
+        // A late answer says nothing of the present.
+        if self.store_connectivity.outage_logged
+            && self.store_connectivity.isolated_at.replace(self.now).is_none()
+        {
+            self.log(LogLevel::Info, || {
+                "the state service answers others and not this controller".into()
+            });
+        }
+    }
+
+    /// Asks the peers, while the store gives no answer, whether they reach it.
+    fn poll_store_connectivity(&mut self) {
+        let now = self.now;
+        if now < self.store_connectivity.last_reply_at + STORE_UNREACHABLE_AFTER
+            || now < self.store_connectivity.peers_asked_at + PEER_PROBE_INTERVAL
+        {
+            return;
+        }
+        self.store_connectivity.peers_asked_at = now;
+        if !std::mem::replace(&mut self.store_connectivity.outage_logged, true) {
+            self.log(LogLevel::Info, || {
+                format!(
+                    "the state service has not answered for {} s",
+                    STORE_UNREACHABLE_AFTER / SECOND
+                )
+            });
+        }
+        for node in self.config.nodes.clone() {
+            if node != self.config.node {
+                self.ask_peer(
+                    &node,
+                    PeerRequest::StoreConnectivity,
+                    crate::stealing::PendingPeerCall::StoreConnectivity,
+                );
+            }
+        }
+    }
+
+    fn ready(&mut self, id: RequestId) {
+        if self.is_ready() {
+            self.answer(id, 200, Answer::Ready { ready: true });
+        } else {
+            self.reject_retryable(id, 503, STARTING);
+        }
+    }
+
+    /// Whether this node can take requests.
+    pub fn is_ready(&self) -> bool {
+        // A node without a partition can still look up, cancel and accept into another's partition; it is
+        // of no use only while it has no picture of the service at all.
+        // One that alone is refused by the store can do nothing for users whom others
+        // could serve; in an outage all go on, since nobody could do better.
+        let alone = self
+            .store_connectivity
+            .isolated_at
+            .is_some_and(|t| self.now < t + 3 * PEER_PROBE_INTERVAL);
+        self.cache.loaded() && self.wall_offset.is_some() && !alone
+    }
+
+    fn dispatch_store_reply(
+        &mut self,
+        waiting: PendingStoreCall,
+        result: Result<StoreReply, CallError>,
+    ) {
+        match waiting {
+            PendingStoreCall::Ignored => {}
+            PendingStoreCall::Grant { sent } => self.granted(sent, result),
+            PendingStoreCall::Renew { sent, lease } => self.renewed(sent, lease, result),
+            PendingStoreCall::Acquire { partition, lease } => {
+                self.acquired(&partition, lease, result)
+            }
+            PendingStoreCall::Release { partition, mod_revision } => {
+                self.released(&partition, mod_revision, &result)
+            }
+            PendingStoreCall::List { listing, section } => {
+                self.page_listed(listing, section, result)
+            }
+            PendingStoreCall::Cluster { write, lease } => {
+                self.cluster_answered(write, lease, &result)
+            }
+            PendingStoreCall::SplitGroup { key, small, whole } => {
+                self.group_split(&key, small, whole, &result);
+            }
+            PendingStoreCall::Watch { number, sent } => self.watched(number, sent, result),
+            PendingStoreCall::Revision { asked, sent } => self.fenced(asked, sent, result),
+            PendingStoreCall::KeptCatalogue => self.catalogue_read(result),
+            PendingStoreCall::ReadActiveJob { purpose } => self.active_job_read(purpose, result),
+            PendingStoreCall::ReadTerminalJob { purpose } => {
+                self.terminal_job_read(purpose, result)
+            }
+            PendingStoreCall::Accept { id, record } => self.accept_answered(id, *record, result),
+            PendingStoreCall::Cancel { id, job, done, tries } => {
+                self.cancel_answered(id, job, done, tries, result);
+            }
+            PendingStoreCall::JobWrite(write) => self.job_written(*write, result),
+            PendingStoreCall::Reread { partition, term, job } => {
+                self.active_job_reread(&partition, term, &job, result)
+            }
+            PendingStoreCall::RereadTerminalJob { partition, term, job } => {
+                self.terminal_job_reread(&partition, term, &job, result)
+            }
+            PendingStoreCall::StealWrite { partition, term, request, moved } => {
+                self.steal_written(&partition, term, request, moved, result);
+            }
+            PendingStoreCall::WriteGroup { key, hosts, added, dropped, partitions } => {
+                self.group_written(&key, hosts, &added, &dropped, &partitions, result);
+            }
+            PendingStoreCall::ReadGroup { key } => self.group_read(&key, result),
+        }
+    }
+
+    fn dispatch_cloud_reply(
+        &mut self,
+        work: PendingCloudCall,
+        result: Result<CloudReply, CallError>,
+    ) {
+        self.cloud_replied(work, result);
+    }
+
+    fn dispatch_worker_reply(
+        &mut self,
+        call_id: CallId,
+        wait: PendingWorkerCall,
+        result: Result<WorkerReply, CallError>,
+    ) {
+        self.worker_replied(call_id, wait, result);
+    }
+
+    fn dispatch_peer_reply(
+        &mut self,
+        work: crate::stealing::PendingPeerCall,
+        result: Result<PeerAnswer, CallError>,
+    ) {
+        self.peer_replied(work, result);
+    }
+
+    /// Ends a partition's recovery once every machine is proven.
+    pub(crate) fn complete_recovery(&mut self, name: &str) {
+        if let Some(partition) = self.partitions.get_mut(name)
+            && partition.try_complete_recovery()
+        {
+            let after = (self.now - partition.acquired) / 1000;
+            self.log(LogLevel::Info, || format!("part {name}: recovered after {after} ms"));
+        }
+    }
+
+    /// All decisions of this moment.
+    fn decide(&mut self) {
+        let names: Vec<String> = self.partitions.keys().cloned().collect();
+        let look = self.now >= self.next_machine_check_at;
+        if look {
+            self.next_machine_check_at = self.now + CHECK_INTERVAL;
+        }
+        for name in &names {
+            if look {
+                self.expire_silent_machines(name);
+                if self.may_act() {
+                    self.probe_late_service_machines(name);
+                }
+            }
+            self.complete_recovery(name);
+            let lines = self.partitions.get_mut(name).map(|p| std::mem::take(&mut p.log_events));
+            for (log_level, line) in lines.into_iter().flatten() {
+                self.log(log_level, || format!("part {name}: {line}"));
+            }
+            if self.may_act() {
+                self.place(name);
+                self.call_workers(name);
+            }
+        }
+        if self.now >= self.next_job_write_at {
+            self.next_job_write_at = self.now + JOB_WRITE_INTERVAL;
+            self.write_jobs();
+            self.remove_leftover_pages();
+        }
+        if self.now >= self.next_group_write_at {
+            self.next_group_write_at = self.now + GROUP_WRITE_INTERVAL;
+            self.write_groups();
+            self.split_groups();
+        }
+        self.poll_autoscaling();
+        self.notify_saturated();
+        self.poll_stealing();
+        self.log_rejected();
+    }
+
+    pub(crate) fn partition_at_term(&mut self, name: &str, term: u64) -> Option<&mut Partition> {
+        self.partitions.get_mut(name).filter(|p| p.term == term)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever-core/src/engine/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_node_that_alone_is_out_of_touch_says_that_it_is_not_ready() {
     use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
-    // (seconds since the state service last answered, what a peer says of it; whether the peer is
+    // (seconds since the store last answered, what a peer says of it; whether the peer is
     // asked, and the answer of the health check)
     for (name, quiet, says, asked, status) in [
         ("all is well", 1, Some(true), false, 200),
@@ -16,18 +16,19 @@
         let mut core = core();
         core.cache.loaded = true;
         core.wall_offset = Some(0);
-        core.contact.heard = NOW;
+        core.store_connectivity.last_reply_at = NOW;
         let now = NOW + quiet * SECOND;
         let effects = core.step(now, Vec::new());
-        let token = effects.iter().find_map(|e| match e {
-            Effect::Peer { token, request: PeerRequest::Contact, .. } => Some(*token),
+        let call_id = effects.iter().find_map(|e| match e {
+            Effect::Peer { call_id, request: PeerRequest::StoreConnectivity, .. } => Some(*call_id),
             _ => None,
         });
-        assert_eq!(token.is_some(), asked, "{name}: asked");
-        if let Some(token) = token {
-            let result =
-                says.map(|reached| PeerAnswer::Contact { reached }).ok_or(CallError::Unknown);
-            core.step(now, vec![Command::Asked { token, result }]);
+        assert_eq!(call_id.is_some(), asked, "{name}: asked");
+        if let Some(call_id) = call_id {
+            let result = says
+                .map(|reached| PeerAnswer::StoreConnectivity { reached })
+                .ok_or(CallError::Unknown);
+            core.step(now, vec![Command::PeerReply { call_id, result }]);
         }
         let check = core.step(now, vec![Command::Ready { id: 9 }]);
         let answer = check.iter().find_map(|e| match e {
@@ -42,93 +43,99 @@
 fn lines(effects: &[Effect]) -> Vec<&str> {
     fn line(effect: &Effect) -> Option<&str> {
         match effect {
-            Effect::Note { text, .. } => Some(text),
+            Effect::Log { text, .. } => Some(text),
             _ => None,
         }
     }
     effects.iter().filter_map(line).collect()
 }
 
-/// The log tells once that the state service is out of reach, whether it is for others as well, and once that it is
+/// The log tells once that the store is out of reach, whether it is for others as well, and once that it is
 /// back; a peer's word that comes after that counts for nothing.
 #[test]
 fn the_log_tells_once_of_a_state_service_that_is_out_of_reach() {
     use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
     let mut core = core();
-    core.cfg.notes = Weight::Info;
+    core.config.log_level = LogLevel::Info;
     core.cache.loaded = true;
-    core.contact.heard = NOW;
+    core.store_connectivity.last_reply_at = NOW;
     assert!(lines(&core.step(NOW + 3 * SECOND, Vec::new())).is_empty());
     let effects = core.step(NOW + 5 * SECOND, Vec::new());
     assert_eq!(lines(&effects), ["the state service has not answered for 4 s"]);
-    let token = effects.iter().find_map(|effect| match effect {
-        Effect::Peer { token, request: PeerRequest::Contact, .. } => Some(*token),
+    let call_id = effects.iter().find_map(|effect| match effect {
+        Effect::Peer { call_id, request: PeerRequest::StoreConnectivity, .. } => Some(*call_id),
         _ => None,
     });
-    let reached = |token| {
-        let result = Ok(PeerAnswer::Contact { reached: true });
-        vec![Command::Asked { token, result }]
+    let reached = |call_id| {
+        let result = Ok(PeerAnswer::StoreConnectivity { reached: true });
+        vec![Command::PeerReply { call_id, result }]
     };
-    let effects = core.step(NOW + 5 * SECOND, reached(token.expect("a peer is asked")));
+    let effects = core.step(NOW + 5 * SECOND, reached(call_id.expect("a peer is asked")));
     assert_eq!(lines(&effects), ["the state service answers others and not this controller"]);
     let effects = core.step(NOW + 7 * SECOND, Vec::new());
     assert!(lines(&effects).is_empty(), "once");
     let late = effects.iter().find_map(|effect| match effect {
-        Effect::Peer { token, request: PeerRequest::Contact, .. } => Some(*token),
+        Effect::Peer { call_id, request: PeerRequest::StoreConnectivity, .. } => Some(*call_id),
         _ => None,
     });
-    let token = 1 << 40;
-    core.state_waits.insert(token, crate::engine::Waiting::Nothing);
-    let answer = Command::State { token, result: Ok(StateReply::Renewed) };
+    let call_id = 1 << 40;
+    core.pending_store_calls.insert(call_id, crate::router::PendingStoreCall::Ignored);
+    let answer = Command::StoreReply { call_id, result: Ok(StoreReply::Renewed) };
     let effects = core.step(NOW + 9 * SECOND, vec![answer]);
     let back = "the state service answers again, after 9 s without an answer";
     assert!(lines(&effects).contains(&back), "{:?}", lines(&effects));
     core.step(NOW + 9 * SECOND, reached(late.expect("a peer is asked again")));
-    assert!(core.contact.alone.is_none(), "a late word");
+    assert!(core.store_connectivity.isolated_at.is_none(), "a late word");
 }
 
 #[test]
 fn a_controller_that_is_behind_keeps_its_hold_and_its_machines() {
     // Seconds between two steps for 30 s, with the answer to each call only in the next step.
     for step_ms in [200, 1_500, 3_000, 5_000] {
-        let mut core = with_holders(100);
-        core.lease.next = NOW + 1;
-        core.lease.sure_until = NOW + 13 * SECOND;
+        let mut core = with_leaders(100);
+        core.lease.next_renewal_at = NOW + 1;
+        core.lease.valid_until = NOW + 13 * SECOND;
         // Its one task runs all the time, so that the machine is not returned as idle.
-        core.absorb(record_of(1, 1, "one"), 10);
-        core.step(NOW, vec![Command::Report { id: 1_000, report: report_of_one(1, None) }]);
-        let located = core.parts["one"].jobs["req-1"].located.get(&0).map(|p| p.attempt);
-        assert!(located.is_some(), "{step_ms}: placed");
+        core.reconcile_job(record_of(1, 1, "one"), 10);
+        core.step(NOW, vec![Command::Heartbeat { id: 1_000, heartbeat: report_of_one(1, None) }]);
+        let assignments =
+            core.partitions["one"].jobs["req-1"].assignments.get(&0).map(|p| p.attempt);
+        assert!(assignments.is_some(), "{step_ms}: placed");
         let (mut now, mut renewals, mut returns) = (NOW, 0, 0);
-        let (mut reported, mut reports, mut answers) = (NOW, 0, 0);
+        let (mut reported, mut heartbeats, mut answers) = (NOW, 0, 0);
         let mut waiting = Vec::new();
         while now < NOW + 30 * SECOND {
             now += step_ms * 1_000;
             let mut batch = std::mem::take(&mut waiting);
             batch.push(Command::Tick { wall: now, behind: step_ms > 1_000 });
-            if now - reported >= core.cfg.workers.report {
+            if now - reported >= core.config.workers.heartbeat_interval {
                 reported = now;
-                reports += 1;
-                batch.push(Command::Report {
-                    id: reports,
-                    report: report_of_one(1 + reports, located),
+                heartbeats += 1;
+                batch.push(Command::Heartbeat {
+                    id: heartbeats,
+                    heartbeat: report_of_one(1 + heartbeats, assignments),
                 });
             }
             for effect in core.step(now, batch) {
                 match effect {
-                    Effect::State { token, call: StateCall::Renew { .. }, .. } => {
+                    Effect::Store { call_id, call: StoreCall::Renew { .. }, .. } => {
                         renewals += 1;
-                        waiting.push(Command::State { token, result: Ok(StateReply::Renewed) });
+                        waiting
+                            .push(Command::StoreReply { call_id, result: Ok(StoreReply::Renewed) });
                     }
                     Effect::Cloud { call: CloudCall::Return(_), .. } => returns += 1,
                     Effect::Answer { status: 200, .. } => answers += 1,
                     _ => {}
                 }
             }
-            assert!(core.sure(), "{step_ms}: the hold after {} s", (now - NOW) / SECOND);
+            assert!(core.may_act(), "{step_ms}: the hold after {} s", (now - NOW) / SECOND);
         }
-        assert!(core.parts.contains_key("one"), "{step_ms}");
+        assert!(core.partitions.contains_key("one"), "{step_ms}");
         assert!((3..=15).contains(&renewals), "{step_ms}: {renewals} renewals");
-        assert_eq!((answers, returns), (reports, 0), "{step_ms}: reports answered, machines gone");
+        assert_eq!(
+            (answers, returns),
+            (heartbeats, 0),
+            "{step_ms}: reports answered, machines gone"
+        );
     }
 }
--- a/crates/quartzlever-core/src/free_room_index.rs
+++ b/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
@@ -1,25 +1,25 @@
-//! Free room of a part's machines, kept as an index so that no placement looks at machines that
+//! Free room of a partition's machines, kept as an index so that no placement looks at machines that
 //! have none.
 
 use std::collections::{BTreeSet, HashMap};
 
-use quartzlever_wire::state::HostRecord;
+use quartzlever_wire::store::MachineRecord;
 use quartzlever_wire::users::JobSpec;
 
-use crate::placement::offer_allowed;
+use crate::scheduling::placement::offer_allowed;
 
 /// Machines of one type, zone and kind, by their free processors.
 #[derive(Debug)]
 struct Group {
-    kind: String,
+    machine_type: String,
     zone: String,
     spot: bool,
-    by_room: BTreeSet<(u32, String)>,
+    by_free_cpus: BTreeSet<(u32, String)>,
 }
 
-/// All machines of a part that may get tasks.
+/// All machines of a partition that may get tasks.
 #[derive(Debug, Default)]
-pub struct FreeRoomIndex {
+pub struct FreeCapacityIndex {
     groups: Vec<Group>,
     places: HashMap<String, (usize, u32)>,
 }
@@ -29,38 +29,39 @@
     (cpus.max(0.0) * 1000.0).round().min(f64::from(u32::MAX)) as u32
 }
 
-impl FreeRoomIndex {
+impl FreeCapacityIndex {
     /// Notes how many processors of a machine are free.
-    pub fn put(&mut self, host: &str, record: &HostRecord, cpus: f64) {
+    pub fn put(&mut self, host: &str, record: &MachineRecord, cpus: f64) {
         let free = thousandths(cpus);
         if let Some((group, known)) = self.places.get_mut(host) {
             if *known != free {
-                let group = &mut self.groups[*group].by_room;
+                let group = &mut self.groups[*group].by_free_cpus;
                 group.remove(&(*known, host.to_owned()));
                 group.insert((free, host.to_owned()));
                 *known = free;
             }
             return;
         }
-        let like =
-            |g: &Group| g.spot == record.spot && g.kind == record.kind && g.zone == record.zone;
+        let like = |g: &Group| {
+            g.spot == record.spot && g.machine_type == record.machine_type && g.zone == record.zone
+        };
         let group = self.groups.iter().position(like).unwrap_or_else(|| {
             self.groups.push(Group {
-                kind: record.kind.clone(),
+                machine_type: record.machine_type.clone(),
                 zone: record.zone.clone(),
                 spot: record.spot,
-                by_room: BTreeSet::new(),
+                by_free_cpus: BTreeSet::new(),
             });
             self.groups.len() - 1
         });
-        self.groups[group].by_room.insert((free, host.to_owned()));
+        self.groups[group].by_free_cpus.insert((free, host.to_owned()));
         self.places.insert(host.to_owned(), (group, free));
     }
 
     /// Forgets a machine that may not get tasks.
     pub fn remove(&mut self, host: &str) {
         if let Some((group, free)) = self.places.remove(host) {
-            self.groups[group].by_room.remove(&(free, host.to_owned()));
+            self.groups[group].by_free_cpus.remove(&(free, host.to_owned()));
         }
     }
 
@@ -70,8 +71,8 @@
         let least = (thousandths(spec.cpus).saturating_sub(1), String::new());
         self.groups
             .iter()
-            .filter(|g| offer_allowed(spec, &g.kind, &g.zone, g.spot))
-            .flat_map(move |g| g.by_room.range(least.clone()..))
+            .filter(|g| offer_allowed(spec, &g.machine_type, &g.zone, g.spot))
+            .flat_map(move |g| g.by_free_cpus.range(least.clone()..))
             .map(|(_, host)| host.as_str())
     }
 }
--- a/crates/quartzlever-core/src/placement.rs
+++ b/crates/quartzlever-core/src/scheduling/placement.rs
@@ -4,51 +4,51 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use quartzlever_wire::cloud::MachineType;
-use quartzlever_wire::users::{JobSpec, Rank};
+use quartzlever_wire::users::{JobSpec, Priority};
 use quartzlever_wire::workers::TaskId;
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
-use crate::config::{Config, Objective};
-use crate::engine::Core;
-use crate::machine::{Amounts, RoomInTheMaking, Slot, SlotKey};
-use crate::messages::{Effect, Weight};
-use crate::partition::{Partition, PartitionJob, Place};
+use crate::config::{Config, ServiceLevelObjective};
+use crate::machines::machine::{PendingPreemption, Resources, Slot, SlotKey};
+use crate::messages::{Effect, LogLevel};
+use crate::partition::{Assignment, Partition, PartitionJob};
+use crate::router::Core;
 
-/// A machine that was not heard of for so many report intervals gets no new tasks.
-const QUIET_REPORTS: u64 = 3;
+/// A machine that was not heard of for so many heartbeat intervals gets no new tasks.
+const SILENT_HEARTBEATS: u64 = 3;
 /// Work of lower rank gives way so long before a start becomes too late: what it takes to stop
 /// one task and start another.
 const PREEMPT_AHEAD: Micros = 5 * SECOND / 2;
 /// Lost work that stopping a task again counts for on top of what is lost.
-const STOPPED_AGAIN: Micros = 4 * SECOND;
+const REPEATED_PREEMPTION_COST: Micros = 4 * SECOND;
 /// Room that was made is kept for what it was made for so long: the tasks there save, end and are reported.
-const ROOM_KEPT_FOR: Micros = 10 * SECOND;
+const PREEMPTED_CAPACITY_RESERVED_FOR: Micros = 10 * SECOND;
 /// Room that frees by itself, or a thief, gets this long first.
 const PREEMPT_AFTER: Micros = SECOND / 5;
 /// A job that has not begun by then begins next; users expect that within four minutes.
 const STARVED_AFTER: Micros = 150 * SECOND;
 /// So many first tasks of such a job are not stopped for higher ranks.
-const SHELTERED: usize = 4;
+const PROTECTED_FIRST_TASKS: usize = 4;
 /// A job that old is not stopped for higher ranks, and queues with urgent ones.
 const AGED_AFTER: Micros = 240 * SECOND;
 /// Idle-time work that saves its progress gets on in whatever time is left, so it is as old as this before it counts as
 /// old. With the time of all other work, guests that were four minutes old filled the machines for good, and
 /// jobs with deadlines waited until they were four minutes old themselves.
 const IDLE_TIME_AGED_AFTER: Micros = 600 * SECOND;
-/// Shortest time between two placements of a part's whole queue, and between two looks at all
-/// machines for work to stop: with hundreds of machines both cost more than a report may.
-const PLACE_PAUSE: Micros = SECOND / 10;
-const PREEMPT_PAUSE: Micros = SECOND / 5;
+/// Shortest time between two placements of a partition's whole queue, and between two looks at all
+/// machines for work to stop: with hundreds of machines both cost more than a heartbeat may.
+const PLACEMENT_INTERVAL: Micros = SECOND / 10;
+const PREEMPTION_INTERVAL: Micros = SECOND / 5;
 
 /// Whether a job may run on a machine type at all (room aside).
-pub fn type_allowed(spec: &JobSpec, kind: &MachineType) -> bool {
-    spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
-        && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
+pub fn type_allowed(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    spec.types.as_ref().is_none_or(|types| types.contains(&machine_type.name))
+        && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
 }
 
 /// Whether a job may run on machines of this type, zone and kind (room aside).
-pub fn offer_allowed(spec: &JobSpec, kind: &str, zone: &str, spot: bool) -> bool {
-    spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == kind))
+pub fn offer_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+    spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type))
         && spec.zone.as_ref().is_none_or(|z| z == zone)
         && (spec.spot || !spot)
 }
@@ -65,10 +65,10 @@
     pub fn learn(&mut self, class: &str, pace: u32) {
         let entry = self.classes.entry(class.to_owned()).or_insert((0, Self::ONE));
         entry.0 += 1;
-        let weight = (1.0 / f64::from(entry.0 + 2)).max(0.05);
+        let log_level = (1.0 / f64::from(entry.0 + 2)).max(0.05);
         // One crawling machine must not teach that all are slow.
         let pace = f64::from(pace).clamp(entry.1 / 4.0, entry.1 * 4.0);
-        entry.1 += weight * (pace - entry.1);
+        entry.1 += log_level * (pace - entry.1);
     }
 
     /// A pace against the usual one of its class, in thousandths.
@@ -96,7 +96,7 @@
 const NO_AIM: Micros = 60 * SECOND;
 
 /// What presses most for a job, of what can still be met.
-pub fn urgency(cfg: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Urgency {
+pub fn urgency(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Urgency {
     let spec = job.spec();
     if spec.is_service() {
         // Each moment without a replica is lost.
@@ -116,11 +116,11 @@
     if let Some(span) = span {
         point(by(job.since + span));
     }
-    for objective in cfg.objectives.iter().filter(|o| o.class() == spec.class) {
+    for objective in config.objectives.iter().filter(|o| o.class() == spec.class) {
         match objective {
-            Objective::Wait { within, .. } => point(job.since + within),
-            Objective::Finished { within, .. } => point(by(job.since + within)),
-            Objective::Deadline { times, .. } => {
+            ServiceLevelObjective::Wait { within, .. } => point(job.since + within),
+            ServiceLevelObjective::Finished { within, .. } => point(by(job.since + within)),
+            ServiceLevelObjective::Deadline { times, .. } => {
                 if let Some(span) = span {
                     point(by(job.since + (span as f64 * times) as Micros));
                 }
@@ -138,9 +138,9 @@
 
 /// How many more tasks of a job may start in each zone; without bounds for most jobs.
 #[derive(Clone, Debug)]
-pub(crate) struct ZoneRoom(Option<BTreeMap<String, u32>>);
+pub(crate) struct ZoneCapacity(Option<BTreeMap<String, u32>>);
 
-impl ZoneRoom {
+impl ZoneCapacity {
     /// How many more tasks may start in a zone.
     pub fn left(&self, zone: &str) -> u32 {
         self.0.as_ref().map_or(u32::MAX, |left| left.get(zone).copied().unwrap_or(0))
@@ -156,23 +156,27 @@
 
 /// Zones in which another task of the job may start now.
 pub(crate) fn zones_open(
-    part: &Partition,
+    partition: &Partition,
     job: &PartitionJob,
     zones: &[String],
 ) -> Option<Vec<String>> {
-    let ZoneRoom(room) = zone_room(part, job, zones);
+    let ZoneCapacity(room) = zone_capacity(partition, job, zones);
     let open = room?.into_iter().filter(|(_, left)| *left > 0);
     Some(open.map(|(zone, _)| zone).collect())
 }
 
 /// How many more tasks of the job may start in each zone now.
-pub(crate) fn zone_room(part: &Partition, job: &PartitionJob, zones: &[String]) -> ZoneRoom {
+pub(crate) fn zone_capacity(
+    partition: &Partition,
+    job: &PartitionJob,
+    zones: &[String],
+) -> ZoneCapacity {
     let spec = job.spec();
     if !spec.one_zone && !spec.spread {
-        return ZoneRoom(None);
+        return ZoneCapacity(None);
     }
     let mut used: BTreeMap<&str, u32> = BTreeMap::new();
-    for machine in part.machines.values() {
+    for machine in partition.machines.values() {
         let count = machine
             .slots
             .iter()
@@ -183,11 +187,11 @@
         }
     }
     if spec.one_zone && !used.is_empty() {
-        return ZoneRoom(Some(used.keys().map(|z| ((*z).to_owned(), u32::MAX)).collect()));
+        return ZoneCapacity(Some(used.keys().map(|z| ((*z).to_owned(), u32::MAX)).collect()));
     }
     let most = if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX };
     let left = |zone: &String| most.saturating_sub(used.get(zone.as_str()).copied().unwrap_or(0));
-    ZoneRoom(Some(zones.iter().map(|zone| (zone.clone(), left(zone))).collect()))
+    ZoneCapacity(Some(zones.iter().map(|zone| (zone.clone(), left(zone))).collect()))
 }
 
 /// How well a machine suits a job, best first: it has failed nothing lately, runs no replica of the
@@ -208,7 +212,7 @@
 /// A job that makes room for its tasks, at one moment.
 struct Preemption<'a> {
     spec: &'a JobSpec,
-    need: Amounts,
+    need: Resources,
     /// The teams whose unfinished work fits their guarantee.
     inside: &'a BTreeSet<String>,
     victims: Victims,
@@ -228,83 +232,90 @@
 }
 
 impl Core {
-    /// Gives the part's ready tasks to its free machines.
+    /// Gives the partition's ready tasks to its free machines.
     pub(crate) fn place(&mut self, name: &str) {
         let now = self.now;
-        let Some(part) = self.parts.get_mut(name).filter(|p| {
-            let due = p.place_wanted || p.place_due.is_some_and(|t| now >= t);
-            p.active() && due && now >= p.place_after && p.types.is_some()
+        let Some(partition) = self.partitions.get_mut(name).filter(|p| {
+            let due = p.placement_wanted || p.placement_due_at.is_some_and(|t| now >= t);
+            p.active() && due && now >= p.next_placement_at && p.types.is_some()
         }) else {
             return;
         };
-        part.place_wanted = false;
-        part.place_due = None;
-        part.place_after = now + PLACE_PAUSE;
-        part.short.clear();
-        part.short_least = f64::INFINITY;
-        part.pressed = false;
-        part.keep_room(now);
-        let short = part.machines.len() > self.cfg.machine_capacity / 2;
-        for id in part.queue_order(&self.cfg, &self.run_times, now) {
-            if let Some(job) = part.jobs.get_mut(&id) {
+        partition.placement_wanted = false;
+        partition.placement_due_at = None;
+        partition.next_placement_at = now + PLACEMENT_INTERVAL;
+        partition.short.clear();
+        partition.unplaced_min_cpus = f64::INFINITY;
+        partition.saturated = false;
+        partition.update_reservation(now);
+        let short = partition.machines.len() > self.config.machine_capacity / 2;
+        for id in partition.queue_order(&self.config, &self.run_times, now) {
+            if let Some(job) = partition.jobs.get_mut(&id) {
                 // A call costs as much as several reports. A hundred of them for one job took a
                 // short processor two seconds, in which submissions were late.
-                let soon = now + self.cfg.workers.report * 3 / 2;
-                job.patient = short && urgency(&self.cfg, &self.run_times, job, now).latest > soon;
+                let soon = now + self.config.workers.heartbeat_interval * 3 / 2;
+                job.can_wait_for_heartbeat =
+                    short && urgency(&self.config, &self.run_times, job, now).latest > soon;
             }
-            if part.place_job(&self.cfg, &id, None, now) {
-                let need = part.jobs.get(&id).map_or(0.0, |j| j.spec().cpus);
-                part.short_least = part.short_least.min(need);
-                part.short.push(id);
+            if partition.place_tasks(&self.config, &id, None, now) {
+                let need = partition.jobs.get(&id).map_or(0.0, |j| j.spec().cpus);
+                partition.unplaced_min_cpus = partition.unplaced_min_cpus.min(need);
+                partition.short.push(id);
             }
         }
-        part.open_made_room(now);
+        partition.release_preempted_capacity(now);
         self.preempt(name);
     }
 
     /// Gives what found no room elsewhere to one machine.
     pub(crate) fn fill(&mut self, name: &str, host: &str) {
         let now = self.now;
-        let Some(part) = self.parts.get_mut(name).filter(|p| p.active()) else { return };
-        if !part.machines.get(host).is_some_and(|m| m.usable() && m.room.cpus > 0.0) {
+        let Some(partition) = self.partitions.get_mut(name).filter(|p| p.active()) else { return };
+        if !partition.machines.get(host).is_some_and(|m| m.usable() && m.free.cpus > 0.0) {
             return;
         }
-        let short = std::mem::take(&mut part.short);
+        let short = std::mem::take(&mut partition.short);
         for id in &short {
-            // Most machines that report are full, or nearly so.
-            if part.machines.get(host).is_none_or(|m| m.room.cpus + 1e-6 < part.short_least) {
+            // Most machines that heartbeat are full, or nearly so.
+            if partition
+                .machines
+                .get(host)
+                .is_none_or(|m| m.free.cpus + 1e-6 < partition.unplaced_min_cpus)
+            {
                 break;
             }
-            part.place_job(&self.cfg, id, Some(host), now);
+            partition.place_tasks(&self.config, id, Some(host), now);
         }
-        part.short = short;
+        partition.short = short;
     }
 
     /// Stops work of lower rank for jobs that found no room.
     fn preempt(&mut self, name: &str) {
         let now = self.now;
-        let quiet = self.cfg.workers.report * QUIET_REPORTS;
-        let Some(part) = self.parts.get_mut(name).filter(|p| !p.short.is_empty()) else { return };
-        if now < part.preempt_after {
-            part.place_by(part.preempt_after);
+        let quiet = self.config.workers.heartbeat_interval * SILENT_HEARTBEATS;
+        let Some(partition) = self.partitions.get_mut(name).filter(|p| !p.short.is_empty()) else {
+            return;
+        };
+        if now < partition.next_preemption_at {
+            partition.schedule_placement(partition.next_preemption_at);
             return;
         }
-        part.preempt_after = now + PREEMPT_PAUSE;
+        partition.next_preemption_at = now + PREEMPTION_INTERVAL;
         // Room that is being made already, the lowest rank that could still give way, and whether any of it
         // gives way at once.
-        let (mut coming, mut lowest, mut yields) = (0.0, Rank::Prod, false);
-        for slot in part.live_slots() {
+        let (mut coming, mut lowest, mut yields) = (0.0, Priority::Prod, false);
+        for slot in partition.occupied_slots() {
             if slot.wanted {
-                lowest = lowest.max(slot.rank);
+                lowest = lowest.max(slot.priority);
                 yields |= slot.yields;
             } else {
                 coming += slot.need.cpus;
             }
         }
-        let inside = part.guarantees(&self.cfg);
-        for id in part.short.clone() {
-            let Some(job) = part.jobs.get(&id) else { continue };
-            let urgency = urgency(&self.cfg, &self.run_times, job, now);
+        let inside = partition.guarantees(&self.config);
+        for id in partition.short.clone() {
+            let Some(job) = partition.jobs.get(&id) else { continue };
+            let urgency = urgency(&self.config, &self.run_times, job, now);
             let waited = job.since + PREEMPT_AFTER;
             let pressing = waited.max((urgency.latest + 1).saturating_sub(PREEMPT_AHEAD));
             let victims = if now < pressing { Victims::Yielding } else { Victims::Any };
@@ -312,7 +323,7 @@
             let all = f64::from(job.ready.len()) * need.cpus;
             if victims == Victims::Yielding {
                 let soonest = if yields { waited } else { pressing };
-                part.place_by(if now < soonest { soonest } else { pressing });
+                partition.schedule_placement(if now < soonest { soonest } else { pressing });
                 if now < soonest {
                     continue;
                 }
@@ -323,17 +334,20 @@
             if wanted == 0 {
                 continue;
             }
-            part.place_by(now + PREEMPT_PAUSE);
-            let gives_way = lowest > spec.rank || inside.contains(&spec.team);
+            partition.schedule_placement(now + PREEMPTION_INTERVAL);
+            let gives_way = lowest > spec.priority || inside.contains(&spec.team);
             let asks = Preemption { spec: &spec, need, inside: &inside, victims, now, quiet };
-            let stopped =
-                if gives_way { part.make_room(&asks, wanted) } else { Stopped::nothing(wanted) };
+            let stopped = if gives_way {
+                partition.preempt_for(&asks, wanted)
+            } else {
+                Stopped::nothing(wanted)
+            };
             // Only what should start by now has others look for room elsewhere.
-            part.pressed |= stopped.lacking > 0 && victims == Victims::Any;
+            partition.saturated |= stopped.lacking > 0 && victims == Victims::Any;
             for (machine, count) in stopped.on {
                 let text = format!("part {name}: stops {count} on {machine} for {id}");
-                if self.cfg.notes >= Weight::Info {
-                    self.out.push(Effect::Note { weight: Weight::Info, text });
+                if self.config.log_level >= LogLevel::Info {
+                    self.out.push(Effect::Log { log_level: LogLevel::Info, text });
                 }
             }
         }
@@ -356,7 +370,7 @@
 
 impl PartitionJob {
     /// Whether the job has waited so long that higher ranks stop it no more.
-    fn aged(&self, now: Micros) -> bool {
+    fn is_aged(&self, now: Micros) -> bool {
         let after = if self.yields() { IDLE_TIME_AGED_AFTER } else { AGED_AFTER };
         now.saturating_sub(self.since) > after
     }
@@ -364,43 +378,46 @@
     /// Whether higher ranks leave its tasks alone: so does a job whose first tasks begin late. As
     /// the youngest of all they were stopped again and again, while they fetched their image, and
     /// the job had not begun after 250 s.
-    fn sheltered(&self, now: Micros) -> bool {
+    fn is_protected(&self, now: Micros) -> bool {
         let late = now.saturating_sub(self.since) > STARVED_AFTER;
-        let first = self.located.len() <= SHELTERED
+        let first = self.assignments.len() <= PROTECTED_FIRST_TASKS
             && self.finished.is_empty()
             && self.record.finished.is_empty();
-        self.aged(now) || (late && first)
+        self.is_aged(now) || (late && first)
     }
 
     /// Whether the job must begin now whatever else waits, and the rank that it queues with.
     /// Without this, a flood of higher work, or of jobs that can still meet their aims, kept
     /// others from beginning at all.
-    fn standing(&self, now: Micros) -> (bool, Rank) {
-        let rank = self.spec().rank;
-        (self.is_starved(now), if self.aged(now) { rank.min(Rank::Urgent) } else { rank })
+    fn queue_rank(&self, now: Micros) -> (bool, Priority) {
+        let priority = self.spec().priority;
+        (
+            self.is_starved(now),
+            if self.is_aged(now) { priority.min(Priority::Urgent) } else { priority },
+        )
     }
 
     /// Whether the job has not begun although it has waited as long as any may.
     pub(crate) fn is_starved(&self, now: Micros) -> bool {
-        let begun = !self.located.is_empty()
+        let begun = !self.assignments.is_empty()
             || !self.finished.is_empty()
             || !self.record.finished.is_empty();
-        !begun && !self.mistaken() && now.saturating_sub(self.since) > STARVED_AFTER
+        !begun && !self.fails_everywhere() && now.saturating_sub(self.since) > STARVED_AFTER
     }
 }
 
 impl Partition {
     /// Jobs with ready tasks: by rank, guarantee and time.
-    pub fn queue_order(&self, cfg: &Config, run_times: &RunTimes, now: Micros) -> Vec<String> {
-        let guaranteed = self.guarantees(cfg);
+    pub fn queue_order(&self, config: &Config, run_times: &RunTimes, now: Micros) -> Vec<String> {
+        let guaranteed = self.guarantees(config);
         let mut order: Vec<_> = self
             .jobs
             .iter()
             .filter(|(_, j)| !j.ready.is_empty())
             .map(|(id, job)| {
                 let inside = guaranteed.contains(job.spec().team.as_str());
-                let (starved, rank) = job.standing(now);
-                ((!starved, !inside, rank, urgency(cfg, run_times, job, now), job.since), id)
+                let (starved, priority) = job.queue_rank(now);
+                ((!starved, !inside, priority, urgency(config, run_times, job, now), job.since), id)
             })
             .collect();
         order.sort();
@@ -408,52 +425,52 @@
     }
 
     /// Has the queue placed at this time at the latest.
-    fn place_by(&mut self, at: Micros) {
-        self.place_due = Some(self.place_due.map_or(at, |t| t.min(at)));
+    fn schedule_placement(&mut self, at: Micros) {
+        self.placement_due_at = Some(self.placement_due_at.map_or(at, |t| t.min(at)));
     }
 
     /// The teams whose unfinished work fits their guarantee.
-    fn guarantees(&self, cfg: &Config) -> BTreeSet<String> {
-        let inside = cfg.teams.iter().filter(|t| self.inside_guarantee(cfg, &t.name));
+    fn guarantees(&self, config: &Config) -> BTreeSet<String> {
+        let inside = config.teams.iter().filter(|t| self.inside_guarantee(config, &t.name));
         inside.map(|t| t.name.clone()).collect()
     }
 
     /// Gives ready tasks of a job to machines with room, or to one of them only; whether some
     /// found none.
-    fn place_job(&mut self, cfg: &Config, id: &str, only: Option<&str>, now: Micros) -> bool {
-        let quiet = cfg.workers.report * QUIET_REPORTS;
+    fn place_tasks(&mut self, config: &Config, id: &str, only: Option<&str>, now: Micros) -> bool {
+        let quiet = config.workers.heartbeat_interval * SILENT_HEARTBEATS;
         let Some(job) = self.jobs.get(id).filter(|j| !j.ready.is_empty()) else { return false };
         if job.no_start_before > now {
-            self.place_by(job.no_start_before);
+            self.schedule_placement(job.no_start_before);
             return false;
         }
-        if job.mistaken() {
-            self.try_to_clear(cfg, id, now);
-            self.place_by(now + SECOND);
+        if job.fails_everywhere() {
+            self.try_to_clear(config, id, now);
+            self.schedule_placement(now + SECOND);
         }
         let Some(job) = self.jobs.get(id) else { return false };
         let forgives_at = job.forgives_at();
         if let Some(at) = forgives_at.filter(|at| *at > now) {
-            self.place_by(at);
+            self.schedule_placement(at);
         }
         let Some(job) = self.jobs.get(id) else { return false };
         let (spec, need) = (job.spec(), job.need());
         // Where it failed it is tried again only when it fails everywhere, or after a while.
-        let again = job.mistaken() || forgives_at.is_some_and(|at| at <= now);
+        let again = job.fails_everywhere() || forgives_at.is_some_and(|at| at <= now);
         // Replicas of one service go to different machines, so that a loss takes one of them.
         let service = job.service();
         let mut beside: BTreeMap<&str, usize> = BTreeMap::new();
-        for place in job.located.values().filter(|_| service) {
+        for place in job.assignments.values().filter(|_| service) {
             *beside.entry(place.machine.as_str()).or_default() += 1;
         }
-        let kept = self.kept_for.as_ref().filter(|(_, job)| job != id).map(|(host, _)| host);
+        let kept = self.reservation.as_ref().filter(|(_, job)| job != id).map(|(host, _)| host);
         let fit = |host: &str| -> Option<Fit> {
             let machine = self.machines.get(host).filter(|_| kept.is_none_or(|k| k != host))?;
             let fits = machine.open(now, quiet)
-                && machine.room.fits(&need)
+                && machine.free.fits(&need)
                 && (again || !job.failures.includes(host))
                 && !machine.failures.in_doubt(now)
-                && !machine.keeps_room_from(spec.rank, now);
+                && !machine.reserves_capacity_from(spec.priority, now);
             fits.then(|| {
                 let image = if machine.images.contains(&spec.image) {
                     0
@@ -463,20 +480,23 @@
                     2
                 };
                 let beside = beside.get(host).copied().unwrap_or(0);
-                let left = machine.room.cpus - need.cpus;
+                let left = machine.free.cpus - need.cpus;
                 (machine.failures.is_suspect(), beside, image, !machine.record.spot, left)
             })
         };
         let hosts: Vec<(Fit, String)> = match only {
             Some(host) => {
                 let record = self.machines.get(host).map(|m| &m.record);
-                let allowed = record.is_some_and(|r| offer_allowed(spec, &r.kind, &r.zone, r.spot));
+                let allowed =
+                    record.is_some_and(|r| offer_allowed(spec, &r.machine_type, &r.zone, r.spot));
                 let found = fit(host).filter(|_| allowed);
                 found.map(|fit| (fit, host.to_owned())).into_iter().collect()
             }
             None => {
-                let found =
-                    self.free_room_index.with(spec).filter_map(|h| Some((fit(h)?, h.to_owned())));
+                let found = self
+                    .free_capacity_index
+                    .with(spec)
+                    .filter_map(|h| Some((fit(h)?, h.to_owned())));
                 let mut found: Vec<(Fit, String)> = found.collect();
                 let order = |a: &Fit, b: &Fit| a.partial_cmp(b).unwrap_or(Ordering::Equal);
                 found.sort_by(|a, b| order(&a.0, &b.0).then_with(|| a.1.cmp(&b.1)));
@@ -484,18 +504,18 @@
             }
         };
         let bound = spec.one_zone || spec.spread;
-        let allowance = self.team_allowance(cfg, spec, &need);
+        let allowance = self.team_allowance(config, spec, &need);
         let mut left = allowance.min(job.placeable());
-        let on_trial = job.mistaken() && !service;
+        let on_trial = job.fails_everywhere() && !service;
         let rounds = if service { left } else { 1 };
         for (_, host) in (0..rounds).flat_map(|_| &hosts) {
             if left == 0 {
                 break;
             }
             let most = if service { left.min(1) } else { left };
-            let mut count = self.machines.get(host).map_or(0, |m| m.room.count(&need)).min(most);
+            let mut count = self.machines.get(host).map_or(0, |m| m.free.count(&need)).min(most);
             while count > 0 {
-                if bound && !self.zone_open(cfg, id, host) {
+                if bound && !self.zone_open(config, id, host) {
                     break;
                 }
                 let Some(index) = self.jobs.get(id).and_then(|j| j.ready.lowest()) else { break };
@@ -512,45 +532,52 @@
     /// Keeps one machine for the job that has waited longest beyond its time to begin, until one
     /// of its tasks fits there. Tasks are of different sizes, and smaller ones that come all the
     /// time took each piece of room before two of them made room for a larger one.
-    fn keep_room(&mut self, now: Micros) {
-        let starved =
-            |j: &PartitionJob| !j.ready.is_empty() && j.no_start_before <= now && j.standing(now).0;
-        if let Some((host, job)) = &self.kept_for
+    fn update_reservation(&mut self, now: Micros) {
+        let starved = |j: &PartitionJob| {
+            !j.ready.is_empty() && j.no_start_before <= now && j.queue_rank(now).0
+        };
+        if let Some((host, job)) = &self.reservation
             && self.jobs.get(job).is_some_and(|j| starved(j))
             && self.machines.get(host).is_some_and(|m| m.usable())
         {
             return;
         }
         let longest = self.jobs.values().filter(|j| starved(j)).min_by_key(|j| j.since);
-        self.kept_for = longest.and_then(|job| {
+        self.reservation = longest.and_then(|job| {
             let need = job.need();
             let spec = job.spec();
             let (host, _) = self
                 .machines
                 .iter()
                 .filter(|(host, m)| {
-                    let kind = self.types.as_ref().and_then(|t| t.get(&m.record.kind));
+                    let machine_type =
+                        self.types.as_ref().and_then(|t| t.get(&m.record.machine_type));
                     m.usable()
                         && !job.failures.includes(host)
-                        && offer_allowed(spec, &m.record.kind, &m.record.zone, m.record.spot)
-                        && kind.is_some_and(|k| Amounts::of_type(k).fits(&need))
+                        && offer_allowed(
+                            spec,
+                            &m.record.machine_type,
+                            &m.record.zone,
+                            m.record.spot,
+                        )
+                        && machine_type.is_some_and(|k| Resources::capacity_of(k).fits(&need))
                 })
-                .max_by(|a, b| a.1.room.cpus.total_cmp(&b.1.room.cpus))?;
+                .max_by(|a, b| a.1.free.cpus.total_cmp(&b.1.free.cpus))?;
             Some((host.clone(), spec.id.clone()))
         });
     }
 
     /// Whether a task of a job that is bound to zones may start on this machine.
-    fn zone_open(&self, cfg: &Config, id: &str, host: &str) -> bool {
+    fn zone_open(&self, config: &Config, id: &str, host: &str) -> bool {
         let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(host)) else {
             return false;
         };
-        zones_open(self, job, &cfg.zones).is_none_or(|z| z.contains(&machine.record.zone))
+        zones_open(self, job, &config.zones).is_none_or(|z| z.contains(&machine.record.zone))
     }
 
-    /// Whether all unfinished work of a team, as far as this part knows it, fits its guarantee.
-    fn inside_guarantee(&self, cfg: &Config, team: &str) -> bool {
-        let Some(team) = cfg.team(team).filter(|t| t.cpus > 0.0 || t.gpus > 0.0) else {
+    /// Whether all unfinished work of a team, as far as this partition knows it, fits its guarantee.
+    fn inside_guarantee(&self, config: &Config, team: &str) -> bool {
+        let Some(team) = config.team(team).filter(|t| t.cpus > 0.0 || t.gpus > 0.0) else {
             return false;
         };
         let (mut cpus, mut gpus) = (0.0, 0.0);
@@ -565,9 +592,9 @@
 
     /// How many more tasks keep the team inside its limit, counting everything that may be on a
     /// machine.
-    pub fn team_allowance(&self, cfg: &Config, spec: &JobSpec, need: &Amounts) -> u32 {
-        let Some(team) = cfg.team(&spec.team).filter(|t| t.limited()) else { return u32::MAX };
-        if !self.barrier_open || cfg.part_of_team(&team.name) != self.name {
+    pub fn team_allowance(&self, config: &Config, spec: &JobSpec, need: &Resources) -> u32 {
+        let Some(team) = config.team(&spec.team).filter(|t| t.limited()) else { return u32::MAX };
+        if !self.recovery_complete || config.partition_of_team(&team.name) != self.name {
             return 0;
         }
         let (used, certain) = self.team_use(&team.name);
@@ -575,7 +602,7 @@
             return 0;
         }
         let unbound = |most: f64, used: f64| if most > 0.0 { most - used } else { f64::INFINITY };
-        let left = Amounts {
+        let left = Resources {
             cpus: unbound(team.cpus_max, used.cpus),
             gpus: unbound(team.gpus_max, used.gpus),
             ram_gb: f64::INFINITY,
@@ -591,9 +618,12 @@
             return;
         };
         job.ready.remove(index);
-        job.located.insert(index, Place { machine: host.to_owned(), attempt });
+        job.assignments.insert(index, Assignment { machine: host.to_owned(), attempt });
         let key = (TaskId { job: id.to_owned(), index }, attempt);
-        let slot = Slot { patient: job.patient, ..Slot::new(job.spec(), now) };
+        let slot = Slot {
+            can_wait_for_heartbeat: job.can_wait_for_heartbeat,
+            ..Slot::new(job.spec(), now)
+        };
         machine.slots.insert(key, slot);
         self.attempted.entry(id.to_owned()).or_default().insert(host.to_owned());
         machine.idle_since = None;
@@ -609,18 +639,18 @@
     }
 
     /// Stops what costs the least, until so many tasks of a job have room.
-    fn make_room(&mut self, asks: &Preemption, mut wanted: u32) -> Stopped {
+    fn preempt_for(&mut self, asks: &Preemption, mut wanted: u32) -> Stopped {
         let mut stopped = Stopped::nothing(0);
         let mut offers = self.all_stops(asks);
         while wanted > 0 {
             let Some(Stops { gain, machine, attempts, .. }) = offers.pop() else { break };
             stopped.on.push((machine.clone(), attempts.len()));
             if self.takes_time_to_end(&machine, &attempts) {
-                self.keep_room_for(asks.spec.rank, &machine, asks.now);
+                self.reserve_preempted_capacity(asks.spec.priority, &machine, asks.now);
             }
             for key in attempts {
                 if let Some(job) = self.jobs.get_mut(&key.0.job) {
-                    job.stopped.insert(key.0.index);
+                    job.preempted.insert(key.0.index);
                     let leeway = job.record.job.save_s;
                     self.stop(&machine, &key, leeway);
                 }
@@ -646,28 +676,31 @@
     /// Keeps the room that is being made on a machine for work of a rank, or above. The first tasks to end there
     /// left room for lower work at once, so that a task which needs all of it waited for a minute, and the
     /// lower work was stopped six times over.
-    fn keep_room_for(&mut self, rank: Rank, host: &str, now: Micros) {
+    fn reserve_preempted_capacity(&mut self, priority: Priority, host: &str, now: Micros) {
         let Some(machine) = self.machines.get_mut(host) else { return };
-        let rank = machine.making_room.map_or(rank, |room| room.rank.min(rank));
-        machine.making_room = Some(RoomInTheMaking { rank, until: now + ROOM_KEPT_FOR });
-        self.making_room.insert(host.to_owned());
+        let priority =
+            machine.pending_preemption.map_or(priority, |room| room.priority.min(priority));
+        machine.pending_preemption =
+            Some(PendingPreemption { priority, until: now + PREEMPTED_CAPACITY_RESERVED_FOR });
+        self.pending_preemption.insert(host.to_owned());
     }
 
     /// Opens made room to everybody where nothing waits any more that it was made for.
-    fn open_made_room(&mut self, now: Micros) {
-        if self.making_room.is_empty() {
+    fn release_preempted_capacity(&mut self, now: Micros) {
+        if self.pending_preemption.is_empty() {
             return;
         }
-        let waiting = self.short.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.spec().rank);
+        let waiting =
+            self.short.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.spec().priority);
         let most_urgent = waiting.min();
         let machines = &mut self.machines;
-        self.making_room.retain(|host| {
+        self.pending_preemption.retain(|host| {
             let Some(machine) = machines.get_mut(host) else { return false };
-            let awaited = |room: &RoomInTheMaking| {
-                now < room.until && most_urgent.is_some_and(|rank| rank <= room.rank)
+            let awaited = |room: &PendingPreemption| {
+                now < room.until && most_urgent.is_some_and(|priority| priority <= room.priority)
             };
-            machine.making_room = machine.making_room.filter(awaited);
-            machine.making_room.is_some()
+            machine.pending_preemption = machine.pending_preemption.filter(awaited);
+            machine.pending_preemption.is_some()
         });
     }
 
@@ -686,8 +719,8 @@
         let (now, quiet) = (*now, *quiet);
         let machine = self.machines.get(host).filter(|m| m.open(now, quiet))?;
         let record = &machine.record;
-        let kind = self.types.as_ref()?.get(&record.kind)?;
-        if !offer_allowed(spec, &record.kind, &record.zone, record.spot) {
+        let machine_type = self.types.as_ref()?.get(&record.machine_type)?;
+        if !offer_allowed(spec, &record.machine_type, &record.zone, record.spot) {
             return None;
         }
         let claims = inside.contains(&spec.team);
@@ -695,25 +728,25 @@
             .slots
             .iter()
             .filter(|(k, s)| {
-                let lower = s.rank > spec.rank;
+                let lower = s.priority > spec.priority;
                 let borrowed = claims
                     && s.team != spec.team
                     && !s.team.is_empty()
                     && !inside.contains(&s.team);
-                let sheltered = self.jobs.get(&k.0.job).is_some_and(|j| j.sheltered(now));
+                let is_protected = self.jobs.get(&k.0.job).is_some_and(|j| j.is_protected(now));
                 let asked = *victims == Victims::Any || s.yields;
-                s.wanted && !s.exited() && asked && ((lower && !sheltered) || borrowed)
+                s.wanted && !s.exited() && asked && ((lower && !is_protected) || borrowed)
             })
             .map(|(k, s)| {
                 let ran = s.running_since.map_or(0, |t| now.saturating_sub(t));
                 // Sparing them for good made the older ones pay, and lost more work.
-                let again = self.jobs.get(&k.0.job).is_none_or(|j| j.stopped.contains(k.0.index));
-                let ran = if again { ran + STOPPED_AGAIN } else { ran };
+                let again = self.jobs.get(&k.0.job).is_none_or(|j| j.preempted.contains(k.0.index));
+                let ran = if again { ran + REPEATED_PREEMPTION_COST } else { ran };
                 (ran as f64 * s.need.cpus.max(0.1), k, s)
             })
             .collect();
         stoppable.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut free = machine.room;
+        let mut free = machine.free;
         let (mut lost, mut attempts) = (0.0, Vec::new());
         for (cost, key, slot) in stoppable {
             if free.fits(need) {
@@ -725,7 +758,7 @@
         }
         // Fetching the image takes its time on the way to the start as well.
         if !machine.images.contains(&spec.image) {
-            let pull = spec.image_gb / kind.pull_gb_per_s.max(0.01);
+            let pull = spec.image_gb / machine_type.pull_gb_per_s.max(0.01);
             lost += pull * 1e6 * need.cpus.max(0.1);
         }
         let gain = free.count(need);
--- a/crates/quartzlever-core/src/placement/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/placement/tests.rs
@@ -5,29 +5,29 @@
 #[test]
 fn nothing_waits_for_ever() {
     // (seconds since a standard job came, whether it has begun, rank of a fresh one; who is first)
-    for (age, begun, rank, first) in [
-        (10, false, Rank::Urgent, "req-2"),
-        (10, false, Rank::Prod, "req-2"),
-        (160, false, Rank::Urgent, "req-1"),
-        (160, false, Rank::Prod, "req-1"),
-        (160, true, Rank::Urgent, "req-2"),
-        (250, true, Rank::Prod, "req-2"),
+    for (age, begun, priority, first) in [
+        (10, false, Priority::Urgent, "req-2"),
+        (10, false, Priority::Prod, "req-2"),
+        (160, false, Priority::Urgent, "req-1"),
+        (160, false, Priority::Prod, "req-1"),
+        (160, true, Priority::Urgent, "req-2"),
+        (250, true, Priority::Prod, "req-2"),
     ] {
         let mut core = core();
         core.wall_offset = Some(0);
         let mut old = spec(4);
         old.due_s = Some(20.0);
-        absorb_job(&mut core, &old, 10, NOW - age * SECOND);
+        reconcile_test_job(&mut core, &old, 10, NOW - age * SECOND);
         let mut fresh = spec(2);
-        (fresh.id, fresh.rank) = ("req-2".into(), rank);
-        absorb_job(&mut core, &fresh, 11, NOW);
-        let job = core.parts.get_mut("one").and_then(|p| p.jobs.get_mut("req-1"));
+        (fresh.id, fresh.priority) = ("req-2".into(), priority);
+        reconcile_test_job(&mut core, &fresh, 11, NOW);
+        let job = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1"));
         if let Some(job) = job.filter(|_| begun) {
             job.finished.insert(0);
             job.ready.remove(0);
         }
-        let order = core.parts["one"].queue_order(&core.cfg, &core.run_times, NOW);
-        assert_eq!(order.first().map(String::as_str), Some(first), "{age} {begun} {rank:?}");
+        let order = core.partitions["one"].queue_order(&core.config, &core.run_times, NOW);
+        assert_eq!(order.first().map(String::as_str), Some(first), "{age} {begun} {priority:?}");
     }
 }
 
@@ -35,7 +35,7 @@
 fn tasks_go_only_where_their_job_allows() {
     type Change = fn(&mut JobSpec);
     type Case<'a> = (&'a str, Change, &'a [(&'a str, usize)]);
-    let fleet: &[(&str, &str, &str, bool)] =
+    let autoscaling: &[(&str, &str, &str, bool)] =
         &[("n-1", "m", "a", false), ("n-2", "m", "b", true), ("n-3", "x", "b", false)];
     // (what the job asks, by machine what it gets of four processors a task)
     let cases: &[Case] = &[
@@ -56,7 +56,7 @@
     ];
     for (name, change, expected) in cases {
         let mut core = core();
-        machines(&mut core, fleet);
+        machines(&mut core, autoscaling);
         let mut job = spec(4);
         job.cpus = 4.0;
         change(&mut job);
@@ -71,28 +71,28 @@
 fn only_lower_ranks_give_way_and_only_in_need() {
     // (rank that runs, rank that comes, how many give way)
     for (runs, comes, stopped) in [
-        (Rank::Standard, Rank::Urgent, 1),
-        (Rank::BestEffort, Rank::Standard, 1),
-        (Rank::Urgent, Rank::Prod, 1),
-        (Rank::Standard, Rank::Standard, 0),
-        (Rank::Urgent, Rank::Standard, 0),
+        (Priority::Standard, Priority::Urgent, 1),
+        (Priority::BestEffort, Priority::Standard, 1),
+        (Priority::Urgent, Priority::Prod, 1),
+        (Priority::Standard, Priority::Standard, 0),
+        (Priority::Urgent, Priority::Standard, 0),
     ] {
         let mut core = core();
         machines(&mut core, &[("n-1", "m", "a", false)]);
         let mut first = spec(2);
-        (first.cpus, first.rank) = (4.0, runs);
+        (first.cpus, first.priority) = (4.0, runs);
         queue_job(&mut core, &first, 10);
         let mut second = spec(1);
-        (second.id, second.cpus, second.rank) = ("req-2".into(), 4.0, comes);
+        (second.id, second.cpus, second.priority) = ("req-2".into(), 4.0, comes);
         second.due_s = Some(4.0);
         queue_job(&mut core, &second, 11);
         let unwanted = |core: &Core| {
-            core.parts["one"].machines["n-1"].slots.values().filter(|s| !s.wanted).count()
+            core.partitions["one"].machines["n-1"].slots.values().filter(|s| !s.wanted).count()
         };
         assert_eq!(unwanted(&core), 0, "{runs:?} {comes:?}: at once");
         core.now = NOW + quartzlever_wire::SECOND;
-        if let Some(part) = core.parts.get_mut("one") {
-            part.place_wanted = true;
+        if let Some(partition) = core.partitions.get_mut("one") {
+            partition.placement_wanted = true;
         }
         core.place("one");
         assert_eq!(unwanted(&core), stopped, "{runs:?} {comes:?}: when it presses");
@@ -106,27 +106,27 @@
     use quartzlever_wire::SECOND;
     // (rank that runs, its checkpoints, rank that comes, how many give way long before it presses)
     for (runs, checkpoint_s, comes, stopped) in [
-        (Rank::BestEffort, 30.0, Rank::Standard, 1),
-        (Rank::BestEffort, 30.0, Rank::Urgent, 1),
-        (Rank::BestEffort, 30.0, Rank::BestEffort, 0),
-        (Rank::BestEffort, 0.0, Rank::Standard, 0),
-        (Rank::Standard, 30.0, Rank::Urgent, 0),
+        (Priority::BestEffort, 30.0, Priority::Standard, 1),
+        (Priority::BestEffort, 30.0, Priority::Urgent, 1),
+        (Priority::BestEffort, 30.0, Priority::BestEffort, 0),
+        (Priority::BestEffort, 0.0, Priority::Standard, 0),
+        (Priority::Standard, 30.0, Priority::Urgent, 0),
     ] {
         let mut core = core();
         machines(&mut core, &[("n-1", "m", "a", false)]);
-        let guest = JobSpec { cpus: 4.0, rank: runs, checkpoint_s, ..spec(2) };
+        let guest = JobSpec { cpus: 4.0, priority: runs, checkpoint_s, ..spec(2) };
         queue_job(&mut core, &guest, 10);
-        let other = JobSpec { id: "req-2".into(), cpus: 4.0, rank: comes, ..spec(1) };
+        let other = JobSpec { id: "req-2".into(), cpus: 4.0, priority: comes, ..spec(1) };
         queue_job(&mut core, &JobSpec { due_s: Some(600.0), ..other }, 11);
         core.now = NOW + SECOND;
-        let part = core.parts.get_mut("one").expect("it is held");
-        part.place_wanted = true;
+        let partition = core.partitions.get_mut("one").expect("it is held");
+        partition.placement_wanted = true;
         core.place("one");
-        let part = &core.parts["one"];
-        let unwanted = part.machines["n-1"].slots.values().filter(|s| !s.wanted).count();
+        let partition = &core.partitions["one"];
+        let unwanted = partition.machines["n-1"].slots.values().filter(|s| !s.wanted).count();
         assert_eq!(unwanted, stopped, "{runs:?} {checkpoint_s} {comes:?}");
         // It goes on where there is room, and nobody is asked for help before it presses.
-        assert!(!part.pressed, "{runs:?} {checkpoint_s} {comes:?}");
+        assert!(!partition.saturated, "{runs:?} {checkpoint_s} {comes:?}");
     }
 }
 
@@ -137,13 +137,13 @@
     for (open, stranger, starts) in [(true, false, 4), (false, false, 0), (true, true, 0)] {
         let mut core = core();
         machines(&mut core, &[("n-1", "m", "a", false), ("n-2", "m", "a", false)]);
-        if let Some(part) = core.parts.get_mut("one") {
-            part.barrier_open = open;
+        if let Some(partition) = core.partitions.get_mut("one") {
+            partition.recovery_complete = open;
             if stranger {
-                let mut slot = crate::machine::Slot::new(&spec(1), NOW);
+                let mut slot = crate::machines::machine::Slot::new(&spec(1), NOW);
                 slot.team = String::new();
                 let task = quartzlever_wire::workers::TaskId { job: "req-9".into(), index: 0 };
-                if let Some(machine) = part.machines.get_mut("n-1") {
+                if let Some(machine) = partition.machines.get_mut("n-1") {
                     machine.slots.insert((task, 1), slot);
                 }
             }
@@ -167,9 +167,9 @@
         let mut core = core();
         machines(&mut core, &[("n-1", "m", "a", false)]);
         let mut first = spec(tasks + u32::from(done));
-        (first.cpus, first.rank) = (8.0 / f64::from(tasks), Rank::Standard);
+        (first.cpus, first.priority) = (8.0 / f64::from(tasks), Priority::Standard);
         queue_job(&mut core, &first, 10);
-        if let Some(job) = core.parts.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
+        if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
             job.since = NOW - age * SECOND;
             if done {
                 job.ready = Ranges::default();
@@ -177,15 +177,15 @@
             }
         }
         let mut second = spec(1);
-        (second.id, second.cpus, second.rank) = ("req-2".into(), 1.0, Rank::Urgent);
+        (second.id, second.cpus, second.priority) = ("req-2".into(), 1.0, Priority::Urgent);
         second.due_s = Some(4.0);
         queue_job(&mut core, &second, 11);
         core.now = NOW + SECOND;
-        if let Some(part) = core.parts.get_mut("one") {
-            part.place_wanted = true;
+        if let Some(partition) = core.partitions.get_mut("one") {
+            partition.placement_wanted = true;
         }
         core.place("one");
-        let slots = core.parts["one"].machines["n-1"].slots.values();
+        let slots = core.partitions["one"].machines["n-1"].slots.values();
         assert_eq!(slots.filter(|s| !s.wanted).count(), stopped, "{age} {tasks} {done}");
     }
 }
@@ -199,23 +199,23 @@
         let mut core = core();
         machines(&mut core, &[("n-1", "m", "a", false)]);
         let mut running = spec(1);
-        (running.id, running.cpus, running.rank) = ("req-7".into(), 4.0, Rank::Prod);
+        (running.id, running.cpus, running.priority) = ("req-7".into(), 4.0, Priority::Prod);
         queue_job(&mut core, &running, 10);
         let mut old = spec(2);
         old.cpus = 8.0;
         queue_job(&mut core, &old, 11);
-        if let Some(job) = core.parts.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
+        if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
             job.since = NOW - age * SECOND;
         }
         let mut fresh = spec(1);
-        (fresh.id, fresh.cpus, fresh.rank) = ("req-2".into(), 4.0, Rank::Urgent);
+        (fresh.id, fresh.cpus, fresh.priority) = ("req-2".into(), 4.0, Priority::Urgent);
         queue_job(&mut core, &fresh, 12);
         assert_eq!(placed(&core, "req-2").len(), small, "{age}: takes the room");
         // The first task ends.
-        if let Some(part) = core.parts.get_mut("one") {
-            part.drop_job("req-7", NOW);
-            part.empty_machine("n-1");
-            part.place_wanted = true;
+        if let Some(partition) = core.partitions.get_mut("one") {
+            partition.drop_job("req-7", NOW);
+            partition.empty_machine("n-1");
+            partition.placement_wanted = true;
         }
         core.now += SECOND;
         core.place("one");
@@ -231,28 +231,29 @@
     use quartzlever_wire::SECOND;
     let mut core = core();
     machines(&mut core, &[("n-1", "m", "a", false)]);
-    let guest = JobSpec { rank: Rank::BestEffort, checkpoint_s: 30.0, save_s: 3.0, ..spec(20) };
+    let guest =
+        JobSpec { priority: Priority::BestEffort, checkpoint_s: 30.0, save_s: 3.0, ..spec(20) };
     queue_job(&mut core, &guest, 10);
     let wide = JobSpec { id: "req-2".into(), cpus: 8.0, due_s: Some(600.0), ..spec(1) };
     queue_job(&mut core, &wide, 11);
     let place = |core: &mut Core, now| {
         core.now = now;
-        core.parts.get_mut("one").expect("it is held").place_wanted = true;
+        core.partitions.get_mut("one").expect("it is held").placement_wanted = true;
         core.place("one");
     };
     place(&mut core, NOW + SECOND);
-    let stopped = |core: &Core| -> Vec<crate::machine::SlotKey> {
-        let slots = &core.parts["one"].machines["n-1"].slots;
+    let stopped = |core: &Core| -> Vec<crate::machines::machine::SlotKey> {
+        let slots = &core.partitions["one"].machines["n-1"].slots;
         slots.iter().filter(|(_, s)| !s.wanted).map(|(key, _)| key.clone()).collect()
     };
     let keys = stopped(&core);
     assert_eq!(keys.len(), 4, "all that is on the machine");
     for (n, key) in keys.iter().enumerate() {
         assert_eq!(placed(&core, &wide.id), [], "{n} have ended");
-        let part = core.parts.get_mut("one").expect("it is held");
-        part.machines["n-1"].slots.remove(key);
-        part.requeue(&key.0, key.1);
-        part.refresh("n-1");
+        let partition = core.partitions.get_mut("one").expect("it is held");
+        partition.machines["n-1"].slots.remove(key);
+        partition.requeue(&key.0, key.1);
+        partition.refresh("n-1");
         core.fill("one", "n-1");
         place(&mut core, NOW + 2 * SECOND + n as u64 * SECOND / 5);
     }
@@ -267,27 +268,27 @@
 fn old_idle_time_work_does_not_go_before_deadlines() {
     use quartzlever_wire::SECOND;
     // (rank of the old job, its checkpoints, seconds since it came, it has begun; who is first)
-    for (rank, checkpoint_s, age, begun, first) in [
-        (Rank::BestEffort, 30.0, 250, true, "req-2"),
-        (Rank::BestEffort, 30.0, 590, true, "req-2"),
-        (Rank::BestEffort, 30.0, 610, true, "req-1"),
-        (Rank::BestEffort, 30.0, 160, false, "req-1"),
-        (Rank::BestEffort, 0.0, 250, true, "req-1"),
-        (Rank::Standard, 30.0, 250, true, "req-1"),
+    for (priority, checkpoint_s, age, begun, first) in [
+        (Priority::BestEffort, 30.0, 250, true, "req-2"),
+        (Priority::BestEffort, 30.0, 590, true, "req-2"),
+        (Priority::BestEffort, 30.0, 610, true, "req-1"),
+        (Priority::BestEffort, 30.0, 160, false, "req-1"),
+        (Priority::BestEffort, 0.0, 250, true, "req-1"),
+        (Priority::Standard, 30.0, 250, true, "req-1"),
     ] {
         let mut core = core();
         core.wall_offset = Some(0);
-        let old = JobSpec { rank, checkpoint_s, ..spec(4) };
-        absorb_job(&mut core, &old, 10, NOW - age * SECOND);
+        let old = JobSpec { priority, checkpoint_s, ..spec(4) };
+        reconcile_test_job(&mut core, &old, 10, NOW - age * SECOND);
         let fresh = JobSpec { id: "req-2".into(), due_s: Some(60.0), ..spec(2) };
-        absorb_job(&mut core, &fresh, 11, NOW);
-        let job = core.parts.get_mut("one").and_then(|p| p.jobs.get_mut("req-1"));
+        reconcile_test_job(&mut core, &fresh, 11, NOW);
+        let job = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1"));
         if let Some(job) = job.filter(|_| begun) {
             job.finished.insert(0);
             job.ready.remove(0);
         }
-        let order = core.parts["one"].queue_order(&core.cfg, &core.run_times, NOW);
+        let order = core.partitions["one"].queue_order(&core.config, &core.run_times, NOW);
         let found = order.first().map(String::as_str);
-        assert_eq!(found, Some(first), "{rank:?} {checkpoint_s} {age} {begun}");
+        assert_eq!(found, Some(first), "{priority:?} {checkpoint_s} {age} {begun}");
     }
 }
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -1,39 +1,41 @@
-//! Adaptive work stealing: an idle part asks a few random peers for their ready counts, steals
+//! Adaptive work stealing: an idle partition asks a few random peers for their ready counts, steals
 //! half the ready tasks of the most loaded, and doubles its wait after a failure.
 
-use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, Room, ThiefRoom};
-use quartzlever_wire::state::{LiveRecord, OverRecord, PARTS, StateCall, StateReply};
-use quartzlever_wire::users::{JobPhase, Rank};
+use quartzlever_wire::peers::{FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity};
+use quartzlever_wire::store::{
+    ActiveJobRecord, PARTITION_PREFIX, StoreCall, StoreReply, TerminalJobRecord,
+};
+use quartzlever_wire::users::{JobPhase, Priority};
 use quartzlever_wire::{CallError, Json, Micros, Ranges, SECOND};
 use rand::seq::IndexedRandom;
 
 use crate::config::Config;
-use crate::engine::{CONTACT_LOST, Core, Waiting};
-use crate::ledger::Change;
-use crate::machine::{Amounts, Slot};
-use crate::messages::{Effect, Lane, RequestId, Weight};
-use crate::partition::{Partition, live_key};
-use crate::placement::offer_allowed;
+use crate::machines::machine::{Resources, Slot};
+use crate::messages::{CallPriority, Effect, LogLevel, RequestId};
+use crate::partition::{Partition, active_job_key};
+use crate::router::{Core, PendingStoreCall, STORE_UNREACHABLE_AFTER};
+use crate::scheduling::placement::offer_allowed;
+use crate::store::write_budget::WriteKind;
 
 /// What an answer from a peer belongs to.
 #[derive(Debug)]
-pub(crate) enum PeerWork {
+pub(crate) enum PendingPeerCall {
     Count {
         round: u64,
         node: String,
     },
     Steal {
-        part: String,
+        partition: String,
     },
-    /// Whether the peer reaches the state service.
-    Contact,
-    /// A holder was told how many of a part's machines come here.
-    Heard {
-        part: String,
+    /// Whether the peer reaches the store.
+    StoreConnectivity,
+    /// A leader was told how many of a partition's machines come here.
+    MachinesSeen {
+        partition: String,
         machines: u32,
     },
     /// Something was only told.
-    Told,
+    Notification,
 }
 
 /// Ranges of one job that a transaction moves, and the job's record after it.
@@ -41,18 +43,18 @@
 pub(crate) struct Move {
     pub job: String,
     pub cut: Ranges,
-    pub record: LiveRecord,
+    pub record: ActiveJobRecord,
 }
 
 /// One round of asking for counts.
 #[derive(Debug)]
 struct Round {
     number: u64,
-    part: String,
-    rank: Rank,
+    partition: String,
+    priority: Priority,
     open: usize,
     most: Option<(u32, String)>,
-    /// The part is not idle, but its queue may be much shorter than another's: that one.
+    /// The partition is not idle, but its queue may be much shorter than another's: that one.
     longest: Option<(Load, String)>,
     idle: bool,
 }
@@ -67,76 +69,80 @@
     /// A steal is under way.
     waiting: bool,
     /// When a peer last said that it is pressed, and when this node may next say so.
-    peer_pressed: Option<Micros>,
-    next_press: Micros,
-    pub next_home_ask: Micros,
+    peer_saturated_at: Option<Micros>,
+    next_saturation_notice_at: Micros,
+    pub next_handback_request_at: Micros,
 }
 
 impl Stealing {
-    pub fn new(cfg: &Config) -> Self {
+    pub fn new(config: &Config) -> Self {
         Stealing {
-            interval: cfg.operator.steal_start,
+            interval: config.operator.steal_start,
             next: 0,
             rounds: 0,
             round: None,
             waiting: false,
-            peer_pressed: None,
-            next_press: 0,
-            next_home_ask: 0,
+            peer_saturated_at: None,
+            next_saturation_notice_at: 0,
+            next_handback_request_at: 0,
         }
     }
 }
 
 /// How long a peer's word that it is pressed counts, and how often it is given.
-const PRESSED: Micros = SECOND;
-const LOOK: Micros = SECOND / 10;
+const SATURATION_LIFETIME: Micros = SECOND;
+const CHECK_INTERVAL: Micros = SECOND / 10;
 
-/// A part counts as idle beside a peer whose queue lasts this many times as long as its own, and
-/// so many seconds more. Stealing by parts without any ready task did nothing for a part whose
+/// A partition counts as idle beside a peer whose queue lasts this many times as long as its own, and
+/// so many seconds more. Stealing by partitions without any ready task did nothing for a partition whose
 /// machines were taken, while all others had queues of their own: its jobs waited 500 s.
-const LONGER: f64 = 2.0;
-const LONGER_S: f64 = 10.0;
+const MUCH_LONGER_FACTOR: f64 = 2.0;
+const MUCH_LONGER_MARGIN_S: f64 = 10.0;
 
-fn much_longer(queue: &Load, than: &Load) -> bool {
-    queue.drain_s() > than.drain_s() * LONGER + LONGER_S
+fn is_much_longer(queue: &Load, than: &Load) -> bool {
+    queue.drain_s() > than.drain_s() * MUCH_LONGER_FACTOR + MUCH_LONGER_MARGIN_S
 }
 
-/// The kinds of machines that a part has, each with the room of an empty one: what does not fit
+/// The kinds of machines that a partition has, each with the room of an empty one: what does not fit
 /// there is not moved to its queue.
-fn kinds_of(core: &Core, part: &Partition) -> ThiefRoom {
-    let mut free: Vec<Room> = Vec::new();
-    for record in part.machines.values().filter(|m| m.usable()).map(|m| &m.record) {
-        let known =
-            |r: &Room| r.kind == record.kind && r.zone == record.zone && r.spot == record.spot;
-        let Some(kind) = core.types.as_ref().and_then(|t| t.get(&record.kind)) else { continue };
+fn machine_types_of(core: &Core, partition: &Partition) -> ThiefCapacity {
+    let mut free: Vec<FreeCapacity> = Vec::new();
+    for record in partition.machines.values().filter(|m| m.usable()).map(|m| &m.record) {
+        let known = |r: &FreeCapacity| {
+            r.machine_type == record.machine_type && r.zone == record.zone && r.spot == record.spot
+        };
+        let Some(machine_type) = core.types.as_ref().and_then(|t| t.get(&record.machine_type))
+        else {
+            continue;
+        };
         if !free.iter().any(known) {
-            free.push(Room {
-                kind: record.kind.clone(),
+            free.push(FreeCapacity {
+                machine_type: record.machine_type.clone(),
                 zone: record.zone.clone(),
                 spot: record.spot,
-                cpus: kind.cpus,
-                gpus: kind.gpus,
-                ram_gb: kind.ram_gb,
+                cpus: machine_type.cpus,
+                gpus: machine_type.gpus,
+                ram_gb: machine_type.ram_gb,
             });
         }
     }
-    ThiefRoom { free }
+    ThiefCapacity { free }
 }
 
 /// Room on open machines, as the thief tells it; for tasks of a rank, what lower work could give
 /// way to counts as room.
-fn room_of(core: &Core, part: &Partition, rank: Rank) -> ThiefRoom {
-    let quiet = core.cfg.workers.report * 3;
-    let free = part
+fn free_capacity_of(core: &Core, partition: &Partition, priority: Priority) -> ThiefCapacity {
+    let quiet = core.config.workers.heartbeat_interval * 3;
+    let free = partition
         .machines
         .values()
         .filter(|m| m.open(core.now, quiet))
         .filter_map(|m| {
-            let mut free = m.room;
-            let lower = |s: &&Slot| s.wanted && !s.exited() && s.rank > rank;
+            let mut free = m.free;
+            let lower = |s: &&Slot| s.wanted && !s.exited() && s.priority > priority;
             m.slots.values().filter(lower).for_each(|s| free.give(&s.need));
-            (free.cpus > 0.0).then(|| Room {
-                kind: m.record.kind.clone(),
+            (free.cpus > 0.0).then(|| FreeCapacity {
+                machine_type: m.record.machine_type.clone(),
                 zone: m.record.zone.clone(),
                 spot: m.record.spot,
                 cpus: free.cpus,
@@ -145,182 +151,196 @@
             })
         })
         .collect();
-    ThiefRoom { free }
+    ThiefCapacity { free }
 }
 
 impl Core {
-    /// An idle part goes looking for work when its wait is over.
-    pub(crate) fn keep_stealing(&mut self) {
+    /// An idle partition goes looking for work when its wait is over.
+    pub(crate) fn poll_stealing(&mut self) {
         if self.now < self.stealing.next
             || self.stealing.waiting
             || self.stealing.round.is_some()
-            || !self.sure()
+            || !self.may_act()
         {
             return;
         }
-        let (part, rank, idle) = match (self.thief(), self.lightest()) {
-            (Some((part, rank)), _) => (part, rank, true),
-            (None, Some(part)) => (part, Rank::BestEffort, false),
+        let (partition, priority, idle) = match (self.thief(), self.lightest()) {
+            (Some((partition, priority)), _) => (partition, priority, true),
+            (None, Some(partition)) => (partition, Priority::BestEffort, false),
             (None, None) => {
                 // Looked for again a little later, not at every step.
-                self.stealing.next = self.now + LOOK;
+                self.stealing.next = self.now + CHECK_INTERVAL;
                 return;
             }
         };
-        if !idle && self.even_out_here(&part) {
+        if !idle && self.even_out_here(&partition) {
             return;
         }
-        // Parts held by one node lend to each other by the same move, without a message.
+        // Partitions held by one node lend to each other by the same move, without a message.
         if let Some((_, victim)) = self
-            .parts
+            .partitions
             .values()
-            .filter(|p| p.name != part && p.active())
-            .map(|p| (p.movable_count(&self.cfg, rank), p.name.clone()))
+            .filter(|p| p.name != partition && p.active())
+            .map(|p| (p.movable_count(&self.config, priority), p.name.clone()))
             .max()
             .filter(|(ready, _)| idle && *ready > 0)
         {
             self.stealing.next = self.now + self.stealing.interval;
-            let (Some(thief), Some(_)) = (self.parts.get(&part), self.parts.get(&victim)) else {
+            let (Some(thief), Some(_)) =
+                (self.partitions.get(&partition), self.partitions.get(&victim))
+            else {
                 return;
             };
-            let (term, room) = (thief.term, room_of(self, thief, rank));
-            self.cut_for(None, &victim, &part, term, rank, &room, None);
+            let (term, room) = (thief.term, free_capacity_of(self, thief, priority));
+            self.steal_tasks(None, &victim, &partition, term, priority, &room, None);
             return;
         }
-        let peers: Vec<&String> = self.cfg.nodes.iter().filter(|n| **n != self.cfg.node).collect();
+        let peers: Vec<&String> =
+            self.config.nodes.iter().filter(|n| **n != self.config.node).collect();
         let asked: Vec<String> = peers
-            .choose_multiple(&mut self.rng, self.cfg.operator.peers_asked)
+            .choose_multiple(&mut self.rng, self.config.operator.peers_asked)
             .map(|n| (*n).clone())
             .collect();
         if asked.is_empty() {
-            self.stealing.next = self.now + self.cfg.operator.steal_cap;
+            self.stealing.next = self.now + self.config.operator.steal_cap;
             return;
         }
         self.stealing.rounds += 1;
         let number = self.stealing.rounds;
         let open = asked.len();
-        let round = Round { number, part, rank, open, most: None, longest: None, idle };
+        let round = Round { number, partition, priority, open, most: None, longest: None, idle };
         self.stealing.round = Some(round);
         for node in asked {
-            let work = PeerWork::Count { round: number, node: node.clone() };
-            self.ask_peer(&node, PeerRequest::Counts { rank }, work);
+            let work = PendingPeerCall::Count { round: number, node: node.clone() };
+            self.ask_peer(&node, PeerRequest::Counts { priority }, work);
         }
     }
 
-    /// The part that goes stealing, and the lowest rank it would take: one without any ready
+    /// The partition that goes stealing, and the lowest rank it would take: one without any ready
     /// task and with free room; or, while a peer is pressed, one that could let lower work give
     /// way and has no ready task of that rank itself.
-    fn thief(&self) -> Option<(String, Rank)> {
-        let all = Rank::BestEffort;
-        let fits = |p: &Partition, rank| {
-            p.active() && p.ready_count(rank) == 0 && !room_of(self, p, rank).free.is_empty()
+    fn thief(&self) -> Option<(String, Priority)> {
+        let all = Priority::BestEffort;
+        let fits = |p: &Partition, priority| {
+            p.active()
+                && p.ready_count(priority) == 0
+                && !free_capacity_of(self, p, priority).free.is_empty()
         };
-        let named = |p: &Partition, rank| Some((p.name.clone(), rank));
-        if let Some(part) = self.parts.values().find(|p| fits(p, all)) {
-            return named(part, all);
+        let named = |p: &Partition, priority| Some((p.name.clone(), priority));
+        if let Some(partition) = self.partitions.values().find(|p| fits(p, all)) {
+            return named(partition, all);
         }
-        // A part held by this very node may be the pressed one: nobody tells, and the urgent tasks
-        // of one part waited 25 s while another's machines ran lower work.
-        let told = self.stealing.peer_pressed.filter(|t| self.now.saturating_sub(*t) < PRESSED);
-        if told.is_none() && !self.parts.values().any(|p| p.pressed) {
+        // A partition held by this very node may be the pressed one: nobody tells, and the urgent tasks
+        // of one partition waited 25 s while another's machines ran lower work.
+        let saturated_peer = self
+            .stealing
+            .peer_saturated_at
+            .filter(|t| self.now.saturating_sub(*t) < SATURATION_LIFETIME);
+        if saturated_peer.is_none() && !self.partitions.values().any(|p| p.saturated) {
             return None;
         }
-        for rank in [Rank::Standard, Rank::Urgent, Rank::Prod] {
-            if let Some(part) = self.parts.values().find(|p| fits(p, rank)) {
-                return named(part, rank);
+        for priority in [Priority::Standard, Priority::Urgent, Priority::Prod] {
+            if let Some(partition) = self.partitions.values().find(|p| fits(p, priority)) {
+                return named(partition, priority);
             }
         }
         None
     }
 
-    /// How long a part's queue is.
-    fn load_of(&self, part: &Partition) -> Load {
-        let jobs = part.jobs.values().filter(|j| !j.ready.is_empty() && !j.mistaken());
+    /// How long a partition's queue is.
+    fn load_of(&self, partition: &Partition) -> Load {
+        let jobs = partition.jobs.values().filter(|j| !j.ready.is_empty() && !j.fails_everywhere());
         let work = jobs.map(|j| {
             let each = self.run_times.expect(j.spec()) as f64 / 1e6 * j.spec().cpus;
             f64::from(j.ready.len()) * each
         });
-        let kinds = part.machines.values().filter(|m| m.usable()).filter_map(|m| {
-            self.types.as_ref().and_then(|t| t.get(&m.record.kind)).map(|t| t.cpus)
+        let processors = partition.machines.values().filter(|m| m.usable()).filter_map(|m| {
+            self.types.as_ref().and_then(|t| t.get(&m.record.machine_type)).map(|t| t.cpus)
         });
-        Load { work: work.sum(), cpus: kinds.sum() }
+        Load { work: work.sum(), cpus: processors.sum() }
     }
 
-    /// The load of the part held here whose queue lasts longest.
+    /// The load of the partition held here whose queue lasts longest.
     fn longest_here(&self, but: Option<&str>) -> Option<(Load, String)> {
-        let parts = self.parts.values().filter(|p| p.active() && Some(p.name.as_str()) != but);
-        let loads = parts.map(|p| (self.load_of(p), p.name.clone()));
+        let partitions =
+            self.partitions.values().filter(|p| p.active() && Some(p.name.as_str()) != but);
+        let loads = partitions.map(|p| (self.load_of(p), p.name.clone()));
         loads.max_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s()))
     }
 
-    /// The part held here whose queue is gone first, if it has machines.
+    /// The partition held here whose queue is gone first, if it has machines.
     fn lightest(&self) -> Option<String> {
-        let parts = self.parts.values().filter(|p| p.active() && p.barrier_open);
-        let loads = parts.map(|p| (self.load_of(p), p.name.clone())).filter(|l| l.0.cpus > 0.0);
+        let partitions = self.partitions.values().filter(|p| p.active() && p.recovery_complete);
+        let loads =
+            partitions.map(|p| (self.load_of(p), p.name.clone())).filter(|l| l.0.cpus > 0.0);
         loads.min_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s())).map(|(_, name)| name)
     }
 
-    /// Moves work of a part without machines to another one held by this very node; whether there
-    /// was any to move. Queues are not evened out further here: the standard tasks of a part with
+    /// Moves work of a partition without machines to another one held by this very node; whether there
+    /// was any to move. Queues are not evened out further here: the standard tasks of a partition with
     /// many urgent ones went to others, so that nothing was left there to give way to those.
-    fn even_out_here(&mut self, part: &str) -> bool {
-        let Some(thief) = self.parts.get(part) else { return false };
-        let (own, term, room) = (self.load_of(thief), thief.term, kinds_of(self, thief));
-        let Some((longest, victim)) = self.longest_here(Some(part)) else { return false };
-        if longest.cpus > 0.0 || !much_longer(&longest, &own) {
+    fn even_out_here(&mut self, partition: &str) -> bool {
+        let Some(thief) = self.partitions.get(partition) else { return false };
+        let (own, term, room) = (self.load_of(thief), thief.term, machine_types_of(self, thief));
+        let Some((longest, victim)) = self.longest_here(Some(partition)) else { return false };
+        if longest.cpus > 0.0 || !is_much_longer(&longest, &own) {
             return false;
         }
         self.stealing.next = self.now + self.stealing.interval;
-        self.cut_for(None, &victim, part, term, Rank::BestEffort, &room, Some(own));
+        self.steal_tasks(None, &victim, partition, term, Priority::BestEffort, &room, Some(own));
         true
     }
 
     /// Tells the peers that tasks should start now and cannot.
-    pub(crate) fn tell_pressed(&mut self) {
-        let pressed = self.parts.values().any(|p| p.pressed);
-        if !pressed || self.now < self.stealing.next_press {
+    pub(crate) fn notify_saturated(&mut self) {
+        let saturated = self.partitions.values().any(|p| p.saturated);
+        if !saturated || self.now < self.stealing.next_saturation_notice_at {
             return;
         }
-        self.stealing.next_press = self.now + PRESSED;
-        for node in self.cfg.nodes.clone() {
-            if node != self.cfg.node {
-                self.ask_peer(&node, PeerRequest::Pressed, PeerWork::Told);
+        self.stealing.next_saturation_notice_at = self.now + SATURATION_LIFETIME;
+        for node in self.config.nodes.clone() {
+            if node != self.config.node {
+                self.ask_peer(&node, PeerRequest::Saturated, PendingPeerCall::Notification);
             }
         }
     }
 
     /// How long until the next steal.
     #[cfg(test)]
-    pub(crate) fn steal_wait(&self) -> Micros {
+    pub(crate) fn next_steal_in(&self) -> Micros {
         self.stealing.next - self.now
     }
 
     pub(crate) fn steal_failed(&mut self) {
         self.stealing.waiting = false;
         self.stealing.next = self.now + self.stealing.interval;
-        self.stealing.interval = (self.stealing.interval * 2).min(self.cfg.operator.steal_cap);
+        self.stealing.interval = (self.stealing.interval * 2).min(self.config.operator.steal_cap);
     }
 
     pub(crate) fn steal_succeeded(&mut self) {
         self.stealing.waiting = false;
-        self.stealing.interval = self.cfg.operator.steal_start;
+        self.stealing.interval = self.config.operator.steal_start;
         self.stealing.next = self.now;
     }
 
-    pub(crate) fn peer_done(&mut self, work: PeerWork, result: Result<PeerAnswer, CallError>) {
+    pub(crate) fn peer_replied(
+        &mut self,
+        work: PendingPeerCall,
+        result: Result<PeerAnswer, CallError>,
+    ) {
         match work {
-            PeerWork::Told => {}
-            PeerWork::Heard { part, machines } => {
+            PendingPeerCall::Notification => {}
+            PendingPeerCall::MachinesSeen { partition, machines } => {
                 if result.is_err() {
-                    self.heard_untold(&part, machines);
+                    self.store_machines_seen(&partition, machines);
                 }
             }
-            PeerWork::Contact => {
-                if let Ok(PeerAnswer::Contact { reached: true }) = result {
-                    self.peer_reaches_state();
+            PendingPeerCall::StoreConnectivity => {
+                if let Ok(PeerAnswer::StoreConnectivity { reached: true }) = result {
+                    self.peer_reaches_store();
                 }
             }
-            PeerWork::Count { round, node } => {
+            PendingPeerCall::Count { round, node } => {
                 let Some(open) = self.stealing.round.as_mut().filter(|r| r.number == round) else {
                     return;
                 };
@@ -338,15 +358,15 @@
                     self.steal_from_most();
                 }
             }
-            PeerWork::Steal { part } => match result {
+            PendingPeerCall::Steal { partition } => match result {
                 Ok(PeerAnswer::Stolen { jobs }) => {
-                    for (_, stamp, record) in jobs {
-                        if let Ok(record) = serde_json::from_str::<LiveRecord>(&record) {
-                            self.absorb(record, stamp);
+                    for (_, mod_revision, record) in jobs {
+                        if let Ok(record) = serde_json::from_str::<ActiveJobRecord>(&record) {
+                            self.reconcile_job(record, mod_revision);
                         }
                     }
-                    if let Some(part) = self.parts.get_mut(&part) {
-                        part.place_wanted = true;
+                    if let Some(partition) = self.partitions.get_mut(&partition) {
+                        partition.placement_wanted = true;
                     }
                     self.steal_succeeded();
                 }
@@ -362,89 +382,102 @@
             return self.even_out_with(round);
         }
         let target = round.most.filter(|(ready, _)| *ready > 0);
-        let (Some((_, node)), Some(part)) = (target, self.parts.get(&round.part)) else {
+        let (Some((_, node)), Some(partition)) = (target, self.partitions.get(&round.partition))
+        else {
             return self.steal_failed();
         };
-        let rank = round.rank;
-        let thief = room_of(self, part, rank);
-        if part.ready_count(rank) > 0 || thief.free.is_empty() {
+        let priority = round.priority;
+        let thief = free_capacity_of(self, partition, priority);
+        if partition.ready_count(priority) > 0 || thief.free.is_empty() {
             // Work of our own has come in the meantime.
             self.stealing.next = self.now + self.stealing.interval;
             return;
         }
-        let (name, term) = (part.name.clone(), part.term);
-        let request = PeerRequest::Steal { part: name, term, rank, thief, load: None };
+        let (name, term) = (partition.name.clone(), partition.term);
+        let request = PeerRequest::Steal { partition: name, term, priority, thief, load: None };
         self.stealing.waiting = true;
-        self.ask_peer(&node, request, PeerWork::Steal { part: round.part });
+        self.ask_peer(&node, request, PendingPeerCall::Steal { partition: round.partition });
     }
 
-    /// Takes from the peer whose queue lasts longest, if that is much longer than the part's own.
+    /// Takes from the peer whose queue lasts longest, if that is much longer than the partition's own.
     fn even_out_with(&mut self, round: Round) {
-        let Some(part) = self.parts.get(&round.part) else { return self.steal_failed() };
-        let (own, term, thief) = (self.load_of(part), part.term, kinds_of(self, part));
-        let Some((_, node)) = round.longest.filter(|(load, _)| much_longer(load, &own)) else {
+        let Some(partition) = self.partitions.get(&round.partition) else {
             return self.steal_failed();
         };
-        let (part, rank) = (round.part.clone(), round.rank);
-        let request = PeerRequest::Steal { part, term, rank, thief, load: Some(own) };
+        let (own, term, thief) =
+            (self.load_of(partition), partition.term, machine_types_of(self, partition));
+        let Some((_, node)) = round.longest.filter(|(load, _)| is_much_longer(load, &own)) else {
+            return self.steal_failed();
+        };
+        let (partition, priority) = (round.partition.clone(), round.priority);
+        let request = PeerRequest::Steal { partition, term, priority, thief, load: Some(own) };
         self.stealing.waiting = true;
-        self.ask_peer(&node, request, PeerWork::Steal { part: round.part });
+        self.ask_peer(&node, request, PendingPeerCall::Steal { partition: round.partition });
     }
 
     /// A peer asks something.
     pub(crate) fn peer_request(&mut self, id: RequestId, request: PeerRequest) {
         let answer = match request {
-            PeerRequest::Pressed => {
+            PeerRequest::Saturated => {
                 // The wait after failures is over early: there is something to be had.
-                self.stealing.peer_pressed = Some(self.now);
-                self.stealing.interval = self.cfg.operator.steal_start;
+                self.stealing.peer_saturated_at = Some(self.now);
+                self.stealing.interval = self.config.operator.steal_start;
                 self.stealing.next = self.now;
                 PeerAnswer::Nothing
             }
-            PeerRequest::Contact => {
-                PeerAnswer::Contact { reached: self.now < self.contact.heard + CONTACT_LOST }
-            }
-            PeerRequest::Counts { rank } => {
+            PeerRequest::StoreConnectivity => PeerAnswer::StoreConnectivity {
+                reached: self.now < self.store_connectivity.last_reply_at + STORE_UNREACHABLE_AFTER,
+            },
+            PeerRequest::Counts { priority } => {
                 let ready = self
-                    .parts
+                    .partitions
                     .values()
                     .filter(|p| p.active())
-                    .map(|p| p.movable_count(&self.cfg, rank))
+                    .map(|p| p.movable_count(&self.config, priority))
                     .sum();
                 let load = self.longest_here(None).map_or(Load::default(), |(load, _)| load);
                 PeerAnswer::Counts { ready, load }
             }
-            PeerRequest::HandBack { part } => {
-                self.home_asks(&part);
+            PeerRequest::HandBack { partition } => {
+                self.handback_requests(&partition);
                 PeerAnswer::Nothing
             }
-            PeerRequest::Heard { part, machines } => {
-                self.told_heard(part, machines);
+            PeerRequest::MachinesSeen { partition, machines } => {
+                self.note_machines_seen(partition, machines);
                 PeerAnswer::Nothing
             }
             // The program's own matter: its log takes them.
             PeerRequest::Logged(_) => PeerAnswer::Nothing,
             PeerRequest::Cancelled { job, done } => {
-                self.job_over(&job, OverRecord { phase: JobPhase::Aborted, done });
+                self.job_terminated(&job, TerminalJobRecord { phase: JobPhase::Cancelled, done });
                 PeerAnswer::Nothing
             }
-            PeerRequest::Rented { part, hosts } => {
+            PeerRequest::ScaledOut { partition, hosts } => {
                 for host in hosts {
-                    self.cloud.hint(host, &part, self.now);
+                    self.cloud.note_launch(host, &partition, self.now);
                 }
                 PeerAnswer::Nothing
             }
-            PeerRequest::Steal { part, term, rank, thief, load } => {
+            PeerRequest::Steal { partition, term, priority, thief, load } => {
                 let most = self
-                    .parts
+                    .partitions
                     .values()
-                    .filter(|p| p.active() && p.name != part)
-                    .max_by_key(|p| p.movable_count(&self.cfg, rank))
+                    .filter(|p| p.active() && p.name != partition)
+                    .max_by_key(|p| p.movable_count(&self.config, priority))
                     .map(|p| p.name.clone());
-                let longest = load.and_then(|_| self.longest_here(Some(&part))).map(|(_, v)| v);
+                let longest =
+                    load.and_then(|_| self.longest_here(Some(&partition))).map(|(_, v)| v);
                 match longest.or(most) {
-                    Some(victim) if self.sure() => {
-                        return self.cut_for(Some(id), &victim, &part, term, rank, &thief, load);
+                    Some(victim) if self.may_act() => {
+                        return self.steal_tasks(
+                            Some(id),
+                            &victim,
+                            &partition,
+                            term,
+                            priority,
+                            &thief,
+                            load,
+                        );
                     }
                     _ => PeerAnswer::Nothing,
                 }
@@ -462,32 +495,34 @@
     /// Cuts ready ranges off the victim's queue and writes the move; the thief is told after
     /// the write is in force.
     #[allow(clippy::too_many_arguments)]
-    fn cut_for(
+    fn steal_tasks(
         &mut self,
         request: Option<RequestId>,
         victim: &str,
         thief: &str,
         term: u64,
-        rank: Rank,
-        room: &ThiefRoom,
+        priority: Priority,
+        room: &ThiefCapacity,
         load: Option<Load>,
     ) {
-        let fraction = self.cfg.operator.steal_fraction;
+        let fraction = self.config.operator.steal_fraction;
         let most_jobs = self.limits.txn_ops.clamp(1, 8);
         let value_bytes = self.limits.value_bytes;
-        let order = match self.parts.get(victim) {
-            Some(part) => part.queue_order(&self.cfg, &self.run_times, self.now),
+        let order = match self.partitions.get(victim) {
+            Some(partition) => partition.queue_order(&self.config, &self.run_times, self.now),
             None => return self.answer_nothing(request),
         };
         // A thief with a queue of its own takes what evens out the two, and nothing urgent: that
         // starts here as soon as it can, unless there are no machines at all.
-        let own = self.parts.get(victim).map_or(Load::default(), |p| self.load_of(p));
+        let own = self.partitions.get(victim).map_or(Load::default(), |p| self.load_of(p));
         let mut excess = load.map(|thief| own.excess_over(&thief));
-        let least = if load.is_some() && own.cpus > 0.0 { Rank::Standard } else { Rank::Prod };
+        let least =
+            if load.is_some() && own.cpus > 0.0 { Priority::Standard } else { Priority::Prod };
         let (run_times, pages) = (&self.run_times, &self.pages);
-        let Some(part) = self.parts.get_mut(victim) else { return };
-        let mut left = (f64::from(part.movable_count(&self.cfg, rank)) * fraction).ceil() as u32;
-        let mut txn = part.txn().when(format!("{PARTS}{thief}"), term);
+        let Some(partition) = self.partitions.get_mut(victim) else { return };
+        let mut left =
+            (f64::from(partition.movable_count(&self.config, priority)) * fraction).ceil() as u32;
+        let mut txn = partition.txn().when(format!("{PARTITION_PREFIX}{thief}"), term);
         let mut free = room.free.clone();
         let mut moved: Vec<Move> = Vec::new();
         let mut bytes = 0;
@@ -495,8 +530,8 @@
             if left == 0 || moved.len() >= most_jobs {
                 break;
             }
-            let Some(job) = part.jobs.get_mut(&id) else { continue };
-            if !movable(&self.cfg, job, rank) || job.spec().rank < least {
+            let Some(job) = partition.jobs.get_mut(&id) else { continue };
+            if !movable(&self.config, job, priority) || job.spec().priority < least {
                 continue;
             }
             let count = match &mut excess {
@@ -524,47 +559,51 @@
             }
             bytes += size;
             left -= cut.len();
-            job.cutting.add(&cut);
+            job.moving.add(&cut);
             job.writing = true;
-            txn = txn.when(live_key(&id), job.stamp).write(live_key(&id), value);
+            txn = txn.when(active_job_key(&id), job.mod_revision).write(active_job_key(&id), value);
             moved.push(Move { job: id, cut, record });
         }
         if moved.is_empty() {
             return self.answer_nothing(request);
         }
-        if !self.ledger.allows(Change::Move, moved.len()) {
+        if !self.write_budget.try_spend(WriteKind::Move, moved.len()) {
             self.take_back(victim, moved);
             return self.answer_nothing(request);
         }
-        let waiting =
-            Waiting::StealWrite { part: victim.to_owned(), term: part.term, request, moved };
-        self.state(Lane::Work, StateCall::Txn(txn), waiting);
+        let waiting = PendingStoreCall::StealWrite {
+            partition: victim.to_owned(),
+            term: partition.term,
+            request,
+            moved,
+        };
+        self.call_store(CallPriority::Work, StoreCall::Txn(txn), waiting);
     }
 
-    /// The state service has answered the write of a move, or not.
+    /// The store has answered the write of a move, or not.
     pub(crate) fn steal_written(
         &mut self,
         name: &str,
         term: u64,
         request: Option<RequestId>,
         moved: Vec<Move>,
-        result: Result<StateReply, CallError>,
+        result: Result<StoreReply, CallError>,
     ) {
-        if self.part_at(name, term).is_none() {
+        if self.partition_at_term(name, term).is_none() {
             return self.answer_nothing(request);
         }
         match result {
-            Ok(StateReply::Committed(stamp)) => {
-                return self.move_committed(name, request, moved, stamp);
+            Ok(StoreReply::Committed(mod_revision)) => {
+                return self.move_committed(name, request, moved, mod_revision);
             }
-            Ok(StateReply::Conflict(failed)) => self.move_conflicted(name, term, moved, &failed),
+            Ok(StoreReply::Conflict(failed)) => self.move_conflicted(name, term, moved, &failed),
             Err(CallError::Refused | CallError::TooOften) | Ok(_) => {
                 self.take_back(name, moved);
-                if let Some(part) = self.parts.get_mut(name) {
-                    part.place_wanted = true;
+                if let Some(partition) = self.partitions.get_mut(name) {
+                    partition.placement_wanted = true;
                 }
             }
-            Err(CallError::Unknown) => self.move_doubtful(name, moved),
+            Err(CallError::Unknown) => self.move_outcome_unknown(name, moved),
         }
         self.answer_nothing(request);
     }
@@ -575,27 +614,27 @@
         name: &str,
         request: Option<RequestId>,
         moved: Vec<Move>,
-        stamp: u64,
+        mod_revision: u64,
     ) {
         let mut jobs = Vec::new();
         for Move { job: id, cut, mut record } in moved {
             let text = Json::of(&self.pages.stored_form(&record)).text().to_owned();
-            if let Some(job) = self.parts.get_mut(name).and_then(|p| p.jobs.get_mut(&id)) {
+            if let Some(job) = self.partitions.get_mut(name).and_then(|p| p.jobs.get_mut(&id)) {
                 job.writing = false;
-                job.cutting.subtract(&cut);
-                if stamp > job.stamp {
+                job.moving.subtract(&cut);
+                if mod_revision > job.mod_revision {
                     // A page may have told of finished tasks meanwhile.
                     record.finished.add(&job.record.finished);
-                    job.stamp = stamp;
+                    job.mod_revision = mod_revision;
                     job.record = record.clone();
                 }
             }
-            // The thief may be another part of this very process.
-            self.absorb(record, stamp);
-            jobs.push((id, stamp, text));
+            // The thief may be another partition of this very process.
+            self.reconcile_job(record, mod_revision);
+            jobs.push((id, mod_revision, text));
         }
         let count = jobs.len();
-        self.note(Weight::Info, || format!("part {name}: tasks of {count} jobs stolen"));
+        self.log(LogLevel::Info, || format!("part {name}: tasks of {count} jobs stolen"));
         match request {
             Some(id) => {
                 let answer = PeerAnswer::Stolen { jobs };
@@ -608,22 +647,22 @@
     /// The move can no longer come into force: what is still owned returns to the queue, and jobs whose
     /// records have changed are read again.
     fn move_conflicted(&mut self, name: &str, term: u64, moved: Vec<Move>, failed: &[String]) {
-        let Some(part) = self.parts.get_mut(name) else { return };
+        let Some(partition) = self.partitions.get_mut(name) else { return };
         let mut again = Vec::new();
         for Move { job: id, cut, .. } in moved {
-            let Some(job) = part.jobs.get_mut(&id) else { continue };
+            let Some(job) = partition.jobs.get_mut(&id) else { continue };
             job.writing = false;
-            job.cutting.subtract(&cut);
+            job.moving.subtract(&cut);
             let owned = job.record.owned_by(name);
             job.ready.add(&cut.intersect(&owned));
-            if failed.contains(&live_key(&id)) {
+            if failed.contains(&active_job_key(&id)) {
                 job.writing = true;
                 again.push(id);
             }
         }
-        part.place_wanted = true;
-        if failed.contains(&part.key()) {
-            self.lose_part(name, term);
+        partition.placement_wanted = true;
+        if failed.contains(&partition.key()) {
+            self.lose_partition(name, term);
         }
         for id in again {
             self.reread_job(name, term, &id);
@@ -632,78 +671,81 @@
 
     /// The move was not carried out: its tasks return to the queue.
     fn take_back(&mut self, name: &str, moved: Vec<Move>) {
-        let Some(part) = self.parts.get_mut(name) else { return };
+        let Some(partition) = self.partitions.get_mut(name) else { return };
         for Move { job: id, cut, .. } in moved {
-            let Some(job) = part.jobs.get_mut(&id) else { continue };
+            let Some(job) = partition.jobs.get_mut(&id) else { continue };
             job.writing = false;
-            job.cutting.subtract(&cut);
+            job.moving.subtract(&cut);
             job.ready.add(&cut);
         }
     }
 
     /// The move may still come into force, minutes late. Its tasks stay cut until another write at the
-    /// same stamp, or a newer record, has settled the matter.
-    fn move_doubtful(&mut self, name: &str, moved: Vec<Move>) {
+    /// same modification revision, or a newer record, has settled the matter.
+    fn move_outcome_unknown(&mut self, name: &str, moved: Vec<Move>) {
         let soon = self.now + SECOND / 4;
-        let Some(part) = self.parts.get_mut(name) else { return };
+        let Some(partition) = self.partitions.get_mut(name) else { return };
         for Move { job: id, .. } in moved {
-            let Some(job) = part.jobs.get_mut(&id) else { continue };
+            let Some(job) = partition.jobs.get_mut(&id) else { continue };
             job.writing = false;
-            job.doubtful = true;
-            job.wants_write = true;
-            job.write_after = soon;
+            job.write_outcome_unknown = true;
+            job.needs_write = true;
+            job.write_not_before = soon;
         }
     }
 }
 
-/// Whether tasks of the job may go to another part.
-fn movable(cfg: &Config, job: &crate::partition::PartitionJob, rank: Rank) -> bool {
+/// Whether tasks of the job may go to another partition.
+fn movable(config: &Config, job: &crate::partition::PartitionJob, priority: Priority) -> bool {
     let spec = job.spec();
-    // A limited team stays in its part, zones are counted within one part, and services stay put.
+    // A limited team stays in its partition, zones are counted within one partition, and services stay put.
     !job.writing
-        && spec.rank <= rank
-        && !job.doubtful
+        && spec.priority <= priority
+        && !job.write_outcome_unknown
         && !job.ready.is_empty()
         // Elsewhere it would fail on as many machines again.
-        && !job.mistaken()
-        && !cfg.limited(&spec.team)
+        && !job.fails_everywhere()
+        && !config.limited(&spec.team)
         && !spec.one_zone
         && !spec.spread
         && !spec.is_service()
 }
 
 /// How many of the job's ready tasks the thief has room for, taking that room.
-fn fit_count(free: &mut [Room], job: &crate::partition::PartitionJob, most: u32) -> u32 {
+fn fit_count(free: &mut [FreeCapacity], job: &crate::partition::PartitionJob, most: u32) -> u32 {
     let need = job.need();
     let mut count = 0;
     let most = most.min(job.ready.len());
     for room in free {
-        if !offer_allowed(job.spec(), &room.kind, &room.zone, room.spot) {
+        if !offer_allowed(job.spec(), &room.machine_type, &room.zone, room.spot) {
             continue;
         }
-        let mut amounts = Amounts { cpus: room.cpus, gpus: room.gpus, ram_gb: room.ram_gb };
-        while count < most && amounts.fits(&need) {
-            amounts.take(&need);
+        let mut resources = Resources { cpus: room.cpus, gpus: room.gpus, ram_gb: room.ram_gb };
+        while count < most && resources.fits(&need) {
+            resources.take(&need);
             count += 1;
         }
-        (room.cpus, room.gpus, room.ram_gb) = (amounts.cpus, amounts.gpus, amounts.ram_gb);
+        (room.cpus, room.gpus, room.ram_gb) = (resources.cpus, resources.gpus, resources.ram_gb);
     }
     count
 }
 
 /// Whether a task of the job could ever run on one of these machines.
-fn fits_somewhere(free_room_index: &[Room], job: &crate::partition::PartitionJob) -> bool {
+fn fits_somewhere(
+    free_capacity_index: &[FreeCapacity],
+    job: &crate::partition::PartitionJob,
+) -> bool {
     let need = job.need();
-    free_room_index.iter().any(|r| {
-        let amounts = Amounts { cpus: r.cpus, gpus: r.gpus, ram_gb: r.ram_gb };
-        offer_allowed(job.spec(), &r.kind, &r.zone, r.spot) && amounts.fits(&need)
+    free_capacity_index.iter().any(|r| {
+        let resources = Resources { cpus: r.cpus, gpus: r.gpus, ram_gb: r.ram_gb };
+        offer_allowed(job.spec(), &r.machine_type, &r.zone, r.spot) && resources.fits(&need)
     })
 }
 
 impl Partition {
     /// Ready tasks that a thief could take.
-    pub fn movable_count(&self, cfg: &Config, rank: Rank) -> u32 {
-        self.jobs.values().filter(|j| movable(cfg, j, rank)).map(|j| j.ready.len()).sum()
+    pub fn movable_count(&self, config: &Config, priority: Priority) -> u32 {
+        self.jobs.values().filter(|j| movable(config, j, priority)).map(|j| j.ready.len()).sum()
     }
 }
 
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -1,14 +1,14 @@
 //! Steals, as tables.
 
-use crate::jobs::{JobWrite, JobWriteKind};
+use crate::jobs::{JobWrite, JobWriteAction};
 use crate::testing::*;
 
 #[test]
 fn a_cut_of_unknown_outcome_is_settled_before_it_is_used() {
     // (outcome of the move, of the write that settles it; ready tasks after each)
-    let committed = Ok(StateReply::Committed(20));
-    let conflict = Ok(StateReply::Conflict(vec!["live/req-1".into()]));
-    for (name, moved, settled, after_move, after) in [
+    let committed = Ok(StoreReply::Committed(20));
+    let conflict = Ok(StoreReply::Conflict(vec!["live/req-1".into()]));
+    for (name, moved, accounted, after_move, after) in [
         ("refused", Err(CallError::Refused), None, "0-3", "0-3"),
         ("conflict", conflict.clone(), None, "0-3", "0-3"),
         (
@@ -29,28 +29,28 @@
         ("in force", committed, None, "0-1", "0-1"),
     ] {
         let mut core = core();
-        core.absorb(record("0-3", ""), 10);
+        core.reconcile_job(record("0-3", ""), 10);
         let cut: Ranges = "2-3".parse().unwrap_or_default();
-        if let Some(job) = core.parts.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
+        if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
             job.ready.subtract(&cut);
-            job.cutting.add(&cut);
+            job.moving.add(&cut);
             job.writing = true;
         }
         let the_move = Move { job: "req-1".into(), cut, record: record("0-1", "2-3") };
         core.steal_written("one", 5, None, vec![the_move], moved);
-        let ready = |core: &Core| core.parts["one"].jobs["req-1"].ready.to_string();
+        let ready = |core: &Core| core.partitions["one"].jobs["req-1"].ready.to_string();
         assert_eq!(ready(&core), after_move, "{name}");
-        if let Some(settled) = settled {
+        if let Some(accounted) = accounted {
             core.job_written(
                 JobWrite {
-                    part: "one".into(),
+                    partition: "one".into(),
                     term: 5,
                     job: "req-1".into(),
-                    kind: JobWriteKind::Record,
+                    action: JobWriteAction::Record,
                     recorded: Ranges::default(),
                     pages: Vec::new(),
                 },
-                settled,
+                accounted,
             );
             assert_eq!(ready(&core), after, "{name}");
         }
@@ -60,7 +60,7 @@
 #[test]
 fn a_part_with_a_queue_takes_from_a_much_longer_one_only() {
     // (tasks ready beside the four that run, the peer's movable tasks and its load; whether the
-    // part goes and takes)
+    // partition goes and takes)
     for (name, tasks, ready, work, cpus, takes) in [
         ("both last 12 s", 20, 16, 96.0, 8.0, false),
         ("longer", 20, 16, 240.0, 8.0, false),
@@ -70,17 +70,17 @@
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         ready_machine(&mut core);
-        queue_tasks(&mut core, tasks, Rank::Standard, 2.0);
+        queue_tasks(&mut core, tasks, Priority::Standard, 2.0);
         let mut effects = core.step(NOW, Vec::new());
         effects.extend(core.step(NOW + SECOND, Vec::new()));
         let asked = effects.iter().find_map(|e| match e {
-            Effect::Peer { token, request: PeerRequest::Counts { .. }, .. } => Some(*token),
+            Effect::Peer { call_id, request: PeerRequest::Counts { .. }, .. } => Some(*call_id),
             _ => None,
         });
-        let Some(token) = asked else { panic!("{name}: nobody is asked") };
+        let Some(call_id) = asked else { panic!("{name}: nobody is asked") };
         let load = Load { work, cpus };
         let result = Ok(PeerAnswer::Counts { ready, load });
-        let effects = core.step(NOW + SECOND, vec![Command::Asked { token, result }]);
+        let effects = core.step(NOW + SECOND, vec![Command::PeerReply { call_id, result }]);
         let found = effects.iter().any(|e| {
             matches!(e, Effect::Peer { request: PeerRequest::Steal { load: Some(_), .. }, .. })
         });
@@ -92,23 +92,23 @@
 fn what_evens_out_two_queues_moves_and_nothing_urgent() {
     // (rank, processors a task, whether the victim has a machine of 8, the thief's work; tasks
     // that move), of 20, of which 4 run where there is a machine
-    for (name, rank, cpus, machine, work, moves) in [
-        ("half of what is ready", Rank::Standard, 2.0, true, 0.0, 8),
-        ("the thief has a queue", Rank::Standard, 2.0, true, 48.0, 4),
-        ("both last equally long", Rank::Standard, 2.0, true, 96.0, 0),
-        ("urgent ones start here", Rank::Urgent, 2.0, true, 0.0, 0),
-        ("unless nothing is here", Rank::Urgent, 2.0, false, 0.0, 10),
-        ("too large for the thief", Rank::Standard, 9.0, false, 0.0, 0),
+    for (name, priority, cpus, machine, work, moves) in [
+        ("half of what is ready", Priority::Standard, 2.0, true, 0.0, 8),
+        ("the thief has a queue", Priority::Standard, 2.0, true, 48.0, 4),
+        ("both last equally long", Priority::Standard, 2.0, true, 96.0, 0),
+        ("urgent ones start here", Priority::Urgent, 2.0, true, 0.0, 0),
+        ("unless nothing is here", Priority::Urgent, 2.0, false, 0.0, 10),
+        ("too large for the thief", Priority::Standard, 9.0, false, 0.0, 0),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         if machine {
             ready_machine(&mut core);
         }
-        queue_tasks(&mut core, 20, rank, cpus);
+        queue_tasks(&mut core, 20, priority, cpus);
         core.step(NOW, Vec::new());
         core.step(NOW + 2 * SECOND, Vec::new());
-        let room = Room {
-            kind: "m".into(),
+        let room = FreeCapacity {
+            machine_type: "m".into(),
             zone: "a".into(),
             spot: true,
             cpus: 8.0,
@@ -116,54 +116,63 @@
             ram_gb: 64.0,
         };
         let request = PeerRequest::Steal {
-            part: "two".into(),
+            partition: "two".into(),
             term: 6,
-            rank: Rank::BestEffort,
-            thief: ThiefRoom { free: vec![room] },
+            priority: Priority::BestEffort,
+            thief: ThiefCapacity { free: vec![room] },
             load: Some(Load { work, cpus: 8.0 }),
         };
-        core.step(NOW + 2 * SECOND, vec![Command::Peer { id: 1, request }]);
-        let cut = core.parts["one"].jobs["req-1"].cutting.len();
+        core.step(NOW + 2 * SECOND, vec![Command::PeerRequest { id: 1, request }]);
+        let cut = core.partitions["one"].jobs["req-1"].moving.len();
         assert_eq!(cut, moves, "{name}");
     }
 }
 
 #[test]
 fn a_pressed_part_finds_the_other_parts_of_its_node() {
-    // (whether the part is pressed; whether the other one takes its urgent tasks)
-    for pressed in [false, true] {
+    // (whether the partition is pressed; whether the other one takes its urgent tasks)
+    for saturated in [false, true] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "one", 6)]);
         // Its machine is at hand: the work of a partition without any moves in any case.
         ready_machine(&mut core);
-        queue_tasks(&mut core, 4, Rank::Urgent, 2.0);
+        queue_tasks(&mut core, 4, Priority::Urgent, 2.0);
         // Partition two has a machine, full of lower work, and a queue of that.
         let mut two = Partition::new("two", 6, core.types.clone(), NOW);
-        (two.loaded, two.barrier_open) = (true, true);
-        two.add_machine("n-2", host_record("n-2", "two"), true, NOW);
-        core.parts.insert("two".into(), two);
-        let cfg = core.cfg.clone();
-        if let Some(part) = core.parts.get_mut("two") {
-            part.take_report(&cfg, &mut RunTimes::default(), &report_idle("n-2", 1, 6), true, NOW);
+        (two.loaded, two.recovery_complete) = (true, true);
+        two.add_machine("n-2", machine_record_of("n-2", "two"), true, NOW);
+        core.partitions.insert("two".into(), two);
+        let config = core.config.clone();
+        if let Some(partition) = core.partitions.get_mut("two") {
+            partition.apply_heartbeat(
+                &config,
+                &mut RunTimes::default(),
+                &idle_heartbeat("n-2", 1, 6),
+                true,
+                NOW,
+            );
         }
-        let job = JobSpec { id: "req-2".into(), rank: Rank::Standard, ..spec(8) };
-        let share = Share { part: "two".into(), term: 6, tasks: Ranges::first(8) };
+        let job = JobSpec { id: "req-2".into(), priority: Priority::Standard, ..spec(8) };
+        let share = Share { partition: "two".into(), term: 6, tasks: Ranges::first(8) };
         let finished = Ranges::default();
         let shares = vec![share];
-        core.absorb(LiveRecord { finished, ..LiveRecord::new(job, NOW, shares) }, 11);
+        core.reconcile_job(
+            ActiveJobRecord { finished, ..ActiveJobRecord::new(job, NOW, shares) },
+            11,
+        );
         core.step(NOW, Vec::new());
         core.step(NOW + 2 * SECOND, Vec::new());
-        core.stealing = crate::stealing::Stealing::new(&core.cfg);
-        if let Some(part) = core.parts.get_mut("one") {
-            part.pressed = pressed;
+        core.stealing = crate::stealing::Stealing::new(&core.config);
+        if let Some(partition) = core.partitions.get_mut("one") {
+            partition.saturated = saturated;
             // Whatever the steps have moved is here again.
-            if let Some(job) = part.jobs.get_mut("req-1") {
-                (job.ready, job.cutting) = (Ranges::first(4), Ranges::default());
+            if let Some(job) = partition.jobs.get_mut("req-1") {
+                (job.ready, job.moving) = (Ranges::first(4), Ranges::default());
                 job.writing = false;
             }
         }
-        core.keep_stealing();
-        let cut = core.parts["one"].jobs["req-1"].cutting.len();
-        assert_eq!(cut > 0, pressed, "pressed {pressed}");
+        core.poll_stealing();
+        let cut = core.partitions["one"].jobs["req-1"].moving.len();
+        assert_eq!(cut > 0, saturated, "pressed {saturated}");
     }
 }
 
@@ -176,9 +185,9 @@
         for _ in 0..failures {
             core.steal_failed();
         }
-        assert_eq!(core.steal_wait(), wait * SECOND, "{failures} failures");
+        assert_eq!(core.next_steal_in(), wait * SECOND, "{failures} failures");
         core.steal_succeeded();
         core.steal_failed();
-        assert_eq!(core.steal_wait(), SECOND, "after a success");
+        assert_eq!(core.next_steal_in(), SECOND, "after a success");
     }
 }
--- a/crates/quartzlever-core/src/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -1,18 +1,21 @@
-//! Reading all records of the state service: at the start, and again when the watch has fallen so far
-//! behind that the state service no longer knows what it missed.
+//! Reading all records of the store: at the start, and again when the watch has fallen so far
+//! behind that the store no longer knows what it missed.
 //!
 //! One listing is under way at a time, section by section and page by page; a page that belongs to an
 //! earlier listing is ignored. Later pages may tell of changes after the first one, and the watch, which
 //! begins at the revision of the first page, tells of these again.
 
 use quartzlever_wire::pages::PAGES;
-use quartzlever_wire::state::{CLUSTER, HOSTS, LIVE, PARTS, Row, Rows, StateCall, StateReply};
+use quartzlever_wire::store::{
+    ACTIVE_JOB_PREFIX, CLUSTER_PREFIX, MACHINE_PREFIX, PARTITION_PREFIX, Row, Rows, StoreCall,
+    StoreReply,
+};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
-use crate::cache::Cache;
-use crate::engine::{Core, Waiting};
-use crate::leases::parse;
-use crate::messages::{Lane, Weight};
+use crate::leadership::parse;
+use crate::messages::{CallPriority, LogLevel};
+use crate::router::{Core, PendingStoreCall};
+use crate::store::cache::Cache;
 
 /// After a page that was not read.
 const RETRY: Micros = SECOND / 2;
@@ -35,11 +38,11 @@
 
     pub(crate) fn prefix(self) -> &'static str {
         match self {
-            Section::Partitions => PARTS,
-            Section::Machines => HOSTS,
-            Section::Jobs => LIVE,
+            Section::Partitions => PARTITION_PREFIX,
+            Section::Machines => MACHINE_PREFIX,
+            Section::Jobs => ACTIVE_JOB_PREFIX,
             Section::Pages => PAGES,
-            Section::Cluster => CLUSTER,
+            Section::Cluster => CLUSTER_PREFIX,
         }
     }
 
@@ -66,11 +69,11 @@
 
 impl Cache {
     fn clear(&mut self) {
-        self.parts.clear();
-        self.blocks.clear();
-        self.hosts.clear();
-        self.live.clear();
-        self.unread.clear();
+        self.partitions.clear();
+        self.ownership_groups.clear();
+        self.group_of_machine.clear();
+        self.active_jobs.clear();
+        self.unreadable_jobs.clear();
     }
 }
 
@@ -81,15 +84,15 @@
         if self.cache.listing.is_some() || now < self.cache.retry_at {
             return;
         }
-        self.cache.listings += 1;
-        let number = self.cache.listings;
+        self.cache.listings_begun += 1;
+        let number = self.cache.listings_begun;
         self.cache.listing = Some(Listing { number, sent: now, section: None });
         self.list(number, Section::Partitions, None);
     }
 
     fn list(&mut self, listing: u64, section: Section, from: Option<String>) {
-        let call = StateCall::List { prefix: section.prefix().into(), from };
-        self.state(Lane::Lease, call, Waiting::List { listing, section });
+        let call = StoreCall::List { prefix: section.prefix().into(), from };
+        self.call_store(CallPriority::Lease, call, PendingStoreCall::List { listing, section });
     }
 
     /// A page of the records was read, or not.
@@ -97,25 +100,25 @@
         &mut self,
         number: u64,
         section: Section,
-        result: Result<StateReply, CallError>,
+        result: Result<StoreReply, CallError>,
     ) {
         let Some(listing) = self.cache.listing.filter(|listing| listing.number == number) else {
             return;
         };
-        let Ok(StateReply::Rows(rows)) = result else {
+        let Ok(StoreReply::Rows(rows)) = result else {
             self.cache.listing = None;
             self.cache.retry_at = self.now + RETRY;
             return;
         };
         if listing.section.is_none() {
-            self.begin_anew(&rows);
+            self.reset_cache(&rows);
         }
         if section == Section::Cluster && listing.section != Some(section) {
             self.cluster.forget_nodes();
         }
         self.cache.listing = Some(Listing { section: Some(section), ..listing });
         for row in &rows.rows {
-            self.take_row(section, row);
+            self.apply_row(section, row);
         }
         if let Some(from) = next_page(&rows) {
             self.list(number, section, Some(from));
@@ -127,19 +130,21 @@
     }
 
     /// The first page has come: the watch will begin at its revision.
-    fn begin_anew(&mut self, rows: &Rows) {
+    fn reset_cache(&mut self, rows: &Rows) {
         self.cache.clear();
         self.pages.clear();
-        self.cache.revision = rows.epoch;
+        self.cache.revision = rows.revision;
     }
 
-    fn take_row(&mut self, section: Section, row: &Row) {
+    fn apply_row(&mut self, section: Section, row: &Row) {
         match section {
-            Section::Partitions => self.part_seen(&row.path, parse(row), row.stamp),
-            Section::Machines => self.block_row(row, false),
-            Section::Jobs => self.live_row(row),
-            Section::Pages => self.page_row(row),
-            Section::Cluster => self.cluster_row(row),
+            Section::Partitions => {
+                self.apply_partition_record(&row.path, parse(row), row.mod_revision)
+            }
+            Section::Machines => self.apply_group_row(row, false),
+            Section::Jobs => self.apply_job_record(row),
+            Section::Pages => self.apply_page_row(row),
+            Section::Cluster => self.apply_cluster_row(row),
         }
     }
 
@@ -148,7 +153,7 @@
         self.cache.listing = None;
         self.cache.loaded = true;
         self.close_gap();
-        self.cache.viewed = self.cache.viewed.max(listing.sent);
+        self.cache.view_as_of = self.cache.view_as_of.max(listing.sent);
         self.cache.catch_up();
     }
 
@@ -156,19 +161,19 @@
     /// another's: that was among the changes that were missed.
     fn drop_lost_partitions(&mut self) {
         let revision = self.cache.revision;
-        let keys = &self.cache.parts;
+        let keys = &self.cache.partitions;
         let is_lost = |name: &str, term: u64| {
-            term <= revision && keys.get(name).is_none_or(|(_, stamp)| *stamp != term)
+            term <= revision && keys.get(name).is_none_or(|(_, mod_revision)| *mod_revision != term)
         };
         let lost: Vec<String> = self
-            .parts
+            .partitions
             .values()
             .filter(|partition| is_lost(&partition.name, partition.term))
             .map(|partition| partition.name.clone())
             .collect();
         for name in lost {
-            self.parts.remove(&name);
-            self.note(Weight::Info, || format!("part {name}: lost unnoticed"));
+            self.partitions.remove(&name);
+            self.log(LogLevel::Info, || format!("part {name}: lost unnoticed"));
         }
     }
 
@@ -179,21 +184,23 @@
         // What was there at the revision at which the listing began, and is not listed, is over:
         // its tasks end here and now, since the view counts as fresh from here on. Which end it
         // came to is read when somebody asks.
-        let epoch = self.cache.revision;
-        for part in self.parts.values_mut().filter(|p| p.active()) {
-            let over: Vec<String> = part
+        let revision = self.cache.revision;
+        for partition in self.partitions.values_mut().filter(|p| p.active()) {
+            let over: Vec<String> = partition
                 .jobs
                 .iter()
-                .filter(|(id, job)| job.stamp <= epoch && !self.cache.is_live(id))
+                .filter(|(id, job)| job.mod_revision <= revision && !self.cache.is_active_job(id))
                 .map(|(id, _)| id.clone())
                 .collect();
             for id in over {
-                part.drop_job(&id, now);
+                partition.drop_job(&id, now);
             }
-            let name = part.name.clone();
+            let name = partition.name.clone();
             for (host, record) in self.cache.machines_of(&name) {
-                if !part.machines.contains_key(host) && !part.fleet.gone.contains(host) {
-                    part.add_machine(host, record.clone(), false, now);
+                if !partition.machines.contains_key(host)
+                    && !partition.autoscaling.terminated.contains(host)
+                {
+                    partition.add_machine(host, record.clone(), false, now);
                 }
             }
         }
--- a/crates/quartzlever-core/src/listing/tests.rs
+++ b/crates/quartzlever-core/src/store/listing/tests.rs
@@ -4,7 +4,7 @@
 
 /// How many pages the effects ask for.
 fn pages_asked(effects: &[Effect]) -> usize {
-    let is_list = |e: &&Effect| matches!(e, Effect::State { call: StateCall::List { .. }, .. });
+    let is_list = |e: &&Effect| matches!(e, Effect::Store { call: StoreCall::List { .. }, .. });
     effects.iter().filter(is_list).count()
 }
 
@@ -15,28 +15,28 @@
 fn one_listing_is_under_way_at_a_time() {
     let mut core = with_cache(&[("one", "one", 5)]);
     core.cache.watch = 3;
-    core.watched(3, NOW, Ok(StateReply::TooOld));
+    core.watched(3, NOW, Ok(StoreReply::TooOld));
     assert_eq!(pages_asked(&core.step(NOW, Vec::new())), 1);
-    let first = core.cache.listings;
-    core.watched(2, NOW, Ok(StateReply::TooOld));
+    let first = core.cache.listings_begun;
+    core.watched(2, NOW, Ok(StoreReply::TooOld));
     assert_eq!(pages_asked(&core.step(NOW + SECOND, Vec::new())), 0);
-    assert_eq!(core.cache.listings, first);
+    assert_eq!(core.cache.listings_begun, first);
     // A page that is not read ends it; what comes of it after that is ignored.
     core.page_listed(first, Section::Partitions, Err(CallError::Unknown));
     assert_eq!(pages_asked(&core.step(NOW + 2 * SECOND, Vec::new())), 1);
-    let late = Rows { rows: Vec::new(), has_next: false, epoch: 90 };
-    core.page_listed(first, Section::Cluster, Ok(StateReply::Rows(late)));
+    let late = Rows { rows: Vec::new(), has_next: false, revision: 90 };
+    core.page_listed(first, Section::Cluster, Ok(StoreReply::Rows(late)));
     assert!(!core.cache.loaded() && core.cache.revision < 90);
     // The earlier watch's word is no news for a copy that was made anew.
     core.cache.listing = None;
     let own = partition_row("one", "one", core.process, 5);
     list_records(&mut core, &[own], 95);
-    core.watched(2, NOW, Ok(StateReply::TooOld));
+    core.watched(2, NOW, Ok(StoreReply::TooOld));
     assert!(core.cache.loaded() && core.cache.revision == 95);
 }
 
 /// A listing shows that a partition was lost among the changes that the watch had missed. Without that
-/// its former holder went on acting for it beside the next one.
+/// its former leader went on acting for it beside the next one.
 #[test]
 fn a_partition_that_was_lost_unnoticed_is_given_up() {
     let own = core().process;
@@ -53,11 +53,11 @@
     {
         let mut core = core();
         let rows: Vec<Row> = key
-            .map(|(node, process, stamp)| partition_row("one", node, process, stamp))
+            .map(|(node, process, mod_revision)| partition_row("one", node, process, mod_revision))
             .into_iter()
             .collect();
         list_records(&mut core, &rows, revision);
-        assert_eq!(core.parts.contains_key("one"), held, "{n}");
+        assert_eq!(core.partitions.contains_key("one"), held, "{n}");
     }
 }
 
@@ -72,8 +72,8 @@
         let mut core = core();
         core.cache.loaded = loaded;
         core.cache.revision = revision;
-        core.acquired("two", 1, Ok(StateReply::Committed(30)));
-        assert_eq!(core.parts.contains_key("two"), held, "{revision} {loaded}");
+        core.acquired("two", 1, Ok(StoreReply::Committed(30)));
+        assert_eq!(core.partitions.contains_key("two"), held, "{revision} {loaded}");
     }
 }
 
@@ -84,8 +84,8 @@
     for (lease, kept) in [(1, true), (2, false)] {
         let mut core = core();
         core.lease.id = Some(2);
-        core.acquired("two", lease, Ok(StateReply::NoLease));
+        core.acquired("two", lease, Ok(StoreReply::NoLease));
         assert_eq!(core.lease.id.is_some(), kept, "{lease}");
-        assert_eq!(core.parts.contains_key("one"), kept, "{lease}");
+        assert_eq!(core.partitions.contains_key("one"), kept, "{lease}");
     }
 }
--- a/crates/quartzlever-core/src/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -4,15 +4,15 @@
 
 use std::collections::VecDeque;
 
-use quartzlever_wire::state::{LiveRecord, StateReply};
+use quartzlever_wire::store::{ActiveJobRecord, StoreReply};
 use quartzlever_wire::users::{JobPhase, JobView};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
-use crate::engine::{Core, Waiting};
 use crate::jobs::Purpose;
-use crate::messages::{Answer, Lane, RequestId};
+use crate::messages::{Answer, CallPriority, RequestId};
+use crate::router::{Core, PendingStoreCall};
 
-/// Share of the requests to the state service that may bring revisions.
+/// Share of the requests to the store that may bring revisions.
 const SHARE: f64 = 0.2;
 /// A copy that has not come as far by then is not waited for.
 const PATIENCE: Micros = SECOND * 7 / 10;
@@ -41,32 +41,36 @@
 
 impl Core {
     pub(crate) fn lookup(&mut self, id: RequestId, job: String) {
-        if let Some(over) = self.finals.get(&job).cloned() {
-            return self.view_over(id, &job, &over);
+        if let Some(over) = self.terminal_jobs.get(&job).cloned() {
+            return self.answer_terminal_job(id, &job, &over);
         }
         let queued: usize = self.lookups.fenced.iter().map(|f| f.1.len()).sum();
         if self.lookups.waiting.len() + queued >= MOST {
-            return self.later(id, 503, "busy");
+            return self.reject_retryable(id, 503, "busy");
         }
         let since = self.now;
         self.lookups.waiting.push(Asked { id, job, since });
     }
 
     /// Asks for the revision, and answers what the cache is new enough for.
-    pub(crate) fn keep_lookups(&mut self) {
-        let (now, pause) = (self.now, self.pause_for(SHARE));
+    pub(crate) fn poll_lookups(&mut self) {
+        let (now, pause) = (self.now, self.min_interval_for(SHARE));
         let lookups = &mut self.lookups;
         if !lookups.waiting.is_empty() && !lookups.reading && now >= lookups.next {
             lookups.reading = true;
             lookups.next = now + pause;
             let asked = std::mem::take(&mut lookups.waiting);
-            let call = quartzlever_wire::state::StateCall::Revision;
-            self.state(Lane::User, call, Waiting::Revision { asked, sent: now });
+            let call = quartzlever_wire::store::StoreCall::Revision;
+            self.call_store(
+                CallPriority::User,
+                call,
+                PendingStoreCall::Revision { asked, sent: now },
+            );
         }
         let loaded = self.cache.loaded();
-        while let Some((epoch, _)) = self.lookups.fenced.front()
+        while let Some((revision, _)) = self.lookups.fenced.front()
             && loaded
-            && *epoch <= self.cache.revision
+            && *revision <= self.cache.revision
             && let Some((_, asked)) = self.lookups.fenced.pop_front()
         {
             for one in asked {
@@ -88,23 +92,23 @@
         &mut self,
         asked: Vec<Asked>,
         sent: Micros,
-        result: Result<StateReply, CallError>,
+        result: Result<StoreReply, CallError>,
     ) {
         if asked.is_empty() {
-            self.cache.reading_view = false;
+            self.cache.view_read_pending = false;
         } else {
             self.lookups.reading = false;
         }
         match result {
-            Ok(StateReply::Revision(epoch)) => {
-                self.cache.read_revision(epoch, sent);
+            Ok(StoreReply::Revision(revision)) => {
+                self.cache.read_revision(revision, sent);
                 if !asked.is_empty() {
-                    self.lookups.fenced.push_back((epoch, asked));
+                    self.lookups.fenced.push_back((revision, asked));
                 }
             }
             _ => {
                 for one in asked {
-                    self.later(one.id, 503, "the state service gives no answer");
+                    self.reject_retryable(one.id, 503, "the state service gives no answer");
                 }
             }
         }
@@ -112,12 +116,12 @@
 
     fn answer_from_copy(&mut self, asked: Asked) {
         let Asked { id, job, .. } = asked;
-        if let Some(over) = self.finals.get(&job).cloned() {
-            return self.view_over(id, &job, &over);
+        if let Some(over) = self.terminal_jobs.get(&job).cloned() {
+            return self.answer_terminal_job(id, &job, &over);
         }
-        match self.cache.live.get(&job) {
+        match self.cache.active_jobs.get(&job) {
             Some((record, _)) => {
-                let view = self.view_live(record);
+                let view = self.view_active_job(record);
                 self.answer(id, 200, Answer::View(view));
             }
             None => self.read_for_user(Purpose::Lookup { id, job }),
@@ -125,10 +129,10 @@
     }
 
     /// What a user is told of a job that is neither done nor cancelled.
-    pub(crate) fn view_live(&self, record: &LiveRecord) -> JobView {
+    pub(crate) fn view_active_job(&self, record: &ActiveJobRecord) -> JobView {
         let id = &record.job.id;
-        let here = self.parts.values().filter_map(|p| p.jobs.get(id));
-        let running: usize = here.map(|j| j.located.len()).sum();
+        let here = self.partitions.values().filter_map(|p| p.jobs.get(id));
+        let running: usize = here.map(|j| j.assignments.len()).sum();
         let begun = record.started || !record.finished.is_empty() || running > 0;
         JobView {
             id: id.clone(),
--- a/crates/quartzlever-core/src/ledger.rs
+++ b/crates/quartzlever-core/src/store/write_budget.rs
@@ -1,47 +1,47 @@
-//! What this controller may still change in the state service: its share of the changes a second,
+//! What this controller may still change in the store: its share of the changes a second,
 //! and how much of it is kept for what matters more.
 
 use std::collections::BTreeMap;
 
 use quartzlever_wire::{Micros, SECOND};
 
-/// Kinds of changes, the most urgent first. Leases, parts, submissions and cancellations are
+/// Kinds of changes, the most urgent first. Leases, partitions, submissions and cancellations are
 /// always made, and may leave the account in debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Change {
+pub enum WriteKind {
     Finish,
     Claim,
-    /// Removing the records of returned machines. A new holder has to find out about each that is
-    /// left: with these last of all, hundreds held up the recovery of whole parts.
-    Tidy,
+    /// Removing the records of returned machines. A new leader has to find out about each that is
+    /// left: with these last of all, hundreds held up the recovery of whole partitions.
+    GarbageCollection,
     Move,
     Progress,
 }
 
-impl Change {
+impl WriteKind {
     /// Share of a second's changes that is left for others.
     fn keeps(self) -> f64 {
         match self {
-            Change::Finish => 0.0,
-            Change::Claim => 0.1,
-            Change::Tidy => 0.15,
-            Change::Move => 0.2,
-            Change::Progress => 0.35,
+            WriteKind::Finish => 0.0,
+            WriteKind::Claim => 0.1,
+            WriteKind::GarbageCollection => 0.15,
+            WriteKind::Move => 0.2,
+            WriteKind::Progress => 0.35,
         }
     }
 }
 
 /// An account that fills at a rate and holds at most a second's worth.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct WriteBudget {
     rate: f64,
     level: f64,
     at: Micros,
-    /// Share of the limit that the state service was seen to allow, and when that last sank.
+    /// Share of the limit that the store was seen to allow, and when that last sank.
     seen: f64,
     slowed: Micros,
     /// Kinds of changes that go before submissions and found nothing left.
-    denied: BTreeMap<Change, Denied>,
+    denied: BTreeMap<WriteKind, Denied>,
 }
 
 /// Since when a kind of change has been denied, and when it was last.
@@ -69,15 +69,22 @@
 const REGAINED: f64 = 0.005;
 /// Share of the limit that is used at all: bursts of several controllers may meet.
 const SAFE: f64 = 0.9;
-/// Never more than so many seconds' worth is owed. The state service itself remembers a second; what was
+/// Never more than so many seconds' worth is owed. The store itself remembers a second; what was
 /// asked beyond that it has refused. Without a bound 40 acquisitions that it had refused, one after
 /// the other, left a controller without a change for more than a minute: it claimed no machine, and no
 /// task was started.
-const MOST_OWED_S: f64 = 2.0;
+const MAX_DEBT_SECONDS: f64 = 2.0;
 
-impl Ledger {
+impl WriteBudget {
     pub fn new(now: Micros) -> Self {
-        Ledger { rate: 1.0, level: 1.0, at: now, seen: 1.0, slowed: 0, denied: BTreeMap::new() }
+        WriteBudget {
+            rate: 1.0,
+            level: 1.0,
+            at: now,
+            seen: 1.0,
+            slowed: 0,
+            denied: BTreeMap::new(),
+        }
     }
 
     /// Time passes; `limit` is for all who change anything, `sharers` so many.
@@ -89,9 +96,9 @@
         self.level = (self.level + passed * self.rate).min(self.rate.max(2.0));
     }
 
-    /// The state service has refused a change for coming too often; whether that is news. What is
+    /// The store has refused a change for coming too often; whether that is news. What is
     /// refused together counts once.
-    pub fn slow_down(&mut self, now: Micros) -> bool {
+    pub fn throttle(&mut self, now: Micros) -> bool {
         if now.saturating_sub(self.slowed) < SECOND && self.slowed > 0 {
             return false;
         }
@@ -103,8 +110,8 @@
 
     /// Takes `count` changes, if enough is left for what matters more. One more than a full
     /// account ever holds is let through when the account is full.
-    pub fn allows(&mut self, kind: Change, count: usize) -> bool {
-        let has = self.asks_for(kind, count);
+    pub fn try_spend(&mut self, write_kind: WriteKind, count: usize) -> bool {
+        let has = self.try_reserve(write_kind, count);
         if has {
             self.spend(count);
         }
@@ -112,21 +119,21 @@
     }
 
     /// Whether that much is left.
-    pub fn has(&self, kind: Change, count: usize) -> bool {
+    pub fn has(&self, write_kind: WriteKind, count: usize) -> bool {
         let most = self.rate.max(2.0);
-        let need = (count as f64 + kind.keeps() * self.rate).min(most);
+        let need = (count as f64 + write_kind.keeps() * self.rate).min(most);
         self.level + 1e-9 >= need
     }
 
     /// Whether that much is left for a change that waits to be made; if not, and it goes before
     /// submissions, these wait for it from some time on.
-    pub fn asks_for(&mut self, kind: Change, count: usize) -> bool {
-        let has = self.has(kind, count);
+    pub fn try_reserve(&mut self, write_kind: WriteKind, count: usize) -> bool {
+        let has = self.has(write_kind, count);
         if has {
-            self.denied.remove(&kind);
-        } else if kind <= Change::Claim {
+            self.denied.remove(&write_kind);
+        } else if write_kind <= WriteKind::Claim {
             let now = self.at;
-            let denied = self.denied.entry(kind).or_insert(Denied { since: now, last: now });
+            let denied = self.denied.entry(write_kind).or_insert(Denied { since: now, last: now });
             if now.saturating_sub(denied.last) >= STARVED_AFTER {
                 denied.since = now;
             }
@@ -137,7 +144,7 @@
 
     /// Takes changes that are made in any case.
     pub fn spend(&mut self, count: usize) {
-        let least = -MOST_OWED_S * self.rate.max(2.0);
+        let least = -MAX_DEBT_SECONDS * self.rate.max(2.0);
         // What is owed already stays owed, though the rate may have sunk since.
         self.level = (self.level - count as f64).max(least.min(self.level));
     }
--- /dev/null
+++ b/crates/quartzlever-core/src/store/write_budget/tests.rs
@@ -0,0 +1,81 @@
+//! What may be written.
+
+use super::*;
+
+#[test]
+fn what_matters_more_finds_something_left() {
+    // (changes a second for one, already spent, kind, count, whether it is allowed)
+    for (rate, spent, write_kind, count, allowed) in [
+        (10.0, 7, WriteKind::GarbageCollection, 1, true),
+        (10.0, 7, WriteKind::Progress, 1, false),
+        (10.0, 7, WriteKind::Claim, 1, true),
+        (10.0, 9, WriteKind::Claim, 1, false),
+        (10.0, 8, WriteKind::Finish, 2, true),
+        (10.0, 9, WriteKind::Finish, 2, false),
+        (10.0, 0, WriteKind::Move, 24, true),
+        (10.0, 3, WriteKind::Move, 24, false),
+    ] {
+        let mut write_budget = WriteBudget::new(0);
+        write_budget.pass(100 * SECOND, rate / SAFE, 1);
+        write_budget.spend(spent);
+        assert_eq!(
+            write_budget.try_spend(write_kind, count),
+            allowed,
+            "{spent} {write_kind:?} {count}"
+        );
+    }
+    let mut write_budget = WriteBudget::new(0);
+    write_budget.pass(SECOND, 30.0, 3);
+    assert!(!write_budget.exhausted());
+    write_budget.spend(40);
+    assert!(write_budget.exhausted());
+    write_budget.pass(5 * SECOND, 30.0, 3);
+    assert!(!write_budget.exhausted());
+}
+
+/// Whatever was tried in vain, claims of machines are made again within seconds.
+#[test]
+fn what_is_owed_is_bounded() {
+    // (changes that were tried one by one, whether a machine may be claimed after so many seconds)
+    for (tried, after, allowed) in [(1, 1, true), (40, 1, false), (40, 4, true), (4_000, 4, true)] {
+        let mut write_budget = WriteBudget::new(0);
+        write_budget.pass(SECOND, 30.0, 3);
+        (0..tried).for_each(|_| write_budget.spend(1));
+        write_budget.pass((1 + after) * SECOND, 30.0, 3);
+        assert_eq!(
+            write_budget.try_spend(WriteKind::Claim, 1),
+            allowed,
+            "{tried} tried, after {after} s"
+        );
+    }
+}
+
+/// Submissions wait for changes that go before them, but only while somebody still asks for these.
+#[test]
+fn submissions_wait_for_starved_changes() {
+    // (kind, tenths of a second for which it is asked for in vain, tenths after that; whether submissions wait)
+    for (write_kind, asked, after, wait) in [
+        (WriteKind::Claim, 12, 0, true),
+        (WriteKind::Finish, 12, 0, true),
+        (WriteKind::Claim, 5, 0, false),
+        (WriteKind::Claim, 12, 11, false),
+        (WriteKind::Move, 12, 0, false),
+        (WriteKind::Progress, 12, 0, false),
+    ] {
+        let mut write_budget = WriteBudget::new(0);
+        write_budget.pass(SECOND, 30.0, 3);
+        for tenth in 1..=asked {
+            write_budget.pass(SECOND + tenth * SECOND / 10, 30.0, 3);
+            // Submissions take what there is, without exhausting the account.
+            write_budget.level = 0.0;
+            assert!(!write_budget.try_spend(write_kind, 1));
+        }
+        write_budget.pass(SECOND + (asked + after) * SECOND / 10, 30.0, 3);
+        assert_eq!(write_budget.exhausted(), wait, "{write_kind:?} {asked} {after}");
+        write_budget.level = write_budget.rate;
+        assert!(
+            write_budget.try_spend(write_kind, 1) && !write_budget.exhausted(),
+            "{write_kind:?}: made"
+        );
+    }
+}
--- a/crates/quartzlever-core/src/cluster.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -6,15 +6,15 @@
 
 use std::collections::BTreeMap;
 
-use quartzlever_wire::state::{
-    BlocksRecord, CLUSTER_BLOCKS, CLUSTER_NODES, CLUSTER_VERSION, ClusterRecord, NodeRecord, PARTS,
-    PartRecord, Row, StateCall, StateReply, Txn, block_size,
+use quartzlever_wire::store::{
+    CLUSTER_VERSION_KEY, ClusterRecord, GROUP_SIZE_KEY, GroupSizeRecord, NODE_VERSION_PREFIX,
+    NodeRecord, PARTITION_PREFIX, PartitionRecord, Row, StoreCall, StoreReply, Txn, group_size,
 };
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
-use crate::engine::{Core, Waiting};
-use crate::leases::parse;
-use crate::messages::{Effect, Lane, Weight};
+use crate::leadership::parse;
+use crate::messages::{CallPriority, Effect, LogLevel};
+use crate::router::{Core, PendingStoreCall};
 
 /// The version of this program. Version 1 tells nothing of itself.
 pub const VERSION: u32 = 2;
@@ -28,7 +28,7 @@
 /// After an announcement or a raising that was not answered, or came too early.
 const RETRY: Micros = SECOND / 2;
 
-/// What was asked of the state service for the cluster version.
+/// What was asked of the store for the cluster version.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ClusterWrite {
     /// This process's version was announced.
@@ -44,10 +44,10 @@
 pub(crate) struct Cluster {
     version: u32,
     nodes: BTreeMap<String, (NodeRecord, u64)>,
-    /// The size of the blocks of machines that was agreed on, with its stamp.
-    blocks: Option<(u64, u64)>,
-    waiting: bool,
-    next: Micros,
+    /// The size of the blocks of machines that was agreed on, with its modification revision.
+    group_size: Option<(u64, u64)>,
+    write_pending: bool,
+    next_write_at: Micros,
     /// Controllers of the first version were up when the records were read.
     upgrading: bool,
     services_expected_until: Micros,
@@ -58,9 +58,9 @@
         Cluster {
             version: 1,
             nodes: BTreeMap::new(),
-            blocks: None,
-            waiting: false,
-            next: 0,
+            group_size: None,
+            write_pending: false,
+            next_write_at: 0,
             upgrading: false,
             services_expected_until: 0,
         }
@@ -74,14 +74,14 @@
     }
 
     /// The largest block of machines that was agreed on, if any was.
-    pub fn agreed_block_size(&self) -> Option<u64> {
-        self.blocks.map(|(size, _)| size)
+    pub fn agreed_group_size(&self) -> Option<u64> {
+        self.group_size.map(|(size, _)| size)
     }
 
-    /// The stamp of that agreement, 0 if there is none. Each claim depends on it: two sizes in use at
+    /// The modification revision of that agreement, 0 if there is none. Each claim depends on it: two sizes in use at
     /// once could give a machine two owners.
-    pub fn blocks_stamp(&self) -> u64 {
-        self.blocks.map_or(0, |(_, stamp)| stamp)
+    pub fn group_size_revision(&self) -> u64 {
+        self.group_size.map_or(0, |(_, mod_revision)| mod_revision)
     }
 
     /// Whether the first services may come soon: their machines are to be up by then, since a boot
@@ -91,9 +91,13 @@
     }
 
     /// The records were read, and with them the cluster version and who holds partitions.
-    fn records_read<'a>(&mut self, now: Micros, mut holders: impl Iterator<Item = &'a PartRecord>) {
-        let announced = |holder: &PartRecord| self.has_announced(&holder.node, holder.process);
-        self.upgrading = !self.services() && holders.any(|holder| !announced(holder));
+    fn records_read<'a>(
+        &mut self,
+        now: Micros,
+        mut leaders: impl Iterator<Item = &'a PartitionRecord>,
+    ) {
+        let announced = |leader: &PartitionRecord| self.has_announced(&leader.node, leader.process);
+        self.upgrading = !self.services() && leaders.any(|leader| !announced(leader));
         if self.upgrading {
             self.services_expected_until = now + SERVICES_EXPECTED;
         }
@@ -118,52 +122,60 @@
         self.nodes.get(node).is_some_and(|(record, _)| record.process == process)
     }
 
-    fn insert_node(&mut self, node: &str, record: NodeRecord, stamp: u64) {
-        if self.nodes.get(node).is_none_or(|(_, known)| *known <= stamp) {
-            self.nodes.insert(node.to_owned(), (record, stamp));
+    fn insert_node(&mut self, node: &str, record: NodeRecord, mod_revision: u64) {
+        if self.nodes.get(node).is_none_or(|(_, known)| *known <= mod_revision) {
+            self.nodes.insert(node.to_owned(), (record, mod_revision));
         }
     }
 
     /// Whether a partition is held by a process of the first version although the cluster version
     /// is raised. Every later process announces itself before it acquires a partition, by a key on
     /// the same lease, so the announcement is older than the partition's key and is there as long.
-    pub fn is_outdated_holder(&self, holder: &PartRecord, stamp: u64) -> bool {
+    pub fn is_outdated_leader(&self, leader: &PartitionRecord, mod_revision: u64) -> bool {
         self.services()
-            && self.nodes.get(&holder.node).is_none_or(|(record, announced)| {
-                record.process != holder.process && *announced < stamp
+            && self.nodes.get(&leader.node).is_none_or(|(record, announced)| {
+                record.process != leader.process && *announced < mod_revision
             })
     }
 
     /// Whether a node may ask for its partition: not one that runs the first version after the
     /// cluster version is raised.
-    pub fn may_hold(&self, node: &str) -> bool {
+    pub fn may_lead(&self, node: &str) -> bool {
         !self.services() || self.nodes.contains_key(node)
     }
 }
 
 impl Core {
     /// Tells this process's version, and raises the cluster version when all have told theirs.
-    pub(crate) fn keep_cluster(&mut self) {
+    pub(crate) fn poll_cluster_version(&mut self) {
         let now = self.now;
-        let Some(lease) = self.lease.id.filter(|_| self.holds()) else { return };
-        if self.cfg.version < VERSION || self.cluster.waiting || now < self.cluster.next {
+        let Some(lease) = self.lease.id.filter(|_| self.holds_lease()) else { return };
+        if self.config.version < VERSION
+            || self.cluster.write_pending
+            || now < self.cluster.next_write_at
+        {
             return;
         }
         let (txn, write) = if self.has_announced() {
             let next = self.raising().map(|txn| (txn, ClusterWrite::Raise));
-            let next = next.or_else(|| self.smaller_blocks().map(|t| (t, ClusterWrite::Blocks)));
+            let next =
+                next.or_else(|| self.smaller_group_size().map(|t| (t, ClusterWrite::Blocks)));
             let Some(next) = next else { return };
             next
         } else {
             // At once, while the records are still being read: nothing is acquired before it.
-            let key = format!("{CLUSTER_NODES}{}", self.cfg.node);
+            let key = format!("{NODE_VERSION_PREFIX}{}", self.config.node);
             let txn = Txn::default().write_held(key, Json::of(&self.own_record()), lease);
             (txn, ClusterWrite::Announce)
         };
-        self.cluster.waiting = true;
-        self.cluster.next = now + RETRY;
-        self.ledger.spend(1);
-        self.state(Lane::Lease, StateCall::Txn(txn), Waiting::Cluster { write, lease });
+        self.cluster.write_pending = true;
+        self.cluster.next_write_at = now + RETRY;
+        self.write_budget.spend(1);
+        self.call_store(
+            CallPriority::Lease,
+            StoreCall::Txn(txn),
+            PendingStoreCall::Cluster { write, lease },
+        );
     }
 
     fn own_record(&self) -> NodeRecord {
@@ -173,7 +185,7 @@
     /// Whether this process may acquire partitions: it has announced itself, unless it is of a
     /// version that does not.
     pub(crate) fn has_announced(&self) -> bool {
-        self.cfg.version < VERSION || self.cluster.has_announced(&self.cfg.node, self.process)
+        self.config.version < VERSION || self.cluster.has_announced(&self.config.node, self.process)
     }
 
     /// The transaction that raises the cluster version, if that may be tried: on condition of
@@ -183,91 +195,93 @@
         if self.cluster.version >= VERSION || !self.cache.loaded() {
             return None;
         }
-        let mut txn = Txn::default().when(CLUSTER_VERSION, 0);
-        for node in &self.cfg.nodes {
-            let (record, stamp) = self.cluster.nodes.get(node)?;
+        let mut txn = Txn::default().when(CLUSTER_VERSION_KEY, 0);
+        for node in &self.config.nodes {
+            let (record, mod_revision) = self.cluster.nodes.get(node)?;
             if record.version < VERSION {
                 return None;
             }
-            txn = txn.when(format!("{CLUSTER_NODES}{node}"), *stamp);
-            let part = self.cache.parts.get(node);
-            if let Some((holder, _)) = part {
-                let (told, _) = self.cluster.nodes.get(&holder.node)?;
-                if told.process != holder.process {
+            txn = txn.when(format!("{NODE_VERSION_PREFIX}{node}"), *mod_revision);
+            let partition = self.cache.partitions.get(node);
+            if let Some((leader, _)) = partition {
+                let (announced, _) = self.cluster.nodes.get(&leader.node)?;
+                if announced.process != leader.process {
                     return None;
                 }
             }
-            txn = txn.when(format!("{PARTS}{node}"), part.map_or(0, |(_, stamp)| *stamp));
+            txn = txn.when(
+                format!("{PARTITION_PREFIX}{node}"),
+                partition.map_or(0, |(_, mod_revision)| *mod_revision),
+            );
         }
-        Some(txn.write(CLUSTER_VERSION, Json::of(&ClusterRecord { version: VERSION })))
+        Some(txn.write(CLUSTER_VERSION_KEY, Json::of(&ClusterRecord { version: VERSION })))
     }
 
-    /// The transaction that makes blocks of machines smaller, if the state service has turned out to
+    /// The transaction that makes blocks of machines smaller, if the store has turned out to
     /// take less than the settings say.
-    fn smaller_blocks(&self) -> Option<Txn> {
-        let size = block_size(self.limits.value_bytes);
-        if !self.cluster.services() || size >= self.block_size() {
+    fn smaller_group_size(&self) -> Option<Txn> {
+        let size = group_size(self.limits.value_bytes);
+        if !self.cluster.services() || size >= self.group_size() {
             return None;
         }
-        let txn = Txn::default().when(CLUSTER_BLOCKS, self.cluster.blocks_stamp());
-        Some(txn.write(CLUSTER_BLOCKS, Json::of(&BlocksRecord { size })))
+        let txn = Txn::default().when(GROUP_SIZE_KEY, self.cluster.group_size_revision());
+        Some(txn.write(GROUP_SIZE_KEY, Json::of(&GroupSizeRecord { size })))
     }
 
     pub(crate) fn cluster_answered(
         &mut self,
         write: ClusterWrite,
         lease: u64,
-        result: &Result<StateReply, CallError>,
+        result: &Result<StoreReply, CallError>,
     ) {
-        self.cluster.waiting = false;
+        self.cluster.write_pending = false;
         match (write, result) {
             // What was announced on an earlier lease has gone with it.
-            (ClusterWrite::Announce, Ok(StateReply::Committed(stamp)))
+            (ClusterWrite::Announce, Ok(StoreReply::Committed(mod_revision)))
                 if self.lease.id == Some(lease) =>
             {
-                let (node, record) = (self.cfg.node.clone(), self.own_record());
-                self.cluster.insert_node(&node, record, *stamp);
+                let (node, record) = (self.config.node.clone(), self.own_record());
+                self.cluster.insert_node(&node, record, *mod_revision);
             }
             // The watch tells of what was written.
-            (_, Ok(StateReply::Committed(_))) => {}
-            (_, Ok(StateReply::NoLease)) => self.lease_ended(lease),
-            _ => self.cluster.next = self.now + RETRY,
+            (_, Ok(StoreReply::Committed(_))) => {}
+            (_, Ok(StoreReply::NoLease)) => self.lease_ended(lease),
+            _ => self.cluster.next_write_at = self.now + RETRY,
         }
     }
 
     /// The records were read, and with them the cluster version and who holds partitions.
     pub(crate) fn look_for_upgrade(&mut self) {
-        let holders = self.cache.parts.values().map(|(holder, _)| holder);
-        self.cluster.records_read(self.now, holders);
+        let leaders = self.cache.partitions.values().map(|(leader, _)| leader);
+        self.cluster.records_read(self.now, leaders);
     }
 
-    /// A record of versions, as the state service has it.
-    pub(crate) fn cluster_row(&mut self, row: &Row) {
-        if row.path == CLUSTER_VERSION {
+    /// A record of versions, as the store has it.
+    pub(crate) fn apply_cluster_row(&mut self, row: &Row) {
+        if row.path == CLUSTER_VERSION_KEY {
             match parse::<ClusterRecord>(row) {
                 Some(record) => self.cluster_raised(record.version),
-                None => {
-                    self.note(Weight::Error, || format!("unreadable record: {CLUSTER_VERSION}"))
-                }
+                None => self
+                    .log(LogLevel::Error, || format!("unreadable record: {CLUSTER_VERSION_KEY}")),
             }
-        } else if row.path == CLUSTER_BLOCKS {
-            match parse::<BlocksRecord>(row) {
+        } else if row.path == GROUP_SIZE_KEY {
+            match parse::<GroupSizeRecord>(row) {
                 Some(record) if record.size > 0 => {
-                    self.cluster.blocks = Some((record.size, row.stamp));
+                    self.cluster.group_size = Some((record.size, row.mod_revision));
                 }
-                _ => self.note(Weight::Error, || format!("unreadable record: {CLUSTER_BLOCKS}")),
+                _ => self.log(LogLevel::Error, || format!("unreadable record: {GROUP_SIZE_KEY}")),
             }
-        } else if let Some(node) = row.path.strip_prefix(CLUSTER_NODES) {
+        } else if let Some(node) = row.path.strip_prefix(NODE_VERSION_PREFIX) {
             match parse::<NodeRecord>(row) {
-                Some(record) => self.cluster.insert_node(node, record, row.stamp),
-                None => self.note(Weight::Error, || format!("unreadable record: {}", row.path)),
+                Some(record) => self.cluster.insert_node(node, record, row.mod_revision),
+                None => self.log(LogLevel::Error, || format!("unreadable record: {}", row.path)),
             }
         }
     }
 
-    pub(crate) fn cluster_deleted(&mut self, path: &str, stamp: u64) {
-        if let Some(node) = path.strip_prefix(CLUSTER_NODES)
-            && self.cluster.nodes.get(node).is_some_and(|(_, s)| *s <= stamp)
+    pub(crate) fn cluster_deleted(&mut self, path: &str, mod_revision: u64) {
+        if let Some(node) = path.strip_prefix(NODE_VERSION_PREFIX)
+            && self.cluster.nodes.get(node).is_some_and(|(_, s)| *s <= mod_revision)
         {
             self.cluster.nodes.remove(node);
         }
@@ -279,13 +293,13 @@
                 "the cluster is at version {version}, and this program knows versions up to \
                  {VERSION} only: start a newer one"
             );
-            self.out.push(Effect::End { why });
+            self.out.push(Effect::Terminate { why });
         } else if version > self.cluster.version {
             self.cluster.version = version;
             if self.cluster.upgrading {
                 self.cluster.services_expected_until = self.now + SERVICES_EXPECTED;
             }
-            self.note(Weight::Info, || {
+            self.log(LogLevel::Info, || {
                 format!("cluster version {version}: all controllers know it")
             });
         }
