--- a/crates/quartzlever-core/tests/world/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -1,12 +1,12 @@
 //! What rows of faults have in common: how one is played, and what must hold after it.
 
 use quartzlever_core::Config;
-use quartzlever_standin::rules::RuleChecker;
+use quartzlever_testkit::rules::RuleChecker;
 use quartzlever_wire::users::{JobPhase, JobSpec};
 use quartzlever_wire::{Micros, SECOND};
 
 use crate::services::service;
-use crate::sim::{Counts, World, job};
+use crate::sim::{Counts, Simulation, job};
 
 pub const NODES: &[&str] = &["one", "two", "three"];
 pub const SEEDS: u64 = 4;
@@ -16,20 +16,20 @@
     pub name: &'static str,
     /// Settings that make the combination harder than the usual ones.
     pub tune: fn(&mut Config),
-    pub bring_about: fn(&mut World),
+    pub bring_about: fn(&mut Simulation),
     /// What must be seen over all seeds: that it came about, and nothing that must not.
     pub came: fn(&Counts, &RuleChecker) -> bool,
 }
 
 pub fn usual(_: &mut Config) {}
 
-/// Leases in the state service that live longer than a cancelled task may.
-pub fn long_holds(cfg: &mut Config) {
-    cfg.operator.lease_life = 15 * SECOND;
+/// Leases in the store that live longer than a cancelled task may.
+pub fn long_holds(config: &mut Config) {
+    config.operator.lease_life = 15 * SECOND;
 }
 
 pub fn submit(
-    w: &mut World,
+    w: &mut Simulation,
     from: u32,
     count: u32,
     change: impl Fn(u32, &mut JobSpec),
@@ -38,14 +38,14 @@
     for k in from..from + count {
         let mut spec = job(k, 4);
         change(k, &mut spec);
-        assert_ne!(w.submit_surely(k as usize % NODES.len(), &spec), 0, "no answer");
+        assert_ne!(w.submit_until_accepted(k as usize % NODES.len(), &spec), 0, "no answer");
         ids.push(spec.id);
     }
     ids
 }
 
 /// Jobs with tasks of a minute, all begun.
-pub fn long_tasks(w: &mut World) -> Vec<String> {
+pub fn long_tasks(w: &mut Simulation) -> Vec<String> {
     w.run_time = 60 * SECOND;
     let ids = submit(w, 0, 5, |_, _| {});
     w.run(7 * SECOND);
@@ -53,13 +53,13 @@
 }
 
 /// Services with two replicas each, all up, once every controller takes them.
-pub fn services(w: &mut World, team: &str) -> Vec<String> {
+pub fn services(w: &mut Simulation, team: &str) -> Vec<String> {
     w.run_time = 10_000 * SECOND;
     w.run(3 * SECOND);
     let mut ids = Vec::new();
     for k in 0..4 {
         let spec = JobSpec { team: team.into(), ..service(k, 2) };
-        assert_ne!(w.submit_surely(k as usize % NODES.len(), &spec), 0, "no answer");
+        assert_ne!(w.submit_until_accepted(k as usize % NODES.len(), &spec), 0, "no answer");
         ids.push(spec.id);
     }
     w.run(7 * SECOND);
@@ -67,10 +67,10 @@
 }
 
 /// The services that are left are cancelled, so that a world comes to its end.
-pub fn retire(w: &mut World, ids: &[String]) {
+pub fn retire(w: &mut Simulation, ids: &[String]) {
     w.calm();
     for id in ids {
-        w.abort_surely(0, id);
+        w.cancel_until_confirmed(0, id);
     }
 }
 
@@ -78,7 +78,7 @@
     (n + 1) % NODES.len()
 }
 
-pub fn hang(w: &mut World, names: &[String], hung: bool) {
+pub fn hang(w: &mut Simulation, names: &[String], hung: bool) {
     for name in names {
         if let Some(worker) = w.workers.get_mut(name) {
             worker.hung = hung;
@@ -86,52 +86,52 @@
     }
 }
 
-pub fn all_machines(w: &World) -> Vec<String> {
+pub fn all_machines(w: &Simulation) -> Vec<String> {
     w.workers.keys().cloned().collect()
 }
 
-pub fn outage(w: &mut World, span: Micros) {
+pub fn outage(w: &mut Simulation, span: Micros) {
     w.store.outage = true;
     w.run(span);
     let now = w.now;
     w.store.end_outage(now);
 }
 
-/// The state service refuses the busiest holder alone; `troubles` follow, then it is away for all.
+/// The store refuses the busiest leader alone; `troubles` follow, then it is away for all.
 pub fn refused_alone_then_all(
-    w: &mut World,
+    w: &mut Simulation,
     pause: Micros,
-    troubles: impl Fn(&mut World, &[String]),
+    troubles: impl Fn(&mut Simulation, &[String]),
 ) {
     let ids = long_tasks(w);
     cancelled_in_refusal(w, &ids, pause, troubles);
 }
 
 pub fn cancelled_in_refusal(
-    w: &mut World,
+    w: &mut Simulation,
     ids: &[String],
     pause: Micros,
-    troubles: impl Fn(&mut World, &[String]),
+    troubles: impl Fn(&mut Simulation, &[String]),
 ) {
-    let (_, holder) = w.busiest();
-    w.lonely.insert(holder);
+    let (_, leader) = w.busiest();
+    w.refused_by_store.insert(leader);
     w.run(pause);
     for id in &ids[..3] {
-        w.abort_surely(other(holder), id);
+        w.cancel_until_confirmed(other(leader), id);
     }
     w.store.outage = true;
     troubles(w, &ids[..3]);
     w.run(4 * SECOND);
-    w.lonely.clear();
+    w.refused_by_store.clear();
     w.run(30 * SECOND);
     let now = w.now;
     w.store.end_outage(now);
 }
 
 /// A node and the machines of zone "a" are cut off from everything else.
-pub fn cut_zone(w: &mut World, node: usize) {
+pub fn cut_zone(w: &mut Simulation, node: usize) {
     let zones: Vec<(String, String)> =
-        w.workers.values().map(|m| (m.rental.name.clone(), m.rental.zone.clone())).collect();
+        w.workers.values().map(|m| (m.instance.name.clone(), m.instance.zone.clone())).collect();
     for (name, zone) in zones {
         for n in 0..NODES.len() {
             if (n == node) != (zone == "a") {
@@ -139,12 +139,12 @@
             }
         }
     }
-    w.lonely.insert(node);
+    w.refused_by_store.insert(node);
     w.apart.insert(node);
 }
 
 /// After the troubles: what must hold however a world went.
-pub fn settles(w: &mut World, name: &str) {
+pub fn mark_healthy(w: &mut Simulation, name: &str) {
     w.calm();
     let calm = w.now;
     w.run_time = 3 * SECOND;
@@ -160,22 +160,22 @@
     assert!(w.rules.broken.is_empty(), "{name}: {:?}", &w.rules.broken[..1]);
     for id in w.rules.accepted() {
         let told = w.rules.cancelled(&id).is_some();
-        let expected = if told { JobPhase::Aborted } else { JobPhase::Done };
+        let expected = if told { JobPhase::Cancelled } else { JobPhase::Done };
         let over = w.over(&id);
         // A cancellation that was asked for may have come into force without its answer.
         assert!(
             over == Some(expected)
-                || (over == Some(JobPhase::Aborted) && w.rules.asked_to_cancel(&id)),
+                || (over == Some(JobPhase::Cancelled) && w.rules.asked_to_cancel(&id)),
             "{name}: {id} is {over:?}"
         );
     }
 }
 
 pub fn add(sum: &mut Counts, one: Counts) {
-    sum.holders += one.holders;
+    sum.leaders += one.leaders;
     sum.refused_alone += one.refused_alone;
     sum.refused_all += one.refused_all;
-    sum.not_entitled += one.not_entitled;
+    sum.without_authority += one.without_authority;
     sum.late_in_force += one.late_in_force;
     sum.late_conflicts += one.late_conflicts;
     sum.unanswered += one.unanswered;
@@ -184,12 +184,12 @@
     sum.mute += one.mute;
     sum.deaf += one.deaf;
     sum.held += one.held;
-    sum.held_executed += one.held_executed;
-    sum.held_refused += one.held_refused;
+    sum.delayed_executed += one.delayed_executed;
+    sum.delayed_refused += one.delayed_refused;
     sum.leases_lost += one.leases_lost;
     sum.answers += one.answers;
     sum.unread += one.unread;
-    sum.never_up += one.never_up;
+    sum.never_booted += one.never_booted;
 }
 
 /// Plays each combination with a few seeds.
@@ -203,13 +203,14 @@
             let first =
                 combination.name.bytes().fold(7, |h: u64, b| h.wrapping_mul(31) + u64::from(b));
             for seed in 0..SEEDS {
-                let mut world = World::with(first.wrapping_add(seed), NODES, combination.tune);
-                world.run(3 * SECOND);
-                (combination.bring_about)(&mut world);
-                settles(&mut world, &format!("{} (seed {seed})", combination.name));
-                add(&mut sum, world.counts);
-                total.cancellations += world.rules.cancellations;
-                total.starts_after_cancel += world.rules.starts_after_cancel;
+                let mut simulation =
+                    Simulation::with(first.wrapping_add(seed), NODES, combination.tune);
+                simulation.run(3 * SECOND);
+                (combination.bring_about)(&mut simulation);
+                mark_healthy(&mut simulation, &format!("{} (seed {seed})", combination.name));
+                add(&mut sum, simulation.counts);
+                total.cancellations += simulation.rules.cancellations;
+                total.starts_after_cancel += simulation.rules.starts_after_cancel;
             }
             let (told, late) = (total.cancellations, total.starts_after_cancel);
             assert!(
--- a/crates/quartzlever-core/tests/world/fault_combinations.rs
+++ b/crates/quartzlever-core/tests/simulation/fault_combinations.rs
@@ -2,10 +2,10 @@
 //! `docs/fault-combinations.md` says where in the code each is decided.
 
 use quartzlever_wire::SECOND;
-use quartzlever_wire::users::Rank;
+use quartzlever_wire::users::Priority;
 
 use crate::combination::*;
-use crate::sim::{Counts, Luck, World, job};
+use crate::sim::{Counts, FaultRates, Simulation, job};
 
 const FAULT_COMBINATIONS: &[FaultCombination] = &[
     FaultCombination {
@@ -14,7 +14,7 @@
         bring_about: |w| refused_alone_then_all(w, SECOND, |_, _| {}),
         came: |c, j| {
             c.refused_alone > 10
-                && c.not_entitled > 50
+                && c.without_authority > 50
                 && c.leases_lost > 4
                 && j.cancellations >= 12
         },
@@ -32,7 +32,10 @@
             });
         },
         came: |c, j| {
-            c.refused_alone > 4 && c.not_entitled > 50 && c.leases_lost > 4 && j.cancellations >= 12
+            c.refused_alone > 4
+                && c.without_authority > 50
+                && c.leases_lost > 4
+                && j.cancellations >= 12
         },
     },
     FaultCombination {
@@ -47,19 +50,19 @@
     },
     FaultCombination {
         name: "the store is back, and the old holder finds lost tasks of cancelled jobs",
-        tune: |cfg| {
+        tune: |config| {
             // The view is within its bound when the store is back, the lease had run out.
-            cfg.operator.lease_life = 20 * SECOND;
-            cfg.workers.cancel = 60 * SECOND;
+            config.operator.lease_life = 20 * SECOND;
+            config.workers.cancel = 60 * SECOND;
         },
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, holder) = w.busiest();
+            let (_, leader) = w.busiest();
             w.apart.extend(0..NODES.len());
-            w.lonely.insert(holder);
+            w.refused_by_store.insert(leader);
             w.run(2 * SECOND);
             for id in &ids[..3] {
-                w.abort_surely(other(holder), id);
+                w.cancel_until_confirmed(other(leader), id);
             }
             w.store.outage = true;
             w.run(14 * SECOND);
@@ -72,7 +75,7 @@
             let now = w.now;
             w.store.end_outage(now);
             w.run(2 * SECOND);
-            w.lonely.clear();
+            w.refused_by_store.clear();
             w.run(5 * SECOND);
         },
         came: |c, j| {
@@ -89,13 +92,13 @@
             let ids = long_tasks(w);
             w.mute.extend(all_machines(w));
             w.run(2 * SECOND);
-            w.abort_surely(0, &ids[0]);
+            w.cancel_until_confirmed(0, &ids[0]);
             w.restart(1, SECOND);
             w.run(7 * SECOND);
             w.mute.clear();
             w.run(4 * SECOND);
             w.mute.extend(all_machines(w));
-            w.abort_surely(1, &ids[1]);
+            w.cancel_until_confirmed(1, &ids[1]);
             w.run(16 * SECOND);
         },
         came: |c, j| c.mute > 50 && j.cancellations >= 6,
@@ -105,16 +108,16 @@
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, holder) = w.busiest();
-            w.kill(holder);
+            let (_, leader) = w.busiest();
+            w.kill(leader);
             for id in &ids {
                 w.run(3 * SECOND / 2);
-                w.abort_surely(other(holder), id);
+                w.cancel_until_confirmed(other(leader), id);
             }
-            w.start(holder);
+            w.start(leader);
             w.run(4 * SECOND);
         },
-        came: |c, j| c.holders > 12 && j.cancellations >= 12,
+        came: |c, j| c.leaders > 12 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "all controllers are away for longer than a lease",
@@ -128,7 +131,7 @@
             for n in 0..NODES.len() {
                 w.start(n);
             }
-            w.abort_surely(0, &ids[0]);
+            w.cancel_until_confirmed(0, &ids[0]);
         },
         came: |c, _| c.leases_lost > 4,
     },
@@ -142,14 +145,14 @@
             let late: Vec<String> = all_machines(w).into_iter().step_by(2).collect();
             hang(w, &late, true);
             w.run(2 * SECOND);
-            let (_, holder) = w.busiest();
-            w.restart(holder, SECOND / 2);
+            let (_, leader) = w.busiest();
+            w.restart(leader, SECOND / 2);
             w.run(5 * SECOND);
             hang(w, &late, false);
-            let (_, holder) = w.busiest();
-            w.restart(holder, 8 * SECOND);
+            let (_, leader) = w.busiest();
+            w.restart(leader, 8 * SECOND);
         },
-        came: |c, _| c.holders > 16,
+        came: |c, _| c.leaders > 16,
     },
     FaultCombination {
         name: "a cancellation, a question and a repeated submission meet the end of the last task",
@@ -164,7 +167,7 @@
                 let tenths = 30 + 6 * u64::from(k);
                 w.run(tenths * SECOND / 10);
                 w.look_closely(&id);
-                w.abort(k as usize % 3, &id);
+                w.cancel(k as usize % 3, &id);
                 w.look_closely(&id);
                 for _ in 0..10 {
                     w.run(SECOND / 10);
@@ -179,41 +182,41 @@
         tune: usual,
         bring_about: |w| {
             w.boot = SECOND / 2;
-            w.luck.late_writes = 40;
+            w.fault_rates.late_writes = 40;
             w.run_time = 20 * SECOND;
             submit(w, 0, 8, |_, s| s.tasks = 6);
-            let (_, holder) = w.busiest();
-            w.restart(holder, 3 * SECOND);
+            let (_, leader) = w.busiest();
+            w.restart(leader, 3 * SECOND);
             w.run(3 * SECOND);
-            let (_, holder) = w.busiest();
-            w.restart(holder, SECOND / 5);
+            let (_, leader) = w.busiest();
+            w.restart(leader, SECOND / 5);
             w.run(12 * SECOND);
         },
-        came: |c, _| c.late_in_force > 3 && c.late_conflicts > 10 && c.holders > 14,
+        came: |c, _| c.late_in_force > 3 && c.late_conflicts > 10 && c.leaders > 14,
     },
     FaultCombination {
         name: "the holder ends while machines with long tasks cannot be reached, or hear nothing",
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (part, holder) = w.busiest();
+            let (partition, leader) = w.busiest();
             let all = all_machines(w);
             for n in 0..NODES.len() {
                 w.cut.extend(all.iter().take(2).map(|m| (n, m.clone())));
             }
             w.deaf.extend(all.iter().skip(2).take(2).cloned());
-            w.abort_surely(other(holder), &ids[0]);
-            w.kill(holder);
+            w.cancel_until_confirmed(other(leader), &ids[0]);
+            w.kill(leader);
             w.run(9 * SECOND);
-            w.abort_surely(other(holder), &ids[1]);
+            w.cancel_until_confirmed(other(leader), &ids[1]);
             w.run(3 * SECOND);
-            w.start(holder);
+            w.start(leader);
             w.run(6 * SECOND);
             w.cut.clear();
             w.run(4 * SECOND);
-            assert!(w.holder(&part).is_some(), "somebody has taken over");
+            assert!(w.leader(&partition).is_some(), "somebody has taken over");
         },
-        came: |c, j| c.deaf > 20 && c.holders > 14 && j.cancellations >= 8,
+        came: |c, j| c.deaf > 20 && c.leaders > 14 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "commands and their answers are held up for seconds, and machines go on",
@@ -222,22 +225,22 @@
             w.run_time = 15 * SECOND;
             submit(w, 90, 3, |_, _| {});
             w.run(5 * SECOND);
-            w.luck = Luck { late: 45, ..Luck::default() };
+            w.fault_rates = FaultRates { late: 45, ..FaultRates::default() };
             let ids = submit(w, 0, 6, |_, s| {
-                s.rank = Rank::Urgent;
+                s.priority = Priority::Urgent;
                 s.due_s = Some(5.0);
             });
             let all = all_machines(w);
             hang(w, &all[..2], true);
             for id in &ids[..4] {
                 w.run(SECOND);
-                w.abort_surely(1, id);
+                w.cancel_until_confirmed(1, id);
             }
             w.run(4 * SECOND);
             hang(w, &all, false);
             w.run(25 * SECOND);
         },
-        came: |c, j| c.held_executed + c.held_refused > 10 && j.cancellations >= 10,
+        came: |c, j| c.delayed_executed + c.delayed_refused > 10 && j.cancellations >= 10,
     },
     FaultCombination {
         name: "jobs are cancelled while the commands that start them are held up beyond `cancel_s`",
@@ -249,20 +252,20 @@
             w.held = 24 * SECOND;
             for k in 0..14 {
                 submit(w, k, 1, |_, s| {
-                    s.rank = Rank::Urgent;
+                    s.priority = Priority::Urgent;
                     s.due_s = Some(3.2);
                 });
-                w.abort_surely(k as usize % 3, &job(k, 1).id);
+                w.cancel_until_confirmed(k as usize % 3, &job(k, 1).id);
             }
             w.run(26 * SECOND);
         },
-        came: |c, j| c.held > 20 && c.held_executed > 4 && j.cancellations >= 50,
+        came: |c, j| c.held > 20 && c.delayed_executed > 4 && j.cancellations >= 50,
     },
     FaultCombination {
         name: "transactions without an answer are carried out after newer ones",
         tune: usual,
         bring_about: |w| {
-            w.luck.late_writes = 50;
+            w.fault_rates.late_writes = 50;
             w.run_time = 3 * SECOND;
             for k in 0..8 {
                 submit(w, k, 1, |_, _| {});
@@ -270,7 +273,7 @@
                 let id = job(k, 1).id;
                 w.look_closely(&id);
                 if k % 3 == 0 {
-                    w.abort_surely(k as usize % 3, &id);
+                    w.cancel_until_confirmed(k as usize % 3, &id);
                     w.look_closely(&id);
                 }
             }
@@ -282,22 +285,22 @@
         name: "transactions are carried out and only their answers lost, while others read",
         tune: usual,
         bring_about: |w| {
-            w.luck.unanswered = 40;
+            w.fault_rates.unanswered = 40;
             w.run_time = 2 * SECOND;
             for k in 0..10 {
                 let mut spec = job(k, 3);
-                spec.rank = Rank::Urgent;
+                spec.priority = Priority::Urgent;
                 let n = k as usize % 3;
                 w.submit(n, spec.clone());
                 w.run(SECOND / 10);
                 w.look_closely(&spec.id);
-                w.submit_surely(other(n), &spec);
+                w.submit_until_accepted(other(n), &spec);
                 w.run(SECOND);
                 if k % 2 == 0 {
-                    w.abort(n, &spec.id);
+                    w.cancel(n, &spec.id);
                     w.run(SECOND / 10);
                     w.look_closely(&spec.id);
-                    w.abort_surely(other(n), &spec.id);
+                    w.cancel_until_confirmed(other(n), &spec.id);
                     w.look_closely(&spec.id);
                 }
                 w.run(2 * SECOND);
@@ -317,12 +320,12 @@
                 w.run(SECOND / 4);
                 if k >= 4 && k % 4 == 0 {
                     let id = job(k - 4, 1).id;
-                    w.abort(w.now as usize % 3, &id);
+                    w.cancel(w.now as usize % 3, &id);
                     w.look_closely(&id);
                 }
                 if k == 80 {
-                    let (_, holder) = w.busiest();
-                    w.restart(holder, SECOND / 2);
+                    let (_, leader) = w.busiest();
+                    w.restart(leader, SECOND / 2);
                 }
             }
         },
@@ -336,7 +339,7 @@
             let ids = submit(w, 0, 8, |_, _| {});
             w.restart(0, 8 * SECOND);
             w.run(5 * SECOND);
-            w.abort_surely(1, &ids[7]);
+            w.cancel_until_confirmed(1, &ids[7]);
             for n in 0..NODES.len() {
                 w.kill(n);
             }
@@ -347,18 +350,18 @@
             w.start(2);
             w.run(4 * SECOND);
         },
-        came: |c, _| c.holders > 24,
+        came: |c, _| c.leaders > 24,
     },
     FaultCombination {
         name: "a zone with workers and a controller is cut off for longer than a lease",
         tune: long_holds,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, holder) = w.busiest();
-            cut_zone(w, holder);
+            let (_, leader) = w.busiest();
+            cut_zone(w, leader);
             w.run(SECOND);
             for id in &ids[..2] {
-                w.abort_surely(other(holder), id);
+                w.cancel_until_confirmed(other(leader), id);
             }
             w.run(20 * SECOND);
         },
@@ -379,27 +382,27 @@
                 let all = all_machines(w);
                 hang(w, &all[..2.min(all.len())], true);
                 if round == 1 {
-                    let (_, holder) = w.busiest();
-                    w.restart(holder, 2 * SECOND);
+                    let (_, leader) = w.busiest();
+                    w.restart(leader, 2 * SECOND);
                 }
                 w.run(14 * SECOND);
             }
         },
-        came: |c, _| c.holders > 14,
+        came: |c, _| c.leaders > 14,
     },
     FaultCombination {
         name: "old reports reach every controller as a new holder begins",
         tune: usual,
         bring_about: |w| {
-            w.luck = Luck { for_next: 40, copies: 15, ..Luck::default() };
+            w.fault_rates = FaultRates { for_next: 40, copies: 15, ..FaultRates::default() };
             w.run_time = 20 * SECOND;
             let ids = submit(w, 0, 6, |_, _| {});
             for (k, id) in ids.iter().enumerate().take(3) {
                 w.run(5 * SECOND);
-                w.abort_surely(other(k), id);
-                let (_, holder) = w.busiest();
+                w.cancel_until_confirmed(other(k), id);
+                let (_, leader) = w.busiest();
                 let away = if k == 1 { 9 * SECOND } else { SECOND / 2 };
-                w.restart(holder, away);
+                w.restart(leader, away);
             }
             w.run(10 * SECOND);
         },
@@ -409,16 +412,16 @@
         name: "late copies of reports come from earlier sessions and attempts",
         tune: usual,
         bring_about: |w| {
-            w.luck = Luck { copies: 40, ..Luck::default() };
+            w.fault_rates = FaultRates { copies: 40, ..FaultRates::default() };
             let ids = long_tasks(w);
             let all = all_machines(w);
             hang(w, &all[..2], true);
-            w.abort_surely(0, &ids[0]);
+            w.cancel_until_confirmed(0, &ids[0]);
             w.run(14 * SECOND);
             hang(w, &all, false);
             w.run(8 * SECOND);
             w.deaf.extend(all.iter().take(3).cloned());
-            w.abort_surely(1, &ids[1]);
+            w.cancel_until_confirmed(1, &ids[1]);
             w.run(14 * SECOND);
             w.deaf.clear();
             w.run(20 * SECOND);
@@ -431,10 +434,10 @@
         bring_about: |w| {
             w.slow = SECOND;
             w.run_time = 3 * SECOND;
-            w.luck = Luck { lost: 3, late: 3, ..Luck::default() };
+            w.fault_rates = FaultRates { lost: 3, late: 3, ..FaultRates::default() };
             submit(w, 0, 10, |k, s| {
                 s.tasks = 8;
-                s.rank = if k % 3 == 0 { Rank::Urgent } else { Rank::Standard };
+                s.priority = if k % 3 == 0 { Priority::Urgent } else { Priority::Standard };
             });
             w.run(20 * SECOND);
         },
@@ -462,16 +465,16 @@
                 } else {
                     hang(w, &machines, true);
                 }
-                w.abort_surely(round, id);
-                let (_, holder) = w.busiest();
-                w.restart(holder, if round == 2 { SECOND / 5 } else { 8 * SECOND });
+                w.cancel_until_confirmed(round, id);
+                let (_, leader) = w.busiest();
+                w.restart(leader, if round == 2 { SECOND / 5 } else { 8 * SECOND });
                 w.run(4 * SECOND);
                 w.cut.clear();
                 hang(w, &machines, false);
                 w.run(10 * SECOND);
             }
         },
-        came: |c, j| c.holders > 16 && j.cancellations >= 8,
+        came: |c, j| c.leaders > 16 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "a team is at its limit as the holder changes, and machines cannot be asked",
@@ -484,8 +487,8 @@
             });
             w.run(5 * SECOND);
             let all = all_machines(w);
-            let (_, holder) = w.busiest();
-            w.kill(holder);
+            let (_, leader) = w.busiest();
+            w.kill(leader);
             w.cloud_down = true;
             for n in 0..NODES.len() {
                 w.cut.extend(all.iter().map(|m| (n, m.clone())));
@@ -494,56 +497,56 @@
             let running: Vec<String> =
                 ids.iter().filter(|id| !w.machines_of(id).is_empty()).cloned().collect();
             for id in &running {
-                w.abort_surely(other(holder), id);
+                w.cancel_until_confirmed(other(leader), id);
             }
-            w.start(holder);
+            w.start(leader);
             w.run(4 * SECOND);
             w.cut.clear();
             w.cloud_down = false;
         },
-        came: |c, j| c.holders > 14 && j.cancellations >= 4,
+        came: |c, j| c.leaders > 14 && j.cancellations >= 4,
     },
     FaultCombination {
         name: "a holder has only its workers and users left, and jobs end through the new one",
         tune: long_holds,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, holder) = w.busiest();
-            w.lonely.insert(holder);
-            w.apart.insert(holder);
+            let (_, leader) = w.busiest();
+            w.refused_by_store.insert(leader);
+            w.apart.insert(leader);
             for id in &ids[..3] {
                 w.run(2 * SECOND);
-                w.abort_surely(other(holder), id);
+                w.cancel_until_confirmed(other(leader), id);
                 w.look_closely(id);
             }
             w.run(20 * SECOND);
         },
-        came: |c, j| c.refused_alone > 30 && c.not_entitled > 10 && j.cancellations >= 8,
+        came: |c, j| c.refused_alone > 30 && c.without_authority > 10 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "holders change ten times in two minutes, also inside an outage",
         tune: usual,
         bring_about: |w| {
             w.run_time = 8 * SECOND;
-            w.luck = Luck { lost: 2, late: 2, copies: 10, ..Luck::default() };
+            w.fault_rates = FaultRates { lost: 2, late: 2, copies: 10, ..FaultRates::default() };
             for k in 0..10_u32 {
                 submit(w, 2 * k, 2, |_, s| s.tasks = 3);
                 let id = job(2 * k, 1).id;
                 if k == 4 || k == 7 {
                     w.store.outage = true;
                 }
-                let (_, holder) = w.busiest();
-                w.restart(holder, if k % 2 == 0 { SECOND / 2 } else { 7 * SECOND });
+                let (_, leader) = w.busiest();
+                w.restart(leader, if k % 2 == 0 { SECOND / 2 } else { 7 * SECOND });
                 if k == 4 || k == 7 {
                     outage(w, 4 * SECOND);
                 }
                 if k % 3 == 0 {
-                    w.abort_surely(other(holder), &id);
+                    w.cancel_until_confirmed(other(leader), &id);
                 }
                 w.pass(4 * SECOND);
             }
         },
-        came: |c, j| c.holders > 40 && c.refused_all > 20 && j.cancellations >= 10,
+        came: |c, j| c.leaders > 40 && c.refused_all > 20 && j.cancellations >= 10,
     },
     FaultCombination {
         name: "services are cancelled as their holder is refused alone, then the store goes",
@@ -559,26 +562,26 @@
             });
             retire(w, &ids);
         },
-        came: |c, j| c.refused_alone > 4 && c.not_entitled > 20 && j.cancellations >= 12,
+        came: |c, j| c.refused_alone > 4 && c.without_authority > 20 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "services are cancelled while their work changes hands and old reports come back",
         tune: usual,
         bring_about: |w| {
             let ids = services(w, "free");
-            w.luck = Luck { for_next: 30, copies: 15, ..Luck::default() };
+            w.fault_rates = FaultRates { for_next: 30, copies: 15, ..FaultRates::default() };
             for (k, id) in ids.iter().enumerate().take(3) {
                 w.run(2 * SECOND);
-                let (_, holder) = w.busiest();
-                w.kill(holder);
-                w.abort_surely(other(holder), id);
+                let (_, leader) = w.busiest();
+                w.kill(leader);
+                w.cancel_until_confirmed(other(leader), id);
                 w.run(if k == 1 { 8 * SECOND } else { SECOND / 5 });
-                w.start(holder);
+                w.start(leader);
                 w.run(3 * SECOND);
             }
             retire(w, &ids);
         },
-        came: |c, j| c.copies_for_next > 20 && c.holders > 16 && j.cancellations >= 12,
+        came: |c, j| c.copies_for_next > 20 && c.leaders > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "services fill a team's limit, are cancelled on machines that hang, and the holder ends",
@@ -591,16 +594,16 @@
                 let Some(id) = running.first() else { continue };
                 let machines = w.machines_of(id);
                 hang(w, &machines, true);
-                w.abort_surely(round, id);
-                let (_, holder) = w.busiest();
-                w.restart(holder, if round == 1 { SECOND / 5 } else { 8 * SECOND });
+                w.cancel_until_confirmed(round, id);
+                let (_, leader) = w.busiest();
+                w.restart(leader, if round == 1 { SECOND / 5 } else { 8 * SECOND });
                 w.run(6 * SECOND);
                 hang(w, &machines, false);
                 w.run(10 * SECOND);
             }
             retire(w, &ids);
         },
-        came: |c, j| c.holders > 16 && j.cancellations >= 12,
+        came: |c, j| c.leaders > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "services are cancelled on machines that hear nothing, or reach nobody",
@@ -608,11 +611,11 @@
         bring_about: |w| {
             let ids = services(w, "free");
             w.deaf.extend(w.machines_of(&ids[0]));
-            w.abort_surely(0, &ids[0]);
+            w.cancel_until_confirmed(0, &ids[0]);
             w.run(15 * SECOND);
             w.deaf.clear();
             w.mute.extend(w.machines_of(&ids[1]));
-            w.abort_surely(1, &ids[1]);
+            w.cancel_until_confirmed(1, &ids[1]);
             w.run(15 * SECOND);
             retire(w, &ids);
         },
@@ -626,16 +629,16 @@
             for k in 0..12_u32 {
                 let spec = job(k, 2);
                 let n = k as usize % 3;
-                w.submit_surely(n, &spec);
+                w.submit_until_accepted(n, &spec);
                 w.look_closely(&spec.id);
                 if k % 3 == 0 {
-                    w.abort(other(n), &spec.id);
+                    w.cancel(other(n), &spec.id);
                 }
                 for step in 0..40 {
                     w.run(SECOND / 10);
                     w.look_closely(&spec.id);
                     if k % 3 == 1 && step == 18 {
-                        w.abort_surely(other(n), &spec.id);
+                        w.cancel_until_confirmed(other(n), &spec.id);
                     }
                 }
             }
@@ -645,7 +648,7 @@
 ];
 
 /// One trouble, drawn at random; some end by themselves, others with the world's calm.
-pub fn any_trouble(w: &mut World) {
+pub fn any_trouble(w: &mut Simulation) {
     let machines = all_machines(w);
     let some: Vec<String> = machines.into_iter().filter(|_| w.chance(40)).collect();
     let node = w.pick(NODES.len());
@@ -661,7 +664,7 @@
             outage(w, 14 * SECOND);
         }
         4 => {
-            w.lonely.insert(node);
+            w.refused_by_store.insert(node);
             if w.chance(50) {
                 w.apart.insert(node);
             }
@@ -676,9 +679,9 @@
                 w.cut.extend(some.iter().map(|m| (n, m.clone())));
             }
         }
-        9 => w.luck.late_writes = 50,
-        10 => w.luck.unanswered = 50,
-        11 => w.luck = Luck { copies: 25, for_next: 25, ..w.luck },
+        9 => w.fault_rates.late_writes = 50,
+        10 => w.fault_rates.unanswered = 50,
+        11 => w.fault_rates = FaultRates { copies: 25, for_next: 25, ..w.fault_rates },
         12 => w.slow = SECOND / 2,
         _ => w.cloud_down = true,
     }
@@ -690,7 +693,7 @@
     let mut counts = Counts::default();
     for seed in 0..40 {
         let mut w =
-            World::with(50_000 + seed, NODES, if seed % 2 == 0 { usual } else { long_holds });
+            Simulation::with(50_000 + seed, NODES, if seed % 2 == 0 { usual } else { long_holds });
         w.run(3 * SECOND);
         w.run_time = [4, 15, 40][seed as usize % 3] * SECOND;
         for round in 0..3 {
@@ -711,7 +714,7 @@
                 if !accepted.is_empty() && w.chance(60) {
                     let job = accepted[w.pick(accepted.len())].clone();
                     for n in 0..NODES.len() {
-                        w.abort(n, &job);
+                        w.cancel(n, &job);
                     }
                     w.look_closely(&job);
                 }
@@ -720,13 +723,13 @@
             w.calm();
             w.pass(8 * SECOND);
         }
-        settles(&mut w, &format!("mix {seed}"));
+        mark_healthy(&mut w, &format!("mix {seed}"));
         add(&mut counts, w.counts);
     }
-    let Counts { holders, refused_alone, refused_all, late_in_force, .. } = counts;
+    let Counts { leaders, refused_alone, refused_all, late_in_force, .. } = counts;
     let Counts { unanswered, copies_for_next, mute, deaf, leases_lost, .. } = counts;
     for (what, count, least) in [
-        ("holders", holders, 100),
+        ("holders", leaders, 100),
         ("refused_alone", refused_alone, 100),
         ("refused_all", refused_all, 100),
         ("late_in_force", late_in_force, 5),
--- a/crates/quartzlever-core/tests/world/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -1,14 +1,14 @@
-//! The state service takes less than the settings say, from some moment on: before, during or after
+//! The store takes less than the settings say, from some moment on: before, during or after
 //! an upgrade, in a burst of jobs, in a recovery. Nothing is tried in a loop, no machine and no job
 //! is lost, and every job ends.
 
 use quartzlever_core::Config;
 use quartzlever_wire::SECOND;
-use quartzlever_wire::state::{Hosts, hosts_in};
+use quartzlever_wire::store::{MachineRecords, machine_records_in};
 use quartzlever_wire::users::JobPhase;
 
-use crate::sim::{World, job};
-use crate::upgrade::{Between, replace, world};
+use crate::sim::{Simulation, job};
+use crate::upgrade::{Between, replace, simulation};
 
 const JOBS: u32 = 9;
 /// What is refused for its size until the limit is learned, by three controllers, and as much for
@@ -33,19 +33,19 @@
 
 fn as_in_the_settings(_: &mut Config) {}
 
-fn sink(w: &mut World, limits: LowLimits) {
+fn sink(w: &mut Simulation, limits: LowLimits) {
     w.store.value_limit = limits.value_bytes;
     w.store.ops_limit = limits.ops;
     w.store.write_rate = limits.changes_a_second;
 }
 
-fn submit(w: &mut World, from: u32) {
+fn submit(w: &mut Simulation, from: u32) {
     for k in from..from + JOBS {
-        assert_ne!(w.submit_surely(k as usize % 3, &job(k, 30)), 0, "accepted");
+        assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 0, "accepted");
     }
 }
 
-fn play(w: &mut World, moment: Moment, limits: LowLimits) {
+fn play(w: &mut Simulation, moment: Moment, limits: LowLimits) {
     if moment == Moment::BeforeTheUpgrade {
         sink(w, limits);
     }
@@ -77,12 +77,13 @@
 }
 
 /// How many machines that are up belong to no partition.
-fn unclaimed(w: &World) -> usize {
+fn unclaimed(w: &Simulation) -> usize {
     let machines = |key: String| {
         let (value, _) = w.store.get(&key)?;
-        hosts_in(&key, value)
+        machine_records_in(&key, value)
     };
-    let claimed: Vec<Hosts> = w.store.keys("hosts/").into_iter().filter_map(machines).collect();
+    let claimed: Vec<MachineRecords> =
+        w.store.keys("hosts/").into_iter().filter_map(machines).collect();
     let is_claimed = |host: &String| claimed.iter().any(|hosts| hosts.contains_key(host));
     w.workers.keys().filter(|host| !is_claimed(host)).count()
 }
@@ -98,7 +99,7 @@
         for moment in [BeforeTheUpgrade, DuringTheUpgrade, AfterTheUpgrade, InABurst, InARecovery] {
             seed += 1;
             let name = format!("{moment:?}, {limits:?}");
-            let mut w = world(seed, as_in_the_settings);
+            let mut w = simulation(seed, as_in_the_settings);
             w.run_time = 20 * SECOND;
             play(&mut w, moment, limits);
             w.run(30 * SECOND);
--- a/crates/quartzlever-core/tests/world/liveness.rs
+++ b/crates/quartzlever-core/tests/simulation/liveness.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::sim::{CallFault, Luck, World, job};
+use crate::sim::{CallFault, FaultRates, Simulation, job};
 
 const NODES: &[&str] = &["one", "two", "three"];
 
@@ -18,18 +18,26 @@
 fn jobs_run_where_the_cloud_has_no_spot_machines() {
     // (spot machines there are, tasks of each job)
     for (most_spot, tasks) in [(0, 1), (0, 4), (1, 4), (1, 16)] {
-        let mut world = World::new(60_000 + u64::from(tasks), NODES);
-        (world.cloud.most, world.cloud.most_spot) = (12, most_spot);
-        world.run(3 * SECOND);
-        let calm = world.now;
+        let mut simulation = Simulation::new(60_000 + u64::from(tasks), NODES);
+        (simulation.cloud.most, simulation.cloud.most_spot) = (12, most_spot);
+        simulation.run(3 * SECOND);
+        let calm = simulation.now;
         let jobs: Vec<JobSpec> = (0..6).map(|k| job(k, tasks)).collect();
         for (k, spec) in jobs.iter().enumerate() {
-            assert_eq!(world.submit_surely(k % NODES.len(), spec), 201, "{most_spot} {tasks}");
+            assert_eq!(
+                simulation.submit_until_accepted(k % NODES.len(), spec),
+                201,
+                "{most_spot} {tasks}"
+            );
         }
-        world.pass(240 * SECOND);
-        world.check_liveness(calm);
-        assert_eq!(world.rules.broken, Vec::<String>::new(), "{most_spot} spot, {tasks} tasks");
-        let waiting = world.rules.waiting();
+        simulation.pass(240 * SECOND);
+        simulation.check_liveness(calm);
+        assert_eq!(
+            simulation.rules.broken,
+            Vec::<String>::new(),
+            "{most_spot} spot, {tasks} tasks"
+        );
+        let waiting = simulation.rules.waiting();
         assert!(waiting.is_empty(), "{most_spot} spot, {tasks} tasks: {waiting:?} wait");
     }
 }
@@ -39,7 +47,7 @@
     seed: u64,
     nodes: usize,
     tune: fn(&mut Config),
-    /// The state service: keys in a page of a listing, changes that watches may still ask for, and
+    /// The store: keys in a page of a listing, changes that watches may still ask for, and
     /// changes a second; 0 for no limit.
     page_limit: usize,
     log_limit: usize,
@@ -47,7 +55,7 @@
     /// How much slower it is, and its watches.
     slow: Micros,
     watch_lag: Micros,
-    luck: Luck,
+    fault_rates: FaultRates,
     /// The cloud: spot machines, and how long a machine boots.
     most_spot: usize,
     boot: Micros,
@@ -57,18 +65,18 @@
 
 fn usual(_: &mut Config) {}
 
-fn short_leases(cfg: &mut Config) {
-    cfg.operator.lease_life = 3 * SECOND;
-    cfg.state_write_rps = 12.0;
+fn short_leases(config: &mut Config) {
+    config.operator.lease_life = 3 * SECOND;
+    config.store_write_rps = 12.0;
 }
 
-fn low_limits(cfg: &mut Config) {
-    (cfg.state_rps, cfg.state_write_rps) = (30.0, 10.0);
-    (cfg.value_bytes, cfg.txn_ops) = (1024, 4);
+fn low_limits(config: &mut Config) {
+    (config.store_rps, config.store_write_rps) = (30.0, 10.0);
+    (config.value_bytes, config.txn_ops) = (1024, 4);
 }
 
 /// Calls that may go wrong: about as many as are made in the first ten seconds.
-const FIRST_CALLS: usize = 250;
+const MAX_EARLY_FENCING_CALLS: usize = 250;
 
 impl StartUp {
     /// A start in which everything is as usual.
@@ -82,7 +90,7 @@
             write_rate: 0.0,
             slow: 0,
             watch_lag: 0,
-            luck: Luck::default(),
+            fault_rates: FaultRates::default(),
             most_spot: usize::MAX,
             boot: SECOND,
             faults: Vec::new(),
@@ -93,17 +101,17 @@
     fn drawn(seed: u64) -> StartUp {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut percent = || if rng.random() { rng.random_range(0..15) } else { 0 };
-        let luck = Luck {
+        let fault_rates = FaultRates {
             lost: percent(),
             late: percent(),
             unanswered: percent(),
             late_writes: percent(),
-            ..Luck::default()
+            ..FaultRates::default()
         };
         let count = rng.random_range(1..6);
         let mut fault = || {
             let kind = CallFault::ALL[rng.random_range(0..CallFault::ALL.len())];
-            (rng.random_range(1..FIRST_CALLS), kind)
+            (rng.random_range(1..MAX_EARLY_FENCING_CALLS), kind)
         };
         let faults = (0..count).map(|_| fault()).collect();
         let tunes: [fn(&mut Config); 4] = [usual, usual, short_leases, low_limits];
@@ -115,7 +123,7 @@
             write_rate: [0.0, 0.0, 10.0][rng.random_range(0..3)],
             slow: [0, 0, SECOND / 3, SECOND][rng.random_range(0..4)],
             watch_lag: [0, 0, 0, 2 * SECOND][rng.random_range(0..4)],
-            luck,
+            fault_rates,
             most_spot: [usize::MAX, usize::MAX, 0, 1][rng.random_range(0..4)],
             boot: [SECOND, 4 * SECOND][rng.random_range(0..2)],
             faults,
@@ -127,33 +135,34 @@
     /// and each job must be begun.
     fn play(&self) -> Result<(), String> {
         let names = &["one", "two", "three", "four", "five"][..self.nodes];
-        let mut world = World::with(self.seed, names, self.tune);
-        (world.store.page_limit, world.store.log_limit) = (self.page_limit, self.log_limit);
-        world.store.write_rate = self.write_rate;
-        (world.slow, world.watch_lag) = (self.slow, self.watch_lag);
-        (world.luck, world.boot) = (self.luck, self.boot);
-        (world.cloud.most, world.cloud.most_spot) = (4 * self.nodes, self.most_spot);
-        world.call_faults.extend(self.faults.iter().copied());
+        let mut simulation = Simulation::with(self.seed, names, self.tune);
+        (simulation.store.page_limit, simulation.store.log_limit) =
+            (self.page_limit, self.log_limit);
+        simulation.store.write_rate = self.write_rate;
+        (simulation.slow, simulation.watch_lag) = (self.slow, self.watch_lag);
+        (simulation.fault_rates, simulation.boot) = (self.fault_rates, self.boot);
+        (simulation.cloud.most, simulation.cloud.most_spot) = (4 * self.nodes, self.most_spot);
+        simulation.call_faults.extend(self.faults.iter().copied());
         let jobs: Vec<JobSpec> = (0..4).map(|k| job(k, 2)).collect();
         for (k, spec) in jobs.iter().enumerate() {
-            world.run(SECOND / 2);
-            world.submit(k % names.len(), spec.clone());
+            simulation.run(SECOND / 2);
+            simulation.submit(k % names.len(), spec.clone());
         }
-        world.run(20 * SECOND);
-        world.call_faults.clear();
-        world.calm();
-        let calm = world.now;
+        simulation.run(20 * SECOND);
+        simulation.call_faults.clear();
+        simulation.calm();
+        let calm = simulation.now;
         for (k, spec) in jobs.iter().enumerate() {
-            world.submit_surely(k % names.len(), spec);
+            simulation.submit_until_accepted(k % names.len(), spec);
         }
-        world.submit_surely(0, &job(9, 2));
-        world.pass(50 * SECOND);
-        world.check_liveness(calm);
-        let waiting = world.rules.waiting();
-        if world.rules.broken.is_empty() && waiting.is_empty() {
+        simulation.submit_until_accepted(0, &job(9, 2));
+        simulation.pass(50 * SECOND);
+        simulation.check_liveness(calm);
+        let waiting = simulation.rules.waiting();
+        if simulation.rules.broken.is_empty() && waiting.is_empty() {
             return Ok(());
         }
-        let (broken, awaited) = (&world.rules.broken, world.awaited());
+        let (broken, awaited) = (&simulation.rules.broken, simulation.awaited());
         Err(format!(
             "seed {}, {} nodes, {:?}: {broken:?}; {waiting:?} wait{awaited}",
             self.seed, self.nodes, self.faults
@@ -167,7 +176,7 @@
     // (controllers, calls between two that fail): a trial took each of the first 400.
     for (nodes, step) in [(1, 17), (3, 13)] {
         for fault in CallFault::ALL {
-            for call in (1..FIRST_CALLS).step_by(step) {
+            for call in (1..MAX_EARLY_FENCING_CALLS).step_by(step) {
                 let faults = vec![(call, fault)];
                 let start = StartUp { nodes, faults, ..StartUp::usual(70_000 + call as u64) };
                 assert_eq!(start.play(), Ok(()));
@@ -179,7 +188,7 @@
 /// Starts that failed while listings could interleave.
 const FAILED_BEFORE: [u64; 12] = [219, 316, 519, 682, 751, 765, 1002, 1048, 2612, 2628, 2704, 2720];
 
-/// Several go wrong, where the state service lists a key a page, or forgets its changes so soon that the
+/// Several go wrong, where the store lists a key a page, or forgets its changes so soon that the
 /// records have to be listed again and again. Before one listing at a time was under way, two
 /// controllers acted for one partition, and tasks ran twice.
 #[test]
@@ -191,7 +200,7 @@
     assert!(failed.is_empty(), "{} failed: {failed:#?}", failed.len());
 }
 
-/// Jobs come faster than the state service takes changes, for as long as the test runs. What is left of
+/// Jobs come faster than the store takes changes, for as long as the test runs. What is left of
 /// the changes goes to machines before it goes to further jobs: with none for them, no task was started
 /// until the flood was over.
 #[test]
@@ -199,22 +208,22 @@
     // (settings, changes a second, jobs a second)
     type Tune = fn(&mut Config);
     let cases: [(Tune, f64, u64); 2] = [
-        (|cfg| cfg.state_write_rps = 12.0, 12.0, 40),
-        (|cfg| cfg.state_write_rps = 30.0, 30.0, 60),
+        (|config| config.store_write_rps = 12.0, 12.0, 40),
+        (|config| config.store_write_rps = 30.0, 30.0, 60),
     ];
     for (tune, write_rps, jobs_a_second) in cases {
-        let mut world = World::with(90_000 + jobs_a_second, NODES, tune);
-        (world.store.write_rate, world.cloud.most) = (write_rps, 30);
+        let mut simulation = Simulation::with(90_000 + jobs_a_second, NODES, tune);
+        (simulation.store.write_rate, simulation.cloud.most) = (write_rps, 30);
         let mut number = 0;
         for _ in 0..25 {
             for _ in 0..jobs_a_second {
                 number += 1;
-                world.submit(number as usize % NODES.len(), job(number, 1));
-                world.run(SECOND / jobs_a_second);
+                simulation.submit(number as usize % NODES.len(), job(number, 1));
+                simulation.run(SECOND / jobs_a_second);
             }
         }
-        let now = world.now;
-        world.rules.day_over(now);
-        assert_eq!(world.rules.broken, Vec::<String>::new(), "{jobs_a_second} a second");
+        let now = simulation.now;
+        simulation.rules.day_over(now);
+        assert_eq!(simulation.rules.broken, Vec::<String>::new(), "{jobs_a_second} a second");
     }
 }
--- a/crates/quartzlever-core/tests/world/main.rs
+++ b/crates/quartzlever-core/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Whole controllers, several at once, in a simulated world: its state service, cloud, network,
+//! Whole controllers, several at once, in a simulated world: its store, cloud, network,
 //! workers and users go wrong as those of the protocol may, and a checker looks for broken rules.
 
 mod combination;
--- a/crates/quartzlever-core/tests/world/on_call.rs
+++ b/crates/quartzlever-core/tests/simulation/on_call.rs
@@ -2,36 +2,36 @@
 //! come late or never, guests, swarms, and jobs that fail everywhere. Alone and with what else happens on such nights.
 
 use quartzlever_wire::SECOND;
-use quartzlever_wire::users::{JobSpec, Rank};
+use quartzlever_wire::users::{JobSpec, Priority};
 
 use crate::combination::*;
 use crate::fault_combinations::any_trouble;
-use crate::sim::{Counts, World, job};
+use crate::sim::{Counts, Simulation, job};
 
 /// Longer than any lease, and than a cancelled task may take.
 const MINUTE: u64 = 62 * SECOND;
 
-/// Cuts a controller off from the state service, the other controllers and all machines.
-fn leave_network(w: &mut World, node: usize) {
-    w.lonely.insert(node);
+/// Cuts a controller off from the store, the other controllers and all machines.
+fn leave_network(w: &mut Simulation, node: usize) {
+    w.refused_by_store.insert(node);
     w.apart.insert(node);
     w.cut.extend(all_machines(w).into_iter().map(|machine| (node, machine)));
 }
 
-fn join_network(w: &mut World, node: usize) {
-    w.lonely.remove(&node);
+fn join_network(w: &mut Simulation, node: usize) {
+    w.refused_by_store.remove(&node);
     w.apart.remove(&node);
     w.cut.retain(|(cut, _)| *cut != node);
 }
 
-fn cancel(w: &mut World, node: usize, ids: &[String]) {
+fn cancel(w: &mut Simulation, node: usize, ids: &[String]) {
     for id in ids {
-        w.abort_surely(node, id);
+        w.cancel_until_confirmed(node, id);
     }
 }
 
 /// Users ask each node so many times about each job.
-fn ask_often(w: &mut World, ids: &[String], times: usize) {
+fn ask_often(w: &mut Simulation, ids: &[String], times: usize) {
     for id in ids {
         for n in (0..NODES.len()).cycle().take(NODES.len() * times) {
             w.lookup(n, id);
@@ -40,7 +40,7 @@
 }
 
 fn guest(spec: &mut JobSpec) {
-    spec.rank = Rank::BestEffort;
+    spec.priority = Priority::BestEffort;
     (spec.checkpoint_s, spec.save_s) = (2.0, 0.5);
 }
 
@@ -50,19 +50,19 @@
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (part, holder) = w.busiest();
-            leave_network(w, holder);
+            let (partition, leader) = w.busiest();
+            leave_network(w, leader);
             w.run(2 * SECOND);
-            cancel(w, other(holder), &ids[..3]);
+            cancel(w, other(leader), &ids[..3]);
             w.run(12 * SECOND);
-            let successor = w.holder(&part).unwrap_or(other(holder));
+            let successor = w.leader(&partition).unwrap_or(other(leader));
             w.kill(successor);
-            join_network(w, holder);
+            join_network(w, leader);
             w.run(SECOND / 5);
             w.start(successor);
             w.run(10 * SECOND);
         },
-        came: |c, j| c.holders > 16 && c.refused_alone > 40 && j.cancellations >= 12,
+        came: |c, j| c.leaders > 16 && c.refused_alone > 40 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "two controllers leave the network in turn, the second as the first is back",
@@ -77,28 +77,28 @@
                 join_network(w, node);
             }
         },
-        came: |c, j| c.holders > 20 && j.cancellations >= 12,
+        came: |c, j| c.leaders > 20 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "a controller stands still for a minute, jobs are cancelled, it wakes and stops again",
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, holder) = w.busiest();
-            w.frozen.insert(holder);
+            let (_, leader) = w.busiest();
+            w.paused.insert(leader);
             w.run(3 * SECOND);
-            cancel(w, other(holder), &ids[..3]);
+            cancel(w, other(leader), &ids[..3]);
             w.run(MINUTE);
-            w.frozen.remove(&holder);
+            w.paused.remove(&leader);
             w.run(SECOND / 10);
             ask_often(w, &ids, 1);
             w.run(SECOND);
-            w.frozen.insert(holder);
+            w.paused.insert(leader);
             w.run(8 * SECOND);
-            w.frozen.remove(&holder);
+            w.paused.remove(&leader);
             w.run(5 * SECOND);
         },
-        came: |c, j| c.unread > 4 && c.holders > 16 && j.cancellations >= 12,
+        came: |c, j| c.unread > 4 && c.leaders > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "all controllers stand still for longer than a lease and wake one after the other",
@@ -106,12 +106,12 @@
         bring_about: |w| {
             let ids = long_tasks(w);
             cancel(w, 0, &ids[..2]);
-            w.frozen.extend(0..NODES.len());
+            w.paused.extend(0..NODES.len());
             w.run(40 * SECOND);
             for node in [1, 2, 0] {
-                w.frozen.remove(&node);
+                w.paused.remove(&node);
                 w.run(2 * SECOND);
-                w.abort(node, &ids[2]);
+                w.cancel(node, &ids[2]);
             }
             w.run(5 * SECOND);
         },
@@ -122,16 +122,16 @@
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (part, holder) = w.busiest();
-            w.frozen.insert(holder);
+            let (partition, leader) = w.busiest();
+            w.paused.insert(leader);
             w.run(9 * SECOND);
-            cancel(w, other(holder), &ids[..3]);
+            cancel(w, other(leader), &ids[..3]);
             w.store.outage = true;
-            let successor = w.holder(&part).unwrap_or(other(holder));
+            let successor = w.leader(&partition).unwrap_or(other(leader));
             w.kill(successor);
             w.run(SECOND);
             w.start(successor);
-            w.frozen.remove(&holder);
+            w.paused.remove(&leader);
             outage(w, 10 * SECOND);
             w.run(10 * SECOND);
         },
@@ -142,16 +142,16 @@
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, holder) = w.busiest();
+            let (_, leader) = w.busiest();
             for turn in 0..60 {
                 ask_often(w, &ids, 4);
                 w.run(SECOND / 4);
                 match turn {
-                    4 | 30 => w.restart(holder, SECOND / 5),
-                    12 => _ = w.lonely.insert(other(holder)),
+                    4 | 30 => w.restart(leader, SECOND / 5),
+                    12 => _ = w.refused_by_store.insert(other(leader)),
                     20 => w.calm(),
-                    24 => cancel(w, holder, &ids[..2]),
-                    40 => leave_network(w, other(holder)),
+                    24 => cancel(w, leader, &ids[..2]),
+                    40 => leave_network(w, other(leader)),
                     _ => {}
                 }
             }
@@ -162,19 +162,19 @@
         name: "machines come late or never, the cloud goes, and the holder that waits for them ends",
         tune: usual,
         bring_about: |w| {
-            (w.cloud.most, w.never_up, w.boot) = (24, 50, 15 * SECOND);
+            (w.cloud.most, w.never_booted, w.boot) = (24, 50, 15 * SECOND);
             let ids = submit(w, 0, 4, |_, spec| spec.tasks = 8);
             w.run(10 * SECOND);
-            let (_, holder) = w.busiest();
-            w.restart(holder, 6 * SECOND);
-            cancel(w, other(holder), &ids[..1]);
+            let (_, leader) = w.busiest();
+            w.restart(leader, 6 * SECOND);
+            cancel(w, other(leader), &ids[..1]);
             w.cloud_down = true;
             w.run(20 * SECOND);
             w.cloud_down = false;
             w.run(10 * SECOND);
-            (w.never_up, w.boot) = (0, SECOND);
+            (w.never_booted, w.boot) = (0, SECOND);
         },
-        came: |c, j| c.never_up > 20 && c.holders > 14 && j.cancellations >= 4,
+        came: |c, j| c.never_booted > 20 && c.leaders > 14 && j.cancellations >= 4,
     },
     FaultCombination {
         name: "jobs that fail everywhere lose their holder and are cancelled",
@@ -182,17 +182,17 @@
         bring_about: |w| {
             let ids = submit(w, 0, 6, |k, spec| spec.tasks = if k < 3 { 12 } else { 4 });
             for id in &ids[..3] {
-                w.set_mistaken(id, true);
+                w.set_fails_everywhere(id, true);
             }
             w.run(12 * SECOND);
-            let (_, holder) = w.busiest();
-            w.restart(holder, 8 * SECOND);
+            let (_, leader) = w.busiest();
+            w.restart(leader, 8 * SECOND);
             w.run(6 * SECOND);
-            leave_network(w, holder);
-            cancel(w, other(holder), &ids[..3]);
+            leave_network(w, leader);
+            cancel(w, other(leader), &ids[..3]);
             w.run(6 * SECOND);
         },
-        came: |c, j| c.holders > 16 && j.cancellations >= 12,
+        came: |c, j| c.leaders > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "guests fill the machines, others come, a controller stands still, guests are cancelled",
@@ -204,19 +204,19 @@
                 spec.tasks = 40;
             });
             w.run(8 * SECOND);
-            submit(w, 10, 4, |_, spec| spec.rank = Rank::Urgent);
-            let (_, holder) = w.busiest();
-            w.frozen.insert(holder);
+            submit(w, 10, 4, |_, spec| spec.priority = Priority::Urgent);
+            let (_, leader) = w.busiest();
+            w.paused.insert(leader);
             w.run(15 * SECOND);
-            cancel(w, other(holder), &guests[..1]);
-            w.frozen.remove(&holder);
+            cancel(w, other(leader), &guests[..1]);
+            w.paused.remove(&leader);
             w.run(10 * SECOND);
         },
         came: |c, j| c.unread > 5 && j.cancellations >= 4,
     },
     FaultCombination {
         name: "single small jobs come by the dozen while a controller stands still and another restarts",
-        tune: |cfg| cfg.state_write_rps = 30.0,
+        tune: |config| config.store_write_rps = 30.0,
         bring_about: |w| {
             (w.store.write_rate, w.run_time) = (30.0, 25 * SECOND);
             let small = |_: u32, spec: &mut JobSpec| (spec.tasks, spec.cpus) = (1, 0.25);
@@ -225,15 +225,15 @@
                 ids.extend(submit(w, k * 3, 3, small));
                 w.run(SECOND / 3);
                 match k {
-                    6 => _ = w.frozen.insert(1),
+                    6 => _ = w.paused.insert(1),
                     10 => w.restart(2, SECOND / 5),
-                    16 => _ = w.frozen.remove(&1),
+                    16 => _ = w.paused.remove(&1),
                     _ => {}
                 }
             }
             cancel(w, 0, &ids[ids.len() - 6..]);
         },
-        came: |c, j| c.holders > 16 && j.cancellations >= 24,
+        came: |c, j| c.leaders > 16 && j.cancellations >= 24,
     },
     FaultCombination {
         name: "a huge array is stolen from, loses two holders, and is cancelled in its middle",
@@ -242,17 +242,17 @@
             w.cloud.most = 20;
             let ids = submit(w, 0, 1, |_, spec| (spec.tasks, spec.cpus) = (600, 0.5));
             w.run(12 * SECOND);
-            let (_, holder) = w.busiest();
-            w.frozen.insert(holder);
+            let (_, leader) = w.busiest();
+            w.paused.insert(leader);
             w.run(10 * SECOND);
             let (_, next) = w.busiest();
             w.restart(next, SECOND / 5);
-            w.frozen.remove(&holder);
+            w.paused.remove(&leader);
             w.run(2 * SECOND);
-            cancel(w, holder, &ids);
+            cancel(w, leader, &ids);
             w.run(2 * SECOND);
         },
-        came: |c, j| c.holders > 14 && j.cancellations >= 4,
+        came: |c, j| c.leaders > 14 && j.cancellations >= 4,
     },
 ];
 
@@ -262,17 +262,17 @@
 }
 
 /// One of the troubles of these nights, drawn at random.
-fn any_night(w: &mut World, ids: &[String]) {
+fn any_night(w: &mut Simulation, ids: &[String]) {
     let node = w.pick(NODES.len());
     match w.pick(8) {
-        0 => _ = w.frozen.insert(node),
-        1 => w.frozen.extend(0..NODES.len()),
-        2 => w.frozen.clear(),
+        0 => _ = w.paused.insert(node),
+        1 => w.paused.extend(0..NODES.len()),
+        2 => w.paused.clear(),
         3 => leave_network(w, node),
-        4 => (w.never_up, w.boot) = (40, 8 * SECOND),
+        4 => (w.never_booted, w.boot) = (40, 8 * SECOND),
         5 => {
             let id = ids[w.pick(ids.len())].clone();
-            w.set_mistaken(&id, true);
+            w.set_fails_everywhere(&id, true);
         }
         6 => ask_often(w, ids, 5),
         _ => any_trouble(w),
@@ -287,7 +287,7 @@
     let mut counts = Counts::default();
     for seed in 0..more.unwrap_or(24) {
         let mut w =
-            World::with(80_000 + seed, NODES, if seed % 2 == 0 { usual } else { long_holds });
+            Simulation::with(80_000 + seed, NODES, if seed % 2 == 0 { usual } else { long_holds });
         w.cloud.most = 10;
         w.run(3 * SECOND);
         w.run_time = [4, 15, 40][seed as usize % 3] * SECOND;
@@ -309,7 +309,7 @@
                 if w.chance(60) {
                     let id = ids[w.pick(ids.len())].clone();
                     for n in 0..NODES.len() {
-                        w.abort(n, &id);
+                        w.cancel(n, &id);
                     }
                     w.look_closely(&id);
                 }
@@ -319,15 +319,15 @@
             w.boot = SECOND;
             w.pass(8 * SECOND);
         }
-        ids.iter().for_each(|id| w.set_mistaken(id, false));
-        settles(&mut w, &format!("night {seed}"));
+        ids.iter().for_each(|id| w.set_fails_everywhere(id, false));
+        mark_healthy(&mut w, &format!("night {seed}"));
         add(&mut counts, w.counts);
     }
-    let Counts { holders, unread, never_up, refused_alone, leases_lost, .. } = counts;
+    let Counts { leaders, unread, never_booted, refused_alone, leases_lost, .. } = counts;
     for (what, count, least) in [
-        ("holders", holders, 100),
+        ("holders", leaders, 100),
         ("unread", unread, 200),
-        ("never_up", never_up, 10),
+        ("never_up", never_booted, 10),
         ("refused_alone", refused_alone, 100),
         ("leases_lost", leases_lost, 20),
     ] {
--- a/crates/quartzlever-core/tests/world/services.rs
+++ b/crates/quartzlever-core/tests/simulation/services.rs
@@ -3,23 +3,23 @@
 use quartzlever_wire::SECOND;
 use quartzlever_wire::users::{JobSpec, Shape};
 
-use crate::sim::{World, job};
+use crate::sim::{Simulation, job};
 
 const NODES: &[&str] = &["one", "two", "three"];
 
 pub fn service(n: u32, replicas: u32) -> JobSpec {
-    JobSpec { shape: Shape::Daemon, expect_s: 0.0, due_s: None, cpus: 1.0, ..job(n, replicas) }
+    JobSpec { shape: Shape::Service, expect_s: 0.0, due_s: None, cpus: 1.0, ..job(n, replicas) }
 }
 
 /// Replicas that are on machines now.
-fn replicas(w: &World, id: &str) -> usize {
+fn replicas(w: &Simulation, id: &str) -> usize {
     let on = |t: &&quartzlever_wire::workers::TaskId| t.job == id;
     w.workers.values().map(|m| m.running().iter().filter(on).count()).sum()
 }
 
-/// What befalls the machines, the holder, or the world of a service.
+/// What befalls the machines, the leader, or the world of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
     /// Replicas end by themselves, as done, after so many seconds.
     EndAfter(u64),
@@ -29,14 +29,14 @@
     AllHang,
     /// Every task fails on the first replica's machine.
     Faulty,
-    /// The holder ends and is back after so many tenths of a second.
+    /// The leader ends and is back after so many tenths of a second.
     Restart(u64),
     Outage(u64),
     /// The first replica's machine is taken back by the cloud, with a notice of so many seconds.
     SpotNotice(u64),
     /// The first replica's machine reports, but hears nothing.
     Deaf,
-    /// It hears, but its reports do not arrive.
+    /// It hears, but its heartbeats do not arrive.
     Mute,
     /// All machines of one zone stop.
     ZoneLost,
@@ -44,47 +44,47 @@
     FailsEverywhere(u64),
 }
 
-fn befall(w: &mut World, id: &str, trouble: Trouble) {
+fn inject(w: &mut Simulation, id: &str, trouble: Fault) {
     let machines = w.machines_of(id);
     let first = machines.first().cloned().unwrap_or_default();
     match trouble {
-        Trouble::None | Trouble::EndAfter(_) => {}
-        Trouble::Hang(secs) => {
+        Fault::None | Fault::EndAfter(_) => {}
+        Fault::Hang(secs) => {
             w.workers.get_mut(&first).expect("it runs").hung = true;
             w.run(secs * SECOND);
             if let Some(worker) = w.workers.get_mut(&first) {
                 worker.hung = false;
             }
         }
-        Trouble::AllHang => {
+        Fault::AllHang => {
             for name in &machines {
                 w.workers.get_mut(name).expect("it runs").hung = true;
             }
         }
-        Trouble::Faulty => w.workers.get_mut(&first).expect("it runs").faulty = true,
-        Trouble::Restart(tenths) => {
-            let (_, holder) = w.busiest();
-            w.restart(holder, tenths * SECOND / 10);
+        Fault::Faulty => w.workers.get_mut(&first).expect("it runs").faulty = true,
+        Fault::Restart(tenths) => {
+            let (_, leader) = w.busiest();
+            w.restart(leader, tenths * SECOND / 10);
         }
-        Trouble::Outage(secs) => {
+        Fault::Outage(secs) => {
             w.store.outage = true;
             w.run(secs * SECOND);
             let now = w.now;
             w.store.end_outage(now);
         }
-        Trouble::SpotNotice(secs) => {
+        Fault::SpotNotice(secs) => {
             w.workers.get_mut(&first).expect("it runs").warning_s = Some(secs as f64);
             w.run(secs * SECOND);
             w.workers.remove(&first);
             w.cloud.machines.remove(&first);
         }
-        Trouble::Deaf => drop(w.deaf.insert(first)),
-        Trouble::Mute => drop(w.mute.insert(first)),
-        Trouble::ZoneLost => {
-            let in_zone = w.workers.values_mut().filter(|m| m.rental.zone == "b");
+        Fault::Deaf => drop(w.deaf.insert(first)),
+        Fault::Mute => drop(w.mute.insert(first)),
+        Fault::ZoneLost => {
+            let in_zone = w.workers.values_mut().filter(|m| m.instance.zone == "b");
             in_zone.for_each(|m| m.hung = true);
         }
-        Trouble::FailsEverywhere(secs) => {
+        Fault::FailsEverywhere(secs) => {
             for _ in 0..secs {
                 w.workers.values_mut().for_each(|m| m.faulty = true);
                 w.run(SECOND);
@@ -96,13 +96,13 @@
 
 #[test]
 fn replicas_run_until_their_service_is_cancelled() {
-    use Trouble::*;
+    use Fault::*;
     type Change = fn(&mut JobSpec);
     let plain: Change = |_| {};
     let apart: Change = |s| s.spread = true;
     let together: Change = |s| s.one_zone = true;
     let limited: Change = |s| s.team = "tight".into();
-    let cases: &[(&str, Change, Trouble)] = &[
+    let cases: &[(&str, Change, Fault)] = &[
         ("nothing happens", plain, None),
         ("replicas end as if done", plain, EndAfter(5)),
         ("replicas end at once, over and over", plain, EndAfter(0)),
@@ -123,12 +123,12 @@
     ];
     for (name, change, trouble) in cases {
         for seed in 0..3 {
-            let mut w = World::new(seed, NODES);
+            let mut w = Simulation::new(seed, NODES);
             w.run(6 * SECOND);
             w.run_time = if let EndAfter(secs) = trouble { secs * SECOND } else { 10_000 * SECOND };
             let mut spec = service(1, 4);
             change(&mut spec);
-            assert_eq!(w.submit_surely(seed as usize % 3, &spec), 201, "{name}");
+            assert_eq!(w.submit_until_accepted(seed as usize % 3, &spec), 201, "{name}");
             w.pass(15 * SECOND);
             let short = matches!(trouble, EndAfter(_));
             if !short {
@@ -136,7 +136,7 @@
                 let spread = w.machines_of(&spec.id).len();
                 assert!(spread > 1 || !spec.spread, "{name} {seed}: all on one machine");
             }
-            befall(&mut w, &spec.id, *trouble);
+            inject(&mut w, &spec.id, *trouble);
             w.pass(45 * SECOND);
             let up = replicas(&w, &spec.id);
             assert!(up == 4 || short, "{name} {seed}: {up} replicas are up again");
@@ -147,7 +147,11 @@
             }
             let starts: usize = w.workers.values().map(|m| m.started.len()).sum();
             assert!(starts < 120, "{name} {seed}: {starts} starts are a hammering");
-            assert_eq!(w.abort_surely(1, &spec.id).as_deref(), Some("aborted"), "{name} {seed}");
+            assert_eq!(
+                w.cancel_until_confirmed(1, &spec.id).as_deref(),
+                Some("aborted"),
+                "{name} {seed}"
+            );
             w.pass(25 * SECOND);
             assert_eq!(replicas(&w, &spec.id), 0, "{name} {seed}: gone");
             w.check_end();
@@ -159,19 +163,19 @@
 #[test]
 fn services_and_arrays_share_the_machines() {
     for seed in 0..4 {
-        let mut w = World::new(90 + seed, NODES);
+        let mut w = Simulation::new(90 + seed, NODES);
         w.run(3 * SECOND);
         w.run_time = 4 * SECOND;
         for k in 0..6 {
-            assert_ne!(w.submit_surely(k as usize % 3, &job(k, 12)), 0);
+            assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 12)), 0);
         }
         // The room is full of standard tasks, and services of the highest rank come.
         w.run(2 * SECOND);
         w.workers.values_mut().for_each(|m| m.run_time = 4 * SECOND);
         for k in 10..14 {
             let mut spec = service(k, 3);
-            spec.rank = quartzlever_wire::users::Rank::Prod;
-            assert_ne!(w.submit_surely(k as usize % 3, &spec), 0);
+            spec.priority = quartzlever_wire::users::Priority::Prod;
+            assert_ne!(w.submit_until_accepted(k as usize % 3, &spec), 0);
         }
         w.pass(10 * SECOND);
         for k in 10..14 {
@@ -189,7 +193,7 @@
 
 #[test]
 fn submissions_of_services_get_the_right_answer() {
-    let mut w = World::new(7, NODES);
+    let mut w = Simulation::new(7, NODES);
     w.run(6 * SECOND);
     type Change = fn(&mut JobSpec);
     let cases: &[(&str, Change, u16)] = &[
@@ -218,14 +222,15 @@
 fn a_service_that_fails_everywhere_condemns_no_machine() {
     for seed in 0..4 {
         // Idle machines stay, so that whatever is returned is returned for a fault.
-        let mut w = World::with(60 + seed, NODES, |cfg| cfg.operator.idle_boots = 1_000.0);
+        let mut w =
+            Simulation::with(60 + seed, NODES, |config| config.operator.idle_boots = 1_000.0);
         w.run(6 * SECOND);
         w.run_time = 10_000 * SECOND;
         let spec = service(1, 4);
-        assert_eq!(w.submit_surely(seed as usize % 3, &spec), 201, "{seed}");
+        assert_eq!(w.submit_until_accepted(seed as usize % 3, &spec), 201, "{seed}");
         let mut starts = Vec::new();
         for _ in 0..2 {
-            befall(&mut w, &spec.id, Trouble::FailsEverywhere(60));
+            inject(&mut w, &spec.id, Fault::FailsEverywhere(60));
             starts.push(w.workers.values().map(|m| m.started.len()).sum::<usize>());
         }
         let (first, second) = (starts[0], starts[1] - starts[0]);
@@ -243,7 +248,7 @@
 /// A service is cancelled just as something befalls it.
 #[test]
 fn a_service_in_trouble_can_be_cancelled() {
-    use Trouble::*;
+    use Fault::*;
     for trouble in [
         EndAfter(0),
         Hang(0),
@@ -258,14 +263,18 @@
         FailsEverywhere(5),
     ] {
         for seed in 0..2 {
-            let mut w = World::new(40 + seed, NODES);
+            let mut w = Simulation::new(40 + seed, NODES);
             w.run(6 * SECOND);
             w.run_time = if trouble == EndAfter(0) { 0 } else { 10_000 * SECOND };
             let spec = service(1, 4);
-            assert_eq!(w.submit_surely(0, &spec), 201, "{trouble:?}");
+            assert_eq!(w.submit_until_accepted(0, &spec), 201, "{trouble:?}");
             w.pass(15 * SECOND);
-            befall(&mut w, &spec.id, trouble);
-            assert_eq!(w.abort_surely(1, &spec.id).as_deref(), Some("aborted"), "{trouble:?}");
+            inject(&mut w, &spec.id, trouble);
+            assert_eq!(
+                w.cancel_until_confirmed(1, &spec.id).as_deref(),
+                Some("aborted"),
+                "{trouble:?}"
+            );
             w.pass(25 * SECOND);
             let left = replicas(&w, &spec.id);
             assert_eq!(left, 0, "{trouble:?} {seed}: gone within the time for cancellations");
@@ -273,7 +282,11 @@
                 let id = w.lookup(n, &spec.id);
                 let phase = w.answer(id, 2 * SECOND).map(|a| a.1["phase"].clone());
                 assert_eq!(phase, Some("aborted".into()), "{trouble:?} {seed}: at {n}");
-                assert_eq!(w.submit_surely(n, &spec), 200, "{trouble:?} {seed}: known at {n}");
+                assert_eq!(
+                    w.submit_until_accepted(n, &spec),
+                    200,
+                    "{trouble:?} {seed}: known at {n}"
+                );
             }
             w.check_end();
             assert!(w.rules.broken.is_empty(), "{trouble:?} {seed}: {:?}", &w.rules.broken[..1]);
--- a/crates/quartzlever-core/tests/world/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -8,14 +8,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzlever_core::{Command, Config, Core, Effect, Operator, Team, Weight, WorkerTimes};
-use quartzlever_standin::jobs;
-use quartzlever_standin::rules::{Asked, MachineTasks, RuleChecker, TeamLimit};
-use quartzlever_standin::{Cloud, Store, Worker};
+use quartzlever_core::{Command, Config, Core, Effect, LogLevel, Operator, Team, WorkerTimes};
+use quartzlever_testkit::jobs;
+use quartzlever_testkit::rules::{Asked, MachineTasks, RuleChecker, TeamLimit};
+use quartzlever_testkit::{Cloud, Store, Worker};
 use quartzlever_wire::cloud::{CloudCall, CloudReply};
-use quartzlever_wire::state::{OverRecord, StateCall, StateReply};
+use quartzlever_wire::store::{StoreCall, StoreReply, TerminalJobRecord};
 use quartzlever_wire::users::{JobPhase, JobSpec};
-use quartzlever_wire::workers::{Orders, Report, WorkerCall, WorkerReply};
+use quartzlever_wire::workers::{Heartbeat, WorkerCall, WorkerCommands, WorkerReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -26,7 +26,7 @@
 pub const LEASE: Micros = 12 * SECOND;
 pub const CANCEL: Micros = 20 * SECOND;
 const STEP: Micros = 50_000;
-/// A worker gives up a report and turns to another node after this time.
+/// A worker gives up a heartbeat and turns to another node after this time.
 const UNANSWERED: Micros = 5 * SECOND;
 pub const START: Micros = 1_000 * SECOND;
 
@@ -41,11 +41,11 @@
             Team { name: "tight".into(), cpus_max: 4.0, ..Team::default() },
         ],
         objectives: Vec::new(),
-        workers: WorkerTimes { report: SECOND, lease: LEASE, cancel: CANCEL },
-        state_rps: 300.0,
-        state_write_rps: 300.0,
+        workers: WorkerTimes { heartbeat_interval: SECOND, lease: LEASE, cancel: CANCEL },
+        store_rps: 300.0,
+        store_write_rps: 300.0,
         value_bytes: 16 * 1024,
-        block_bytes: 16 * 1024,
+        group_bytes: 16 * 1024,
         txn_ops: 24,
         version: quartzlever_core::VERSION,
         machine_capacity: 10_000,
@@ -56,7 +56,7 @@
             silent_return: 4 * SECOND,
             ..Operator::default()
         },
-        notes: Weight::Error,
+        log_level: LogLevel::Error,
     }
 }
 
@@ -72,13 +72,13 @@
 /// What travels.
 enum Message {
     ToNode(usize, u64, Box<Command>),
-    State(usize, u64, u64, StateCall, bool),
+    Store(usize, u64, u64, StoreCall, bool),
     Worker(usize, u64, u64, String, WorkerCall, bool),
-    Hello(usize, String, Box<Orders>, Micros, u64),
+    Hello(usize, String, Box<WorkerCommands>, Micros, u64),
     /// A late copy of a transaction or of a direct command; nobody waits for its answer.
-    /// A late copy of a report, to each of these nodes.
-    Copy(Vec<usize>, Box<Report>),
-    LateState(StateCall),
+    /// A late copy of a heartbeat, to each of these nodes.
+    Copy(Vec<usize>, Box<Heartbeat>),
+    LateStoreCall(StoreCall),
     LateWorker(String, WorkerCall),
     LateCloud(CloudCall),
     /// A controller that ended starts again.
@@ -89,7 +89,7 @@
 
 /// How often, in parts of a hundred, things go wrong.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Luck {
+pub struct FaultRates {
     /// Answers that are lost: the caller learns nothing of the outcome.
     pub lost: u32,
     /// Calls that seem lost, and are carried out up to a minute later.
@@ -98,55 +98,55 @@
     pub unanswered: u32,
     /// Transactions that get no answer and are carried out 2 to 12 s later.
     pub late_writes: u32,
-    /// Reports of which a copy arrives again, from 2 s to two leases later.
+    /// Heartbeats of which a copy arrives again, from 2 s to two leases later.
     pub copies: u32,
-    /// Reports of which a copy is kept until the next holder begins, and goes to every node then.
+    /// Heartbeats of which a copy is kept until the next leader begins, and goes to every node then.
     pub for_next: u32,
 }
 
 /// What came about, for tests to see that it did.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Times that a part's key was written: acquisitions.
-    pub holders: usize,
+    /// Times that a partition's key was written: acquisitions.
+    pub leaders: usize,
     /// Calls refused to a node alone, and to everybody.
     pub refused_alone: usize,
     pub refused_all: usize,
-    /// Reports refused by a node that may not act.
-    pub not_entitled: usize,
+    /// Heartbeats refused by a node that may not act.
+    pub without_authority: usize,
     /// Transactions carried out late: those that came into force and those that did not.
     pub late_in_force: usize,
     pub late_conflicts: usize,
     pub unanswered: usize,
     pub copies: usize,
     pub copies_for_next: usize,
-    /// Reports that never reached anybody, and answers that never reached a machine.
+    /// Heartbeats that never reached anybody, and answers that never reached a machine.
     pub mute: usize,
     pub deaf: usize,
     /// Direct commands that were held up beyond their caller's patience; of these, the ones that
     /// found their machine and were executed, or refused by then.
     pub held: usize,
-    pub held_executed: usize,
-    pub held_refused: usize,
+    pub delayed_executed: usize,
+    pub delayed_refused: usize,
     /// Sessions that ended with tasks on the machine.
     pub leases_lost: usize,
     /// Questions of users that were answered for good.
     pub answers: usize,
-    /// Reports that waited at a controller that stood still.
+    /// Heartbeats that waited at a controller that stood still.
     pub unread: usize,
     /// Machines that never came up.
-    pub never_up: usize,
+    pub never_booted: usize,
 }
 
 struct Watch {
     node: usize,
     life: u64,
-    token: u64,
+    call_id: u64,
     from: u64,
     end: Micros,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     pub names: Vec<&'static str>,
     cores: Vec<Option<Core>>,
@@ -155,27 +155,27 @@
     pub store: Store,
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
-    next_report: BTreeMap<String, (usize, Micros)>,
+    next_heartbeat: BTreeMap<String, (usize, Micros)>,
     mail: Vec<(Micros, u64, Message)>,
     sent: u64,
     watches: Vec<Watch>,
-    pub luck: Luck,
+    pub fault_rates: FaultRates,
     /// Faults of single calls, by their number among all calls of controllers.
     pub call_faults: BTreeMap<usize, CallFault>,
     /// Calls made by controllers.
     pub calls: usize,
     pub cloud_down: bool,
-    /// Nodes that alone get no answer from the state service.
-    pub lonely: BTreeSet<usize>,
+    /// Nodes that alone get no answer from the store.
+    pub refused_by_store: BTreeSet<usize>,
     /// Nodes that no peer reaches, nor they any.
     pub apart: BTreeSet<usize>,
     /// Nodes that stand still: what comes for them waits.
-    pub frozen: BTreeSet<usize>,
-    thawed: BTreeSet<usize>,
+    pub paused: BTreeSet<usize>,
+    resumed: BTreeSet<usize>,
     /// Machines that reach no node, and those that are reached by nothing.
     pub mute: BTreeSet<String>,
     pub deaf: BTreeSet<String>,
-    /// What each call to the state service takes longer.
+    /// What each call to the store takes longer.
     pub slow: Micros,
     /// What the answers of watches take longer.
     pub watch_lag: Micros,
@@ -188,8 +188,8 @@
     pub old: BTreeSet<usize>,
     /// Why a process could not go on.
     pub ended: Option<String>,
-    kept_copies: Vec<Report>,
-    part_stamps: BTreeMap<String, u64>,
+    kept_copies: Vec<Heartbeat>,
+    partition_revisions: BTreeMap<String, u64>,
     seen_starts: BTreeMap<String, usize>,
     seen_ends: BTreeMap<String, usize>,
     rng: SmallRng,
@@ -201,27 +201,27 @@
     tune: fn(&mut Config),
     pub run_time: Micros,
     /// How often workers report.
-    pub report_every: Micros,
+    pub heartbeat_interval: Micros,
     /// Tasks with odd numbers do not end on workers that join from now on.
     pub odd_tasks_wait: bool,
     /// Jobs that were submitted with a mistake: their tasks fail on every machine.
-    mistaken: BTreeSet<String>,
+    fails_everywhere: BTreeSet<String>,
     /// So many of a hundred new machines never come up.
-    pub never_up: u32,
+    pub never_booted: u32,
     /// Over all that controllers have wanted done.
     digest: EffectDigest,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, names: &[&'static str]) -> Self {
-        World::with(seed, names, |_| {})
+        Simulation::with(seed, names, |_| {})
     }
 
     /// A world whose controllers have other settings.
     pub fn with(seed: u64, names: &[&'static str], tune: fn(&mut Config)) -> Self {
-        let mut cfg = config(names[0], names);
-        tune(&mut cfg);
-        let mut world = World {
+        let mut config = config(names[0], names);
+        tune(&mut config);
+        let mut simulation = Simulation {
             now: START,
             names: names.to_vec(),
             cores: names.iter().map(|_| None).collect(),
@@ -230,18 +230,18 @@
             store: Store::default(),
             cloud: Cloud::new(8.0, &["a", "b"], 6),
             workers: BTreeMap::new(),
-            next_report: BTreeMap::new(),
+            next_heartbeat: BTreeMap::new(),
             mail: Vec::new(),
             sent: 0,
             watches: Vec::new(),
-            luck: Luck::default(),
+            fault_rates: FaultRates::default(),
             call_faults: BTreeMap::new(),
             calls: 0,
             cloud_down: false,
-            lonely: BTreeSet::new(),
+            refused_by_store: BTreeSet::new(),
             apart: BTreeSet::new(),
-            frozen: BTreeSet::new(),
-            thawed: BTreeSet::new(),
+            paused: BTreeSet::new(),
+            resumed: BTreeSet::new(),
             mute: BTreeSet::new(),
             deaf: BTreeSet::new(),
             slow: 0,
@@ -252,7 +252,7 @@
             old: BTreeSet::new(),
             ended: None,
             kept_copies: Vec::new(),
-            part_stamps: BTreeMap::new(),
+            partition_revisions: BTreeMap::new(),
             seen_starts: BTreeMap::new(),
             seen_ends: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
@@ -260,30 +260,30 @@
             request: 1 << 32,
             answers: BTreeMap::new(),
             asked: BTreeMap::new(),
-            rules: RuleChecker::new(cfg.workers.cancel, team_limits(cfg.teams)),
+            rules: RuleChecker::new(config.workers.cancel, team_limits(config.teams)),
             tune,
             run_time: 3 * SECOND,
-            report_every: cfg.workers.report,
+            heartbeat_interval: config.workers.heartbeat_interval,
             odd_tasks_wait: false,
-            mistaken: BTreeSet::new(),
-            never_up: 0,
+            fails_everywhere: BTreeSet::new(),
+            never_booted: 0,
             digest: EffectDigest::new(),
         };
         for n in 0..names.len() {
-            world.start(n);
+            simulation.start(n);
         }
-        world
+        simulation
     }
 
     pub fn start(&mut self, n: usize) {
         self.lives[n] += 1;
-        let mut cfg = config(self.names[n], &self.names);
-        (self.tune)(&mut cfg);
+        let mut config = config(self.names[n], &self.names);
+        (self.tune)(&mut config);
         if self.old.contains(&n) {
-            cfg.version = 1;
+            config.version = 1;
         }
         let seed = self.lives[n] * 1000 + n as u64;
-        self.cores[n] = Some(Core::new(cfg, seed, self.now));
+        self.cores[n] = Some(Core::new(config, seed, self.now));
     }
 
     pub fn kill(&mut self, n: usize) {
@@ -302,35 +302,35 @@
         self.rng.random_range(1_000..120_000)
     }
 
-    fn fate(&mut self) -> (bool, bool) {
-        let lost = self.rng.random_range(0..100) < self.luck.lost;
-        let late = self.rng.random_range(0..100) < self.luck.late;
+    fn draw_faults(&mut self) -> (bool, bool) {
+        let lost = self.rng.random_range(0..100) < self.fault_rates.lost;
+        let late = self.rng.random_range(0..100) < self.fault_rates.late;
         (lost, late)
     }
 
-    /// The node that holds most machines' parts; the first one of several.
-    pub fn holder(&self, part: &str) -> Option<usize> {
-        let (value, _) = self.store.get(&format!("parts/{part}"))?;
-        let record = value.parse::<quartzlever_wire::state::PartRecord>()?;
+    /// The node that holds most machines' partitions; the first one of several.
+    pub fn leader(&self, partition: &str) -> Option<usize> {
+        let (value, _) = self.store.get(&format!("parts/{partition}"))?;
+        let record = value.parse::<quartzlever_wire::store::PartitionRecord>()?;
         self.names.iter().position(|n| *n == record.node)
     }
 
-    /// The part whose machines run most tasks, with its holder.
+    /// The partition whose machines run most tasks, with its leader.
     pub fn busiest(&self) -> (String, usize) {
         let mut tasks: BTreeMap<String, usize> = BTreeMap::new();
         for key in self.store.keys("hosts/") {
             let Some((value, _)) = self.store.get(&key) else { continue };
             for (host, record) in
-                quartzlever_wire::state::hosts_in(&key, value).into_iter().flatten()
+                quartzlever_wire::store::machine_records_in(&key, value).into_iter().flatten()
             {
                 let on = self.workers.get(&host).map_or(0, |w| w.running().len());
-                *tasks.entry(record.part).or_default() += on;
+                *tasks.entry(record.partition).or_default() += on;
             }
         }
-        let most = tasks.into_iter().max_by_key(|(_, n)| *n).map(|(part, _)| part);
-        let part = most.unwrap_or_else(|| self.names[0].to_owned());
-        let holder = self.holder(&part).unwrap_or(0);
-        (part, holder)
+        let most = tasks.into_iter().max_by_key(|(_, n)| *n).map(|(partition, _)| partition);
+        let partition = most.unwrap_or_else(|| self.names[0].to_owned());
+        let leader = self.leader(&partition).unwrap_or(0);
+        (partition, leader)
     }
 
     /// Processes that start from now on have other settings.
@@ -340,16 +340,16 @@
 
     /// Ends all troubles.
     pub fn calm(&mut self) {
-        self.luck = Luck::default();
+        self.fault_rates = FaultRates::default();
         self.cut.clear();
-        self.lonely.clear();
+        self.refused_by_store.clear();
         self.apart.clear();
-        self.frozen.clear();
+        self.paused.clear();
         self.mute.clear();
         self.deaf.clear();
         (self.slow, self.watch_lag, self.held, self.cloud_down) = (0, 0, 0, false);
         self.workers.values_mut().for_each(|w| w.hung = false);
-        self.never_up = 0;
+        self.never_booted = 0;
         if self.store.outage {
             self.store.end_outage(self.now);
         }
@@ -397,19 +397,19 @@
     }
 
     /// From now on the tasks of a job fail on every machine, or they no longer do.
-    pub fn set_mistaken(&mut self, job: &str, mistaken: bool) {
-        if mistaken {
-            self.mistaken.insert(job.to_owned());
+    pub fn set_fails_everywhere(&mut self, job: &str, fails_everywhere: bool) {
+        if fails_everywhere {
+            self.fails_everywhere.insert(job.to_owned());
         } else {
-            self.mistaken.remove(job);
+            self.fails_everywhere.remove(job);
         }
-        self.workers.values_mut().for_each(|w| w.mistaken = self.mistaken.clone());
+        self.workers.values_mut().for_each(|w| w.fails_everywhere = self.fails_everywhere.clone());
     }
 
     /// How often tasks of a job were started, on the machines that there are now.
     pub fn starts_of(&self, job: &str) -> usize {
-        let of_job = |w: &Worker| w.started.iter().filter(|(task, _)| task.job == job).count();
-        self.workers.values().map(of_job).sum()
+        let required_by = |w: &Worker| w.started.iter().filter(|(task, _)| task.job == job).count();
+        self.workers.values().map(required_by).sum()
     }
 
     /// Lets time pass.
@@ -424,9 +424,9 @@
     fn step(&mut self) {
         let now = self.now;
         for worker in self.workers.values_mut() {
-            let (session, busy) = (worker.session(), !worker.running().is_empty());
+            let (incarnation, busy) = (worker.incarnation(), !worker.running().is_empty());
             worker.pass(now);
-            self.counts.leases_lost += usize::from(busy && worker.session() > session);
+            self.counts.leases_lost += usize::from(busy && worker.incarnation() > incarnation);
         }
         self.note_ends();
         self.workers.retain(|name, _| !self.cloud.gone.contains(name));
@@ -443,12 +443,12 @@
         }
         self.poll_watches();
         for n in 0..self.cores.len() {
-            if self.frozen.contains(&n) {
-                self.thawed.insert(n);
+            if self.paused.contains(&n) {
+                self.resumed.insert(n);
                 continue;
             }
             let mut batch = batches.remove(&n).unwrap_or_default();
-            let behind = self.thawed.remove(&n);
+            let behind = self.resumed.remove(&n);
             if behind || now.is_multiple_of(4 * STEP) {
                 batch.push(Command::Tick { wall: now, behind });
             }
@@ -456,74 +456,81 @@
             let effects = core.step(now, batch);
             self.carry_out_all(n, effects);
         }
-        self.reports();
+        self.heartbeats();
         self.check();
     }
 
-    fn reports(&mut self) {
+    fn heartbeats(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
-            let Some((node, at)) = self.next_report.get(&name).copied() else { continue };
-            // An answer to the report under way moves it to another node.
+            let Some((node, at)) = self.next_heartbeat.get(&name).copied() else { continue };
+            // An answer to the heartbeat under way moves it to another node.
             if at > self.now || self.workers.get(&name).is_none_or(|w| w.hung) {
                 continue;
             }
-            let Some(report) = self.workers.get_mut(&name).map(Worker::report) else { continue };
-            let (sent, session) = (self.now, report.session);
-            if self.rng.random_range(0..100) < self.luck.copies {
+            let Some(heartbeat) = self.workers.get_mut(&name).map(Worker::heartbeat) else {
+                continue;
+            };
+            let (sent, incarnation) = (self.now, heartbeat.incarnation);
+            if self.rng.random_range(0..100) < self.fault_rates.copies {
                 let wait = self.rng.random_range(2 * SECOND..2 * LEASE);
-                self.post(wait, Message::Copy(vec![node], Box::new(report.clone())));
+                self.post(wait, Message::Copy(vec![node], Box::new(heartbeat.clone())));
             }
-            if self.rng.random_range(0..100) < self.luck.for_next {
-                self.kept_copies.push(report.clone());
+            if self.rng.random_range(0..100) < self.fault_rates.for_next {
+                self.kept_copies.push(heartbeat.clone());
             }
             if self.mute.contains(&name) {
                 self.counts.mute += 1;
                 let next = (node + 1) % self.cores.len();
-                self.next_report.insert(name, (next, self.now + SECOND));
+                self.next_heartbeat.insert(name, (next, self.now + SECOND));
                 continue;
             }
             if self.cores[node].is_none() || self.cut.contains(&(node, name.clone())) {
                 let next = (node + 1) % self.cores.len();
-                self.next_report.insert(name, (next, self.now + SECOND));
+                self.next_heartbeat.insert(name, (next, self.now + SECOND));
                 continue;
             }
             let id = self.request + 1;
             self.request = id;
-            let command = Command::Report { id, report };
-            if self.frozen.contains(&node) {
+            let command = Command::Heartbeat { id, heartbeat };
+            if self.paused.contains(&node) {
                 // It waits there unread, and the worker turns to the next node in the end.
                 self.counts.unread += 1;
                 let life = self.lives[node];
                 self.post(STEP, Message::ToNode(node, life, Box::new(command)));
                 let next = (node + 1) % self.cores.len();
-                self.next_report.insert(name, (next, self.now + UNANSWERED));
+                self.next_heartbeat.insert(name, (next, self.now + UNANSWERED));
                 continue;
             }
-            // Handed over at once, so that its answer is known before the next report.
+            // Handed over at once, so that its answer is known before the next heartbeat.
             let effects = match self.cores[node].as_mut() {
                 Some(core) => core.step(self.now, vec![command]),
                 None => Vec::new(),
             };
             self.carry_out_all(node, effects);
-            let (lost, _) = self.fate();
+            let (lost, _) = self.draw_faults();
             let mut next = node;
-            let mut after = self.report_every;
+            let mut after = self.heartbeat_interval;
             match self.answers.remove(&id) {
                 Some((200, body)) if !lost => {
-                    if let Ok(orders) = serde_json::from_value::<Orders>(body) {
+                    if let Ok(commands) = serde_json::from_value::<WorkerCommands>(body) {
                         // Now and then a packet is lost and resent; the worker waits with its
-                        // next report.
-                        let (_, late) = self.fate();
+                        // next heartbeat.
+                        let (_, late) = self.draw_faults();
                         let delay = if late {
                             self.rng.random_range(SECOND / 2..3 * SECOND)
                         } else {
                             self.short()
                         };
                         after = after.max(delay + STEP);
-                        let hello =
-                            Message::Hello(node, name.clone(), Box::new(orders), sent, session);
-                        self.post(delay, hello);
+                        let handle_heartbeat = Message::Hello(
+                            node,
+                            name.clone(),
+                            Box::new(commands),
+                            sent,
+                            incarnation,
+                        );
+                        self.post(delay, handle_heartbeat);
                     }
                 }
                 Some((421, body)) => {
@@ -534,7 +541,7 @@
                 Some((200, _)) | None => {}
                 Some(_) => next = (node + 1) % self.cores.len(),
             }
-            self.next_report.insert(name, (next, self.now + after));
+            self.next_heartbeat.insert(name, (next, self.now + after));
         }
     }
 }
--- a/crates/quartzlever-core/tests/world/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -46,7 +46,7 @@
 const AWAY: Micros = SECOND / 5;
 const STILL: Micros = 9 * SECOND;
 
-impl World {
+impl Simulation {
     pub(super) fn deliver(
         &mut self,
         message: Message,
@@ -55,37 +55,38 @@
         let now = self.now;
         match message {
             Message::ToNode(n, life, command) => {
-                if self.frozen.contains(&n) {
+                if self.paused.contains(&n) {
                     self.post(STEP, Message::ToNode(n, life, command));
                 } else if self.cores[n].is_some() && self.lives[n] == life {
                     batches.entry(n).or_default().push(*command);
                 }
             }
-            Message::State(n, life, token, call, lost) => {
+            Message::Store(n, life, call_id, call, lost) => {
                 let refused = Err(CallError::Refused);
-                let lonely = self.lonely.contains(&n);
-                self.counts.refused_alone += usize::from(lonely && !self.store.outage);
+                let refused_by_store = self.refused_by_store.contains(&n);
+                self.counts.refused_alone += usize::from(refused_by_store && !self.store.outage);
                 self.counts.refused_all += usize::from(self.store.outage);
-                let mut result = if lonely { refused } else { self.store.call(now, &call) };
+                let mut result =
+                    if refused_by_store { refused } else { self.store.call(now, &call) };
                 let mut delay = self.short() + self.slow / 2;
-                let unanswered = matches!(call, StateCall::Txn(_))
-                    && matches!(result, Ok(StateReply::Committed(_)))
-                    && self.rng.random_range(0..100) < self.luck.unanswered;
+                let unanswered = matches!(call, StoreCall::Txn(_))
+                    && matches!(result, Ok(StoreReply::Committed(_)))
+                    && self.rng.random_range(0..100) < self.fault_rates.unanswered;
                 self.counts.unanswered += usize::from(unanswered);
                 if lost || unanswered {
                     result = Err(CallError::Unknown);
                     delay = 1_500_000;
                 }
-                let command = Command::State { token, result };
+                let command = Command::StoreReply { call_id, result };
                 self.post(delay, Message::ToNode(n, life, Box::new(command)));
             }
-            Message::Worker(n, life, token, address, call, lost) => {
+            Message::Worker(n, life, call_id, address, call, lost) => {
                 let name = address.trim_end_matches(":9000").to_owned();
                 let cut = self.cut.contains(&(n, name.clone())) || self.deaf.contains(&name);
                 let result = match self.workers.get_mut(&name) {
                     Some(worker) if !worker.hung && !cut => Ok(match &call {
-                        WorkerCall::Status => WorkerReply::Report(worker.report()),
-                        WorkerCall::Command(orders) => worker.command(orders, now),
+                        WorkerCall::Status => WorkerReply::Status(worker.heartbeat()),
+                        WorkerCall::Command(commands) => worker.command(commands, now),
                     }),
                     Some(_) => {
                         // Held back, and delivered when the machine or the network is back.
@@ -96,10 +97,10 @@
                 };
                 let result = if lost { Err(CallError::Unknown) } else { result };
                 let delay = if result.is_err() { 2 * SECOND } else { self.short() };
-                let command = Command::Worker { token, result };
+                let command = Command::WorkerReply { call_id, result };
                 self.post(delay, Message::ToNode(n, life, Box::new(command)));
             }
-            Message::Hello(n, name, orders, sent, session) => {
+            Message::Hello(n, name, commands, sent, incarnation) => {
                 if self.cut.contains(&(n, name.clone())) {
                     return;
                 }
@@ -108,19 +109,19 @@
                     return;
                 }
                 if let Some(worker) = self.workers.get_mut(&name) {
-                    worker.answered(&orders, sent, session, now);
+                    worker.answered(&commands, sent, incarnation, now);
                 }
             }
-            Message::LateState(call) => match self.store.call(now, &call) {
-                Ok(StateReply::Committed(_)) => self.counts.late_in_force += 1,
+            Message::LateStoreCall(call) => match self.store.call(now, &call) {
+                Ok(StoreReply::Committed(_)) => self.counts.late_in_force += 1,
                 _ => self.counts.late_conflicts += 1,
             },
-            Message::Copy(nodes, report) => {
+            Message::Copy(nodes, heartbeat) => {
                 for n in nodes {
                     self.request += 1;
                     let id = self.request;
-                    let command = Command::Report { id, report: (*report).clone() };
-                    if self.cores[n].is_some() && !self.frozen.contains(&n) {
+                    let command = Command::Heartbeat { id, heartbeat: (*heartbeat).clone() };
+                    if self.cores[n].is_some() && !self.paused.contains(&n) {
                         self.counts.copies += 1;
                         batches.entry(n).or_default().push(command);
                     }
@@ -135,16 +136,16 @@
                 }
             }
             Message::GoOn(n) => {
-                self.frozen.remove(&n);
+                self.paused.remove(&n);
             }
             Message::LateWorker(address, call) => {
                 let name = address.trim_end_matches(":9000").to_owned();
-                if let (Some(worker), WorkerCall::Command(orders)) =
+                if let (Some(worker), WorkerCall::Command(commands)) =
                     (self.workers.get_mut(&name), &call)
                 {
-                    match worker.command(orders, now) {
-                        WorkerReply::Refused(_) => self.counts.held_refused += 1,
-                        WorkerReply::Report(_) => self.counts.held_executed += 1,
+                    match worker.command(commands, now) {
+                        WorkerReply::Refused(_) => self.counts.delayed_refused += 1,
+                        WorkerReply::Status(_) => self.counts.delayed_executed += 1,
                     }
                 }
             }
@@ -154,21 +155,21 @@
     /// The cloud carries out a call, and new machines begin to boot.
     pub(super) fn cloud_call(&mut self, call: &CloudCall) -> CloudReply {
         let reply = self.cloud.call(call);
-        if let CloudReply::Rented(hosts) = &reply {
+        if let CloudReply::ScaledOut(hosts) = &reply {
             for host in hosts {
-                let rental = self.cloud.machines.get(host).cloned();
-                if let Some(rental) = rental.filter(|_| !self.workers.contains_key(host)) {
-                    let mut worker = Worker::new(rental, LEASE, self.run_time, self.now);
+                let instance = self.cloud.machines.get(host).cloned();
+                if let Some(instance) = instance.filter(|_| !self.workers.contains_key(host)) {
+                    let mut worker = Worker::new(instance, LEASE, self.run_time, self.now);
                     worker.odd_tasks_wait = self.odd_tasks_wait;
-                    worker.mistaken = self.mistaken.clone();
+                    worker.fails_everywhere = self.fails_everywhere.clone();
                     self.workers.insert(host.clone(), worker);
-                    if self.never_up > 0 && self.rng.random_range(0..100) < self.never_up {
-                        self.counts.never_up += 1;
+                    if self.never_booted > 0 && self.rng.random_range(0..100) < self.never_booted {
+                        self.counts.never_booted += 1;
                         continue;
                     }
                     let first = self.rng.random_range(0..self.cores.len());
                     let at = self.now + self.boot;
-                    self.next_report.insert(host.clone(), (first, at));
+                    self.next_heartbeat.insert(host.clone(), (first, at));
                 }
             }
         }
@@ -178,17 +179,17 @@
     pub(super) fn poll_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
         for watch in watches {
-            let call = StateCall::Watch { from: watch.from, hold_ms: 0 };
+            let call = StoreCall::Watch { from: watch.from, hold_ms: 0 };
             let result = self.store.call(self.now, &call);
             let ready = match &result {
-                Ok(StateReply::Watched(answer)) => !answer.log.is_empty() || self.now >= watch.end,
-                Ok(StateReply::TooOld) => true,
+                Ok(StoreReply::Watched(answer)) => !answer.log.is_empty() || self.now >= watch.end,
+                Ok(StoreReply::TooOld) => true,
                 _ => false,
             };
-            let ready = ready && !self.lonely.contains(&watch.node);
+            let ready = ready && !self.refused_by_store.contains(&watch.node);
             if ready && self.lives[watch.node] == watch.life {
                 // What a watch tells may be a good deal older than what calls have brought.
-                let command = Command::State { token: watch.token, result };
+                let command = Command::StoreReply { call_id: watch.call_id, result };
                 let delay = if self.rng.random() { 0 } else { self.rng.random_range(0..SECOND) };
                 let delay = delay + self.watch_lag;
                 self.post(delay, Message::ToNode(watch.node, watch.life, Box::new(command)));
@@ -213,7 +214,7 @@
     pub(super) fn fault_of(&mut self, effect: &Effect) -> Option<CallFault> {
         let is_call = matches!(
             effect,
-            Effect::State { .. }
+            Effect::Store { .. }
                 | Effect::Cloud { .. }
                 | Effect::Worker { .. }
                 | Effect::Peer { .. }
@@ -229,8 +230,8 @@
     /// for the first time.
     pub(super) fn carry_out_late(&mut self, effect: Effect, answered: bool) {
         let late = match effect {
-            Effect::State { call: StateCall::Watch { .. }, .. } => return,
-            Effect::State { call, .. } => Message::LateState(call),
+            Effect::Store { call: StoreCall::Watch { .. }, .. } => return,
+            Effect::Store { call, .. } => Message::LateStoreCall(call),
             Effect::Cloud { call, .. } => Message::LateCloud(call),
             Effect::Worker { address, call, .. } if !answered => Message::LateWorker(address, call),
             // Direct commands are carried out once, however late.
@@ -242,10 +243,18 @@
     /// Tells the caller how a call ended that was not answered.
     pub(super) fn fail_call(&mut self, n: usize, effect: &Effect, error: CallError, after: Micros) {
         let command = match effect {
-            Effect::State { token, .. } => Command::State { token: *token, result: Err(error) },
-            Effect::Cloud { token, .. } => Command::Cloud { token: *token, result: Err(error) },
-            Effect::Worker { token, .. } => Command::Worker { token: *token, result: Err(error) },
-            Effect::Peer { token, .. } => Command::Asked { token: *token, result: Err(error) },
+            Effect::Store { call_id, .. } => {
+                Command::StoreReply { call_id: *call_id, result: Err(error) }
+            }
+            Effect::Cloud { call_id, .. } => {
+                Command::CloudReply { call_id: *call_id, result: Err(error) }
+            }
+            Effect::Worker { call_id, .. } => {
+                Command::WorkerReply { call_id: *call_id, result: Err(error) }
+            }
+            Effect::Peer { call_id, .. } => {
+                Command::PeerReply { call_id: *call_id, result: Err(error) }
+            }
             _ => return,
         };
         let life = self.lives[n];
@@ -283,7 +292,7 @@
             }
             CallFault::StandsStill => {
                 self.carry_out_soundly(n, effect);
-                self.frozen.insert(n);
+                self.paused.insert(n);
                 self.post(STILL, Message::GoOn(n));
             }
         }
@@ -298,45 +307,45 @@
     pub(super) fn carry_out_soundly(&mut self, n: usize, effect: Effect) {
         let life = self.lives[n];
         match effect {
-            Effect::State { token, call: StateCall::Watch { from, hold_ms }, .. } => {
+            Effect::Store { call_id, call: StoreCall::Watch { from, hold_ms }, .. } => {
                 let end = self.now + hold_ms * 1000;
-                self.watches.push(Watch { node: n, life, token, from, end });
+                self.watches.push(Watch { node: n, life, call_id, from, end });
             }
-            Effect::State { token, call, .. } => {
-                let (lost, late) = self.fate();
+            Effect::Store { call_id, call, .. } => {
+                let (lost, late) = self.draw_faults();
                 let delay = self.short() + self.slow / 2;
-                let txn = matches!(call, StateCall::Txn(_));
-                let lagging = txn && self.rng.random_range(0..100) < self.luck.late_writes;
+                let txn = matches!(call, StoreCall::Txn(_));
+                let lagging = txn && self.rng.random_range(0..100) < self.fault_rates.late_writes;
                 if lagging {
                     let wait = self.rng.random_range(2 * SECOND..12 * SECOND);
-                    self.post(wait, Message::LateState(call));
-                    let command = Command::State { token, result: Err(CallError::Unknown) };
+                    self.post(wait, Message::LateStoreCall(call));
+                    let command = Command::StoreReply { call_id, result: Err(CallError::Unknown) };
                     self.post(1_500_000, Message::ToNode(n, life, Box::new(command)));
                 } else if late && txn {
                     // Soon after, or minutes later.
                     let most = if self.rng.random() { 2 * SECOND } else { 90 * SECOND };
                     let wait = self.rng.random_range(SECOND / 10..most);
-                    self.post(wait, Message::LateState(call));
-                    let command = Command::State { token, result: Err(CallError::Unknown) };
+                    self.post(wait, Message::LateStoreCall(call));
+                    let command = Command::StoreReply { call_id, result: Err(CallError::Unknown) };
                     self.post(1_500_000, Message::ToNode(n, life, Box::new(command)));
                 } else {
-                    self.post(delay, Message::State(n, life, token, call, lost));
+                    self.post(delay, Message::Store(n, life, call_id, call, lost));
                 }
             }
-            Effect::Cloud { token, .. } if self.cloud_down => {
-                let command = Command::Cloud { token, result: Err(CallError::Refused) };
+            Effect::Cloud { call_id, .. } if self.cloud_down => {
+                let command = Command::CloudReply { call_id, result: Err(CallError::Refused) };
                 self.post(200_000, Message::ToNode(n, life, Box::new(command)));
             }
-            Effect::Cloud { token, call, .. } => {
+            Effect::Cloud { call_id, call, .. } => {
                 let reply = self.cloud_call(&call);
-                let (lost, _) = self.fate();
+                let (lost, _) = self.draw_faults();
                 let result = if lost { Err(CallError::Refused) } else { Ok(reply) };
-                let command = Command::Cloud { token, result };
+                let command = Command::CloudReply { call_id, result };
                 self.post(200_000, Message::ToNode(n, life, Box::new(command)));
             }
-            Effect::Worker { token, address, call, until } => {
+            Effect::Worker { call_id, address, call, until } => {
                 assert!(until > self.now, "a command without a sure hold");
-                let (lost, late) = self.fate();
+                let (lost, late) = self.draw_faults();
                 let delay = self.short();
                 let held = self.held > 0 && matches!(call, WorkerCall::Command(_));
                 if late || held {
@@ -344,43 +353,43 @@
                     let any = self.rng.random_range(2..30) * SECOND;
                     let wait = if held { self.held } else { any };
                     self.post(wait, Message::LateWorker(address, call));
-                    let command = Command::Worker { token, result: Err(CallError::Unknown) };
+                    let command = Command::WorkerReply { call_id, result: Err(CallError::Unknown) };
                     self.post(2 * SECOND, Message::ToNode(n, life, Box::new(command)));
                 } else {
-                    self.post(delay, Message::Worker(n, life, token, address, call, lost));
+                    self.post(delay, Message::Worker(n, life, call_id, address, call, lost));
                 }
             }
-            Effect::Peer { token, node, request } => {
+            Effect::Peer { call_id, node, request } => {
                 let to = self.names.iter().position(|name| *name == node);
                 let Some(to) = to.filter(|to| self.cores[*to].is_some()) else {
-                    let command = Command::Asked { token, result: Err(CallError::Refused) };
+                    let command = Command::PeerReply { call_id, result: Err(CallError::Refused) };
                     return self.post(10_000, Message::ToNode(n, life, Box::new(command)));
                 };
                 let apart = self.apart.contains(&n) || self.apart.contains(&to);
-                let lost = self.fate().0 || apart;
+                let lost = self.draw_faults().0 || apart;
                 self.request += 1;
                 let id = self.request;
                 if !lost {
-                    self.requests.insert(id, (n, token));
+                    self.requests.insert(id, (n, call_id));
                 }
                 let (delay, to_life) = (self.short(), self.lives[to]);
-                let command = Command::Peer { id, request };
+                let command = Command::PeerRequest { id, request };
                 self.post(delay, Message::ToNode(to, to_life, Box::new(command)));
                 // The answer comes as `AnswerPeer`; without one the call runs out.
-                let command = Command::Asked { token, result: Err(CallError::Unknown) };
+                let command = Command::PeerReply { call_id, result: Err(CallError::Unknown) };
                 self.post(2 * SECOND, Message::ToNode(n, life, Box::new(command)));
             }
             Effect::AnswerPeer { id, answer } => {
-                if let Some((asker, token)) = self.requests.remove(&id) {
+                if let Some((asker, call_id)) = self.requests.remove(&id) {
                     let (delay, life) = (self.short(), self.lives[asker]);
-                    let command = Command::Asked { token, result: Ok(answer) };
+                    let command = Command::PeerReply { call_id, result: Ok(answer) };
                     self.post(delay, Message::ToNode(asker, life, Box::new(command)));
                 }
             }
             Effect::Answer { id, status, body, until, .. } => {
                 assert!(until.is_none_or(|u| u > self.now), "an answer without a sure hold");
                 let body = serde_json::to_value(body).expect("an answer is JSON");
-                self.counts.not_entitled += usize::from(body["error"] == "not entitled");
+                self.counts.without_authority += usize::from(body["error"] == "not entitled");
                 if let Some((asked, job, sent)) = self.asked.remove(&id) {
                     let phase = body["phase"].as_str().unwrap_or("");
                     self.counts.answers += usize::from(matches!(status, 200 | 201));
@@ -388,8 +397,8 @@
                 }
                 self.answers.insert(id, (status, body));
             }
-            Effect::End { why } => self.ended = Some(why),
-            Effect::Note { .. } | Effect::Share(_) => {}
+            Effect::Terminate { why } => self.ended = Some(why),
+            Effect::Log { .. } | Effect::RateShare(_) => {}
         }
     }
 }
--- a/crates/quartzlever-core/tests/world/sim/checks.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/checks.rs
@@ -5,7 +5,7 @@
 /// How long the controllers have before they are looked at.
 const UNDISTURBED: Micros = 20 * SECOND;
 
-impl World {
+impl Simulation {
     /// Tells the checker which tasks have run to their end.
     pub(super) fn note_ends(&mut self) {
         for (name, worker) in &self.workers {
@@ -24,10 +24,10 @@
             .workers
             .values()
             .map(|w| MachineTasks {
-                host: w.rental.name.clone(),
-                kind: w.rental.kind.clone(),
-                zone: w.rental.zone.clone(),
-                spot: w.rental.spot,
+                host: w.instance.name.clone(),
+                machine_type: w.instance.machine_type.clone(),
+                zone: w.instance.zone.clone(),
+                spot: w.instance.spot,
                 tasks: w.running(),
             })
             .collect();
@@ -59,30 +59,32 @@
         }
     }
 
-    /// Counts new holders, and hands them what was kept for them.
+    /// Counts new leaders, and hands them what was kept for them.
     pub(super) fn watch_holders(&mut self) {
         let mut new = 0;
         for name in self.names.clone() {
-            let stamp = self.store.get(&format!("parts/{name}")).map(|(_, stamp)| stamp);
-            if let Some(stamp) = stamp
-                && self.part_stamps.insert(name.to_owned(), stamp) != Some(stamp)
+            let mod_revision =
+                self.store.get(&format!("parts/{name}")).map(|(_, mod_revision)| mod_revision);
+            if let Some(mod_revision) = mod_revision
+                && self.partition_revisions.insert(name.to_owned(), mod_revision)
+                    != Some(mod_revision)
             {
                 new += 1;
             }
         }
-        self.counts.holders += new;
+        self.counts.leaders += new;
         if new > 0 {
             let all: Vec<usize> = (0..self.names.len()).collect();
-            for report in std::mem::take(&mut self.kept_copies) {
+            for heartbeat in std::mem::take(&mut self.kept_copies) {
                 self.counts.copies_for_next += 1;
                 let delay = self.short();
-                self.post(delay, Message::Copy(all.clone(), Box::new(report)));
+                self.post(delay, Message::Copy(all.clone(), Box::new(heartbeat)));
             }
         }
     }
 
     /// The controllers have been undisturbed since `since`: each partition has one that acts for it,
-    /// and tasks start. Each is given a report of what the controllers wait for if not.
+    /// and tasks start. Each is given a heartbeat of what the controllers wait for if not.
     pub fn check_liveness(&mut self, since: Micros) {
         let now = self.now;
         let before = self.rules.broken.len();
@@ -104,14 +106,14 @@
         });
         self.rules.day_over(now);
         if self.rules.broken.len() > before {
-            let report = self.awaited();
-            self.rules.broken[before..].iter_mut().for_each(|broken| broken.push_str(&report));
+            let heartbeat = self.awaited();
+            self.rules.broken[before..].iter_mut().for_each(|broken| broken.push_str(&heartbeat));
         }
     }
 
     /// Ends bad luck with calls, and looks at what the controllers have come to some time later.
     pub fn check_end(&mut self) {
-        self.luck = Luck::default();
+        self.fault_rates = FaultRates::default();
         let since = self.now;
         self.run(UNDISTURBED);
         self.check_liveness(since);
@@ -129,7 +131,7 @@
         each.collect()
     }
 
-    /// Whether a machine that reports has room for one more task of the usual size.
+    /// Whether a machine that heartbeats has room for one more task of the usual size.
     pub fn has_room(&self) -> bool {
         self.workers.values().any(|w| !w.hung && w.running().len() < 4)
     }
@@ -137,6 +139,6 @@
     /// The final state of a job, if it has one.
     pub fn over(&self, id: &str) -> Option<JobPhase> {
         let (value, _) = self.store.get(&format!("over/{id}"))?;
-        value.parse::<OverRecord>().map(|o| o.phase)
+        value.parse::<TerminalJobRecord>().map(|o| o.phase)
     }
 }
--- a/crates/quartzlever-core/tests/world/sim/digest.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/digest.rs
@@ -10,10 +10,10 @@
 use std::path::PathBuf;
 use std::{env, io, thread};
 
-use quartzlever_core::{Effect, Lane};
+use quartzlever_core::{CallPriority, Effect};
 use quartzlever_wire::cloud::{CloudCall, HostNames};
 use quartzlever_wire::peers;
-use quartzlever_wire::state::{HoldRequest, StateCall};
+use quartzlever_wire::store::{GrantRequest, StoreCall};
 use quartzlever_wire::workers::WorkerCall;
 use quartzlever_wire::{Micros, SECOND};
 use serde::Serialize;
@@ -32,7 +32,7 @@
     /// Where to write it, if at all.
     folder: Option<PathBuf>,
     /// Which world of its test this is.
-    world: usize,
+    simulation: usize,
     effects: u64,
     hash: Fnv,
 }
@@ -40,10 +40,10 @@
 impl EffectDigest {
     /// The digest of the next world of this thread's test.
     pub fn new() -> Self {
-        let world = WORLDS.get() + 1;
-        WORLDS.set(world);
+        let simulation = WORLDS.get() + 1;
+        WORLDS.set(simulation);
         let folder = env::var_os(FOLDER).map(PathBuf::from);
-        EffectDigest { folder, world, effects: 0, hash: Fnv::default() }
+        EffectDigest { folder, simulation, effects: 0, hash: Fnv::default() }
     }
 
     /// Takes in what a node wants done at this time.
@@ -52,7 +52,7 @@
             return;
         }
         for effect in effects {
-            if matches!(effect, Effect::Note { .. }) {
+            if matches!(effect, Effect::Log { .. }) {
                 continue;
             }
             self.effects += 1;
@@ -66,7 +66,7 @@
         let Some(folder) = &self.folder else { return Ok(()) };
         let thread = thread::current();
         let test = thread.name().unwrap_or("unnamed");
-        let line = format!("{test} {} {} {:016x}\n", self.world, self.effects, self.hash.0);
+        let line = format!("{test} {} {} {:016x}\n", self.simulation, self.effects, self.hash.0);
         let mut file = OpenOptions::new().create(true).append(true).open(folder.join(test))?;
         file.write_all(line.as_bytes())
     }
@@ -141,73 +141,73 @@
                 self.optional_number(retry_after_s.map(u64::from));
                 self.optional_number(*until);
             }
-            Effect::Note { .. } => {}
+            Effect::Log { .. } => {}
             Effect::AnswerPeer { id, answer } => {
                 self.number(2);
                 self.number(*id);
                 self.frame(answer);
             }
-            Effect::State { token, lane, call } => {
+            Effect::Store { call_id, call_priority, call } => {
                 self.number(3);
-                self.number(*token);
-                self.number(lane_number(*lane));
+                self.number(*call_id);
+                self.number(lane_number(*call_priority));
                 self.state_call(call);
             }
-            Effect::Cloud { token, call, until } => {
+            Effect::Cloud { call_id, call, until } => {
                 self.number(4);
-                self.number(*token);
+                self.number(*call_id);
                 self.cloud_call(call);
                 self.number(*until);
             }
-            Effect::Worker { token, address, call, until } => {
+            Effect::Worker { call_id, address, call, until } => {
                 self.number(5);
-                self.number(*token);
+                self.number(*call_id);
                 self.text(address);
                 self.worker_call(call);
                 self.number(*until);
             }
-            Effect::Peer { token, node, request } => {
+            Effect::Peer { call_id, node, request } => {
                 self.number(6);
-                self.number(*token);
+                self.number(*call_id);
                 self.text(node);
                 self.frame(request);
             }
-            Effect::End { why } => {
+            Effect::Terminate { why } => {
                 self.number(7);
                 self.text(why);
             }
-            Effect::Share(share) => {
+            Effect::RateShare(share) => {
                 self.number(8);
                 self.number(share.to_bits());
             }
         }
     }
 
-    fn state_call(&mut self, call: &StateCall) {
+    fn state_call(&mut self, call: &StoreCall) {
         match call {
-            StateCall::Revision => self.number(1),
-            StateCall::Get(key) => {
+            StoreCall::Revision => self.number(1),
+            StoreCall::Get(key) => {
                 self.number(2);
                 self.text(key);
             }
-            StateCall::List { prefix, from } => {
+            StoreCall::List { prefix, from } => {
                 self.number(3);
                 self.text(prefix);
                 self.optional_text(from.as_deref());
             }
-            StateCall::Txn(txn) => {
+            StoreCall::Txn(txn) => {
                 self.number(4);
                 self.json(txn);
             }
-            StateCall::Grant { life_ms } => {
+            StoreCall::Grant { life_ms } => {
                 self.number(5);
-                self.json(&HoldRequest { life_ms: *life_ms });
+                self.json(&GrantRequest { life_ms: *life_ms });
             }
-            StateCall::Renew { lease } => {
+            StoreCall::Renew { lease } => {
                 self.number(6);
                 self.number(*lease);
             }
-            StateCall::Watch { from, hold_ms } => {
+            StoreCall::Watch { from, hold_ms } => {
                 self.number(7);
                 self.number(*from);
                 self.number(*hold_ms);
@@ -218,9 +218,9 @@
     fn cloud_call(&mut self, call: &CloudCall) {
         match call {
             CloudCall::Catalogue => self.number(1),
-            CloudCall::Rent(hire) => {
+            CloudCall::ScaleOut(request) => {
                 self.number(2);
-                self.json(hire);
+                self.json(request);
             }
             CloudCall::Return(hosts) => {
                 self.number(3);
@@ -236,33 +236,34 @@
     fn worker_call(&mut self, call: &WorkerCall) {
         match call {
             WorkerCall::Status => self.number(1),
-            WorkerCall::Command(orders) => {
+            WorkerCall::Command(commands) => {
                 self.number(2);
-                self.json(orders);
+                self.json(commands);
             }
         }
     }
 }
 
-fn lane_number(lane: Lane) -> u64 {
-    match lane {
-        Lane::Lease => 1,
-        Lane::Watch => 2,
-        Lane::Work => 3,
-        Lane::User => 4,
+fn lane_number(call_priority: CallPriority) -> u64 {
+    match call_priority {
+        CallPriority::Lease => 1,
+        CallPriority::Watch => 2,
+        CallPriority::Work => 3,
+        CallPriority::User => 4,
     }
 }
 
 #[test]
 fn a_digest_tells_order_content_and_time_apart_and_passes_over_notes() {
-    let share = |share: f64| Effect::Share(share);
-    let end = |why: &str| Effect::End { why: why.to_owned() };
-    let note = || Effect::Note { weight: quartzlever_core::Weight::Info, text: "a line".into() };
+    let share = |share: f64| Effect::RateShare(share);
+    let end = |why: &str| Effect::Terminate { why: why.to_owned() };
+    let note =
+        || Effect::Log { log_level: quartzlever_core::LogLevel::Info, text: "a line".into() };
     let digest = |node: usize, now: Micros, effects: &[Effect]| {
         let hash = Fnv::default();
         // Nothing is written: the folder is taken away again before the drop.
         let folder = Some(PathBuf::new());
-        let mut digest = EffectDigest { folder, world: 0, effects: 0, hash };
+        let mut digest = EffectDigest { folder, simulation: 0, effects: 0, hash };
         digest.add(node, now, effects);
         digest.folder = None;
         (digest.effects, digest.hash.0)
--- a/crates/quartzlever-core/tests/world/sim/users.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/users.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Sends a request of a user to a node; its answer will be under the returned number.
     pub fn request(&mut self, n: usize, make: impl FnOnce(u64) -> Command) -> u64 {
         self.request += 1;
@@ -37,10 +37,10 @@
         self.ask(n, Asked::Lookup, job, |id| Command::Lookup { id, job: name })
     }
 
-    pub fn abort(&mut self, n: usize, job: &str) -> u64 {
+    pub fn cancel(&mut self, n: usize, job: &str) -> u64 {
         self.rules.asked(Asked::Cancel, job, None);
         let name = job.to_owned();
-        self.ask(n, Asked::Cancel, job, |id| Command::Abort { id, job: name })
+        self.ask(n, Asked::Cancel, job, |id| Command::Cancel { id, job: name })
     }
 
     /// Users ask at all nodes and repeat the submission, all at once.
@@ -63,7 +63,7 @@
     }
 
     /// Submits until accepted, as users do.
-    pub fn submit_surely(&mut self, mut n: usize, spec: &JobSpec) -> u16 {
+    pub fn submit_until_accepted(&mut self, mut n: usize, spec: &JobSpec) -> u16 {
         for _ in 0..60 {
             let id = self.submit(n, spec.clone());
             if let Some((status @ (200 | 201 | 400 | 422), _)) = self.answer(id, 5 * SECOND) {
@@ -76,9 +76,9 @@
     }
 
     /// Cancels until that is answered for good, as users do.
-    pub fn abort_surely(&mut self, mut n: usize, job: &str) -> Option<String> {
+    pub fn cancel_until_confirmed(&mut self, mut n: usize, job: &str) -> Option<String> {
         for _ in 0..60 {
-            let id = self.abort(n, job);
+            let id = self.cancel(n, job);
             if let Some((200, body)) = self.answer(id, 5 * SECOND) {
                 return Some(body["phase"].as_str().unwrap_or("").to_owned());
             }
--- a/crates/quartzlever-core/tests/world/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -4,25 +4,25 @@
 use quartzlever_core::Config;
 use quartzlever_wire::Json;
 use quartzlever_wire::SECOND;
-use quartzlever_wire::state::StateCall;
-use quartzlever_wire::state::{CLUSTER_VERSION, ClusterRecord, Txn};
+use quartzlever_wire::store::StoreCall;
+use quartzlever_wire::store::{CLUSTER_VERSION_KEY, ClusterRecord, Txn};
 use quartzlever_wire::users::JobPhase;
 
 use crate::services::service;
-use crate::sim::{World, job};
+use crate::sim::{Simulation, job};
 
 const NODES: &[&str] = &["one", "two", "three"];
 /// The coming limit of a value: less than the blocks of machines here take.
 const VALUE: usize = 1024;
 
 /// Limits to come, as the settings of both versions name them.
-fn coming(cfg: &mut Config) {
-    (cfg.value_bytes, cfg.txn_ops, cfg.state_write_rps) = (VALUE, 8, 60.0);
+fn coming(config: &mut Config) {
+    (config.value_bytes, config.txn_ops, config.store_write_rps) = (VALUE, 8, 60.0);
 }
 
 /// Even fewer changes in one transaction than a block of machines needs to be split at once.
-fn coming_tight(cfg: &mut Config) {
-    (cfg.value_bytes, cfg.txn_ops, cfg.state_write_rps) = (VALUE, 3, 60.0);
+fn coming_tight(config: &mut Config) {
+    (config.value_bytes, config.txn_ops, config.store_write_rps) = (VALUE, 3, 60.0);
 }
 
 /// What happens between two replacements.
@@ -34,12 +34,12 @@
     /// The node that was replaced last dies again, at once.
     NewDies,
     Outage,
-    /// The replaced node loses the state service, so that an old one takes its partition.
+    /// The replaced node loses the store, so that an old one takes its partition.
     NewAlone,
 }
 
-pub(crate) fn world(seed: u64, tune: fn(&mut Config)) -> World {
-    let mut w = World::with(seed, NODES, tune);
+pub(crate) fn simulation(seed: u64, tune: fn(&mut Config)) -> Simulation {
+    let mut w = Simulation::with(seed, NODES, tune);
     w.cloud.most = 90;
     w.old.extend(0..NODES.len());
     for n in 0..NODES.len() {
@@ -51,7 +51,7 @@
     w
 }
 
-pub(crate) fn replace(w: &mut World, order: [usize; 3], between: Between) {
+pub(crate) fn replace(w: &mut Simulation, order: [usize; 3], between: Between) {
     for (turn, n) in order.into_iter().enumerate() {
         w.old.remove(&n);
         w.restart(n, SECOND);
@@ -68,48 +68,48 @@
                 w.store.end_outage(now);
             }
             Between::NewAlone => {
-                w.lonely.insert(n);
+                w.refused_by_store.insert(n);
                 w.run(9 * SECOND);
-                w.lonely.clear();
+                w.refused_by_store.clear();
             }
         }
         if turn < 2 {
             w.run(4 * SECOND);
-            assert!(w.store.get(CLUSTER_VERSION).is_none(), "raised before all are new");
+            assert!(w.store.get(CLUSTER_VERSION_KEY).is_none(), "raised before all are new");
         }
     }
 }
 
-fn lower_limits(w: &mut World, value: usize, ops: usize) {
+fn lower_limits(w: &mut Simulation, value: usize, ops: usize) {
     (w.store.value_limit, w.store.ops_limit, w.store.write_rate) = (value, ops, 60.0);
 }
 
 #[test]
 fn an_upgrade_keeps_every_rule_in_any_order() {
     use Between::*;
-    let orders = [[0, 1, 2], [2, 1, 0], [1, 0, 2]];
+    let commands = [[0, 1, 2], [2, 1, 0], [1, 0, 2]];
     for (n, between) in [Nothing, OldDies, NewDies, Outage, NewAlone].into_iter().enumerate() {
-        for (k, order) in orders.into_iter().enumerate() {
+        for (k, order) in commands.into_iter().enumerate() {
             let name = format!("{between:?} {order:?}");
-            let mut w = world(70 + 10 * n as u64 + k as u64, coming);
+            let mut w = simulation(70 + 10 * n as u64 + k as u64, coming);
             for k in 0..10 {
-                assert_eq!(w.submit_surely(k as usize % 3, &job(k, 30)), 201, "{name}");
+                assert_eq!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 201, "{name}");
             }
             // A service is not taken while an old controller could not read it.
             let early = w.submit(0, service(50, 2));
             assert_eq!(w.answer(early, SECOND).map(|a| a.0), Some(503), "{name}: too early");
             replace(&mut w, order, between);
             w.pass(6 * SECOND);
-            assert!(w.store.get(CLUSTER_VERSION).is_some(), "{name}: not raised");
+            assert!(w.store.get(CLUSTER_VERSION_KEY).is_some(), "{name}: not raised");
             let before: usize = w.store.keys("hosts/").len();
             // Limits sink at some moment from the raising on.
             w.run(n as u64 * SECOND);
             lower_limits(&mut w, VALUE, 8);
-            assert_ne!(w.submit_surely(0, &service(50, 3)), 0, "{name}: a service");
+            assert_ne!(w.submit_until_accepted(0, &service(50, 3)), 0, "{name}: a service");
             for k in 20..26 {
-                assert_ne!(w.submit_surely(k as usize % 3, &job(k, 30)), 0, "{name}");
+                assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 0, "{name}");
             }
-            assert!(w.abort_surely(1, &job(21, 1).id).is_some(), "{name}");
+            assert!(w.cancel_until_confirmed(1, &job(21, 1).id).is_some(), "{name}");
             w.pass(150 * SECOND);
             let keys = w.store.keys("hosts/");
             let long =
@@ -131,12 +131,12 @@
     for (seed, tune, ops) in
         [(1, coming as fn(&mut Config), 8), (2, coming_tight, 3), (3, coming_tight, 3)]
     {
-        let mut w = world(300 + seed, coming);
+        let mut w = simulation(300 + seed, coming);
         for k in 0..20 {
-            assert_eq!(w.submit_surely(k as usize % 3, &job(k, 30)), 201);
+            assert_eq!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 201);
         }
         w.run(5 * SECOND);
-        let length = |w: &World| {
+        let length = |w: &Simulation| {
             let keys = w.store.keys("hosts/");
             keys.iter().filter_map(|k| w.store.get(k)).map(|(v, _)| v.text().len()).max()
         };
@@ -146,8 +146,8 @@
         for tenths in 0..20 {
             w.run(SECOND / 2);
             if tenths == 10 {
-                let (_, holder) = w.busiest();
-                w.restart(holder, SECOND / 2);
+                let (_, leader) = w.busiest();
+                w.restart(leader, SECOND / 2);
             }
         }
         lower_limits(&mut w, VALUE, ops);
@@ -164,13 +164,13 @@
 #[test]
 fn lower_limits_than_the_settings_say_are_met_by_writing_less() {
     // The settings name no limits to come; they sink all the same.
-    let mut w = World::new(5, NODES);
+    let mut w = Simulation::new(5, NODES);
     w.run(6 * SECOND);
     w.run_time = 2 * SECOND;
     lower_limits(&mut w, 1024, 4);
     w.store.write_rate = 6.0;
     for k in 0..8 {
-        assert_ne!(w.submit_surely(k as usize % 3, &job(k, 40)), 0);
+        assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 40)), 0);
     }
     w.pass(200 * SECOND);
     w.check_end();
@@ -184,11 +184,11 @@
 
 #[test]
 fn a_program_that_is_too_old_says_so() {
-    let mut w = World::new(6, NODES);
+    let mut w = Simulation::new(6, NODES);
     w.run(4 * SECOND);
-    let txn = Txn::default().write(CLUSTER_VERSION, Json::of(&ClusterRecord { version: 99 }));
+    let txn = Txn::default().write(CLUSTER_VERSION_KEY, Json::of(&ClusterRecord { version: 99 }));
     let now = w.now;
-    w.store.call(now, &StateCall::Txn(txn)).expect("it is up");
+    w.store.call(now, &StoreCall::Txn(txn)).expect("it is up");
     w.restart(0, SECOND);
     w.run(3 * SECOND);
     assert!(w.ended.as_ref().is_some_and(|why| why.contains("version 99")), "{:?}", w.ended);
--- a/crates/quartzlever-recovery/src/access.rs
+++ b/crates/quartzlever-recovery/src/access.rs
@@ -3,16 +3,16 @@
 //! This module owns the single trait by which the crate reaches a store, a clock and a log; no other module
 //! performs I/O or reads a clock. It knows nothing of the rebuild itself.
 
-use quartzlever_wire::state::{StateCall, StateReply};
+use quartzlever_wire::store::{StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros};
 
 /// Store, clocks, log and random numbers of the process that runs a rebuild.
-pub trait StateAccess {
-    /// Makes one call to the state service.
+pub trait StoreAccess {
+    /// Makes one call to the store.
     ///
     /// # Errors
     /// The call's [`CallError`], which says whether the call may have been carried out.
-    fn call(&mut self, call: &StateCall) -> Result<StateReply, CallError>;
+    fn call(&mut self, call: &StoreCall) -> Result<StoreReply, CallError>;
     /// The steady clock, in microseconds since an arbitrary moment; it never goes back.
     fn now(&mut self) -> Micros;
     /// The time of day, in microseconds since 1970.
--- a/crates/quartzlever-recovery/src/detection.rs
+++ b/crates/quartzlever-recovery/src/detection.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use quartzlever_wire::state::{CATALOGUE, CLUSTER_BLOCKS, CLUSTER_VERSION, LIVE, OVER};
+use quartzlever_wire::store::{
+    ACTIVE_JOB_PREFIX, CATALOGUE_KEY, CLUSTER_VERSION_KEY, GROUP_SIZE_KEY, TERMINAL_JOB_PREFIX,
+};
 
 use crate::generation::Generation;
 use crate::history::History;
@@ -64,7 +66,7 @@
 
 /// What an observation means for a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Feasibility {
     /// Neither the store nor this controller knows of any cluster.
     Unfounded,
     /// The store is as it was, or further.
@@ -78,29 +80,29 @@
 }
 
 /// Judges an observation by what `node` knew of the store; `None` if it has no history.
-pub fn judge(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Verdict {
-    let Some(Stamped { value: identity, stamp }) = &observed.identity else {
+pub fn judge(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Feasibility {
+    let Some(Stamped { value: identity, mod_revision }) = &observed.identity else {
         return if known.is_some() {
-            Verdict::Lost(Loss::IdentityGone)
+            Feasibility::Lost(Loss::IdentityGone)
         } else {
-            Verdict::Unfounded
+            Feasibility::Unfounded
         };
     };
-    let generation = Generation { identity: identity.clone(), stamp: *stamp };
+    let generation = Generation { identity: identity.clone(), mod_revision: *mod_revision };
     if known.is_some_and(|known| known.identity.cluster != identity.cluster) {
-        return Verdict::ForeignCluster;
+        return Feasibility::ForeignCluster;
     }
     if identity.phase == Phase::Rebuilding {
-        return Verdict::Lost(Loss::GivenUp);
+        return Feasibility::Lost(Loss::GivenUp);
     }
     match known {
-        None => Verdict::Newer(generation),
+        None => Feasibility::Newer(generation),
         Some(known) if identity.generation > known.identity.generation => {
-            Verdict::Newer(generation)
+            Feasibility::Newer(generation)
         }
         Some(known) => match regression(node, known, identity, observed) {
-            Some(loss) => Verdict::Lost(loss),
-            None => Verdict::Intact(generation),
+            Some(loss) => Feasibility::Lost(loss),
+            None => Feasibility::Intact(generation),
         },
     }
 }
@@ -118,7 +120,7 @@
     if !same_line {
         return Some(Loss::IdentityDiffers);
     }
-    let revision = observed.epoch + identity.base;
+    let revision = observed.revision + identity.base;
     if revision < known.revision {
         return Some(Loss::RevisionWentBack { from: known.revision, to: revision });
     }
@@ -136,17 +138,18 @@
 
 /// Whether a record is never deleted.
 fn is_permanent(key: &str) -> bool {
-    key.starts_with(OVER) || [CLUSTER_VERSION, CLUSTER_BLOCKS, CATALOGUE].contains(&key)
+    key.starts_with(TERMINAL_JOB_PREFIX)
+        || [CLUSTER_VERSION_KEY, GROUP_SIZE_KEY, CATALOGUE_KEY].contains(&key)
 }
 
 /// Whether a record of the picture is missing from the store's records, or older there, in a way that no
 /// change explains. The records were listed after the picture was taken.
 fn is_missing(key: &str, record: &Record, store: &BTreeMap<String, Record>) -> bool {
     if let Some(found) = store.get(key) {
-        return found.stamp < record.stamp;
+        return found.mod_revision < record.mod_revision;
     }
-    match key.strip_prefix(LIVE) {
-        Some(job) => !store.contains_key(&format!("{OVER}{job}")),
+    match key.strip_prefix(ACTIVE_JOB_PREFIX) {
+        Some(job) => !store.contains_key(&format!("{TERMINAL_JOB_PREFIX}{job}")),
         None => is_permanent(key),
     }
 }
@@ -158,7 +161,7 @@
     base: u64,
     store: &BTreeMap<String, Record>,
 ) -> Option<Loss> {
-    let rows = picture.rows().iter().filter(|(_, record)| record.stamp > base);
+    let rows = picture.rows().iter().filter(|(_, record)| record.mod_revision > base);
     let mut missing = rows.filter(|(key, record)| is_missing(key, record, store));
     let (example, _) = missing.next()?;
     Some(Loss::RecordsMissing { count: 1 + missing.count(), example: example.clone() })
--- a/crates/quartzlever-recovery/src/guard.rs
+++ b/crates/quartzlever-recovery/src/guard.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service whose answers are checked for a loss of data.
+//! Calls to the store whose answers are checked for a loss of data.
 //!
 //! This module owns the highest revision of the store that any answer has shown. Absence is what a loss looks
 //! like, so an answer that says that something is absent, or that prolongs the right to act, counts only
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use quartzlever_wire::CallError;
-use quartzlever_wire::state::{StateCall, StateReply};
+use quartzlever_wire::store::{StoreCall, StoreReply};
 
 use crate::detection::Loss;
 use crate::generation::Generation;
@@ -41,9 +41,9 @@
 }
 
 impl Guard {
-    /// A guard for a generation, whose identity was read at the store's revision `epoch` or before.
-    pub fn new(generation: Generation, epoch: u64) -> Guard {
-        Guard { generation, highest: AtomicU64::new(epoch) }
+    /// A guard for a generation, whose identity was read at the store's revision `revision` or before.
+    pub fn new(generation: Generation, revision: u64) -> Guard {
+        Guard { generation, highest: AtomicU64::new(revision) }
     }
 
     /// Makes a call in the generation's keys and revisions. `is_known` says whether a record is in this
@@ -53,30 +53,30 @@
     /// [`GuardError`]; after [`GuardError::Lost`] no answer that came before may be acted on either.
     pub fn call(
         &self,
-        store: &mut impl FnMut(&StateCall) -> Result<StateReply, CallError>,
-        call: &StateCall,
+        store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
+        call: &StoreCall,
         is_known: impl Fn(&str) -> bool,
-    ) -> Result<StateReply, GuardError> {
+    ) -> Result<StoreReply, GuardError> {
         let floor = self.highest.load(Ordering::SeqCst);
         let reply = store(&self.generation.to_store(call))?;
         match (call, &reply) {
-            (StateCall::Revision, StateReply::Rows(rows)) => {
-                let epoch = self.check(&Observed::of(rows), floor)?;
-                return Ok(StateReply::Revision(self.generation.revision(epoch)));
+            (StoreCall::Revision, StoreReply::Rows(rows)) => {
+                let revision = self.check(&Observed::of(rows), floor)?;
+                return Ok(StoreReply::Revision(self.generation.revision(revision)));
             }
-            (StateCall::Get(key), StateReply::Row(None)) if is_known(key) => {
+            (StoreCall::Get(key), StoreReply::Row(None)) if is_known(key) => {
                 self.verify(store)?;
                 return Err(GuardError::Suspect);
             }
-            (_, StateReply::Row(None) | StateReply::Rows(_))
-            | (_, StateReply::Renewed | StateReply::Granted(_)) => {
+            (_, StoreReply::Row(None) | StoreReply::Rows(_))
+            | (_, StoreReply::Renewed | StoreReply::Granted(_)) => {
                 self.verify(store)?;
             }
-            (_, StateReply::Conflict(keys)) if keys.iter().any(|key| key == IDENTITY) => {
+            (_, StoreReply::Conflict(keys)) if keys.iter().any(|key| key == IDENTITY) => {
                 return Err(GuardError::Lost(Loss::IdentityDiffers));
             }
-            (StateCall::Watch { from, .. }, StateReply::Watched(answer)) => {
-                let to = self.generation.revision(answer.epoch);
+            (StoreCall::Watch { from, .. }, StoreReply::Watched(answer)) => {
+                let to = self.generation.revision(answer.revision);
                 if to < *from {
                     return Err(GuardError::Lost(Loss::RevisionWentBack { from: *from, to }));
                 }
@@ -92,11 +92,11 @@
     /// As of [`Guard::call`].
     pub fn verify(
         &self,
-        store: &mut impl FnMut(&StateCall) -> Result<StateReply, CallError>,
+        store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
     ) -> Result<(), GuardError> {
         let floor = self.highest.load(Ordering::SeqCst);
-        match store(&StateCall::List { prefix: IDENTITY.into(), from: None })? {
-            StateReply::Rows(rows) => self.check(&Observed::of(&rows), floor).map(drop),
+        match store(&StoreCall::List { prefix: IDENTITY.into(), from: None })? {
+            StoreReply::Rows(rows) => self.check(&Observed::of(&rows), floor).map(drop),
             _ => Err(GuardError::Call(CallError::Unknown)),
         }
     }
@@ -110,16 +110,18 @@
         let Some(identity) = &observed.identity else {
             return Err(GuardError::Lost(Loss::IdentityGone));
         };
-        if identity.value != self.generation.identity || identity.stamp != self.generation.stamp {
+        if identity.value != self.generation.identity
+            || identity.mod_revision != self.generation.mod_revision
+        {
             return Err(GuardError::Lost(Loss::IdentityDiffers));
         }
-        if observed.epoch < floor {
+        if observed.revision < floor {
             let from = self.generation.revision(floor);
-            let to = self.generation.revision(observed.epoch);
+            let to = self.generation.revision(observed.revision);
             return Err(GuardError::Lost(Loss::RevisionWentBack { from, to }));
         }
-        self.highest.fetch_max(observed.epoch, Ordering::SeqCst);
-        Ok(observed.epoch)
+        self.highest.fetch_max(observed.revision, Ordering::SeqCst);
+        Ok(observed.revision)
     }
 
     /// The latest revision of the store that any answer has shown.
--- a/crates/quartzlever-recovery/src/history.rs
+++ b/crates/quartzlever-recovery/src/history.rs
@@ -79,7 +79,7 @@
     /// Whether the files surely hold everything that their controller acted on. `marked` says whether the
     /// controller left its mark that the log is written before anything is done; `wall` is the present time
     /// of day, in microseconds since 1970.
-    pub fn is_proven(&self, marked: bool, wall: Micros) -> bool {
+    pub fn is_verified(&self, marked: bool, wall: Micros) -> bool {
         marked && self.whole && wall.saturating_sub(self.wall) <= PROVEN_FOR
     }
 
--- a/crates/quartzlever-recovery/src/identity.rs
+++ b/crates/quartzlever-recovery/src/identity.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use quartzlever_wire::state::{Row, Rows};
+use quartzlever_wire::store::{Row, Rows};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +25,7 @@
 pub(crate) const ABSENT: &str = "recovery/absent/";
 /// Prefix of keys, by node, of controllers that came without any history. Such a one cannot tell records
 /// that were never there from lost ones until a controller with a history has compared them with its own.
-pub const UNVOUCHED: &str = "recovery/unvouched/";
+pub const UNVERIFIED: &str = "recovery/unvouched/";
 /// Key that is there while final states of the generation before are not all written yet: [`Inheriting`].
 pub const INHERITING: &str = "recovery/inheriting";
 /// Prefix of the keys of [`Witness`]es, by node.
@@ -41,7 +41,7 @@
     Rebuilding,
 }
 
-/// The lasting identity of a cluster's records. Each transaction has its key, at its stamp, as a condition,
+/// The lasting identity of a cluster's records. Each transaction has its key, at its modification revision, as a condition,
 /// so nothing that was decided before a rebuild comes into force after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
@@ -88,7 +88,8 @@
     /// Key of the record that was changed.
     pub key: String,
     /// Revision of the change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
     /// None if the key was deleted.
     pub text: Option<String>,
     /// Whether the value goes on in the next piece.
@@ -118,13 +119,13 @@
     pub count: u64,
 }
 
-/// A record with the stamp of its key in the store.
+/// A record with the modification revision of its key in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stamped<T> {
     /// The record.
     pub value: T,
     /// The store's revision of the key's last change.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// The keys under `recovery/` at one revision of the store.
@@ -143,24 +144,24 @@
     /// Present while some final states are not written.
     pub inheriting: Option<Stamped<Inheriting>>,
     /// Stamps of the keys of controllers without a history, by node.
-    pub unvouched: BTreeMap<String, u64>,
+    pub unverified: BTreeMap<String, u64>,
     /// The store's own revision.
-    pub epoch: u64,
+    pub revision: u64,
 }
 
 fn stamped<T: DeserializeOwned>(row: &Row) -> Option<Stamped<T>> {
-    Some(Stamped { value: row.v.parse()?, stamp: row.stamp })
+    Some(Stamped { value: row.v.parse()?, mod_revision: row.mod_revision })
 }
 
 impl Observed {
     /// Whether some jobs may be known to others alone, as far as `node` can tell.
     pub fn lacks_jobs(&self, node: &str) -> bool {
-        !self.absent.is_empty() || self.unvouched.contains_key(node)
+        !self.absent.is_empty() || self.unverified.contains_key(node)
     }
 
     /// What a listing of `recovery/`, or of the identity's key alone, shows.
     pub fn of(rows: &Rows) -> Observed {
-        let mut observed = Observed { epoch: rows.epoch, ..Observed::default() };
+        let mut observed = Observed { revision: rows.revision, ..Observed::default() };
         for row in &rows.rows {
             if row.path == IDENTITY {
                 observed.identity = stamped(row);
@@ -172,8 +173,8 @@
                 observed.candidates.extend(stamped(row).map(|c| (node.to_owned(), c)));
             } else if let Some(node) = row.path.strip_prefix(ABSENT) {
                 observed.absent.extend(stamped(row).map(|a| (node.to_owned(), a)));
-            } else if let Some(node) = row.path.strip_prefix(UNVOUCHED) {
-                observed.unvouched.insert(node.to_owned(), row.stamp);
+            } else if let Some(node) = row.path.strip_prefix(UNVERIFIED) {
+                observed.unverified.insert(node.to_owned(), row.mod_revision);
             } else if row.path.starts_with(EXTRAS) {
                 observed.extras.extend(row.v.parse::<ExtraPiece>());
             } else if let Some(node) = row.path.strip_prefix(WITNESSES) {
--- a/crates/quartzlever-recovery/src/lib.rs
+++ b/crates/quartzlever-recovery/src/lib.rs
@@ -1,13 +1,13 @@
-//! Rebuilding what the state service has lost, without file, network, clock or thread of its own.
+//! Rebuilding what the store has lost, without file, network, clock or thread of its own.
 //!
-//! Everything from outside comes through [`StateAccess`] or as values; the caller reads and writes the files.
+//! Everything from outside comes through [`StoreAccess`] or as values; the caller reads and writes the files.
 //!
 //! - [`picture`]: all records that a controller has seen, complete up to a revision.
 //! - [`format`](mod@format): the bytes of snapshots and of the log of the changes after them.
 //! - [`history`]: the picture that the files of a directory hold, whatever is torn or corrupt.
 //! - [`identity`]: which store this is, and the generation of its records.
 //! - [`generation`]: translation between the keys and revisions of a generation and those of the store.
-//! - [`guard`]: calls to the state service whose answers are checked for a loss of data.
+//! - [`guard`]: calls to the store whose answers are checked for a loss of data.
 //! - [`detection`]: what counts as a loss.
 //! - [`plan`]: which records a rebuild writes.
 //! - [`rebuild`]: the steps from the start of a process to an intact store.
@@ -25,4 +25,4 @@
 pub mod plan;
 pub mod rebuild;
 
-pub use access::StateAccess;
+pub use access::StoreAccess;
--- a/crates/quartzlever-recovery/src/picture.rs
+++ b/crates/quartzlever-recovery/src/picture.rs
@@ -10,7 +10,7 @@
 use std::ops::Bound;
 
 use quartzlever_wire::Json;
-use quartzlever_wire::state::{CLUSTER_NODES, NodeRecord};
+use quartzlever_wire::store::{NODE_VERSION_PREFIX, NodeRecord};
 use serde::{Deserialize, Serialize};
 
 pub use update::{KeyChange, Update};
@@ -21,7 +21,7 @@
     /// JSON text.
     pub value: String,
     /// Revision of the last change, as the generation counts.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// The records of a generation.
@@ -63,33 +63,37 @@
         if let Some(revision) = update.complete_to {
             self.revision = self.revision.max(revision);
             let complete = self.revision;
-            self.early_deletions.retain(|_, stamp| *stamp > complete);
+            self.early_deletions.retain(|_, mod_revision| *mod_revision > complete);
         }
     }
 
     fn apply_change(&mut self, change: KeyChange) {
-        let known = self.rows.get(&change.key).map_or(0, |record| record.stamp);
+        let known = self.rows.get(&change.key).map_or(0, |record| record.mod_revision);
         let deleted = self.early_deletions.get(&change.key).copied().unwrap_or(0);
-        if change.stamp <= self.revision.max(known).max(deleted) {
+        if change.mod_revision <= self.revision.max(known).max(deleted) {
             return;
         }
         match change.value {
             Some(value) => {
                 self.early_deletions.remove(&change.key);
-                self.rows.insert(change.key, Record { value, stamp: change.stamp });
+                self.rows.insert(change.key, Record { value, mod_revision: change.mod_revision });
             }
             None => {
                 self.rows.remove(&change.key);
-                self.early_deletions.insert(change.key, change.stamp);
+                self.early_deletions.insert(change.key, change.mod_revision);
             }
         }
     }
 
-    /// Adds records of the generation before that are not written anew yet, at the stamp of its end, which
+    /// Adds records of the generation before that are not written anew yet, at the modification revision of its end, which
     /// is before every change of this one. What is known already stays.
-    pub fn inherit(&mut self, records: impl IntoIterator<Item = (String, String)>, stamp: u64) {
+    pub fn inherit(
+        &mut self,
+        records: impl IntoIterator<Item = (String, String)>,
+        mod_revision: u64,
+    ) {
         for (key, value) in records {
-            self.rows.entry(key).or_insert(Record { value, stamp });
+            self.rows.entry(key).or_insert(Record { value, mod_revision });
         }
     }
 
@@ -101,39 +105,40 @@
         after: &str,
     ) -> impl Iterator<Item = (&'a String, &'a Record)> {
         let bounds = (Bound::Excluded(after.to_owned()), Bound::Unbounded);
-        self.rows.range(bounds).filter(move |(_, record)| record.stamp <= base)
+        self.rows.range(bounds).filter(move |(_, record)| record.mod_revision <= base)
     }
 
     /// What is known of changes after a revision. Of the deletions only those that came early are
     /// known; a job's end shows by its final state.
     pub(crate) fn changes_after(&self, revision: u64) -> Vec<KeyChange> {
-        let later = self.rows.iter().filter(|(_, record)| record.stamp > revision);
+        let later = self.rows.iter().filter(|(_, record)| record.mod_revision > revision);
         let written = later.map(|(key, record)| KeyChange {
             key: key.clone(),
-            stamp: record.stamp,
+            mod_revision: record.mod_revision,
             value: Some(record.value.clone()),
         });
-        let deletions = self.early_deletions.iter().filter(|(_, stamp)| **stamp > revision);
-        let deleted = deletions.map(|(key, stamp)| KeyChange {
+        let deletions =
+            self.early_deletions.iter().filter(|(_, mod_revision)| **mod_revision > revision);
+        let deleted = deletions.map(|(key, mod_revision)| KeyChange {
             key: key.clone(),
-            stamp: *stamp,
+            mod_revision: *mod_revision,
             value: None,
         });
         written.chain(deleted).collect()
     }
 
-    /// The latest stamp of any change in the picture.
+    /// The latest modification revision of any change in the picture.
     pub fn newest(&self) -> u64 {
-        let latest = self.rows.values().map(|record| record.stamp).max().unwrap_or(0);
+        let latest = self.rows.values().map(|record| record.mod_revision).max().unwrap_or(0);
         let deleted = self.early_deletions.values().copied().max().unwrap_or(0);
         self.revision.max(latest).max(deleted)
     }
 
     /// The nodes whose processes were up.
     pub(crate) fn nodes_up(&self) -> impl Iterator<Item = &str> {
-        let announced = self.rows.iter().filter(|(key, _)| key.starts_with(CLUSTER_NODES));
+        let announced = self.rows.iter().filter(|(key, _)| key.starts_with(NODE_VERSION_PREFIX));
         let readable = announced.filter(|(_, record)| is_node_record(&record.value));
-        readable.filter_map(|(key, _)| key.strip_prefix(CLUSTER_NODES))
+        readable.filter_map(|(key, _)| key.strip_prefix(NODE_VERSION_PREFIX))
     }
 }
 
--- a/crates/quartzlever-recovery/src/picture/update.rs
+++ b/crates/quartzlever-recovery/src/picture/update.rs
@@ -1,9 +1,9 @@
-//! The changes that an answer of the state service shows.
+//! The changes that an answer of the store shows.
 //!
 //! Pure conversions from the wire's answers; both types are written to the log, so their fields may not
 //! change without a new format version.
 
-use quartzlever_wire::state::{Change, Event, Row, StateCall, StateReply};
+use quartzlever_wire::store::{Change, Event, Row, StoreCall, StoreReply};
 use serde::{Deserialize, Serialize};
 
 /// A change of one key; without a value it was deleted.
@@ -12,12 +12,12 @@
     /// Key of the record.
     pub key: String,
     /// Revision of the change.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// JSON text of the record; `None` if it was deleted.
     pub value: Option<String>,
 }
 
-/// Changes that an answer of the state service has shown.
+/// Changes that an answer of the store has shown.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// Changes of single keys.
@@ -28,18 +28,20 @@
 
 impl Update {
     /// What an answer to a call shows; nothing if it shows no change.
-    pub fn shown_by(call: &StateCall, reply: &StateReply) -> Option<Update> {
+    pub fn shown_by(call: &StoreCall, reply: &StoreReply) -> Option<Update> {
         match (call, reply) {
-            (StateCall::Txn(txn), StateReply::Committed(stamp)) if !txn.changes.is_empty() => {
+            (StoreCall::Txn(txn), StoreReply::Committed(mod_revision))
+                if !txn.changes.is_empty() =>
+            {
                 let changes =
-                    txn.changes.iter().map(|change| change_made(change, *stamp)).collect();
+                    txn.changes.iter().map(|change| change_made(change, *mod_revision)).collect();
                 Some(Update { changes, complete_to: None })
             }
-            (StateCall::Watch { .. }, StateReply::Watched(answer)) => {
+            (StoreCall::Watch { .. }, StoreReply::Watched(answer)) => {
                 let changes = answer.log.iter().map(change_watched).collect();
-                Some(Update { changes, complete_to: Some(answer.epoch) })
+                Some(Update { changes, complete_to: Some(answer.revision) })
             }
-            (StateCall::Get(_), StateReply::Row(Some(row))) => {
+            (StoreCall::Get(_), StoreReply::Row(Some(row))) => {
                 Some(Update { changes: vec![change_read(row)], complete_to: None })
             }
             _ => None,
@@ -47,26 +49,32 @@
     }
 }
 
-fn change_made(change: &Change, stamp: u64) -> KeyChange {
+fn change_made(change: &Change, mod_revision: u64) -> KeyChange {
     match change {
         Change::Write { write, v, .. } => {
-            KeyChange { key: write.clone(), stamp, value: Some(v.text().to_owned()) }
+            KeyChange { key: write.clone(), mod_revision, value: Some(v.text().to_owned()) }
         }
-        Change::Delete { delete } => KeyChange { key: delete.clone(), stamp, value: None },
+        Change::Delete { delete } => KeyChange { key: delete.clone(), mod_revision, value: None },
     }
 }
 
 fn change_watched(event: &Event) -> KeyChange {
     match event {
-        Event::Write { write, v, stamp } => {
-            KeyChange { key: write.clone(), stamp: *stamp, value: Some(v.text().to_owned()) }
-        }
-        Event::Delete { delete, stamp } => {
-            KeyChange { key: delete.clone(), stamp: *stamp, value: None }
+        Event::Write { write, v, mod_revision } => KeyChange {
+            key: write.clone(),
+            mod_revision: *mod_revision,
+            value: Some(v.text().to_owned()),
+        },
+        Event::Delete { delete, mod_revision } => {
+            KeyChange { key: delete.clone(), mod_revision: *mod_revision, value: None }
         }
     }
 }
 
 fn change_read(row: &Row) -> KeyChange {
-    KeyChange { key: row.path.clone(), stamp: row.stamp, value: Some(row.v.text().to_owned()) }
+    KeyChange {
+        key: row.path.clone(),
+        mod_revision: row.mod_revision,
+        value: Some(row.v.text().to_owned()),
+    }
 }
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -7,7 +7,10 @@
 
 use quartzlever_wire::Json;
 use quartzlever_wire::pages::{PAGES, page_of_key};
-use quartzlever_wire::state::{CLUSTER_NODES, Change, HEARD, HOSTS, LIVE, OVER, PARTS, hosts_in};
+use quartzlever_wire::store::{
+    ACTIVE_JOB_PREFIX, Change, MACHINE_PREFIX, MACHINES_SEEN_PREFIX, NODE_VERSION_PREFIX,
+    PARTITION_PREFIX, TERMINAL_JOB_PREFIX, machine_records_in,
+};
 
 use crate::picture::{Picture, Record};
 
@@ -17,7 +20,7 @@
     /// The records by the generation's own keys.
     pub rows: BTreeMap<String, Record>,
     /// The store's revisions never went back, so that its records and those of the picture can be
-    /// compared by their stamps.
+    /// compared by their modification revisions.
     pub same_line: bool,
 }
 
@@ -25,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Jobs that are neither done nor cancelled.
-    live_jobs: usize,
+    active_jobs: usize,
     /// Jobs that are done or cancelled.
     ended_jobs: usize,
     /// Machines that will be asked what they run, and adopted, or returned if they stay silent.
@@ -49,7 +52,9 @@
 
 /// Whether a record belongs to a process that was up and is acquired anew.
 fn is_bound_to_lease(key: &str) -> bool {
-    [PARTS, HEARD, CLUSTER_NODES].iter().any(|prefix| key.starts_with(prefix))
+    [PARTITION_PREFIX, MACHINES_SEEN_PREFIX, NODE_VERSION_PREFIX]
+        .iter()
+        .any(|prefix| key.starts_with(prefix))
 }
 
 /// The record of a key that stands: of two the later one where their revisions can be compared, and else
@@ -61,13 +66,15 @@
 ) -> Option<&'a Record> {
     let (known, found) = (picture.get(key), survivors.rows.get(key));
     match (known, found) {
-        (Some(known), Some(found)) if survivors.same_line && found.stamp > known.stamp => {
+        (Some(known), Some(found))
+            if survivors.same_line && found.mod_revision > known.mod_revision =>
+        {
             Some(found)
         }
         (Some(known), _) => Some(known),
         // It came back, with a backup: the picture has seen its deletion.
-        (None, Some(found)) if survivors.same_line && found.stamp <= picture.revision() => {
-            key.starts_with(OVER).then_some(found)
+        (None, Some(found)) if survivors.same_line && found.mod_revision <= picture.revision() => {
+            key.starts_with(TERMINAL_JOB_PREFIX).then_some(found)
         }
         (None, found) => found,
     }
@@ -75,12 +82,12 @@
 
 /// Whether `records` show the job of a live record as over, or the job of a page as over or unknown.
 fn is_obsolete(key: &str, records: &BTreeMap<String, String>) -> bool {
-    if let Some(job) = key.strip_prefix(LIVE) {
-        return records.contains_key(&format!("{OVER}{job}"));
+    if let Some(job) = key.strip_prefix(ACTIVE_JOB_PREFIX) {
+        return records.contains_key(&format!("{TERMINAL_JOB_PREFIX}{job}"));
     }
     let Some((job, _)) = page_of_key(key).filter(|_| key.starts_with(PAGES)) else { return false };
-    let is_over = records.contains_key(&format!("{OVER}{job}"));
-    is_over || !records.contains_key(&format!("{LIVE}{job}"))
+    let is_terminal = records.contains_key(&format!("{TERMINAL_JOB_PREFIX}{job}"));
+    is_terminal || !records.contains_key(&format!("{ACTIVE_JOB_PREFIX}{job}"))
 }
 
 /// Determines the records of the next generation.
@@ -107,14 +114,15 @@
     survivors: &Survivors,
 ) -> Summary {
     let count = |prefix: &str| records.keys().filter(|key| key.starts_with(prefix)).count();
-    let machines = records.iter().filter(|(key, _)| key.starts_with(HOSTS)).map(|(key, value)| {
-        let hosts = Json::from_text(value).and_then(|json| hosts_in(key, &json));
-        hosts.map_or(0, |hosts| hosts.len())
-    });
+    let machines =
+        records.iter().filter(|(key, _)| key.starts_with(MACHINE_PREFIX)).map(|(key, value)| {
+            let hosts = Json::from_text(value).and_then(|json| machine_records_in(key, &json));
+            hosts.map_or(0, |hosts| hosts.len())
+        });
     let store = survivors.rows.iter().filter(|(key, _)| !is_bound_to_lease(key));
     Summary {
-        live_jobs: count(LIVE),
-        ended_jobs: count(OVER),
+        active_jobs: count(ACTIVE_JOB_PREFIX),
+        ended_jobs: count(TERMINAL_JOB_PREFIX),
         machines: machines.sum(),
         restored: records.keys().filter(|key| !survivors.rows.contains_key(*key)).count(),
         only_in_store: records.keys().filter(|key| picture.get(key).is_none()).count(),
@@ -127,9 +135,11 @@
     /// differs where the generation keeps its namespace, and else all but the final states up to `known_to`,
     /// the revision up to which every candidate knows all changes; those are written later.
     pub fn changes(&self, survivors: &Survivors, picture: &Picture, known_to: u64) -> Vec<Change> {
-        let is_known = |key: &str| picture.get(key).is_some_and(|record| record.stamp <= known_to);
-        let is_inherited =
-            |key: &str| !survivors.same_line && key.starts_with(OVER) && is_known(key);
+        let is_known =
+            |key: &str| picture.get(key).is_some_and(|record| record.mod_revision <= known_to);
+        let is_inherited = |key: &str| {
+            !survivors.same_line && key.starts_with(TERMINAL_JOB_PREFIX) && is_known(key)
+        };
         let kept = |key: &str| survivors.rows.get(key).filter(|_| survivors.same_line);
         let mut changes = Vec::new();
         for (key, value) in &self.records {
@@ -137,7 +147,7 @@
                 continue;
             }
             if let Some(v) = Json::from_text(value) {
-                changes.push(Change::Write { write: key.clone(), v, charter: None });
+                changes.push(Change::Write { write: key.clone(), v, lease_id: None });
             }
         }
         let superseded = survivors.rows.keys().filter(|_| survivors.same_line);
@@ -150,10 +160,11 @@
 
 impl std::fmt::Display for Summary {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Summary { live_jobs, ended_jobs, machines, restored, only_in_store, superseded } = self;
+        let Summary { active_jobs, ended_jobs, machines, restored, only_in_store, superseded } =
+            self;
         write!(
             out,
-            "{live_jobs} jobs held until their machines are proven, {ended_jobs} ended, \
+            "{active_jobs} jobs held until their machines are proven, {ended_jobs} ended, \
              {machines} machines to adopt or return, {restored} records restored, \
              {only_in_store} known to the store alone, {superseded} superseded"
         )
--- a/crates/quartzlever-recovery/src/rebuild.rs
+++ b/crates/quartzlever-recovery/src/rebuild.rs
@@ -11,7 +11,7 @@
 //!
 //! - `state_machine`: the states of the process and the transitions between them.
 //! - `election`: the stages of a candidate, up to the lock.
-//! - `writer`: writing the next generation as the holder of the lock.
+//! - `writer`: writing the next generation as the leader of the lock.
 //! - `successor`: the identity of the next generation, and what of the store's records can be compared.
 //! - `acceptance`: taking over a generation that serves.
 //! - `contribution`: what a controller that was away knows and the records lack.
--- a/crates/quartzlever-recovery/src/rebuild/acceptance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/acceptance.rs
@@ -1,20 +1,20 @@
 //! Taking over a generation that serves.
 //!
-//! Invariant: a [`Reading`] exists only if the same identity stood at the same stamp after the records were
+//! Invariant: a [`Reading`] exists only if the same identity stood at the same modification revision after the records were
 //! read as before, so none of them is from a store that was replaced meanwhile.
 
 use quartzlever_wire::Json;
-use quartzlever_wire::state::Txn;
+use quartzlever_wire::store::Txn;
 
-use super::inheritance::{FinalStates, add_inherited};
+use super::inheritance::{TerminalJobs, add_inherited};
 use super::listing::{list_generation, observe};
 use super::outcome::{Attempt, Interruption, Opened, Progress};
 use super::session::Session;
-use crate::access::StateAccess;
+use crate::access::StoreAccess;
 use crate::detection::{Loss, missing_records};
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{IDENTITY, Observed, UNVOUCHED};
+use crate::identity::{IDENTITY, Observed, UNVERIFIED};
 use crate::picture::Picture;
 
 /// Whether this process, which has no history, has asked the others to compare the records with theirs.
@@ -33,14 +33,14 @@
 }
 
 impl Reading {
-    pub(super) fn of<A: StateAccess>(
+    pub(super) fn of<A: StoreAccess>(
         session: &mut Session<'_, A>,
         generation: Generation,
     ) -> Attempt<Reading> {
         let picture = list_generation(session.access(), &generation)?;
         let observed = observe(session.access())?;
         let serves = observed.identity.as_ref().is_some_and(|found| {
-            found.value == generation.identity && found.stamp == generation.stamp
+            found.value == generation.identity && found.mod_revision == generation.mod_revision
         });
         if !serves {
             return Err(Interruption::Overtaken);
@@ -57,14 +57,14 @@
 
 /// Opens the store with the records that were read, once every final state is at hand and the others know
 /// whether this process has a history.
-pub(super) fn accept<A: StateAccess>(
+pub(super) fn accept<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: Option<&History>,
     reading: Reading,
     vouching: &mut Vouching,
 ) -> Attempt<Progress> {
     let Reading { generation, mut picture, observed } = reading;
-    if add_inherited(&mut picture, history, &generation, &observed) == FinalStates::Incomplete {
+    if add_inherited(&mut picture, history, &generation, &observed) == TerminalJobs::Incomplete {
         session.note_progress("waits until the others have written all final states".into());
         return Ok(Progress::LookAgain);
     }
@@ -75,14 +75,14 @@
         return Ok(Progress::LookAgain);
     }
     let lacks_jobs = observed.lacks_jobs(session.node());
-    Ok(Progress::Opened(Opened { generation, picture, epoch: observed.epoch, lacks_jobs }))
+    Ok(Progress::Opened(Opened { generation, picture, revision: observed.revision, lacks_jobs }))
 }
 
-fn request_vouching<A: StateAccess>(
+fn request_vouching<A: StoreAccess>(
     session: &mut Session<'_, A>,
     generation: &Generation,
 ) -> Attempt<()> {
-    let key = format!("{UNVOUCHED}{}", session.node());
-    let txn = Txn::default().when(IDENTITY, generation.stamp);
+    let key = format!("{UNVERIFIED}{}", session.node());
+    let txn = Txn::default().when(IDENTITY, generation.mod_revision);
     session.commit(txn.write(key, Json::of(&generation.identity.generation)))
 }
--- a/crates/quartzlever-recovery/src/rebuild/batches.rs
+++ b/crates/quartzlever-recovery/src/rebuild/batches.rs
@@ -3,7 +3,7 @@
 //! Pure functions. Invariant: the batches hold all changes in their order, and no batch has more than the
 //! given number of them, nor more than [`MAX_TXN_BYTES`] unless a single change has.
 
-use quartzlever_wire::state::Change;
+use quartzlever_wire::store::Change;
 
 use crate::identity::Identity;
 
@@ -36,8 +36,8 @@
 pub(super) fn in_namespace(change: Change, identity: &Identity) -> Change {
     let namespace = &identity.namespace;
     match change {
-        Change::Write { write, v, charter } => {
-            Change::Write { write: format!("{namespace}{write}"), v, charter }
+        Change::Write { write, v, lease_id } => {
+            Change::Write { write: format!("{namespace}{write}"), v, lease_id }
         }
         Change::Delete { delete } => Change::Delete { delete: format!("{namespace}{delete}") },
     }
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -6,12 +6,12 @@
 
 use quartzlever_wire::Json;
 use quartzlever_wire::pages::{PAGES, page_of_key};
-use quartzlever_wire::state::{LIVE, OVER, StateCall, StateReply, Txn};
+use quartzlever_wire::store::{ACTIVE_JOB_PREFIX, StoreCall, StoreReply, TERMINAL_JOB_PREFIX, Txn};
 
 use super::acceptance::Reading;
 use super::outcome::{Attempt, Interruption};
 use super::session::Session;
-use crate::access::StateAccess;
+use crate::access::StoreAccess;
 use crate::generation::Generation;
 use crate::history::History;
 use crate::identity::{ABSENT, Observed};
@@ -27,7 +27,7 @@
 
 /// Hands in what this process knows and the records of a newer generation lack. Once there is nothing left,
 /// the key that says that this controller is awaited goes.
-pub(super) fn contribute<A: StateAccess>(
+pub(super) fn contribute<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: Option<&History>,
     reading: &Reading,
@@ -37,8 +37,8 @@
     let calls = calls.unwrap_or_default();
     for call in &calls {
         match session.access().call(&generation.to_store(call))? {
-            StateReply::Committed(_) => {}
-            StateReply::Conflict(_) => return Err(Interruption::Overtaken),
+            StoreReply::Committed(_) => {}
+            StoreReply::Conflict(_) => return Err(Interruption::Overtaken),
             _ => session.access().note(format!("the state service takes no {call:?}")),
         }
     }
@@ -51,17 +51,17 @@
     Ok(Contribution::Nothing)
 }
 
-fn remove_absence<A: StateAccess>(
+fn remove_absence<A: StoreAccess>(
     session: &mut Session<'_, A>,
     observed: &Observed,
 ) -> Attempt<()> {
     let Some(absent) = observed.absent.get(session.node()) else { return Ok(()) };
     let key = format!("{ABSENT}{}", session.node());
-    session.commit(Txn::default().when(&key, absent.stamp).delete(&key))
+    session.commit(Txn::default().when(&key, absent.mod_revision).delete(&key))
 }
 
 /// Jobs that the records lack, or show as live though they are over, each as a transaction.
-fn transactions(history: &History, records: &Picture, generation: &Generation) -> Vec<StateCall> {
+fn transactions(history: &History, records: &Picture, generation: &Generation) -> Vec<StoreCall> {
     let known = &history.picture;
     // With a new line of revisions, final states are inherited, but for those of jobs that the records
     // show as live.
@@ -71,7 +71,7 @@
     });
     let live =
         known.rows().iter().filter_map(|(key, record)| live_job(key, record, known, records));
-    over.map(|found| found.txn).chain(live).map(StateCall::Txn).collect()
+    over.map(|found| found.txn).chain(live).map(StoreCall::Txn).collect()
 }
 
 /// A final state that the records lack.
@@ -82,27 +82,27 @@
 }
 
 fn final_state(key: &str, record: &Record, records: &Picture) -> Option<FinalState> {
-    let job = key.strip_prefix(OVER).filter(|_| records.get(key).is_none())?;
-    let live_key = format!("{LIVE}{job}");
-    let live = records.get(&live_key);
+    let job = key.strip_prefix(TERMINAL_JOB_PREFIX).filter(|_| records.get(key).is_none())?;
+    let active_job_key = format!("{ACTIVE_JOB_PREFIX}{job}");
+    let live = records.get(&active_job_key);
     let txn = Txn::default()
         .when(key, 0)
-        .when(&live_key, live.map_or(0, |record| record.stamp))
+        .when(&active_job_key, live.map_or(0, |record| record.mod_revision))
         .write(key, Json::from_text(&record.value)?);
     let contradicts_live = live.is_some();
-    let txn = if contradicts_live { txn.delete(live_key) } else { txn };
+    let txn = if contradicts_live { txn.delete(active_job_key) } else { txn };
     Some(FinalState { txn, contradicts_live })
 }
 
 /// A live job that the records lack, with its pages.
 fn live_job(key: &str, record: &Record, known: &Picture, records: &Picture) -> Option<Txn> {
-    let job = key.strip_prefix(LIVE)?;
-    let over_key = format!("{OVER}{job}");
-    let is_in_records = [key, &over_key].iter().any(|key| records.get(key).is_some());
-    if is_in_records || known.get(&over_key).is_some() {
+    let job = key.strip_prefix(ACTIVE_JOB_PREFIX)?;
+    let terminal_job_key = format!("{TERMINAL_JOB_PREFIX}{job}");
+    let is_in_records = [key, &terminal_job_key].iter().any(|key| records.get(key).is_some());
+    if is_in_records || known.get(&terminal_job_key).is_some() {
         return None;
     }
-    let txn = Txn::default().when(key, 0).when(over_key, 0);
+    let txn = Txn::default().when(key, 0).when(terminal_job_key, 0);
     Some(with_pages(txn.write(key, Json::from_text(&record.value)?), job, known))
 }
 
@@ -111,8 +111,9 @@
     let prefix = format!("{PAGES}{job}/");
     let pages =
         known.rows().range(prefix.clone()..).take_while(|(key, _)| key.starts_with(&prefix));
-    let of_job = pages.filter(|(key, _)| page_of_key(key).is_some_and(|(owner, _)| owner == job));
-    of_job.fold(txn, |txn, (key, record)| match Json::from_text(&record.value) {
+    let required_by =
+        pages.filter(|(key, _)| page_of_key(key).is_some_and(|(owner, _)| owner == job));
+    required_by.fold(txn, |txn, (key, record)| match Json::from_text(&record.value) {
         Some(value) => txn.write(key, value),
         None => txn,
     })
--- a/crates/quartzlever-recovery/src/rebuild/election.rs
+++ b/crates/quartzlever-recovery/src/rebuild/election.rs
@@ -7,7 +7,7 @@
 
 use std::fmt;
 
-use quartzlever_wire::state::Txn;
+use quartzlever_wire::store::Txn;
 use quartzlever_wire::{Json, Micros};
 
 use super::batches::batches;
@@ -15,7 +15,7 @@
 use super::outcome::Attempt;
 use super::session::Session;
 use super::settings::RebuildSettings;
-use crate::access::StateAccess;
+use crate::access::StoreAccess;
 use crate::detection::Loss;
 use crate::history::History;
 use crate::identity::{CANDIDATES, Candidate, LOCK, Lock, Observed};
@@ -65,7 +65,7 @@
     /// This candidate has the latest records, and the lock is free.
     Locking,
     /// Another process holds the lock.
-    LockedOut { holder: String },
+    LockedOut { leader: String },
     /// The lock is held; these candidates have not published their last changes.
     AwaitingExtras { from: Vec<String> },
     /// Nothing is left to wait for.
@@ -76,7 +76,7 @@
 pub(super) struct Candidacy<'a> {
     history: Option<&'a History>,
     /// The own log surely holds everything that this controller acted on.
-    is_proven: bool,
+    is_verified: bool,
     /// When this process first announced itself.
     announced: Option<Micros>,
     /// Changes after this revision are published on the present lease.
@@ -84,12 +84,12 @@
 }
 
 impl<'a> Candidacy<'a> {
-    pub(super) fn new(history: Option<&'a History>, is_proven: bool) -> Self {
-        Candidacy { history, is_proven, announced: None, extras_after: None }
+    pub(super) fn new(history: Option<&'a History>, is_verified: bool) -> Self {
+        Candidacy { history, is_verified, announced: None, extras_after: None }
     }
 
-    pub(super) fn is_proven(&self) -> bool {
-        self.is_proven
+    pub(super) fn is_verified(&self) -> bool {
+        self.is_verified
     }
 
     /// Forgets that changes are published: they go with the lease.
@@ -98,13 +98,13 @@
     }
 
     /// Takes one step towards the lock.
-    pub(super) fn campaign<A: StateAccess>(
+    pub(super) fn campaign<A: StoreAccess>(
         &mut self,
         session: &mut Session<'_, A>,
         observed: &Observed,
         cause: &Cause,
     ) -> Attempt<Election> {
-        let lease = session.keep_lease()?;
+        let lease = session.ensure_lease()?;
         let now = session.access().now();
         match self.stage(session.settings(), observed, now) {
             Stage::Announcing(candidate) => {
@@ -125,9 +125,9 @@
             Stage::Following { best } => {
                 session.note_progress(format!("{best} has the latest records and rebuilds"));
             }
-            Stage::LockedOut { holder } => {
+            Stage::LockedOut { leader } => {
                 session
-                    .note_progress(format!("waits for the end of {holder}'s attempt to rebuild"));
+                    .note_progress(format!("waits for the end of {leader}'s attempt to rebuild"));
             }
             Stage::AwaitingExtras { from } => session.note_progress(format!(
                 "waits for the last changes that {} knows",
@@ -164,7 +164,7 @@
             revision: self.history.map_or(0, |history| history.picture.newest()),
             complete_to: self.history.map_or(0, |history| history.picture.revision()),
             extras_after: self.extras_after,
-            proven: self.is_proven,
+            proven: self.is_verified,
         }
     }
 
@@ -197,16 +197,16 @@
 fn lock_stage(settings: &RebuildSettings, observed: &Observed) -> Stage {
     let Some(lock) = &observed.lock else { return Stage::Locking };
     if lock.value.process != settings.process || lock.value.node != settings.node {
-        return Stage::LockedOut { holder: lock.value.node.clone() };
+        return Stage::LockedOut { leader: lock.value.node.clone() };
     }
     let from = extras::unpublished(observed);
     if !from.is_empty() {
         return Stage::AwaitingExtras { from };
     }
-    Stage::Winning { lock_stamp: lock.stamp }
+    Stage::Winning { lock_stamp: lock.mod_revision }
 }
 
-fn publish_extras<A: StateAccess>(
+fn publish_extras<A: StoreAccess>(
     session: &mut Session<'_, A>,
     changes: &[KeyChange],
     lease: u64,
@@ -219,7 +219,7 @@
     Ok(())
 }
 
-fn lock<A: StateAccess>(session: &mut Session<'_, A>, lease: u64) -> Attempt<()> {
+fn lock<A: StoreAccess>(session: &mut Session<'_, A>, lease: u64) -> Attempt<()> {
     let settings = session.settings();
     let lock = Lock { node: settings.node.clone(), process: settings.process };
     session.commit(Txn::default().when(LOCK, 0).write_held(LOCK, Json::of(&lock), lease))
--- a/crates/quartzlever-recovery/src/rebuild/extras.rs
+++ b/crates/quartzlever-recovery/src/rebuild/extras.rs
@@ -5,7 +5,7 @@
 //! changes that [`writes`] was given, whatever their length and characters.
 
 use quartzlever_wire::Json;
-use quartzlever_wire::state::Change;
+use quartzlever_wire::store::Change;
 
 use crate::identity::{Candidate, EXTRAS, ExtraPiece, Observed};
 use crate::picture::{KeyChange, Update};
@@ -52,7 +52,7 @@
         (value_bytes / PIECES_PER_VALUE).saturating_sub(change.key.len()).max(MIN_PIECE_BYTES);
     let piece = |text: Option<&str>, continues| ExtraPiece {
         key: change.key.clone(),
-        stamp: change.stamp,
+        mod_revision: change.mod_revision,
         text: text.map(str::to_owned),
         continues,
     };
@@ -77,7 +77,7 @@
     let write = |(n, piece): (usize, ExtraPiece)| Change::Write {
         write: format!("{EXTRAS}{node}/{n:08}"),
         v: Json::of(&piece),
-        charter: Some(lease),
+        lease_id: Some(lease),
     };
     pieces.enumerate().map(write).collect()
 }
@@ -86,14 +86,14 @@
 pub(super) fn collect(observed: &Observed) -> Update {
     let mut changes = Vec::new();
     let mut begun = String::new();
-    for ExtraPiece { key, stamp, text, continues } in &observed.extras {
+    for ExtraPiece { key, mod_revision, text, continues } in &observed.extras {
         begun += text.as_deref().unwrap_or("");
         if !continues {
             let whole = std::mem::take(&mut begun);
             let value = text.as_ref().map(|_| whole);
-            changes.push(KeyChange { key: key.clone(), stamp: *stamp, value });
+            changes.push(KeyChange { key: key.clone(), mod_revision: *mod_revision, value });
         }
     }
-    changes.sort_by_key(|change| change.stamp);
+    changes.sort_by_key(|change| change.mod_revision);
     Update { changes, complete_to: None }
 }
--- a/crates/quartzlever-recovery/src/rebuild/inheritance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/inheritance.rs
@@ -1,11 +1,11 @@
 //! Final states that are written after the next generation serves.
 //!
 //! Final states are most of the records, and only read. Those that every candidate knows are inherited: each
-//! controller keeps them in its picture at the stamp of the last generation's end until they are written.
+//! controller keeps them in its picture at the modification revision of the last generation's end until they are written.
 //! Invariant: a controller serves a generation only when it has every final state at hand, from the store or
 //! from its own history.
 
-use quartzlever_wire::state::{OVER, StateCall, StateReply, Txn};
+use quartzlever_wire::store::{StoreCall, StoreReply, TERMINAL_JOB_PREFIX, Txn};
 use quartzlever_wire::{CallError, Json};
 
 use crate::generation::Generation;
@@ -15,7 +15,7 @@
 
 /// Whether a process has every final state of a generation at hand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FinalStates {
+pub(super) enum TerminalJobs {
     /// All are in the picture.
     Complete,
     /// Some are neither written yet nor known to this process.
@@ -28,7 +28,7 @@
 /// # Errors
 /// The error of the call, whose outcome may be unknown; writing the same records again does no harm.
 pub fn write_inherited(
-    store: &mut impl FnMut(&StateCall) -> Result<StateReply, CallError>,
+    store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
     generation: &Generation,
     records: &[(String, Record)],
 ) -> Result<Option<Update>, CallError> {
@@ -38,7 +38,7 @@
             txn = txn.when(key, 0).write(key, value);
         }
     }
-    let call = StateCall::Txn(txn);
+    let call = StoreCall::Txn(txn);
     let reply = generation.reply_from_store(store(&generation.to_store(&call))?);
     Ok(Update::shown_by(&call, &reply))
 }
@@ -49,26 +49,27 @@
     history: Option<&History>,
     generation: &Generation,
     observed: &Observed,
-) -> FinalStates {
+) -> TerminalJobs {
     let base = generation.identity.base;
     let Some(history) = history else {
         return match observed.inheriting {
-            None => FinalStates::Complete,
-            Some(_) => FinalStates::Incomplete,
+            None => TerminalJobs::Complete,
+            Some(_) => TerminalJobs::Incomplete,
         };
     };
     if history.identity.generation == generation.identity.generation {
         // What was inherited before this process was started anew, and is not written yet.
         inherit(picture, history.picture.inherited(base, ""), base);
-        return FinalStates::Complete;
+        return TerminalJobs::Complete;
     }
     let known_to = history.picture.revision();
     if observed.inheriting.as_ref().is_some_and(|i| known_to < i.value.known_to) {
-        return FinalStates::Incomplete;
+        return TerminalJobs::Incomplete;
     }
-    let final_states = history.picture.rows().iter().filter(|(key, _)| key.starts_with(OVER));
+    let final_states =
+        history.picture.rows().iter().filter(|(key, _)| key.starts_with(TERMINAL_JOB_PREFIX));
     inherit(picture, final_states, base);
-    FinalStates::Complete
+    TerminalJobs::Complete
 }
 
 fn inherit<'a>(
--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 use quartzlever_wire::CallError;
-use quartzlever_wire::state::{Rows, StateCall, StateReply};
+use quartzlever_wire::store::{Rows, StoreCall, StoreReply};
 
-use crate::access::StateAccess;
+use crate::access::StoreAccess;
 use crate::generation::Generation;
 use crate::identity::{Observed, RECOVERY};
 use crate::picture::{Picture, Record};
@@ -17,14 +17,14 @@
 ///
 /// # Errors
 /// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
-pub fn observe(access: &mut impl StateAccess) -> Result<Observed, CallError> {
+pub fn observe(access: &mut impl StoreAccess) -> Result<Observed, CallError> {
     let mut all = Vec::new();
     let mut from: Option<String> = None;
     loop {
         let page = read_page(access, RECOVERY, from)?;
         all.extend(page.rows);
         if !page.has_next {
-            return Ok(Observed::of(&Rows { rows: all, has_next: false, epoch: page.epoch }));
+            return Ok(Observed::of(&Rows { rows: all, has_next: false, revision: page.revision }));
         }
         from = all.last().map(|row| row.path.clone());
     }
@@ -35,7 +35,7 @@
 /// # Errors
 /// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
 pub fn list_generation(
-    access: &mut impl StateAccess,
+    access: &mut impl StoreAccess,
     generation: &Generation,
 ) -> Result<Picture, CallError> {
     let mut records: BTreeMap<String, Record> = BTreeMap::new();
@@ -45,10 +45,10 @@
         let page = read_page(access, &generation.identity.namespace, from)?;
         let has_next = page.has_next;
         let last = page.rows.last().map(|row| row.path.clone());
-        let StateReply::Rows(own) = generation.reply_from_store(StateReply::Rows(page)) else {
+        let StoreReply::Rows(own) = generation.reply_from_store(StoreReply::Rows(page)) else {
             return Err(CallError::Unknown);
         };
-        revision.get_or_insert(own.epoch);
+        revision.get_or_insert(own.revision);
         records.extend(records_of(own));
         match last.filter(|_| has_next) {
             Some(last) => from = Some(last),
@@ -58,12 +58,12 @@
 }
 
 fn read_page(
-    access: &mut impl StateAccess,
+    access: &mut impl StoreAccess,
     prefix: &str,
     from: Option<String>,
 ) -> Result<Rows, CallError> {
-    match access.call(&StateCall::List { prefix: prefix.to_owned(), from })? {
-        StateReply::Rows(page) => Ok(page),
+    match access.call(&StoreCall::List { prefix: prefix.to_owned(), from })? {
+        StoreReply::Rows(page) => Ok(page),
         _ => Err(CallError::Unknown),
     }
 }
@@ -71,6 +71,6 @@
 fn records_of(rows: Rows) -> impl Iterator<Item = (String, Record)> {
     rows.rows.into_iter().map(|row| {
         let value = row.v.text().to_owned();
-        (row.path, Record { value, stamp: row.stamp })
+        (row.path, Record { value, mod_revision: row.mod_revision })
     })
 }
