--- a/crates/quartzlever-recovery/src/rebuild/outcome.rs
+++ b/crates/quartzlever-recovery/src/rebuild/outcome.rs
@@ -16,7 +16,7 @@
     /// All records of the generation.
     pub picture: Picture,
     /// The store's own revision that the records were read at, at least.
-    pub epoch: u64,
+    pub revision: u64,
     /// Other controllers may know of jobs that the records lack.
     pub lacks_jobs: bool,
 }
@@ -24,7 +24,7 @@
 /// Why a controller cannot continue without an operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RebuildError {
-    /// The state service and the controller's directory belong to different clusters.
+    /// The store and the controller's directory belong to different clusters.
     #[error("the state service has the records of another cluster than this directory")]
     ForeignCluster,
 }
@@ -32,7 +32,7 @@
 /// Why a step did not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Interruption {
-    /// The state service did not answer, or not as the call asks.
+    /// The store did not answer, or not as the call asks.
     #[error("the call to the state service failed: {0}")]
     Call(#[from] CallError),
     /// A condition did not hold: another controller was first, or data was lost again.
--- a/crates/quartzlever-recovery/src/rebuild/session.rs
+++ b/crates/quartzlever-recovery/src/rebuild/session.rs
@@ -3,18 +3,18 @@
 //! The session decides nothing about the records. Invariant: whatever it writes in many changes is written
 //! no faster than the settings allow.
 
-use quartzlever_wire::state::{StateCall, StateReply, Txn};
+use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use super::outcome::{Attempt, Interruption};
 use super::settings::RebuildSettings;
-use crate::access::StateAccess;
+use crate::access::StoreAccess;
 
 /// Time between two looks at the store.
 pub(super) const POLL_INTERVAL: Micros = SECOND / 2;
 /// Time after which a note that has not changed is written again.
 const NOTE_REPEAT_INTERVAL: Micros = 10 * SECOND;
-/// A lease is renewed when this part of its life is over.
+/// A lease is renewed when this partition of its life is over.
 const RENEWALS_PER_LIFE: Micros = 3;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 /// Least rate of changes that is reckoned with, so that a pause is finite.
@@ -47,7 +47,7 @@
     last_note: Option<ProgressNote>,
 }
 
-impl<'a, A: StateAccess> Session<'a, A> {
+impl<'a, A: StoreAccess> Session<'a, A> {
     pub(super) fn new(access: &'a mut A, settings: &'a RebuildSettings) -> Self {
         Session { access, settings, lease: None, last_note: None }
     }
@@ -67,8 +67,8 @@
 
     /// Commits a transaction; a condition that does not hold interrupts the step.
     pub(super) fn commit(&mut self, txn: Txn) -> Attempt<()> {
-        match self.access.call(&StateCall::Txn(txn))? {
-            StateReply::Committed(_) => Ok(()),
+        match self.access.call(&StoreCall::Txn(txn))? {
+            StoreReply::Committed(_) => Ok(()),
             _ => Err(Interruption::Overtaken),
         }
     }
@@ -82,7 +82,7 @@
     }
 
     /// Grants this process a lease, or renews it when that is due; the lease's number.
-    pub(super) fn keep_lease(&mut self) -> Attempt<u64> {
+    pub(super) fn ensure_lease(&mut self) -> Attempt<u64> {
         let now = self.access.now();
         match self.lease {
             Some(lease) if now < lease.renewed + self.settings.lease_life / RENEWALS_PER_LIFE => {
@@ -94,8 +94,8 @@
     }
 
     fn renew_lease(&mut self, lease: HeldLease, now: Micros) -> Attempt<u64> {
-        match self.access.call(&StateCall::Renew { lease: lease.id })? {
-            StateReply::Renewed => {
+        match self.access.call(&StoreCall::Renew { lease: lease.id })? {
+            StoreReply::Renewed => {
                 self.lease = Some(HeldLease { renewed: now, ..lease });
                 Ok(lease.id)
             }
@@ -105,8 +105,8 @@
 
     fn grant_lease(&mut self, now: Micros) -> Attempt<u64> {
         let life_ms = self.settings.lease_life / MICROS_PER_MILLISECOND;
-        match self.access.call(&StateCall::Grant { life_ms })? {
-            StateReply::Granted(id) => {
+        match self.access.call(&StoreCall::Grant { life_ms })? {
+            StoreReply::Granted(id) => {
                 self.lease = Some(HeldLease { id, renewed: now });
                 Ok(id)
             }
@@ -130,7 +130,7 @@
         ));
         let end = self.access.now() + span;
         while self.access.now() < end {
-            self.keep_lease()?;
+            self.ensure_lease()?;
             self.access.pause(POLL_INTERVAL);
         }
         Ok(())
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -16,7 +16,7 @@
 //! while one and the same generation served.
 
 use quartzlever_wire::Json;
-use quartzlever_wire::state::Txn;
+use quartzlever_wire::store::Txn;
 
 use super::acceptance::{Reading, Vouching, accept};
 use super::contribution::{Contribution, contribute};
@@ -26,18 +26,18 @@
 use super::session::{POLL_INTERVAL, Session};
 use super::settings::{Local, RebuildSettings};
 use super::writer::Writer;
-use crate::access::StateAccess;
-use crate::detection::{Loss, Verdict, judge};
+use crate::access::StoreAccess;
+use crate::detection::{Feasibility, Loss, judge};
 use crate::generation::Generation;
 use crate::history::History;
 use crate::identity::{IDENTITY, Identity, Observed, Phase};
 
-/// Returns a store that may be worked with; blocks, and asks the state service again, until there is one.
+/// Returns a store that may be worked with; blocks, and asks the store again, until there is one.
 ///
 /// # Errors
 /// [`RebuildError`] if only an operator can help. Calls that fail are no error here.
 pub fn open(
-    access: &mut impl StateAccess,
+    access: &mut impl StoreAccess,
     settings: &RebuildSettings,
     local: &Local,
 ) -> Result<Opened, RebuildError> {
@@ -67,16 +67,16 @@
     vouching: Vouching,
 }
 
-impl<'a, A: StateAccess> StateMachine<'a, A> {
+impl<'a, A: StoreAccess> StateMachine<'a, A> {
     fn new(access: &'a mut A, settings: &'a RebuildSettings, local: &'a Local) -> Self {
         let wall = access.wall();
         let history = local.history.as_ref();
-        let is_proven = history.is_some_and(|history| history.is_proven(local.marked, wall));
+        let is_verified = history.is_some_and(|history| history.is_verified(local.marked, wall));
         StateMachine {
             session: Session::new(access, settings),
             history,
             missing: local.found.clone(),
-            candidacy: Candidacy::new(history, is_proven),
+            candidacy: Candidacy::new(history, is_verified),
             vouching: Vouching::NotRequested,
         }
     }
@@ -101,14 +101,14 @@
     fn state(&self, observed: &Observed) -> Result<State, RebuildError> {
         let known = self.history.map(History::known);
         let state = match judge(self.session.node(), known.as_ref(), observed) {
-            Verdict::ForeignCluster => return Err(RebuildError::ForeignCluster),
-            Verdict::Intact(generation) => match self.missing.clone() {
+            Feasibility::ForeignCluster => return Err(RebuildError::ForeignCluster),
+            Feasibility::Intact(generation) => match self.missing.clone() {
                 Some(loss) => State::GivingUp { generation, loss },
                 None => State::Verifying(generation),
             },
-            Verdict::Newer(generation) => State::Joining(generation),
-            Verdict::Unfounded => State::Electing(Cause::FirstStart),
-            Verdict::Lost(loss) => State::Electing(Cause::Lost(loss)),
+            Feasibility::Newer(generation) => State::Joining(generation),
+            Feasibility::Unfounded => State::Electing(Cause::FirstStart),
+            Feasibility::Lost(loss) => State::Electing(Cause::Lost(loss)),
         };
         Ok(state)
     }
@@ -147,7 +147,7 @@
         let note = format!("data was lost: {loss}; the records are given up");
         self.session.access().note(note);
         let identity = Identity { phase: Phase::Rebuilding, ..generation.identity.clone() };
-        let txn = Txn::default().when(IDENTITY, generation.stamp);
+        let txn = Txn::default().when(IDENTITY, generation.mod_revision);
         self.session.commit(txn.write(IDENTITY, Json::of(&identity)))?;
         Ok(Progress::LookAgain)
     }
@@ -156,10 +156,10 @@
         match self.candidacy.campaign(&mut self.session, observed, cause)? {
             Election::Undecided => {}
             Election::Won { lock_stamp } => {
-                let is_proven = self.candidacy.is_proven();
+                let is_verified = self.candidacy.is_verified();
                 let mut writer = Writer::new(&mut self.session, observed, lock_stamp);
                 match self.history {
-                    Some(history) => writer.rebuild_from(history, is_proven)?,
+                    Some(history) => writer.rebuild_from(history, is_verified)?,
                     None => writer.found()?,
                 }
             }
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -6,8 +6,8 @@
 use super::listing::list_generation;
 use super::outcome::Attempt;
 use super::session::Session;
-use crate::access::StateAccess;
-use crate::detection::{Known, Verdict, judge};
+use crate::access::StoreAccess;
+use crate::detection::{Feasibility, Known, judge};
 use crate::generation::{GENERATIONS, Generation};
 use crate::history::History;
 use crate::identity::{Identity, Observed, Phase, Stamped};
@@ -19,19 +19,19 @@
 const REVISION_HEADROOM: u64 = 1 << 30;
 
 /// Reads what the store still holds of the generation that this process knows.
-pub(super) fn read_survivors<A: StateAccess>(
+pub(super) fn read_survivors<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: &History,
     observed: &Observed,
 ) -> Attempt<Survivors> {
     let same_line = is_same_line(session.node(), history, observed);
-    let generation = Generation { identity: history.identity.clone(), stamp: 0 };
+    let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
     let picture = list_generation(session.access(), &generation)?;
     Ok(Survivors { rows: picture.rows().clone(), same_line })
 }
 
 /// The identity of the generation after the one that was lost.
-pub(super) fn next_identity<A: StateAccess>(
+pub(super) fn next_identity<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: &History,
     observed: &Observed,
@@ -46,7 +46,7 @@
     }
     let base = found.map_or(0, |i| i.base).max(next.base);
     let newest_seen = latest_candidate_revision(observed)
-        .max(base + observed.epoch)
+        .max(base + observed.revision)
         .max(history.picture.newest());
     let namespace = format!("{GENERATIONS}{}-{:x}/", next.generation, session.access().draw());
     Identity { namespace, base: newest_seen + REVISION_HEADROOM, ..next }
@@ -57,12 +57,12 @@
 fn is_same_line(node: &str, history: &History, observed: &Observed) -> bool {
     let identity = observed.identity.as_ref().map(|found| Stamped {
         value: Identity { phase: Phase::Serving, ..found.value.clone() },
-        stamp: found.stamp,
+        mod_revision: found.mod_revision,
     });
     let serving = Observed { identity, ..observed.clone() };
     let known: Known<'_> = history.known();
-    let is_intact = matches!(judge(node, Some(&known), &serving), Verdict::Intact(_));
-    is_intact && observed.epoch + history.identity.base >= latest_candidate_revision(observed)
+    let is_intact = matches!(judge(node, Some(&known), &serving), Feasibility::Intact(_));
+    is_intact && observed.revision + history.identity.base >= latest_candidate_revision(observed)
 }
 
 fn latest_candidate_revision(observed: &Observed) -> u64 {
--- a/crates/quartzlever-recovery/src/rebuild/writer.rs
+++ b/crates/quartzlever-recovery/src/rebuild/writer.rs
@@ -1,10 +1,10 @@
-//! Writing the next generation as the holder of the lock.
+//! Writing the next generation as the leader of the lock.
 //!
 //! Invariant: every transaction here is on condition of the lock and of the identity that was observed (the
 //! fence), so nothing of a writer that has lost the lock comes into force; the identity itself is written
 //! last.
 
-use quartzlever_wire::state::{Change, Condition, Txn};
+use quartzlever_wire::store::{Change, Condition, Txn};
 use quartzlever_wire::{Json, Micros};
 
 use super::batches::{batches, in_namespace};
@@ -12,7 +12,7 @@
 use super::outcome::Attempt;
 use super::session::Session;
 use super::successor::{next_identity, read_survivors};
-use crate::access::StateAccess;
+use crate::access::StoreAccess;
 use crate::history::History;
 use crate::identity::{
     ABSENT, AbsentNode, IDENTITY, INHERITING, Identity, Inheriting, LOCK, Observed, Phase,
@@ -22,23 +22,23 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// The holder of the lock.
+/// The leader of the lock.
 pub(super) struct Writer<'s, 'a, A> {
     session: &'s mut Session<'a, A>,
     observed: &'s Observed,
     fence: Vec<Condition>,
 }
 
-impl<'s, 'a, A: StateAccess> Writer<'s, 'a, A> {
+impl<'s, 'a, A: StoreAccess> Writer<'s, 'a, A> {
     pub(super) fn new(
         session: &'s mut Session<'a, A>,
         observed: &'s Observed,
         lock_stamp: u64,
     ) -> Self {
-        let identity_stamp = observed.identity.as_ref().map_or(0, |identity| identity.stamp);
+        let identity_stamp = observed.identity.as_ref().map_or(0, |identity| identity.mod_revision);
         let fence = vec![
-            Condition { path: LOCK.into(), stamp: lock_stamp },
-            Condition { path: IDENTITY.into(), stamp: identity_stamp },
+            Condition { path: LOCK.into(), mod_revision: lock_stamp },
+            Condition { path: IDENTITY.into(), mod_revision: identity_stamp },
         ];
         Writer { session, observed, fence }
     }
@@ -95,9 +95,9 @@
     /// Whether each controller that was up is a candidate whose log surely holds everything it acted on.
     fn others_are_proven(&self, history: &History) -> bool {
         let candidates = &self.observed.candidates;
-        let is_proven =
+        let is_verified =
             |node: &str| candidates.get(node).is_some_and(|candidate| candidate.value.proven);
-        history.picture.nodes_up().all(is_proven)
+        history.picture.nodes_up().all(is_verified)
     }
 
     /// Writes the records in transactions that the store takes, no faster than it allows.
@@ -105,7 +105,7 @@
         let all = changes.len();
         let mut written = 0;
         for batch in batches(changes, self.session.settings().txn_ops) {
-            self.session.keep_lease()?;
+            self.session.ensure_lease()?;
             written += batch.len();
             let changes = batch.into_iter().map(|change| in_namespace(change, next)).collect();
             self.session.commit_batch(self.fenced(changes))?;
--- a/crates/quartzlever-recovery/tests/files.rs
+++ b/crates/quartzlever-recovery/tests/files.rs
@@ -18,8 +18,8 @@
 }
 
 fn snapshot(revision: u64, keys: &[(&str, u64)]) -> Vec<u8> {
-    let row = |(key, stamp): &(&str, u64)| {
-        ((*key).to_owned(), Record { value: "{}".into(), stamp: *stamp })
+    let row = |(key, mod_revision): &(&str, u64)| {
+        ((*key).to_owned(), Record { value: "{}".into(), mod_revision: *mod_revision })
     };
     let write_times = WriteTimes::default();
     let rows = keys.iter().map(row).collect();
@@ -28,12 +28,12 @@
         .expect("bytes")
 }
 
-fn written(key: &str, stamp: u64) -> KeyChange {
-    KeyChange { key: key.into(), stamp, value: Some("{}".into()) }
+fn written(key: &str, mod_revision: u64) -> KeyChange {
+    KeyChange { key: key.into(), mod_revision, value: Some("{}".into()) }
 }
 
-fn deleted(key: &str, stamp: u64) -> KeyChange {
-    KeyChange { key: key.into(), stamp, value: None }
+fn deleted(key: &str, mod_revision: u64) -> KeyChange {
+    KeyChange { key: key.into(), mod_revision, value: None }
 }
 
 fn update(changes: Vec<KeyChange>, complete_to: u64) -> LogEntry {
@@ -49,7 +49,7 @@
     LogEntry::Begin { identity: identity(), revision }
 }
 
-/// A power cut may leave any part of the last entries: what is whole counts, and nothing else does.
+/// A power cut may leave any partition of the last entries: what is whole counts, and nothing else does.
 #[test]
 fn a_log_may_end_anywhere() {
     let entries =
@@ -177,7 +177,7 @@
             assert!(!is_deleted || picture.get("live/a").is_none(), "{order:?}: back at {n}");
         }
         assert_eq!(picture.get("live/a"), None, "{order:?}");
-        assert_eq!(picture.get("live/b").map(|r| r.stamp), Some(15), "{order:?}");
+        assert_eq!(picture.get("live/b").map(|r| r.mod_revision), Some(15), "{order:?}");
         assert_eq!(picture.revision(), 15, "{order:?}");
     }
 }
--- a/crates/quartzlever-recovery/tests/plans.rs
+++ b/crates/quartzlever-recovery/tests/plans.rs
@@ -7,10 +7,13 @@
 
 type Rows<'a> = &'a [(&'a str, u64)];
 
-/// Records whose values tell where they come from, and their stamps.
+/// Records whose values tell where they come from, and their modification revisions.
 fn records(from: &str, rows: Rows) -> BTreeMap<String, Record> {
-    let record = |stamp: &u64| Record { value: format!("\"{from}{stamp}\""), stamp: *stamp };
-    rows.iter().map(|(key, stamp)| ((*key).to_owned(), record(stamp))).collect()
+    let record = |mod_revision: &u64| Record {
+        value: format!("\"{from}{mod_revision}\""),
+        mod_revision: *mod_revision,
+    };
+    rows.iter().map(|(key, mod_revision)| ((*key).to_owned(), record(mod_revision))).collect()
 }
 
 /// The picture is complete to revision 20.
@@ -72,10 +75,10 @@
         }
         for change in plan.changes(&survivors, &picture, 0) {
             match change {
-                quartzlever_wire::state::Change::Write { write, v, .. } => {
+                quartzlever_wire::store::Change::Write { write, v, .. } => {
                     after.insert(write, v.text().to_owned());
                 }
-                quartzlever_wire::state::Change::Delete { delete } => {
+                quartzlever_wire::store::Change::Delete { delete } => {
                     after.remove(&delete);
                 }
             }
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -10,7 +10,7 @@
 };
 use quartzlever_recovery::picture::{KeyChange, Update};
 use quartzlever_recovery::rebuild::{RebuildError, observe, write_inherited};
-use quartzlever_wire::state::{StateCall, StateReply, Txn};
+use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, SECOND};
 
 use world::{Access, START, Shared, WORKER_LEASE, fill, history, local, opened, settings, start};
@@ -45,7 +45,7 @@
             proven: true,
         };
         let txn = Txn::default().write(format!("{CANDIDATES}{node}"), Json::of(&candidate));
-        world.borrow_mut().store.call(now, &StateCall::Txn(txn)).expect("written");
+        world.borrow_mut().store.call(now, &StoreCall::Txn(txn)).expect("written");
     }
 }
 
@@ -87,27 +87,27 @@
     fill(&world, RECORDS);
     let mut history = history(&world);
     let mut seen = history.picture.newest();
-    let mut late: Vec<StateCall> = Vec::new();
+    let mut late: Vec<StoreCall> = Vec::new();
     for round in 1..4 {
-        // Decided before the loss, at whatever stamps: those of the next line are as small.
+        // Decided before the loss, at whatever modification revisions: those of the next line are as small.
         for (identity, record) in (1..30).flat_map(|i| (1..30).map(move |r| (i, r))) {
             let known = history.identity.clone();
-            let generation = Generation { identity: known, stamp: identity };
-            let stamp = generation.revision(record);
-            let txn = Txn::default().when("live/req-1", stamp).delete("live/req-1");
-            late.push(generation.to_store(&StateCall::Txn(txn)));
+            let generation = Generation { identity: known, mod_revision: identity };
+            let mod_revision = generation.revision(record);
+            let txn = Txn::default().when("live/req-1", mod_revision).delete("live/req-1");
+            late.push(generation.to_store(&StoreCall::Txn(txn)));
         }
         world.borrow_mut().store.wipe();
         announce_others(&world);
         let opened = opened(&world, "one", &local(&history));
         assert_eq!(opened.generation.identity.generation, round);
         assert!(opened.picture.revision() > seen + 1_000_000, "{round}");
-        let oldest = opened.picture.rows().values().map(|r| r.stamp).min();
+        let oldest = opened.picture.rows().values().map(|r| r.mod_revision).min();
         assert!(oldest > Some(seen), "{round}: {oldest:?}, {seen}");
         for call in &late {
             let now = world.borrow().now;
             let reply = world.borrow_mut().store.call(now, call);
-            assert!(matches!(reply, Ok(StateReply::Conflict(_))), "{round}: {call:?} {reply:?}");
+            assert!(matches!(reply, Ok(StoreReply::Conflict(_))), "{round}: {call:?} {reply:?}");
         }
         seen = opened.picture.newest();
         history.identity = opened.generation.identity.clone();
@@ -135,7 +135,7 @@
         for node in *up {
             let change = KeyChange {
                 key: format!("cluster/nodes/{node}"),
-                stamp: history.picture.newest() + 1,
+                mod_revision: history.picture.newest() + 1,
                 value: Some(r#"{"version":2,"process":1}"#.into()),
             };
             history.picture.apply(Update { changes: vec![change], complete_to: None });
@@ -167,7 +167,7 @@
         let mut history = history.clone();
         let changes = changes.into_iter().map(|(key, value, after)| KeyChange {
             key: key.into(),
-            stamp: newest + after,
+            mod_revision: newest + after,
             value: value.map(str::to_owned),
         });
         history.picture.apply(Update { changes: changes.collect(), complete_to: None });
@@ -213,12 +213,12 @@
         access.later = Some((pause, |w| {
             let lock = Lock { node: "two".into(), process: 9 };
             let txn = Txn::default().write(LOCK, Json::of(&lock)).write("overtaken", Json::of(&1));
-            w.store.call(w.now, &StateCall::Txn(txn)).expect("written");
+            w.store.call(w.now, &StoreCall::Txn(txn)).expect("written");
         }));
         start(&mut access, &settings("one", 1), &local(&history));
         let world = world.borrow();
-        let stamp = |key: &str| world.store.get(key).map(|(_, stamp)| stamp);
-        match (stamp(IDENTITY), stamp("overtaken")) {
+        let mod_revision = |key: &str| world.store.get(key).map(|(_, mod_revision)| mod_revision);
+        match (mod_revision(IDENTITY), mod_revision("overtaken")) {
             (Some(rebuilt), Some(lost)) => assert!(rebuilt < lost, "pause {pause}"),
             (Some(_), None) => {}
             (None, _) => overtaken += 1,
@@ -253,7 +253,7 @@
     assert_eq!(inherited.len(), 2);
     // Two controllers write them; one that comes later changes nothing.
     for written in [true, false] {
-        let mut store = |call: &StateCall| {
+        let mut store = |call: &StoreCall| {
             let mut world = world.borrow_mut();
             let now = world.now;
             world.store.call(now, call)
@@ -263,7 +263,7 @@
     }
     assert_eq!(in_store(&world), RECORDS.len());
     let gone = Txn::default().delete(INHERITING);
-    world.borrow_mut().store.call(START, &StateCall::Txn(gone)).expect("written");
+    world.borrow_mut().store.call(START, &StoreCall::Txn(gone)).expect("written");
     assert!(!waits(&world), "all are there");
 }
 
@@ -296,7 +296,7 @@
         .write("live/req-6", Json::from_text("{}").expect("JSON"))
         .delete("live/req-2")
         .write("over/req-2", Json::from_text("{}").expect("JSON"));
-    world.borrow_mut().store.call(now, &StateCall::Txn(txn)).expect("written");
+    world.borrow_mut().store.call(now, &StoreCall::Txn(txn)).expect("written");
     let away = history(&world);
     world.borrow_mut().store.wipe();
     announce_others(&world);
@@ -326,7 +326,7 @@
 fn only_what_the_store_shows_is_taken_for_a_loss() {
     let write = |w: &mut world::World, key: &str, value: &str| {
         let txn = Txn::default().write(key, Json::from_text(value).expect("JSON"));
-        w.store.call(START, &StateCall::Txn(txn)).expect("written");
+        w.store.call(START, &StoreCall::Txn(txn)).expect("written");
     };
     /// What befalls the store, and the generation that serves then.
     type Case = (&'static str, fn(&mut world::World), u32);
@@ -341,13 +341,13 @@
         ("everything gone", |w| w.store.wipe(), 1),
         ("a witness that went back", |w| w.store.lose(|key| key.starts_with(WITNESSES)), 1),
     ];
-    for (what, befalls, generation) in cases {
+    for (what, injects, generation) in cases {
         let world = world();
         fill(&world, RECORDS);
         write(&mut world.borrow_mut(), &format!("{WITNESSES}one"), r#"{"count":7}"#);
         let mut history = history(&world);
         history.witness = 7;
-        befalls(&mut world.borrow_mut());
+        injects(&mut world.borrow_mut());
         if !world.borrow().store.outage {
             announce_others(&world);
         }
@@ -398,40 +398,40 @@
     let absent = "over/req-9".to_owned();
     let txn = Txn::default().when("over/req-9", 0).write("over/req-9", Json::of(&1));
     /// A call, what befalls the store before it, and what becomes of it; None for an answer.
-    type Case<'a> = (StateCall, fn(&mut world::World), Option<Result<StateReply, GuardError>>);
+    type Case<'a> = (StoreCall, fn(&mut world::World), Option<Result<StoreReply, GuardError>>);
     let wipe: fn(&mut world::World) = |w| w.store.wipe();
-    let renew = StateCall::Renew { lease: 1 };
-    let watch = StateCall::Watch { from: 7, hold_ms: 0 };
+    let renew = StoreCall::Renew { lease: 1 };
+    let watch = StoreCall::Watch { from: 7, hold_ms: 0 };
     let back = Loss::RevisionWentBack { from: 7, to: 0 };
     let cases: Vec<Case> = vec![
-        (StateCall::Get(absent.clone()), |_| {}, None),
-        (StateCall::Get(absent), wipe, Some(gone())),
-        (StateCall::Get("over/req-3".into()), wipe, Some(gone())),
+        (StoreCall::Get(absent.clone()), |_| {}, None),
+        (StoreCall::Get(absent), wipe, Some(gone())),
+        (StoreCall::Get("over/req-3".into()), wipe, Some(gone())),
         (
-            StateCall::Get("over/req-3".into()),
+            StoreCall::Get("over/req-3".into()),
             |w| w.store.lose(|key| key == "over/req-3"),
             Some(Err(GuardError::Suspect)),
         ),
-        (StateCall::Revision, wipe, Some(gone())),
-        (StateCall::Grant { life_ms: 1000 }, wipe, Some(gone())),
+        (StoreCall::Revision, wipe, Some(gone())),
+        (StoreCall::Grant { life_ms: 1000 }, wipe, Some(gone())),
         // Whoever held that lease then: a store that begins again grants its number anew.
         (
             renew,
             |w| {
                 w.store.wipe();
-                w.store.call(w.now, &StateCall::Grant { life_ms: 9000 }).expect("granted");
+                w.store.call(w.now, &StoreCall::Grant { life_ms: 9000 }).expect("granted");
             },
             Some(gone()),
         ),
         (watch, wipe, Some(lost(back))),
-        (StateCall::Txn(txn), wipe, Some(lost(Loss::IdentityDiffers))),
+        (StoreCall::Txn(txn), wipe, Some(lost(Loss::IdentityDiffers))),
         (
-            StateCall::Revision,
+            StoreCall::Revision,
             |w| w.store.outage = true,
             Some(Err(GuardError::Call(CallError::Refused))),
         ),
     ];
-    for (call, befalls, expected) in cases {
+    for (call, injects, expected) in cases {
         let world = world();
         fill(&world, RECORDS);
         let picture = history(&world).picture;
@@ -439,9 +439,9 @@
         let observed: Observed = observe(&mut access).expect("observed");
         let identity = observed.identity.expect("an identity");
         let generation = Generation::new(identity);
-        let guard = Guard::new(generation, observed.epoch);
-        befalls(&mut world.borrow_mut());
-        let mut store = |call: &StateCall| {
+        let guard = Guard::new(generation, observed.revision);
+        injects(&mut world.borrow_mut());
+        let mut store = |call: &StoreCall| {
             let mut world = world.borrow_mut();
             let now = world.now;
             world.store.call(now, call)
--- a/crates/quartzlever-recovery/tests/rebuilding/world.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/world.rs
@@ -5,14 +5,14 @@
 use std::panic::{AssertUnwindSafe, catch_unwind, resume_unwind};
 use std::rc::Rc;
 
-use quartzlever_recovery::StateAccess;
+use quartzlever_recovery::StoreAccess;
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::History;
 use quartzlever_recovery::identity::{IDENTITY, Identity, Phase};
 use quartzlever_recovery::picture::{Picture, Record};
 use quartzlever_recovery::rebuild::{Local, Opened, RebuildError, RebuildSettings, open};
-use quartzlever_standin::Store;
-use quartzlever_wire::state::{StateCall, StateReply, Txn};
+use quartzlever_testkit::Store;
+use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
 pub const START: Micros = 1_000 * SECOND;
@@ -57,8 +57,8 @@
     }
 }
 
-impl StateAccess for Access {
-    fn call(&mut self, call: &StateCall) -> Result<StateReply, CallError> {
+impl StoreAccess for Access {
+    fn call(&mut self, call: &StoreCall) -> Result<StoreReply, CallError> {
         self.calls += 1;
         if self.killed_at == Some(self.calls) {
             resume_unwind(Box::new(Killed));
@@ -81,8 +81,8 @@
         assert!(self.pauses < 5_000, "{:#?}", self.world.borrow().notes);
         let mut world = self.world.borrow_mut();
         world.now += span;
-        if let Some((_, befalls)) = self.later.filter(|(after, _)| *after == self.pauses) {
-            befalls(&mut world);
+        if let Some((_, injects)) = self.later.filter(|(after, _)| *after == self.pauses) {
+            injects(&mut world);
         }
     }
 
@@ -131,8 +131,8 @@
         let value = Json::from_text(value).expect("JSON");
         let txn = Txn::default().write(*key, value);
         assert!(matches!(
-            world.store.call(now, &StateCall::Txn(txn)),
-            Ok(StateReply::Committed(_))
+            world.store.call(now, &StoreCall::Txn(txn)),
+            Ok(StoreReply::Committed(_))
         ));
     }
 }
@@ -144,11 +144,14 @@
 /// What a controller that has seen everything knows.
 pub fn history(world: &Shared) -> History {
     let world = world.borrow();
-    let generation = Generation { identity: identity(), stamp: 1 };
+    let generation = Generation { identity: identity(), mod_revision: 1 };
     let keys = world.store.keys("").into_iter().filter(|key| !key.starts_with("recovery/"));
     let record = |key: &String| {
-        let (value, stamp) = world.store.get(key)?;
-        Some(Record { value: value.text().to_owned(), stamp: generation.revision(stamp) })
+        let (value, mod_revision) = world.store.get(key)?;
+        Some(Record {
+            value: value.text().to_owned(),
+            mod_revision: generation.revision(mod_revision),
+        })
     };
     let rows: BTreeMap<String, Record> =
         keys.filter_map(|key| Some((key.clone(), record(&key)?))).collect();
@@ -185,7 +188,7 @@
     start(&mut access, &settings(node, 1), local).expect("not killed").expect("opened")
 }
 
-/// The records of a generation without their stamps.
+/// The records of a generation without their modification revisions.
 pub fn values(picture: &Picture) -> Vec<(&str, &str)> {
     picture.rows().iter().map(|(key, r)| (key.as_str(), r.value.as_str())).collect()
 }
--- a/crates/quartzlever-standin/src/cloud.rs
+++ b/crates/quartzlever-testkit/src/cloud.rs
@@ -3,15 +3,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzlever_wire::cloud::{
-    Catalogue, CloudCall, CloudReply, MachineType, Rental, RentalPhase, Rentals,
+    Catalogue, CloudCall, CloudReply, Instance, InstancePage, InstancePhase, MachineType,
 };
 
 /// A cloud of one machine type in any number of zones.
 #[derive(Debug)]
 pub struct Cloud {
     pub catalogue: Catalogue,
-    hires: BTreeMap<String, Vec<String>>,
-    pub machines: BTreeMap<String, Rental>,
+    scale_outs: BTreeMap<String, Vec<String>>,
+    pub machines: BTreeMap<String, Instance>,
     /// Names that were returned.
     pub gone: BTreeSet<String>,
     count: u32,
@@ -22,7 +22,7 @@
 
 impl Cloud {
     pub fn new(cpus: f64, zones: &[&str], most: usize) -> Self {
-        let kind = MachineType {
+        let machine_type = MachineType {
             name: "m".into(),
             cpus,
             gpus: 0.0,
@@ -35,8 +35,8 @@
             zones: zones.iter().map(|z| (*z).to_owned()).collect(),
         };
         Cloud {
-            catalogue: Catalogue { types: vec![kind] },
-            hires: BTreeMap::new(),
+            catalogue: Catalogue { types: vec![machine_type] },
+            scale_outs: BTreeMap::new(),
             machines: BTreeMap::new(),
             gone: BTreeSet::new(),
             count: 0,
@@ -48,16 +48,16 @@
     pub fn call(&mut self, call: &CloudCall) -> CloudReply {
         match call {
             CloudCall::Catalogue => CloudReply::Catalogue(self.catalogue.clone()),
-            CloudCall::Rent(hire) => {
-                if let Some(hosts) = self.hires.get(&hire.name) {
-                    return CloudReply::Rented(hosts.clone());
+            CloudCall::ScaleOut(request) => {
+                if let Some(hosts) = self.scale_outs.get(&request.name) {
+                    return CloudReply::ScaledOut(hosts.clone());
                 }
                 let mut room = self.most.saturating_sub(self.machines.len());
-                if hire.spot {
+                if request.spot {
                     let spot = self.machines.values().filter(|m| m.spot).count();
                     room = room.min(self.most_spot.saturating_sub(spot));
                 }
-                let count = (hire.count as usize).min(room);
+                let count = (request.count as usize).min(room);
                 if count == 0 {
                     return CloudReply::NoCapacity;
                 }
@@ -65,29 +65,29 @@
                 for _ in 0..count {
                     self.count += 1;
                     let name = format!("n-{:06}", self.count);
-                    let rental = Rental {
+                    let instance = Instance {
                         name: name.clone(),
                         address: format!("{name}:9000"),
-                        kind: hire.kind.clone(),
-                        zone: hire.zone.clone(),
-                        spot: hire.spot,
-                        phase: RentalPhase::Running,
+                        machine_type: request.machine_type.clone(),
+                        zone: request.zone.clone(),
+                        spot: request.spot,
+                        phase: InstancePhase::Running,
                         held_s: 1.0,
                     };
-                    self.machines.insert(name.clone(), rental);
+                    self.machines.insert(name.clone(), instance);
                     hosts.push(name);
                 }
-                self.hires.insert(hire.name.clone(), hosts.clone());
-                CloudReply::Rented(hosts)
+                self.scale_outs.insert(request.name.clone(), hosts.clone());
+                CloudReply::ScaledOut(hosts)
             }
             CloudCall::Return(hosts) => {
                 for host in hosts {
                     self.machines.remove(host);
                     self.gone.insert(host.clone());
                 }
-                CloudReply::Returned
+                CloudReply::ScaledIn
             }
-            CloudCall::List { .. } => CloudReply::Listed(Rentals {
+            CloudCall::List { .. } => CloudReply::Listed(InstancePage {
                 hosts: self.machines.values().cloned().collect(),
                 has_next: false,
             }),
--- a/crates/quartzlever-standin/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use quartzlever_wire::Micros;
-use quartzlever_wire::cloud::Rental;
+use quartzlever_wire::cloud::Instance;
 use quartzlever_wire::users::JobSpec;
-use quartzlever_wire::workers::{Orders, Report, TaskId, WorkerReply};
+use quartzlever_wire::workers::{Heartbeat, TaskId, WorkerCommands, WorkerReply};
 use serde_json::{Value, json};
 use tiny_http::Request;
 
@@ -19,14 +19,14 @@
 use crate::rules::{MachineTasks, RuleChecker};
 use crate::{Cloud, Worker};
 
-/// A worker gives up on a report after this time.
+/// A worker gives up on a heartbeat after this time.
 const REPORT_PATIENCE: Duration = Duration::from_secs(4);
 const WORKER_THREADS: usize = 2;
 
 /// How the workers of a fleet behave.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
-    pub report: Duration,
+    pub heartbeat_interval: Duration,
     /// Every second machine carries out calls to its own address only after this time.
     pub slow_calls: Duration,
     pub lease: Micros,
@@ -80,7 +80,7 @@
         serve_rentals(
             Arc::new(Mutex::new(cloud)),
             move |host| leaving.leave(host),
-            move |rental| joining.clone().join(rental),
+            move |instance| joining.clone().join(instance),
         )
     }
 
@@ -126,8 +126,8 @@
     /// How many tasks of a job are on machines.
     pub fn running(&self, job: &str) -> usize {
         let state = self.lock();
-        let of_job = |task: &&TaskId| task.job == job;
-        state.workers.values().map(|w| w.running().iter().filter(of_job).count()).sum()
+        let required_by = |task: &&TaskId| task.job == job;
+        state.workers.values().map(|w| w.running().iter().filter(required_by).count()).sum()
     }
 
     /// A machine that runs tasks stops for good, if there is one.
@@ -147,21 +147,21 @@
         });
     }
 
-    fn join(self: Arc<Self>, rental: Rental) {
+    fn join(self: Arc<Self>, instance: Instance) {
         thread::spawn(move || {
             // A worker that cannot serve its port is a machine that never comes up.
-            let _ = self.serve_worker(rental);
+            let _ = self.serve_worker(instance);
         });
     }
 
-    fn serve_worker(self: Arc<Self>, mut rental: Rental) -> io::Result<()> {
-        let host = rental.name.clone();
+    fn serve_worker(self: Arc<Self>, mut instance: Instance) -> io::Result<()> {
+        let host = instance.name.clone();
         let (fleet, name) = (self.clone(), host.clone());
         let address = listen(WORKER_THREADS, move |request| fleet.command(&name, request))?;
-        rental.address = address.to_string();
+        instance.address = address.to_string();
         self.change(|state, now| {
             let mut worker =
-                Worker::new(rental, self.behaviour.lease, self.behaviour.run_time, now);
+                Worker::new(instance, self.behaviour.lease, self.behaviour.run_time, now);
             worker.endless = state.endless.clone();
             if !state.returned.contains(&host) {
                 state.workers.insert(host.clone(), worker);
@@ -181,13 +181,16 @@
         let reply = self.change(|state, now| {
             let worker = state.workers.get_mut(host)?;
             if is_status {
-                return Some(Ok(WorkerReply::Report(worker.report())));
+                return Some(Ok(WorkerReply::Status(worker.heartbeat())));
             }
-            Some(serde_json::from_slice::<Orders>(&body).map(|orders| worker.command(&orders, now)))
+            Some(
+                serde_json::from_slice::<WorkerCommands>(&body)
+                    .map(|commands| worker.command(&commands, now)),
+            )
         });
         match reply {
-            Some(Ok(WorkerReply::Report(report))) => respond(request, 200, &json!(report)),
-            Some(Ok(WorkerReply::Refused(report))) => respond(request, 409, &json!(report)),
+            Some(Ok(WorkerReply::Status(heartbeat))) => respond(request, 200, &json!(heartbeat)),
+            Some(Ok(WorkerReply::Refused(heartbeat))) => respond(request, 409, &json!(heartbeat)),
             Some(Err(_)) => respond(request, 400, &json!({})),
             // The machine is gone: the connection closes without an answer.
             None => drop(request),
@@ -198,29 +201,37 @@
         let agent = ureq::AgentBuilder::new().timeout(REPORT_PATIENCE).build();
         let mut target = 0;
         loop {
-            let report = self.change(|state, now| {
+            let heartbeat = self.change(|state, now| {
                 let worker = state.workers.get_mut(host)?;
-                Some((worker.report(), now))
+                Some((worker.heartbeat(), now))
             });
-            let Some((report, sent)) = report else { return };
-            self.send_report(&agent, &mut target, &report, sent);
-            thread::sleep(self.behaviour.report);
+            let Some((heartbeat, sent)) = heartbeat else { return };
+            self.send_report(&agent, &mut target, &heartbeat, sent);
+            thread::sleep(self.behaviour.heartbeat_interval);
         }
     }
 
-    fn send_report(&self, agent: &ureq::Agent, target: &mut usize, report: &Report, sent: Micros) {
+    fn send_report(
+        &self,
+        agent: &ureq::Agent,
+        target: &mut usize,
+        heartbeat: &Heartbeat,
+        sent: Micros,
+    ) {
         let controllers = self.controllers.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let Some((_, address)) = controllers.get(*target % controllers.len()) else {
             return;
         };
-        match agent.post(&format!("http://{address}/hello")).send_string(&json!(report).to_string())
+        match agent
+            .post(&format!("http://{address}/hello"))
+            .send_string(&json!(heartbeat).to_string())
         {
             Ok(response) => {
                 let text = response.into_string().unwrap_or_default();
-                let Ok(orders) = serde_json::from_str::<Orders>(&text) else { return };
+                let Ok(commands) = serde_json::from_str::<WorkerCommands>(&text) else { return };
                 self.change(|state, now| {
-                    if let Some(worker) = state.workers.get_mut(&report.host) {
-                        worker.answered(&orders, sent, report.session, now);
+                    if let Some(worker) = state.workers.get_mut(&heartbeat.host) {
+                        worker.answered(&commands, sent, heartbeat.incarnation, now);
                     }
                 });
             }
@@ -261,10 +272,10 @@
 
 fn machine_tasks(worker: &Worker) -> MachineTasks {
     MachineTasks {
-        host: worker.rental.name.clone(),
-        kind: worker.rental.kind.clone(),
-        zone: worker.rental.zone.clone(),
-        spot: worker.rental.spot,
+        host: worker.instance.name.clone(),
+        machine_type: worker.instance.machine_type.clone(),
+        zone: worker.instance.zone.clone(),
+        spot: worker.instance.spot,
         tasks: worker.running(),
     }
 }
--- a/crates/quartzlever-standin/src/http.rs
+++ b/crates/quartzlever-testkit/src/http.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on loopback ports, each served by `tiny_http` until the process ends.
+//! The fakes on loopback ports, each served by `tiny_http` until the process ends.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quartzlever_wire::cloud::{CloudCall, CloudReply, Hire, HostNames, Rental};
-use quartzlever_wire::state::{HoldAnswer, HoldRequest, StateCall, StateReply, Txn};
+use quartzlever_wire::cloud::{CloudCall, CloudReply, HostNames, Instance, ScaleOutRequest};
+use quartzlever_wire::store::{GrantAnswer, GrantRequest, StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Micros, SECOND};
 use serde_json::{Value, json};
 use tiny_http::{Header, Method, Request, Response, Server};
@@ -75,37 +75,37 @@
         let url = request.url().to_owned();
         let path = url.split('?').next().unwrap_or("").to_owned();
         let call = match (request.method(), path.as_str()) {
-            (Method::Get, "/keys") => StateCall::List {
+            (Method::Get, "/keys") => StoreCall::List {
                 prefix: query(&url, "under").unwrap_or_default(),
                 from: query(&url, "from"),
             },
-            (Method::Get, "/watch") => StateCall::Watch {
+            (Method::Get, "/watch") => StoreCall::Watch {
                 from: query(&url, "from").and_then(|f| f.parse().ok()).unwrap_or(0),
                 hold_ms: query(&url, "hold_ms").and_then(|f| f.parse().ok()).unwrap_or(0),
             },
-            (Method::Get, path) => StateCall::Get(path.trim_start_matches("/keys/").to_owned()),
+            (Method::Get, path) => StoreCall::Get(path.trim_start_matches("/keys/").to_owned()),
             (Method::Post, "/multi") => match serde_json::from_slice::<Txn>(&body) {
-                Ok(txn) => StateCall::Txn(txn),
+                Ok(txn) => StoreCall::Txn(txn),
                 Err(e) => return respond(request, 400, &json!({ "error": e.to_string() })),
             },
-            (Method::Post, "/holds") => match serde_json::from_slice::<HoldRequest>(&body) {
-                Ok(hold) => StateCall::Grant { life_ms: hold.life_ms },
+            (Method::Post, "/holds") => match serde_json::from_slice::<GrantRequest>(&body) {
+                Ok(hold) => StoreCall::Grant { life_ms: hold.life_ms },
                 Err(e) => return respond(request, 400, &json!({ "error": e.to_string() })),
             },
             (Method::Post, path) => {
                 let id = path.trim_start_matches("/holds/").trim_end_matches("/renew");
-                StateCall::Renew { lease: id.parse().unwrap_or(0) }
+                StoreCall::Renew { lease: id.parse().unwrap_or(0) }
             }
             _ => return respond(request, 400, &json!({ "error": "no such call" })),
         };
         let end = match &call {
-            StateCall::Watch { hold_ms, .. } => Instant::now() + Duration::from_millis(*hold_ms),
+            StoreCall::Watch { hold_ms, .. } => Instant::now() + Duration::from_millis(*hold_ms),
             _ => Instant::now(),
         };
         loop {
             let Ok(mut guard) = store.lock() else { return };
             let result = guard.call(micros(start), &call);
-            if let Ok(StateReply::Watched(answer)) = &result
+            if let Ok(StoreReply::Watched(answer)) = &result
                 && (guard.watches_held || (answer.log.is_empty() && Instant::now() < end))
             {
                 drop(guard);
@@ -113,21 +113,21 @@
                 continue;
             }
             let (status, value) = match result {
-                Ok(StateReply::Row(Some(row))) => (200, json!(row)),
-                Ok(StateReply::Row(None)) => (404, json!(guard.txn_answer(None))),
-                Ok(StateReply::Revision(epoch)) => (404, json!({ "epoch": epoch })),
-                Ok(StateReply::Rows(rows)) => (200, json!(rows)),
-                Ok(StateReply::Committed(_)) => (200, json!(guard.txn_answer(None))),
-                Ok(StateReply::Conflict(failed)) => (409, json!(guard.txn_answer(Some(failed)))),
-                Ok(StateReply::NoLease) if path == "/multi" => {
+                Ok(StoreReply::Row(Some(row))) => (200, json!(row)),
+                Ok(StoreReply::Row(None)) => (404, json!(guard.txn_answer(None))),
+                Ok(StoreReply::Revision(revision)) => (404, json!({ "epoch": revision })),
+                Ok(StoreReply::Rows(rows)) => (200, json!(rows)),
+                Ok(StoreReply::Committed(_)) => (200, json!(guard.txn_answer(None))),
+                Ok(StoreReply::Conflict(failed)) => (409, json!(guard.txn_answer(Some(failed)))),
+                Ok(StoreReply::NoLease) if path == "/multi" => {
                     (400, json!({ "error": "no such lease" }))
                 }
-                Ok(StateReply::NoLease) => (404, json!({})),
-                Ok(StateReply::Granted(charter)) => (200, json!(HoldAnswer { charter })),
-                Ok(StateReply::Renewed) => (200, json!({})),
-                Ok(StateReply::Watched(answer)) => (200, json!(answer)),
-                Ok(StateReply::TooOld) => (410, json!({})),
-                Ok(StateReply::TooLarge) => (400, json!({ "error": "too large" })),
+                Ok(StoreReply::NoLease) => (404, json!({})),
+                Ok(StoreReply::Granted(lease_id)) => (200, json!(GrantAnswer { lease_id })),
+                Ok(StoreReply::Renewed) => (200, json!({})),
+                Ok(StoreReply::Watched(answer)) => (200, json!(answer)),
+                Ok(StoreReply::TooOld) => (410, json!({})),
+                Ok(StoreReply::TooLarge) => (400, json!({ "error": "too large" })),
                 Err(CallError::TooOften) => (429, json!({ "error": "too often" })),
                 Err(_) => (503, json!({ "error": "trouble" })),
             };
@@ -141,7 +141,7 @@
 pub fn serve_rentals(
     cloud: Arc<Mutex<Cloud>>,
     gone: impl Fn(&str) + Send + Sync + 'static,
-    rented: impl Fn(Rental) + Send + Sync + 'static,
+    rented: impl Fn(Instance) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
     listen(CLOUD_THREADS, move |mut request| {
         let body = body_of(&mut request);
@@ -150,8 +150,8 @@
         let call = match path.as_str() {
             "/catalog" => CloudCall::Catalogue,
             "/rentals" if *request.method() == Method::Post => {
-                match serde_json::from_slice::<Hire>(&body) {
-                    Ok(hire) => CloudCall::Rent(hire),
+                match serde_json::from_slice::<ScaleOutRequest>(&body) {
+                    Ok(request) => CloudCall::ScaleOut(request),
                     Err(e) => return respond(request, 400, &json!({ "error": e.to_string() })),
                 }
             }
@@ -170,15 +170,15 @@
         new.into_iter().for_each(&rented);
         let (status, value) = match reply {
             CloudReply::Catalogue(catalogue) => (200, json!(catalogue)),
-            CloudReply::Rented(hosts) => (200, json!(HostNames { hosts })),
+            CloudReply::ScaledOut(hosts) => (200, json!(HostNames { hosts })),
             CloudReply::NoCapacity => (503, json!({ "error": "no capacity" })),
-            CloudReply::Returned => {
+            CloudReply::ScaledIn => {
                 if let CloudCall::Return(hosts) = &call {
                     hosts.iter().for_each(|host| gone(host));
                 }
                 (200, json!({}))
             }
-            CloudReply::Listed(rentals) => (200, json!(rentals)),
+            CloudReply::Listed(instances) => (200, json!(instances)),
         };
         respond(request, status, &value);
     })
--- a/crates/quartzlever-standin/src/jobs.rs
+++ b/crates/quartzlever-testkit/src/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs for tests.
 
-use quartzlever_wire::users::{JobSpec, Rank, Shape};
+use quartzlever_wire::users::{JobSpec, Priority, Shape};
 
 /// An array of so many tasks that any machine may run; what a test wants otherwise it changes.
 pub fn array(number: u32, tasks: u32) -> JobSpec {
@@ -9,7 +9,7 @@
         class: "c".into(),
         team: "free".into(),
         shape: Shape::Batch,
-        rank: Rank::Standard,
+        priority: Priority::Standard,
         tasks,
         cpus: 2.0,
         gpus: 0.0,
@@ -30,5 +30,5 @@
 
 /// A service of so many replicas.
 pub fn service(number: u32, replicas: u32) -> JobSpec {
-    JobSpec { shape: Shape::Daemon, expect_s: 0.0, cpus: 1.0, ..array(number, replicas) }
+    JobSpec { shape: Shape::Service, expect_s: 0.0, cpus: 1.0, ..array(number, replicas) }
 }
--- a/crates/quartzlever-standin/src/rules.rs
+++ b/crates/quartzlever-testkit/src/rules.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct MachineTasks {
     pub host: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub tasks: Vec<TaskId>,
@@ -52,7 +52,7 @@
     pub specs: BTreeMap<String, JobSpec>,
     told: BTreeMap<String, Told>,
     completed: BTreeMap<String, BTreeSet<u32>>,
-    /// Jobs that are done in the state service, and since when.
+    /// Jobs that are done in the store, and since when.
     ended: BTreeMap<String, Micros>,
     begun: BTreeSet<String>,
     /// When a task of each class last started.
@@ -212,12 +212,12 @@
         };
         self.class_starts.insert(spec.class.clone(), now);
         let Some(place) = machines.iter().find(|m| m.host == host) else { return };
-        let kind = spec.types.as_ref().is_none_or(|t| t.contains(&place.kind));
+        let machine_type = spec.types.as_ref().is_none_or(|t| t.contains(&place.machine_type));
         let zone = spec.zone.as_ref().is_none_or(|z| *z == place.zone);
         let spot = spec.spot || !place.spot;
-        let of_job = |m: &&MachineTasks| m.tasks.iter().any(|t| t.job == task.job);
+        let required_by = |m: &&MachineTasks| m.tasks.iter().any(|t| t.job == task.job);
         let together =
-            !spec.one_zone || machines.iter().filter(of_job).all(|m| m.zone == place.zone);
+            !spec.one_zone || machines.iter().filter(required_by).all(|m| m.zone == place.zone);
         let here = machines
             .iter()
             .filter(|m| m.zone == place.zone)
@@ -225,7 +225,7 @@
             .filter(|t| t.job == task.job)
             .count();
         let apart = !spec.spread || here as u32 <= spec.tasks.div_ceil(2);
-        if !(kind && zone && spot && together && apart) {
+        if !(machine_type && zone && spot && together && apart) {
             self.breaks("wrong_place", now, &format!("{task} on {host} in {}", place.zone));
         }
     }
@@ -235,7 +235,7 @@
         self.completed.entry(task.job.clone()).or_default().insert(task.index);
     }
 
-    /// A job is done in the state service.
+    /// A job is done in the store.
     pub fn job_done(&mut self, now: Micros, job: &str) {
         self.ended.entry(job.to_owned()).or_insert(now);
     }
--- a/crates/quartzlever-standin/src/site.rs
+++ b/crates/quartzlever-testkit/src/site.rs
@@ -15,7 +15,7 @@
     directory: PathBuf,
     nodes: Vec<String>,
     zones: Vec<String>,
-    state_limits: String,
+    store_limits: String,
 }
 
 impl Site {
@@ -25,7 +25,7 @@
         directory: &Path,
         nodes: &[&str],
         zones: &[&str],
-        state_limits: &str,
+        store_limits: &str,
     ) -> Site {
         let owned = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
         Site {
@@ -33,7 +33,7 @@
             directory: directory.to_owned(),
             nodes: owned(nodes),
             zones: owned(zones),
-            state_limits: state_limits.to_owned(),
+            store_limits: store_limits.to_owned(),
         }
     }
 
@@ -70,7 +70,7 @@
                 &format!("[[seeds]]\nnode_name = \"{name}\"\naddr = \"{address}:{PEER_PORT}\"\n");
         }
         let (name, zone, address) = (&self.nodes[node], &self.zones[node], self.loopback(node));
-        let limits = &self.state_limits;
+        let limits = &self.store_limits;
         let text = format!(
             r#"
 node_name = "{name}"
--- a/crates/quartzlever-standin/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -1,18 +1,18 @@
-//! The state service.
+//! The store.
 
 use std::collections::BTreeMap;
 
 use quartzlever_wire::pages::PAGES;
-use quartzlever_wire::state::{
-    CLUSTER_VERSION, Change, Event, HOSTS, LIVE, Row, Rows, StateCall, StateReply, Txn, TxnAnswer,
-    WatchAnswer,
+use quartzlever_wire::store::{
+    ACTIVE_JOB_PREFIX, CLUSTER_VERSION_KEY, Change, Event, MACHINE_PREFIX, Row, Rows, StoreCall,
+    StoreReply, Txn, TxnAnswer, WatchAnswer,
 };
 use quartzlever_wire::{CallError, Json, Micros};
 
 /// A consistent store with leases and a log of changes.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
-    epoch: u64,
+    revision: u64,
     keys: BTreeMap<String, (Json, u64, Option<u64>)>,
     /// Life and end of each lease.
     leases: BTreeMap<u64, (Micros, Micros)>,
@@ -41,7 +41,7 @@
 
 impl Store {
     pub fn get(&self, key: &str) -> Option<(&Json, u64)> {
-        self.keys.get(key).map(|(v, stamp, _)| (v, *stamp))
+        self.keys.get(key).map(|(v, mod_revision, _)| (v, *mod_revision))
     }
 
     pub fn keys(&self, prefix: &str) -> Vec<String> {
@@ -50,17 +50,18 @@
 
     /// The count of all changes.
     pub fn revision(&self) -> u64 {
-        self.epoch
+        self.revision
     }
 
     /// A key, or a value, in a form that controllers of the first version do not know.
     pub fn key_unknown_to_first_version(&self) -> Option<&str> {
         let has = |value: &Json, word: &str| value.text().contains(word);
         let unknown = |(key, (value, _, _)): &(&String, &(Json, u64, Option<u64>))| {
-            key.as_str() == CLUSTER_VERSION
-                || (key.starts_with(HOSTS) && key.matches('~').count() > 1)
+            key.as_str() == CLUSTER_VERSION_KEY
+                || (key.starts_with(MACHINE_PREFIX) && key.matches('~').count() > 1)
                 || key.starts_with(PAGES)
-                || (key.starts_with(LIVE) && ["daemon", "paged"].iter().any(|f| has(value, f)))
+                || (key.starts_with(ACTIVE_JOB_PREFIX)
+                    && ["daemon", "paged"].iter().any(|f| has(value, f)))
         };
         self.keys.iter().find(unknown).map(|(key, _)| key.as_str())
     }
@@ -99,10 +100,10 @@
             if keys.is_empty() {
                 continue;
             }
-            self.epoch += 1;
+            self.revision += 1;
             for key in keys {
                 self.keys.remove(&key);
-                self.log.push(Event::Delete { delete: key, stamp: self.epoch });
+                self.log.push(Event::Delete { delete: key, mod_revision: self.revision });
             }
         }
     }
@@ -110,7 +111,8 @@
     /// Whether a change after this revision is in the log no more.
     fn forgets_since(&self, from: u64) -> bool {
         let forgotten = self.log.len().saturating_sub(self.log_limit);
-        self.log_limit > 0 && self.log[..forgotten].last().is_some_and(|e| stamp_of(e) > from)
+        self.log_limit > 0
+            && self.log[..forgotten].last().is_some_and(|e| mod_revision_of(e) > from)
     }
 
     fn takes_too_much(&self, txn: &Txn) -> bool {
@@ -140,22 +142,22 @@
     }
 
     /// Carries out one call. A watch answers at once with what there is.
-    pub fn call(&mut self, now: Micros, call: &StateCall) -> Result<StateReply, CallError> {
+    pub fn call(&mut self, now: Micros, call: &StoreCall) -> Result<StoreReply, CallError> {
         if self.outage {
             return Err(CallError::Refused);
         }
         self.expire(now);
         Ok(match call {
-            StateCall::Revision => StateReply::Revision(self.epoch),
-            StateCall::Get(key) => {
-                StateReply::Row(self.keys.get(key).map(|(v, stamp, charter)| Row {
+            StoreCall::Revision => StoreReply::Revision(self.revision),
+            StoreCall::Get(key) => {
+                StoreReply::Row(self.keys.get(key).map(|(v, mod_revision, lease_id)| Row {
                     path: key.clone(),
                     v: v.clone(),
-                    stamp: *stamp,
-                    charter: *charter,
+                    mod_revision: *mod_revision,
+                    lease_id: *lease_id,
                 }))
             }
-            StateCall::List { prefix, from } => {
+            StoreCall::List { prefix, from } => {
                 let most = if self.page_limit > 0 { self.page_limit } else { usize::MAX };
                 let listed = |key: &str| {
                     key.starts_with(prefix) && from.as_ref().is_none_or(|from| key > from.as_str())
@@ -166,89 +168,93 @@
                     .iter()
                     .filter(|(k, _)| listed(k))
                     .take(most)
-                    .map(|(k, (v, stamp, charter))| Row {
+                    .map(|(k, (v, mod_revision, lease_id))| Row {
                         path: k.clone(),
                         v: v.clone(),
-                        stamp: *stamp,
-                        charter: *charter,
+                        mod_revision: *mod_revision,
+                        lease_id: *lease_id,
                     })
                     .collect();
-                StateReply::Rows(Rows { rows, has_next, epoch: self.epoch })
+                StoreReply::Rows(Rows { rows, has_next, revision: self.revision })
             }
-            StateCall::Txn(txn) => {
+            StoreCall::Txn(txn) => {
                 if self.takes_too_much(txn) {
                     self.too_large += 1;
-                    return Ok(StateReply::TooLarge);
+                    return Ok(StoreReply::TooLarge);
                 }
                 if !self.in_rate(now, txn.changes.len()) {
                     self.too_often += 1;
                     return Err(CallError::TooOften);
                 }
                 let unheld = txn.changes.iter().any(|c| {
-                    matches!(c, Change::Write { charter: Some(l), .. } if !self.leases.contains_key(l))
+                    matches!(c, Change::Write { lease_id: Some(l), .. } if !self.leases.contains_key(l))
                 });
                 if unheld {
-                    return Ok(StateReply::NoLease);
+                    return Ok(StoreReply::NoLease);
                 }
                 let failed: Vec<String> = txn
                     .conditions
                     .iter()
-                    .filter(|c| self.get(&c.path).map_or(0, |(_, stamp)| stamp) != c.stamp)
+                    .filter(|c| {
+                        self.get(&c.path).map_or(0, |(_, mod_revision)| mod_revision)
+                            != c.mod_revision
+                    })
                     .map(|c| c.path.clone())
                     .collect();
                 if !failed.is_empty() {
-                    return Ok(StateReply::Conflict(failed));
+                    return Ok(StoreReply::Conflict(failed));
                 }
-                self.epoch += 1;
-                let stamp = self.epoch;
+                self.revision += 1;
+                let mod_revision = self.revision;
                 for change in &txn.changes {
                     match change {
-                        Change::Write { write, v, charter } => {
-                            self.keys.insert(write.clone(), (v.clone(), stamp, *charter));
+                        Change::Write { write, v, lease_id } => {
+                            self.keys.insert(write.clone(), (v.clone(), mod_revision, *lease_id));
                             let (write, v) = (write.clone(), v.clone());
-                            self.log.push(Event::Write { write, v, stamp });
+                            self.log.push(Event::Write { write, v, mod_revision });
                         }
                         Change::Delete { delete } => {
                             if self.keys.remove(delete).is_some() {
-                                self.log.push(Event::Delete { delete: delete.clone(), stamp });
+                                self.log
+                                    .push(Event::Delete { delete: delete.clone(), mod_revision });
                             }
                         }
                     }
                 }
-                StateReply::Committed(stamp)
+                StoreReply::Committed(mod_revision)
             }
-            StateCall::Grant { life_ms } => {
+            StoreCall::Grant { life_ms } => {
                 self.granted += 1;
                 let life = life_ms * 1000;
                 self.leases.insert(self.granted, (life, now + life));
-                StateReply::Granted(self.granted)
+                StoreReply::Granted(self.granted)
             }
-            StateCall::Renew { lease } => match self.leases.get_mut(lease) {
+            StoreCall::Renew { lease } => match self.leases.get_mut(lease) {
                 Some((life, end)) => {
                     *end = now + *life;
-                    StateReply::Renewed
+                    StoreReply::Renewed
                 }
-                None => StateReply::NoLease,
+                None => StoreReply::NoLease,
             },
-            StateCall::Watch { from, .. } if self.forgets_since(*from) => {
+            StoreCall::Watch { from, .. } if self.forgets_since(*from) => {
                 self.too_old += 1;
-                StateReply::TooOld
+                StoreReply::TooOld
             }
-            StateCall::Watch { from, .. } => {
-                let log = self.log.iter().filter(|e| stamp_of(e) > *from).cloned().collect();
-                StateReply::Watched(WatchAnswer { epoch: self.epoch, log })
+            StoreCall::Watch { from, .. } => {
+                let log = self.log.iter().filter(|e| mod_revision_of(e) > *from).cloned().collect();
+                StoreReply::Watched(WatchAnswer { revision: self.revision, log })
             }
         })
     }
 
     /// What a transaction's answer looks like on the wire.
     pub(crate) fn txn_answer(&self, failed: Option<Vec<String>>) -> TxnAnswer {
-        TxnAnswer { epoch: self.epoch, failed }
+        TxnAnswer { revision: self.revision, failed }
     }
 }
 
-fn stamp_of(event: &Event) -> u64 {
+fn mod_revision_of(event: &Event) -> u64 {
     match event {
-        Event::Write { stamp, .. } | Event::Delete { stamp, .. } => *stamp,
+        Event::Write { mod_revision, .. } | Event::Delete { mod_revision, .. } => *mod_revision,
     }
 }
--- a/crates/quartzlever-standin/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzlever_wire::cloud::Rental;
+use quartzlever_wire::cloud::Instance;
 use quartzlever_wire::workers::{
-    Cause, Order, Orders, Report, TaskId, TaskPhase, TaskReport, WorkerReply,
+    Cause, Heartbeat, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerCommands, WorkerReply,
 };
 use quartzlever_wire::{Micros, SECOND};
 
@@ -18,10 +18,10 @@
 /// A worker of one machine.
 #[derive(Debug)]
 pub struct Worker {
-    pub rental: Rental,
-    session: u64,
-    tick: u64,
-    baton: u64,
+    pub instance: Instance,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     lease: Micros,
     /// When the last answered report was sent, or the session began.
     renewed: Micros,
@@ -36,7 +36,7 @@
     /// Every task fails here.
     pub faulty: bool,
     /// Jobs whose tasks fail wherever they run.
-    pub mistaken: BTreeSet<String>,
+    pub fails_everywhere: BTreeSet<String>,
     /// Executes nothing and says nothing.
     pub hung: bool,
     /// Tasks that were started here, in order.
@@ -46,12 +46,12 @@
 }
 
 impl Worker {
-    pub fn new(rental: Rental, lease: Micros, run_time: Micros, now: Micros) -> Self {
+    pub fn new(instance: Instance, lease: Micros, run_time: Micros, now: Micros) -> Self {
         Worker {
-            rental,
-            session: 1,
-            tick: 0,
-            baton: 0,
+            instance,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             lease,
             renewed: now,
             attempts: BTreeMap::new(),
@@ -60,15 +60,15 @@
             warning_s: None,
             odd_tasks_wait: false,
             faulty: false,
-            mistaken: BTreeSet::new(),
+            fails_everywhere: BTreeSet::new(),
             hung: false,
             started: Vec::new(),
             completed: Vec::new(),
         }
     }
 
-    pub fn session(&self) -> u64 {
-        self.session
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation
     }
 
     /// Tasks that are on the machine now.
@@ -81,18 +81,18 @@
     pub fn pass(&mut self, now: Micros) {
         if now.saturating_sub(self.renewed) > self.lease {
             self.attempts.clear();
-            self.session += 1;
+            self.incarnation += 1;
             self.renewed = now;
         }
         if self.hung {
             return;
         }
         let (endless, odd_tasks_wait) = (&self.endless, self.odd_tasks_wait);
-        let (faulty, mistaken) = (self.faulty, &self.mistaken);
+        let (faulty, fails_everywhere) = (self.faulty, &self.fails_everywhere);
         let waits =
             |task: &TaskId| endless.contains(&task.job) || (odd_tasks_wait && task.index % 2 == 1);
         for ((task, _), attempt) in self.attempts.iter_mut().filter(|(_, a)| a.exited.is_none()) {
-            let fails = faulty || mistaken.contains(&task.job);
+            let fails = faulty || fails_everywhere.contains(&task.job);
             if fails && now >= attempt.started + SECOND / 2 {
                 attempt.exited = Some(Cause::Error);
             } else if now >= attempt.started + self.run_time && !waits(task) {
@@ -102,23 +102,23 @@
         }
     }
 
-    /// A report as it stands.
-    pub fn report(&mut self) -> Report {
-        self.tick += 1;
-        Report {
-            host: self.rental.name.clone(),
-            address: self.rental.address.clone(),
-            kind: self.rental.kind.clone(),
-            zone: self.rental.zone.clone(),
-            spot: self.rental.spot,
-            session: self.session,
-            tick: self.tick,
-            baton: self.baton,
+    /// A heartbeat as it stands.
+    pub fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
+        Heartbeat {
+            host: self.instance.name.clone(),
+            address: self.instance.address.clone(),
+            machine_type: self.instance.machine_type.clone(),
+            zone: self.instance.zone.clone(),
+            spot: self.instance.spot,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             warning_s: self.warning_s,
             tasks: self
                 .attempts
                 .iter()
-                .map(|((task, attempt), a)| TaskReport {
+                .map(|((task, attempt), a)| TaskStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: if a.exited.is_some() { TaskPhase::Exited } else { TaskPhase::Running },
@@ -129,43 +129,55 @@
         }
     }
 
-    /// Whether a report told of everything that is on the machine now.
-    pub fn told(&self, report: &Report) -> bool {
-        let exited = |t: &TaskReport| t.phase == TaskPhase::Exited;
-        self.session == report.session
-            && self.baton == report.baton
-            && self.attempts.len() == report.tasks.len()
-            && report.tasks.iter().all(|t| {
+    /// Whether a heartbeat told of everything that is on the machine now.
+    pub fn told(&self, heartbeat: &Heartbeat) -> bool {
+        let exited = |t: &TaskStatus| t.phase == TaskPhase::Exited;
+        self.incarnation == heartbeat.incarnation
+            && self.fencing_token == heartbeat.fencing_token
+            && self.attempts.len() == heartbeat.tasks.len()
+            && heartbeat.tasks.iter().all(|t| {
                 let known = self.attempts.get(&(t.task.clone(), t.attempt));
                 known.is_some_and(|a| a.exited.is_some() == exited(t))
             })
     }
 
-    /// The 200 to a report that was sent at `sent` in session `session`.
-    pub fn answered(&mut self, orders: &Orders, sent: Micros, session: u64, now: Micros) {
+    /// The 200 to a heartbeat that was sent at `sent` in session `incarnation`.
+    pub fn answered(
+        &mut self,
+        commands: &WorkerCommands,
+        sent: Micros,
+        incarnation: u64,
+        now: Micros,
+    ) {
         let late = now.saturating_sub(sent) > 4 * SECOND;
-        if self.hung || late || session != self.session || orders.baton < self.baton {
+        if self.hung
+            || late
+            || incarnation != self.incarnation
+            || commands.fencing_token < self.fencing_token
+        {
             return;
         }
-        self.baton = orders.baton;
+        self.fencing_token = commands.fencing_token;
         self.renewed = self.renewed.max(sent);
-        self.execute(&orders.orders, now);
+        self.execute(&commands.commands, now);
     }
 
     /// A direct command.
-    pub fn command(&mut self, orders: &Orders, now: Micros) -> WorkerReply {
-        if orders.baton < self.baton || orders.session != Some(self.session) {
-            return WorkerReply::Refused(self.report());
+    pub fn command(&mut self, commands: &WorkerCommands, now: Micros) -> WorkerReply {
+        if commands.fencing_token < self.fencing_token
+            || commands.incarnation != Some(self.incarnation)
+        {
+            return WorkerReply::Refused(self.heartbeat());
         }
-        self.baton = orders.baton;
-        self.execute(&orders.orders, now);
-        WorkerReply::Report(self.report())
+        self.fencing_token = commands.fencing_token;
+        self.execute(&commands.commands, now);
+        WorkerReply::Status(self.heartbeat())
     }
 
-    fn execute(&mut self, orders: &[Order], now: Micros) {
-        for order in orders {
+    fn execute(&mut self, commands: &[WorkerCommand], now: Micros) {
+        for order in commands {
             match order {
-                Order::Run { task, attempt } => {
+                WorkerCommand::Run { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self.attempts.contains_key(&key) {
                         continue;
@@ -178,12 +190,12 @@
                     }
                     self.attempts.insert(key, Attempt { started: now, exited });
                 }
-                Order::Kill { task, attempt, .. } => {
+                WorkerCommand::Kill { task, attempt, .. } => {
                     if let Some(a) = self.attempts.get_mut(&(task.clone(), *attempt)) {
                         a.exited = a.exited.or(Some(Cause::Halted));
                     }
                 }
-                Order::Clear { task, attempt } => {
+                WorkerCommand::Clear { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     if self.attempts.get(&key).is_some_and(|a| a.exited.is_some()) {
                         self.attempts.remove(&key);
--- a/crates/quartzlever-standin/src/crowd.rs
+++ b/crates/quartzlever-testkit/src/worker_fleet.rs
@@ -1,7 +1,7 @@
 //! Thousands of workers, to see what the real program costs beside them.
 //!
 //! Each worker has a loopback address of its own, all served by one listener, and one small thread
-//! that reports over one connection as the protocol says.
+//! that heartbeats over one connection as the protocol says.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -11,8 +11,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quartzlever_wire::cloud::Rental;
-use quartzlever_wire::workers::{Orders, TaskId, WorkerReply};
+use quartzlever_wire::cloud::Instance;
+use quartzlever_wire::workers::{TaskId, WorkerCommands, WorkerReply};
 use quartzlever_wire::{Micros, SECOND};
 
 use crate::Worker;
@@ -20,28 +20,28 @@
 const STACK: usize = 64 * 1024;
 /// A change is reported no more often than this.
 const CHANGE: Duration = Duration::from_millis(500);
-/// Wait after a report that was turned away or not answered.
+/// Wait after a heartbeat that was turned away or not answered.
 const TURNED_AWAY: Duration = Duration::from_secs(1);
 const PATIENCE: Duration = Duration::from_secs(4);
 
 /// How the workers of a crowd behave.
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     pub lease: Micros,
     pub run_time: Micros,
 }
 
 type Member = Arc<Mutex<Worker>>;
 
-/// A crowd of workers; new ones join with [`Crowd::rented`].
-pub struct Crowd {
+/// A crowd of workers; new ones join with [`WorkerFleet::rented`].
+pub struct WorkerFleet {
     members: Mutex<BTreeMap<u32, Member>>,
     port: u16,
     start: Instant,
     habits: Habits,
     controller: Mutex<Option<SocketAddr>>,
-    /// Reports that were answered, and those that were not.
+    /// Heartbeats that were answered, and those that were not.
     pub answered: AtomicU64,
     pub unanswered: AtomicU64,
 }
@@ -56,11 +56,11 @@
     Ipv4Addr::new(127, 16 | a, b, c)
 }
 
-impl Crowd {
+impl WorkerFleet {
     /// Starts a crowd without members.
-    pub fn start(habits: Habits, start: Instant) -> io::Result<Arc<Crowd>> {
+    pub fn start(habits: Habits, start: Instant) -> io::Result<Arc<WorkerFleet>> {
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
-        let crowd = Arc::new(Crowd {
+        let crowd = Arc::new(WorkerFleet {
             members: Mutex::new(BTreeMap::new()),
             port: listener.local_addr()?.port(),
             start,
@@ -91,10 +91,10 @@
     }
 
     /// A machine is up.
-    pub fn rented(self: &Arc<Self>, mut rental: Rental) {
-        let number = number(&rental.name);
-        rental.address = format!("{}:{}", address(number), self.port);
-        let worker = Worker::new(rental, self.habits.lease, self.habits.run_time, self.now());
+    pub fn rented(self: &Arc<Self>, mut instance: Instance) {
+        let number = number(&instance.name);
+        instance.address = format!("{}:{}", address(number), self.port);
+        let worker = Worker::new(instance, self.habits.lease, self.habits.run_time, self.now());
         let member = Arc::new(Mutex::new(worker));
         if let Ok(mut members) = self.members.lock() {
             members.insert(number, member.clone());
@@ -156,7 +156,7 @@
         self.starts().into_iter().map(|(_, at)| at).filter(|at| *at > moment).min()
     }
 
-    /// Reports over one connection until that ends.
+    /// Heartbeats over one connection until that ends.
     fn report_for_long(&self, member: &Mutex<Worker>) {
         let Some(controller) = self.controller.lock().ok().and_then(|c| *c) else {
             return thread::sleep(TURNED_AWAY);
@@ -175,12 +175,12 @@
         let mut stream = BufReader::with_capacity(512, stream);
         loop {
             let sent = self.now();
-            let report = {
+            let heartbeat = {
                 let mut worker = member.lock().map_err(|_| gone())?;
                 worker.pass(sent);
-                worker.report()
+                worker.heartbeat()
             };
-            let body = serde_json::to_vec(&report)?;
+            let body = serde_json::to_vec(&heartbeat)?;
             let length = body.len();
             let head = format!("POST /hello HTTP/1.1\r\nHost: c\r\nContent-Length: {length}\r\n");
             let mut message = format!("{head}Content-Type: application/json\r\n\r\n").into_bytes();
@@ -191,14 +191,16 @@
                 return Err(gone());
             }
             self.answered.fetch_add(1, Ordering::Relaxed);
-            let orders: Orders = serde_json::from_slice(&body)?;
+            let commands: WorkerCommands = serde_json::from_slice(&body)?;
             let mut worker = member.lock().map_err(|_| gone())?;
-            worker.answered(&orders, sent, report.session, self.now());
+            worker.answered(&commands, sent, heartbeat.incarnation, self.now());
             drop(worker);
-            // Until the next report is due, or something has changed.
-            let number = number(&report.host);
+            // Until the next heartbeat is due, or something has changed.
+            let number = number(&heartbeat.host);
             let spread = SECOND * u64::from(number % 50) / 50;
-            let next = sent + self.habits.report * 3 / 4 + spread * self.habits.report / 2 / SECOND;
+            let next = sent
+                + self.habits.heartbeat_interval * 3 / 4
+                + spread * self.habits.heartbeat_interval / 2 / SECOND;
             loop {
                 thread::sleep(CHANGE);
                 if self.member(number).is_none() {
@@ -207,7 +209,7 @@
                 let mut worker = member.lock().map_err(|_| gone())?;
                 let now = self.now();
                 worker.pass(now);
-                if now >= next || !worker.told(&report) {
+                if now >= next || !worker.told(&heartbeat) {
                     break;
                 }
             }
@@ -230,19 +232,19 @@
             let now = self.now();
             worker.pass(now);
             let reply = if first.starts_with("GET") {
-                WorkerReply::Report(worker.report())
+                WorkerReply::Status(worker.heartbeat())
             } else {
-                match serde_json::from_slice::<Orders>(&body) {
-                    Ok(orders) => worker.command(&orders, now),
+                match serde_json::from_slice::<WorkerCommands>(&body) {
+                    Ok(commands) => worker.command(&commands, now),
                     Err(_) => return,
                 }
             };
             drop(worker);
-            let (status, report) = match reply {
-                WorkerReply::Report(report) => ("200 OK", report),
-                WorkerReply::Refused(report) => ("409 Conflict", report),
+            let (status, heartbeat) = match reply {
+                WorkerReply::Status(heartbeat) => ("200 OK", heartbeat),
+                WorkerReply::Refused(heartbeat) => ("409 Conflict", heartbeat),
             };
-            let Ok(body) = serde_json::to_vec(&report) else { return };
+            let Ok(body) = serde_json::to_vec(&heartbeat) else { return };
             let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
             let mut message = head.into_bytes();
             message.extend_from_slice(&body);
--- a/crates/quartzlever-standin/tests/rules.rs
+++ b/crates/quartzlever-testkit/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The checker finds a violation of each rule, and nothing in what is right.
 
-use quartzlever_standin::jobs;
-use quartzlever_standin::rules::{Asked, MachineTasks, RuleChecker, TeamLimit};
+use quartzlever_testkit::jobs;
+use quartzlever_testkit::rules::{Asked, MachineTasks, RuleChecker, TeamLimit};
 use quartzlever_wire::users::JobSpec;
 use quartzlever_wire::workers::TaskId;
 use quartzlever_wire::{Micros, SECOND};
@@ -19,7 +19,7 @@
 fn on(host: &str, zone: &str, tasks: &[TaskId]) -> MachineTasks {
     MachineTasks {
         host: host.into(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: zone.into(),
         spot: true,
         tasks: tasks.to_vec(),
--- a/crates/quartzlever-wire/src/cloud.rs
+++ b/crates/quartzlever-wire/src/cloud.rs
@@ -32,11 +32,11 @@
 
 /// A request for machines. Its name must never be used for another request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hire {
+pub struct ScaleOutRequest {
     #[serde(rename = "hire")]
     pub name: String,
     #[serde(rename = "frame")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "bay")]
     pub zone: String,
     #[serde(rename = "loaners")]
@@ -54,7 +54,7 @@
 /// The state of a rented machine as the cloud lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RentalPhase {
+pub enum InstancePhase {
     Starting,
     Running,
     Failed,
@@ -64,26 +64,26 @@
 
 /// One machine in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct Instance {
     #[serde(rename = "ref")]
     pub name: String,
     #[serde(default)]
     pub address: String,
     #[serde(rename = "frame")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "bay")]
     pub zone: String,
     #[serde(rename = "loaners")]
     pub spot: bool,
-    pub phase: RentalPhase,
+    pub phase: InstancePhase,
     #[serde(default)]
     pub held_s: f64,
 }
 
 /// A page of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rentals {
-    pub hosts: Vec<Rental>,
+pub struct InstancePage {
+    pub hosts: Vec<Instance>,
     #[serde(default)]
     pub has_next: bool,
 }
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudCall {
     Catalogue,
-    Rent(Hire),
+    ScaleOut(ScaleOutRequest),
     Return(Vec<String>),
     List { from: Option<String> },
 }
@@ -101,8 +101,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     Catalogue(Catalogue),
-    Rented(Vec<String>),
+    ScaledOut(Vec<String>),
     NoCapacity,
-    Returned,
-    Listed(Rentals),
+    ScaledIn,
+    Listed(InstancePage),
 }
--- a/crates/quartzlever-wire/src/json.rs
+++ b/crates/quartzlever-wire/src/json.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::value::RawValue;
 
-/// A JSON value as its text. The state service keeps such values and brings them back; most that a
-/// watch brings are known by their stamp already and are never taken apart.
+/// A JSON value as its text. The store keeps such values and brings them back; most that a
+/// watch brings are known by their modification revision already and are never taken apart.
 #[derive(Clone, Debug)]
 pub struct Json(Box<RawValue>);
 
--- a/crates/quartzlever-wire/src/lib.rs
+++ b/crates/quartzlever-wire/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod pages;
 pub mod peers;
 pub mod ranges;
-pub mod state;
+pub mod store;
 pub mod users;
 pub mod workers;
 
@@ -42,7 +42,7 @@
     /// The call was certainly not carried out and will not be.
     #[error("not carried out")]
     Refused,
-    /// Nor was this one, since more is asked than the state service allows in a second (429).
+    /// Nor was this one, since more is asked than the store allows in a second (429).
     #[error("too often")]
     TooOften,
     /// The call may have been carried out, or may still be.
--- a/crates/quartzlever-wire/src/pages.rs
+++ b/crates/quartzlever-wire/src/pages.rs
@@ -1,4 +1,4 @@
-//! Finished tasks of large jobs in the state service: pages of fixed task ranges, each under a key
+//! Finished tasks of large jobs in the store: pages of fixed task ranges, each under a key
 //! of its own. A page's value takes the same few bytes in whatever order tasks finish, so that it
 //! stays far below any limit of a value.
 
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-use crate::users::Rank;
+use crate::users::Priority;
 
 /// The largest frame that a peer may send. The longest request is a steal, which tells the room of each
 /// open machine: 80 bytes, so of 13,000 machines; the longest answer is a move, 48 KiB of records.
@@ -14,21 +14,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// How many ready tasks of this rank or above do you have?
-    Counts { rank: Rank },
-    /// Hand over ready tasks of this rank or above to `part`, which the asker holds under `term`.
+    Counts { priority: Priority },
+    /// Hand over ready tasks of this rank or above to `partition`, which the asker holds under `term`.
     /// With a load the asker is not idle, and takes no more than evens out the two.
-    Steal { part: String, term: u64, rank: Rank, thief: ThiefRoom, load: Option<Load> },
+    Steal {
+        partition: String,
+        term: u64,
+        priority: Priority,
+        thief: ThiefCapacity,
+        load: Option<Load>,
+    },
     /// The asker has tasks that should start now and nowhere to start them: whoever has room
     /// may come for them without waiting out its interval.
-    Pressed,
-    /// The home node of `part` is up again and asks for it.
-    HandBack { part: String },
-    /// Do you reach the state service?
-    Contact,
-    /// So many machines of `part`, which the asked holds, have come to the asker of late.
-    Heard { part: String, machines: u32 },
-    /// These machines were rented by `part` and will report soon.
-    Rented { part: String, hosts: Vec<String> },
+    Saturated,
+    /// The home node of `partition` is up again and asks for it.
+    HandBack { partition: String },
+    /// Do you reach the store?
+    StoreConnectivity,
+    /// So many machines of `partition`, which the asked holds, have come to the asker of late.
+    MachinesSeen { partition: String, machines: u32 },
+    /// These machines were rented by `partition` and will report soon.
+    ScaledOut { partition: String, hosts: Vec<String> },
     /// The cancellation of a job, with so many of its tasks done, has just been committed.
     Cancelled { job: String, done: u32 },
     /// Changes that the asker has just committed, for the asked one's log. Only controllers with recovery
@@ -41,24 +47,24 @@
 pub struct LoggedChanges {
     pub cluster: String,
     pub generation: u32,
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Each key with its JSON text; without one it was deleted.
     pub changes: Vec<(String, Option<String>)>,
 }
 
 /// What the thief could run, so that the victim does not move what would only wait there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ThiefRoom {
+pub struct ThiefCapacity {
     /// Free room by machine type, zone and kind.
-    pub free: Vec<Room>,
+    pub free: Vec<FreeCapacity>,
 }
 
-/// How long a part's queue is.
+/// How long a partition's queue is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// What the ready tasks will take, in processor-seconds.
     pub work: f64,
-    /// Processors of the part's machines.
+    /// Processors of the partition's machines.
     pub cpus: f64,
 }
 
@@ -88,8 +94,8 @@
 
 /// Free room on one machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Room {
-    pub kind: String,
+pub struct FreeCapacity {
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub cpus: f64,
@@ -100,13 +106,13 @@
 /// What the asked controller answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// Ready tasks that could move, over all parts held, and the load of the part whose queue
+    /// Ready tasks that could move, over all partitions held, and the load of the partition whose queue
     /// lasts longest.
     Counts { ready: u32, load: Load },
-    /// The move is committed; each row is a job's record (JSON) with its stamp.
+    /// The move is committed; each row is a job's record (JSON) with its modification revision.
     Stolen { jobs: Vec<(String, u64, String)> },
-    /// Whether the state service has answered lately.
-    Contact { reached: bool },
+    /// Whether the store has answered lately.
+    StoreConnectivity { reached: bool },
     /// Nothing to move, or not able to.
     Nothing,
     /// The changes are on the disk here too.
--- a/crates/quartzlever-wire/src/state.rs
+++ b/crates/quartzlever-wire/src/store.rs
@@ -1,4 +1,4 @@
-//! Controllers <-> state service: its protocol, and the records that quartzlever keeps there.
+//! Controllers <-> store: its protocol, and the records that quartzlever keeps there.
 
 use std::collections::BTreeMap;
 
@@ -8,32 +8,33 @@
 use crate::json::Json;
 use crate::users::{JobPhase, JobSpec};
 
-pub const PARTS: &str = "parts/";
-/// Prefix of the keys that tell a part's holder who hears its workers, one for each node that does.
-pub const HEARD: &str = "heard/";
-pub const LIVE: &str = "live/";
-pub const OVER: &str = "over/";
-pub const HOSTS: &str = "hosts/";
+pub const PARTITION_PREFIX: &str = "parts/";
+/// Prefix of the keys that tell a partition's leader who hears its workers, one for each node that does.
+pub const MACHINES_SEEN_PREFIX: &str = "heard/";
+pub const ACTIVE_JOB_PREFIX: &str = "live/";
+pub const TERMINAL_JOB_PREFIX: &str = "over/";
+pub const MACHINE_PREFIX: &str = "hosts/";
 /// What controllers understand: the lasting cluster version, and under `nodes/` the version of each
 /// process that is up, on its own lease.
-pub const CLUSTER: &str = "cluster/";
-pub const CLUSTER_VERSION: &str = "cluster/version";
+pub const CLUSTER_PREFIX: &str = "cluster/";
+pub const CLUSTER_VERSION_KEY: &str = "cluster/version";
 /// How many machines share a key at most, once a value takes less than the settings say.
-pub const CLUSTER_BLOCKS: &str = "cluster/blocks";
-pub const CLUSTER_NODES: &str = "cluster/nodes/";
+pub const GROUP_SIZE_KEY: &str = "cluster/blocks";
+pub const NODE_VERSION_PREFIX: &str = "cluster/nodes/";
 /// A key that nobody writes: reading it brings the present revision at little cost.
-pub const NOBODY: &str = "nobody";
+pub const REVISION_PROBE_KEY: &str = "nobody";
 /// Key of the catalogue as the cloud last gave it, for a restart while the cloud is down.
-pub const CATALOGUE: &str = "catalogue";
+pub const CATALOGUE_KEY: &str = "catalogue";
 
 /// A key with its value and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub path: String,
     pub v: Json,
-    pub stamp: u64,
-    #[serde(default)]
-    pub charter: Option<u64>,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
+    #[serde(rename = "charter", default)]
+    pub lease_id: Option<u64>,
 }
 
 /// A page of keys.
@@ -42,14 +43,16 @@
     pub rows: Vec<Row>,
     #[serde(default)]
     pub has_next: bool,
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
 }
 
-/// A condition of a transaction: the key stands at this stamp, 0 for absent.
+/// A condition of a transaction: the key stands at this modification revision, 0 for absent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     pub path: String,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// A change of a transaction.
@@ -59,8 +62,8 @@
     Write {
         write: String,
         v: Json,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        charter: Option<u64>,
+        #[serde(rename = "charter", skip_serializing_if = "Option::is_none")]
+        lease_id: Option<u64>,
     },
     Delete {
         delete: String,
@@ -77,18 +80,18 @@
 }
 
 impl Txn {
-    pub fn when(mut self, path: impl Into<String>, stamp: u64) -> Self {
-        self.conditions.push(Condition { path: path.into(), stamp });
+    pub fn when(mut self, path: impl Into<String>, mod_revision: u64) -> Self {
+        self.conditions.push(Condition { path: path.into(), mod_revision });
         self
     }
 
     pub fn write(mut self, path: impl Into<String>, v: Json) -> Self {
-        self.changes.push(Change::Write { write: path.into(), v, charter: None });
+        self.changes.push(Change::Write { write: path.into(), v, lease_id: None });
         self
     }
 
     pub fn write_held(mut self, path: impl Into<String>, v: Json, lease: u64) -> Self {
-        self.changes.push(Change::Write { write: path.into(), v, charter: Some(lease) });
+        self.changes.push(Change::Write { write: path.into(), v, lease_id: Some(lease) });
         self
     }
 
@@ -101,29 +104,40 @@
 /// Answer to a transaction: the revision, and the failed conditions if it was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnAnswer {
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failed: Option<Vec<String>>,
 }
 
 /// A lease to be granted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HoldRequest {
+pub struct GrantRequest {
     pub life_ms: u64,
 }
 
 /// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HoldAnswer {
-    pub charter: u64,
+pub struct GrantAnswer {
+    #[serde(rename = "charter")]
+    pub lease_id: u64,
 }
 
 /// One change in the log of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Event {
-    Write { write: String, v: Json, stamp: u64 },
-    Delete { delete: String, stamp: u64 },
+    Write {
+        write: String,
+        v: Json,
+        #[serde(rename = "stamp")]
+        mod_revision: u64,
+    },
+    Delete {
+        delete: String,
+        #[serde(rename = "stamp")]
+        mod_revision: u64,
+    },
 }
 
 /// All that a change or an event can hold. An untagged enum would be read into values first, and
@@ -133,15 +147,17 @@
     write: Option<String>,
     delete: Option<String>,
     v: Option<Json>,
-    charter: Option<u64>,
-    stamp: Option<u64>,
+    #[serde(rename = "charter")]
+    lease_id: Option<u64>,
+    #[serde(rename = "stamp")]
+    mod_revision: Option<u64>,
 }
 
 impl<'de> Deserialize<'de> for Change {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         match Fields::deserialize(d)? {
-            Fields { write: Some(write), v: Some(v), charter, .. } => {
-                Ok(Change::Write { write, v, charter })
+            Fields { write: Some(write), v: Some(v), lease_id, .. } => {
+                Ok(Change::Write { write, v, lease_id })
             }
             Fields { delete: Some(delete), .. } => Ok(Change::Delete { delete }),
             _ => Err(de::Error::custom("neither a write nor a deletion")),
@@ -152,11 +168,11 @@
 impl<'de> Deserialize<'de> for Event {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         match Fields::deserialize(d)? {
-            Fields { write: Some(write), v: Some(v), stamp: Some(stamp), .. } => {
-                Ok(Event::Write { write, v, stamp })
+            Fields { write: Some(write), v: Some(v), mod_revision: Some(mod_revision), .. } => {
+                Ok(Event::Write { write, v, mod_revision })
             }
-            Fields { delete: Some(delete), stamp: Some(stamp), .. } => {
-                Ok(Event::Delete { delete, stamp })
+            Fields { delete: Some(delete), mod_revision: Some(mod_revision), .. } => {
+                Ok(Event::Delete { delete, mod_revision })
             }
             _ => Err(de::Error::custom("neither a write nor a deletion")),
         }
@@ -166,20 +182,21 @@
 /// Answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchAnswer {
-    pub epoch: u64,
+    #[serde(rename = "epoch")]
+    pub revision: u64,
     #[serde(default)]
     pub log: Vec<Event>,
 }
 
-/// So many machines of a part came to a node of late that does not hold it.
+/// So many machines of a partition came to a node of late that does not hold it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardRecord {
+pub struct MachinesSeenRecord {
     pub machines: u32,
 }
 
-/// Value of `parts/{name}`: which process holds the part. The key's stamp is the term.
+/// Value of `partitions/{name}`: which process holds the partition. The key's modification revision is the term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartRecord {
+pub struct PartitionRecord {
     pub node: String,
     /// Differs between processes of one node, so that a process knows its own write again.
     pub process: u64,
@@ -193,7 +210,7 @@
 
 /// Value of `cluster/blocks`: the size of the blocks of machines, which only ever sinks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BlocksRecord {
+pub struct GroupSizeRecord {
     pub size: u64,
 }
 
@@ -204,17 +221,18 @@
     pub process: u64,
 }
 
-/// Tasks of a job that one part answers for since the given term of that part.
+/// Tasks of a job that one partition answers for since the given term of that partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    pub part: String,
+    #[serde(rename = "part")]
+    pub partition: String,
     pub term: u64,
     pub tasks: Ranges,
 }
 
 /// Value of `live/{ref}`: an accepted job that is neither done nor cancelled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LiveRecord {
+pub struct ActiveJobRecord {
     pub job: JobSpec,
     /// Time of day of the submission, in microseconds since 1970.
     pub since: u64,
@@ -226,45 +244,45 @@
     pub paged: bool,
 }
 
-impl LiveRecord {
+impl ActiveJobRecord {
     /// The record of a job that was just accepted.
-    pub fn new(job: JobSpec, since: u64, shares: Vec<Share>) -> LiveRecord {
+    pub fn new(job: JobSpec, since: u64, shares: Vec<Share>) -> ActiveJobRecord {
         let finished = Ranges::default();
-        LiveRecord { job, since, started: false, shares, finished, paged: false }
+        ActiveJobRecord { job, since, started: false, shares, finished, paged: false }
     }
 
-    /// Whether the part answers for tasks of the job, finished ones among them.
-    pub fn is_shared_by(&self, part: &str) -> bool {
-        self.shares.iter().any(|share| share.part == part)
+    /// Whether the partition answers for tasks of the job, finished ones among them.
+    pub fn is_shared_by(&self, partition: &str) -> bool {
+        self.shares.iter().any(|share| share.partition == partition)
     }
 
-    /// The tasks of `part` that are not recorded as finished.
-    pub fn owned_by(&self, part: &str) -> Ranges {
+    /// The tasks of `partition` that are not recorded as finished.
+    pub fn owned_by(&self, partition: &str) -> Ranges {
         let mut owned = Ranges::default();
-        for share in self.shares.iter().filter(|s| s.part == part) {
+        for share in self.shares.iter().filter(|s| s.partition == partition) {
             owned.add(&share.tasks);
         }
         owned.subtract(&self.finished);
         owned
     }
 
-    /// The part's tasks that entered it under `term`, so never ran for an earlier holder.
-    pub fn entered_under(&self, part: &str, term: u64) -> Ranges {
+    /// The partition's tasks that entered it under `term`, so never ran for an earlier leader.
+    pub fn entered_under(&self, partition: &str, term: u64) -> Ranges {
         let mut out = Ranges::default();
-        for share in self.shares.iter().filter(|s| s.part == part && s.term == term) {
+        for share in self.shares.iter().filter(|s| s.partition == partition && s.term == term) {
             out.add(&share.tasks);
         }
         out
     }
 
-    /// Moves tasks from one part to another under the given term of the latter.
+    /// Moves tasks from one partition to another under the given term of the latter.
     pub fn move_tasks(&mut self, tasks: &Ranges, from: &str, to: &str, term: u64) {
-        for share in self.shares.iter_mut().filter(|s| s.part == from) {
+        for share in self.shares.iter_mut().filter(|s| s.partition == from) {
             share.tasks.subtract(tasks);
         }
-        match self.shares.iter_mut().find(|s| s.part == to && s.term == term) {
+        match self.shares.iter_mut().find(|s| s.partition == to && s.term == term) {
             Some(share) => share.tasks.add(tasks),
-            None => self.shares.push(Share { part: to.into(), term, tasks: tasks.clone() }),
+            None => self.shares.push(Share { partition: to.into(), term, tasks: tasks.clone() }),
         }
         self.shares.retain(|s| !s.tasks.is_empty());
     }
@@ -272,30 +290,30 @@
 
 /// Value of `over/{ref}`: a job that is done or cancelled, kept for good.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct TerminalJobRecord {
     pub phase: JobPhase,
     pub done: u32,
 }
 
 /// Machines by name.
-pub type Hosts = BTreeMap<String, HostRecord>;
+pub type MachineRecords = BTreeMap<String, MachineRecord>;
 
-/// Value of `hosts/{block}`: the claimed machines of a block of names. A wave of first reports or
+/// Value of `hosts/{block}`: the claimed machines of a block of names. A wave of first heartbeats or
 /// of returns is one change then.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostBlock {
-    pub m: Hosts,
+pub struct MachineGroupRecord {
+    pub m: MachineRecords,
 }
 
 /// How many numbered names make a block of the first form: their records stay well inside 16 KiB.
-pub const BLOCK: u64 = 64;
+pub const LARGE_GROUP_SIZE: u64 = 64;
 /// What a machine's record takes at the most of a value, with its name.
-const HOST_BYTES: usize = 128;
+const MACHINE_RECORD_BYTES: usize = 128;
 
 /// How many machines a key may hold so that a value stays inside its limit: a power of two, so
 /// that small blocks never cross the bounds of those of the first form.
-pub fn block_size(value_bytes: usize) -> u64 {
-    let most = (value_bytes / HOST_BYTES).clamp(1, BLOCK as usize) as u64;
+pub fn group_size(value_bytes: usize) -> u64 {
+    let most = (value_bytes / MACHINE_RECORD_BYTES).clamp(1, LARGE_GROUP_SIZE as usize) as u64;
     if most.is_power_of_two() { most } else { most.next_power_of_two() / 2 }
 }
 
@@ -305,77 +323,79 @@
 }
 
 /// The key of the block of the first form that a machine's name belongs to.
-pub fn block_key(host: &str) -> String {
+pub fn large_group_key(host: &str) -> String {
     match numbered(host) {
-        Some((stem, number)) => format!("{HOSTS}{stem}~{}", number / BLOCK),
-        None => format!("{HOSTS}{host}~"),
+        Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{}", number / LARGE_GROUP_SIZE),
+        None => format!("{MACHINE_PREFIX}{host}~"),
     }
 }
 
 /// The key of the block of so many machines that a machine's name belongs to.
-pub fn small_block_key(host: &str, size: u64) -> String {
-    match numbered(host).filter(|_| size < BLOCK) {
-        Some((stem, number)) => format!("{HOSTS}{stem}~{size}~{}", number / size),
-        None => block_key(host),
+pub fn group_key(host: &str, size: u64) -> String {
+    match numbered(host).filter(|_| size < LARGE_GROUP_SIZE) {
+        Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{size}~{}", number / size),
+        None => large_group_key(host),
     }
 }
 
 /// How many machines the block under a key may hold; none for the key of a single machine.
-pub fn span_of_block(key: &str) -> Option<u64> {
-    let mut parts = key.strip_prefix(HOSTS)?.rsplit('~');
-    let (_number, before) = (parts.next()?, parts.next()?);
-    match parts.next() {
+pub fn group_capacity(key: &str) -> Option<u64> {
+    let mut partitions = key.strip_prefix(MACHINE_PREFIX)?.rsplit('~');
+    let (_number, before) = (partitions.next()?, partitions.next()?);
+    match partitions.next() {
         Some(_stem) => before.parse().ok(),
-        None => Some(BLOCK),
+        None => Some(LARGE_GROUP_SIZE),
     }
 }
 
 /// The machines under a key: a block, or one machine as an earlier version kept it.
-pub fn hosts_in(path: &str, value: &Json) -> Option<Hosts> {
+pub fn machine_records_in(path: &str, value: &Json) -> Option<MachineRecords> {
     #[derive(Deserialize)]
     struct Earlier {
-        part: String,
+        #[serde(rename = "part")]
+        partition: String,
         address: String,
-        kind: String,
+        #[serde(rename = "kind")]
+        machine_type: String,
         zone: String,
         spot: bool,
     }
-    if let Some(block) = value.parse::<HostBlock>() {
+    if let Some(block) = value.parse::<MachineGroupRecord>() {
         return Some(block.m);
     }
-    let Earlier { part, address, kind, zone, spot } = value.parse()?;
-    let name = path.strip_prefix(HOSTS)?.to_owned();
-    Some(BTreeMap::from([(name, HostRecord { part, address, kind, zone, spot })]))
+    let Earlier { partition, address, machine_type, zone, spot } = value.parse()?;
+    let name = path.strip_prefix(MACHINE_PREFIX)?.to_owned();
+    Some(BTreeMap::from([(name, MachineRecord { partition, address, machine_type, zone, spot })]))
 }
 
-/// A machine and the part that it belongs to; a plain list on the wire, to be short.
+/// A machine and the partition that it belongs to; a plain list on the wire, to be short.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "HostFields", into = "HostFields")]
-pub struct HostRecord {
-    pub part: String,
+#[serde(from = "MachineRecordFields", into = "MachineRecordFields")]
+pub struct MachineRecord {
+    pub partition: String,
     pub address: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
 }
 
-type HostFields = (String, String, String, String, bool);
+type MachineRecordFields = (String, String, String, String, bool);
 
-impl From<HostFields> for HostRecord {
-    fn from((part, address, kind, zone, spot): HostFields) -> Self {
-        HostRecord { part, address, kind, zone, spot }
+impl From<MachineRecordFields> for MachineRecord {
+    fn from((partition, address, machine_type, zone, spot): MachineRecordFields) -> Self {
+        MachineRecord { partition, address, machine_type, zone, spot }
     }
 }
 
-impl From<HostRecord> for HostFields {
-    fn from(r: HostRecord) -> Self {
-        (r.part, r.address, r.kind, r.zone, r.spot)
+impl From<MachineRecord> for MachineRecordFields {
+    fn from(r: MachineRecord) -> Self {
+        (r.partition, r.address, r.machine_type, r.zone, r.spot)
     }
 }
 
-/// A call to the state service.
+/// A call to the store.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateCall {
+pub enum StoreCall {
     /// What is the present revision?
     Revision,
     Get(String),
@@ -396,9 +416,9 @@
     },
 }
 
-/// What the state service answered.
+/// What the store answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateReply {
+pub enum StoreReply {
     Revision(u64),
     Row(Option<Row>),
     Rows(Rows),
@@ -408,7 +428,7 @@
     Conflict(Vec<String>),
     /// The lease that the call names has ended.
     NoLease,
-    /// The state service takes no transaction of that size (400): a value, or the whole.
+    /// The store takes no transaction of that size (400): a value, or the whole.
     TooLarge,
     Granted(u64),
     Renewed,
--- a/crates/quartzlever-wire/src/users.rs
+++ b/crates/quartzlever-wire/src/users.rs
@@ -10,7 +10,7 @@
 /// Priority of a job; a later variant gives way to an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rank {
+pub enum Priority {
     Prod,
     Urgent,
     Standard,
@@ -24,10 +24,11 @@
     /// Independent tasks, each runs to completion.
     Batch,
     /// A service: its tasks (replicas) run until the job is cancelled.
-    Daemon,
+    #[serde(rename = "daemon")]
+    Service,
 }
 
-/// A submission, as users send it and as the state service keeps it.
+/// A submission, as users send it and as the store keeps it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     #[serde(rename = "ref")]
@@ -37,7 +38,8 @@
     #[serde(rename = "owner")]
     pub team: String,
     pub shape: Shape,
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     #[serde(rename = "shards")]
     pub tasks: u32,
     pub cpus: f64,
@@ -128,7 +130,7 @@
 
     /// Whether the tasks run until the job is cancelled.
     pub fn is_service(&self) -> bool {
-        self.shape == Shape::Daemon
+        self.shape == Shape::Service
     }
 }
 
@@ -139,7 +141,8 @@
     Queued,
     Running,
     Done,
-    Aborted,
+    #[serde(rename = "aborted")]
+    Cancelled,
 }
 
 /// Answer to a submission or a cancellation.
--- a/crates/quartzlever-wire/src/workers.rs
+++ b/crates/quartzlever-wire/src/workers.rs
@@ -83,9 +83,9 @@
     Other,
 }
 
-/// One task in a report.
+/// One task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "shard")]
     pub task: TaskId,
     #[serde(rename = "try")]
@@ -99,40 +99,42 @@
 
 /// A worker's report: the body of `/hello`, and of the answers of `/status` and `/commands`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     pub host: String,
     pub address: String,
     #[serde(rename = "frame")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "bay")]
     pub zone: String,
     #[serde(rename = "loaners")]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
-    pub tick: u64,
-    pub baton: u64,
+    pub incarnation: u64,
+    #[serde(rename = "tick")]
+    pub sequence: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub warning_s: Option<f64>,
     #[serde(rename = "shards")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
-impl Report {
-    /// Reads a report; `None` for anything malformed.
-    pub fn parse(body: &[u8]) -> Option<Report> {
-        let report: Report = serde_json::from_slice(body).ok()?;
-        let named = !report.host.is_empty()
-            && report.host.len() <= 100
-            && report.host.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+impl Heartbeat {
+    /// Reads a heartbeat; `None` for anything malformed.
+    pub fn parse(body: &[u8]) -> Option<Heartbeat> {
+        let heartbeat: Heartbeat = serde_json::from_slice(body).ok()?;
+        let named = !heartbeat.host.is_empty()
+            && heartbeat.host.len() <= 100
+            && heartbeat.host.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
         let sound =
-            report.tasks.iter().all(|t| (t.phase == TaskPhase::Exited) == t.cause.is_some());
-        (named && report.session > 0 && sound).then_some(report)
+            heartbeat.tasks.iter().all(|t| (t.phase == TaskPhase::Exited) == t.cause.is_some());
+        (named && heartbeat.incarnation > 0 && sound).then_some(heartbeat)
     }
 }
 
-impl Report {
-    /// Whether the report lists an attempt of a task.
+impl Heartbeat {
+    /// Whether the heartbeat lists an attempt of a task.
     pub fn lists(&self, (task, attempt): &(TaskId, u64)) -> bool {
         self.tasks.iter().any(|t| t.attempt == *attempt && t.task == *task)
     }
@@ -141,7 +143,7 @@
 /// One command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-pub enum Order {
+pub enum WorkerCommand {
     Run {
         #[serde(rename = "shard")]
         task: TaskId,
@@ -163,27 +165,29 @@
     },
 }
 
-/// Answer to a report, and the body of a direct command.
+/// Answer to a heartbeat, and the body of a direct command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
-    pub baton: u64,
+pub struct WorkerCommands {
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
-    pub session: Option<u64>,
-    pub orders: Vec<Order>,
+    pub incarnation: Option<u64>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// A call to a worker's own address.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
     Status,
-    Command(Orders),
+    Command(WorkerCommands),
 }
 
 /// What a worker answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerReply {
     /// Status, or commands executed.
-    Report(Report),
+    Status(Heartbeat),
     /// Nothing executed: lower token or another session.
-    Refused(Report),
+    Refused(Heartbeat),
 }
--- a/crates/quartzlever-wire/tests/formats.rs
+++ b/crates/quartzlever-wire/tests/formats.rs
@@ -2,9 +2,9 @@
 
 use quartzlever_wire::pages::{PAGE_TASKS, PageRecord, page_key, page_of_key};
 use quartzlever_wire::peers::{self, PeerRequest};
-use quartzlever_wire::state::{LiveRecord, Share};
+use quartzlever_wire::store::{ActiveJobRecord, Share};
 use quartzlever_wire::users::{BadJob, JobSpec};
-use quartzlever_wire::workers::Report;
+use quartzlever_wire::workers::Heartbeat;
 use quartzlever_wire::{Json, MAX_BODY, Ranges};
 use serde_json::{Value, json};
 
@@ -131,33 +131,35 @@
 #[test]
 fn reports_are_read_or_refused() {
     let task = json!({"shard": "req-000412/3", "try": 2, "phase": "running"});
-    let report = |tasks: Value| {
+    let heartbeat = |tasks: Value| {
         json!({"host": "n-1", "address": "10.1.0.1:9000", "frame": "g8", "bay": "a",
             "loaners": true, "tenure": 1, "tick": 88, "baton": 41, "shards": tasks})
     };
     for (name, value, fine) in [
-        ("no tasks", report(json!([])), true),
-        ("a running task", report(json!([task])), true),
+        ("no tasks", heartbeat(json!([])), true),
+        ("a running task", heartbeat(json!([task])), true),
         (
             "an exited one, with a cause of the future",
-            report(json!([{"shard": "req-1/0", "try": 1, "phase": "exited", "cause": "boredom"}])),
+            heartbeat(
+                json!([{"shard": "req-1/0", "try": 1, "phase": "exited", "cause": "boredom"}]),
+            ),
             true,
         ),
         (
             "an exited one without cause",
-            report(json!([{"shard": "req-1/0", "try": 1, "phase": "exited"}])),
+            heartbeat(json!([{"shard": "req-1/0", "try": 1, "phase": "exited"}])),
             false,
         ),
         (
             "a task without number",
-            report(json!([{"shard": "req-1", "try": 1, "phase": "running"}])),
+            heartbeat(json!([{"shard": "req-1", "try": 1, "phase": "running"}])),
             false,
         ),
-        ("not a list", report(json!(7)), false),
+        ("not a list", heartbeat(json!(7)), false),
         ("nothing", json!({}), false),
         ("a host that is no name", json!({"host": "a/b"}), false),
     ] {
-        assert_eq!(Report::parse(value.to_string().as_bytes()).is_some(), fine, "{name}");
+        assert_eq!(Heartbeat::parse(value.to_string().as_bytes()).is_some(), fine, "{name}");
     }
 }
 
@@ -183,12 +185,12 @@
 #[test]
 fn moving_tasks_keeps_every_task_in_one_share() {
     let spec: JobSpec = serde_json::from_value(submission()).expect("spec");
-    let share = |part: &str, term, tasks: &str| Share {
-        part: part.into(),
+    let share = |partition: &str, term, tasks: &str| Share {
+        partition: partition.into(),
         term,
         tasks: tasks.parse().expect("ranges"),
     };
-    let mut record = LiveRecord::new(spec, 0, vec![share("one", 5, "0-15")]);
+    let mut record = ActiveJobRecord::new(spec, 0, vec![share("one", 5, "0-15")]);
     record.finished = "0-1".parse().expect("ranges");
     // (moved, from, to, its term, shares after)
     let steps = [
@@ -212,7 +214,7 @@
 
 #[test]
 fn peers_messages_are_framed() {
-    let request = PeerRequest::Rented { part: "one".into(), hosts: vec!["n-1".into()] };
+    let request = PeerRequest::ScaledOut { partition: "one".into(), hosts: vec!["n-1".into()] };
     let mut frame = Vec::new();
     peers::send(&mut frame, &request).expect("a frame");
     assert_eq!(peers::receive::<PeerRequest>(&mut frame.as_slice()).expect("a message"), request);
@@ -228,7 +230,7 @@
 
 #[test]
 fn machines_share_keys_and_earlier_records_are_read() {
-    use quartzlever_wire::state::{block_key, hosts_in};
+    use quartzlever_wire::store::{large_group_key, machine_records_in};
     for (host, key) in [
         ("n-000000", "hosts/n-~0"),
         ("n-000063", "hosts/n-~0"),
@@ -236,7 +238,7 @@
         ("rack", "hosts/rack~"),
         ("n-99999999999999999999999", "hosts/n-99999999999999999999999~"),
     ] {
-        assert_eq!(block_key(host), key, "{host}");
+        assert_eq!(large_group_key(host), key, "{host}");
     }
     let earlier = json!({"part":"one","address":"a:1","kind":"m","zone":"z","spot":true});
     let block = json!({"m":{"n-1":["one","a:1","m","z",true],"n-2":["two","b:1","m","z",false]}});
@@ -246,10 +248,10 @@
         ("neither", "hosts/n-~0", json!([1, 2]), None),
         ("a piece of one", "hosts/n-1", json!({"part":"one"}), None),
     ] {
-        let found = hosts_in(path, &Json::of(&value));
+        let found = machine_records_in(path, &Json::of(&value));
         assert_eq!(found.as_ref().map(|h| h.len()), hosts, "{name}");
         if let Some(found) = found {
-            assert_eq!(found["n-1"].part, "one", "{name}");
+            assert_eq!(found["n-1"].partition, "one", "{name}");
         }
     }
 }
--- a/crates/quartzlever-wire/tests/production.rs
+++ b/crates/quartzlever-wire/tests/production.rs
@@ -2,11 +2,12 @@
 //! whoever may still be of that version. The bytes were made by that version itself.
 
 use quartzlever_wire::Json;
-use quartzlever_wire::peers::{self, Load, PeerAnswer, PeerRequest, Room, ThiefRoom};
-use quartzlever_wire::state::{
-    LiveRecord, OverRecord, PartRecord, block_key, block_size, hosts_in, small_block_key,
+use quartzlever_wire::peers::{self, FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity};
+use quartzlever_wire::store::{
+    ActiveJobRecord, PartitionRecord, TerminalJobRecord, group_key, group_size, large_group_key,
+    machine_records_in,
 };
-use quartzlever_wire::users::{JobPhase, Rank, Shape};
+use quartzlever_wire::users::{JobPhase, Priority, Shape};
 
 fn frame<T: serde::Serialize>(message: &T) -> String {
     let mut bytes = Vec::new();
@@ -21,29 +22,38 @@
 
 #[test]
 fn peers_messages_are_those_of_production() {
-    let room =
-        Room { kind: "m".into(), zone: "a".into(), spot: true, cpus: 4.0, gpus: 0.0, ram_gb: 8.0 };
+    let room = FreeCapacity {
+        machine_type: "m".into(),
+        zone: "a".into(),
+        spot: true,
+        cpus: 4.0,
+        gpus: 0.0,
+        ram_gb: 8.0,
+    };
     let requests = [
-        (PeerRequest::Counts { rank: Rank::Urgent }, "000000080000000001000000"),
+        (PeerRequest::Counts { priority: Priority::Urgent }, "000000080000000001000000"),
         (
             PeerRequest::Steal {
-                part: "one".into(),
+                partition: "one".into(),
                 term: 7,
-                rank: Rank::BestEffort,
-                thief: ThiefRoom { free: vec![room] },
+                priority: Priority::BestEffort,
+                thief: ThiefCapacity { free: vec![room] },
                 load: Some(Load { work: 2.5, cpus: 8.0 }),
             },
             "0000005f0100000003000000000000006f6e65070000000000000003000000010000000000000001000000000000006d010000000000000061010000000000001040000000000000000000000000000020400100000000000004400000000000002040",
         ),
-        (PeerRequest::Pressed, "0000000402000000"),
-        (PeerRequest::HandBack { part: "two".into() }, "0000000f03000000030000000000000074776f"),
-        (PeerRequest::Contact, "0000000404000000"),
+        (PeerRequest::Saturated, "0000000402000000"),
         (
-            PeerRequest::Heard { part: "one".into(), machines: 3 },
+            PeerRequest::HandBack { partition: "two".into() },
+            "0000000f03000000030000000000000074776f",
+        ),
+        (PeerRequest::StoreConnectivity, "0000000404000000"),
+        (
+            PeerRequest::MachinesSeen { partition: "one".into(), machines: 3 },
             "000000130500000003000000000000006f6e6503000000",
         ),
         (
-            PeerRequest::Rented { part: "one".into(), hosts: vec!["n-1".into()] },
+            PeerRequest::ScaledOut { partition: "one".into(), hosts: vec!["n-1".into()] },
             "000000220600000003000000000000006f6e65010000000000000003000000000000006e2d31",
         ),
         (
@@ -65,7 +75,7 @@
             PeerAnswer::Stolen { jobs: vec![("req-1".into(), 9, "{}".into())] },
             "0000002b01000000010000000000000005000000000000007265712d31090000000000000002000000000000007b7d",
         ),
-        (PeerAnswer::Contact { reached: true }, "000000050200000001"),
+        (PeerAnswer::StoreConnectivity { reached: true }, "000000050200000001"),
         (PeerAnswer::Nothing, "0000000403000000"),
     ];
     for (message, hex) in answers {
@@ -77,24 +87,24 @@
 
 #[test]
 fn records_are_those_of_production() {
-    let live = r#"{"job":{"ref":"req-000412","jobclass":"train","owner":"vision","shape":"batch","rank":"urgent","shards":16,"cpus":8.0,"gpus":1.0,"ram_gb":64.0,"bundle":"img-07","size_gb":6.2,"chassis":["g8"],"together":true,"apart":false,"loaners":true,"expect_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0},"since":1000000,"started":true,"shares":[{"part":"one","term":5,"tasks":"0-11"},{"part":"two","term":8,"tasks":"12-15"}],"finished":"0-3,7"}"#;
-    let record: LiveRecord = serde_json::from_str(live).expect("a live record");
+    let active = r#"{"job":{"ref":"req-000412","jobclass":"train","owner":"vision","shape":"batch","rank":"urgent","shards":16,"cpus":8.0,"gpus":1.0,"ram_gb":64.0,"bundle":"img-07","size_gb":6.2,"chassis":["g8"],"together":true,"apart":false,"loaners":true,"expect_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0},"since":1000000,"started":true,"shares":[{"part":"one","term":5,"tasks":"0-11"},{"part":"two","term":8,"tasks":"12-15"}],"finished":"0-3,7"}"#;
+    let record: ActiveJobRecord = serde_json::from_str(active).expect("a live record");
     assert_eq!((record.job.shape, record.job.tasks, record.started), (Shape::Batch, 16, true));
     assert_eq!(record.owned_by("one").to_string(), "4-6,8-11");
-    assert_eq!(Json::of(&record).text(), live);
-    let part = r#"{"node":"one","process":77}"#;
-    let record: PartRecord = serde_json::from_str(part).expect("a partition's record");
+    assert_eq!(Json::of(&record).text(), active);
+    let partition = r#"{"node":"one","process":77}"#;
+    let record: PartitionRecord = serde_json::from_str(partition).expect("a partition's record");
     assert_eq!((record.node.as_str(), record.process), ("one", 77));
-    assert_eq!(Json::of(&record).text(), part);
+    assert_eq!(Json::of(&record).text(), partition);
     let over = r#"{"phase":"aborted","done":4}"#;
-    let record: OverRecord = serde_json::from_str(over).expect("the end of a job");
-    assert_eq!((record.phase, record.done), (JobPhase::Aborted, 4));
+    let record: TerminalJobRecord = serde_json::from_str(over).expect("the end of a job");
+    assert_eq!((record.phase, record.done), (JobPhase::Cancelled, 4));
     assert_eq!(Json::of(&record).text(), over);
     let hosts = r#"{"m":{"n-000231":["one","10.1.0.232:9000","g8","a",true]}}"#;
     let value: Json = serde_json::from_str(hosts).expect("a block");
-    let found = hosts_in("hosts/n-~3", &value).expect("machines");
+    let found = machine_records_in("hosts/n-~3", &value).expect("machines");
     assert_eq!(found["n-000231"].address, "10.1.0.232:9000");
-    assert_eq!(block_key("n-000231"), "hosts/n-~3");
+    assert_eq!(large_group_key("n-000231"), "hosts/n-~3");
 }
 
 #[test]
@@ -109,14 +119,14 @@
         (1024, 8, "hosts/n-~8~28"),
         (100, 1, "hosts/n-~1~231"),
     ] {
-        assert_eq!(block_size(limit), size, "{limit}");
-        assert_eq!(small_block_key("n-000231", size), key, "{limit}");
+        assert_eq!(group_size(limit), size, "{limit}");
+        assert_eq!(group_key("n-000231", size), key, "{limit}");
         for number in 0..300 {
             let (host, first) =
                 (format!("n-{number:06}"), format!("n-{:06}", number / size * size));
             // All machines of a small block are in the same one of production.
-            assert_eq!(block_key(&host), block_key(&first), "{limit} {host}");
-            assert_eq!(small_block_key(&host, size), small_block_key(&first, size));
+            assert_eq!(large_group_key(&host), large_group_key(&first), "{limit} {host}");
+            assert_eq!(group_key(&host, size), group_key(&first, size));
         }
     }
 }
--- a/crates/quartzlever/benches/recovery.rs
+++ b/crates/quartzlever/benches/recovery.rs
@@ -1,4 +1,4 @@
-//! What rebuilding lost state costs, and how long it takes: the real program beside stand-ins.
+//! What rebuilding lost state costs, and how long it takes: the real program beside fakes.
 //!
 //! `cargo bench -p quartzlever --bench recovery -- [MACHINES [SECONDS]]`
 //!
@@ -13,10 +13,10 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use quartzlever_standin::crowd::{Crowd, Habits};
-use quartzlever_standin::jobs::array;
-use quartzlever_standin::program::Node;
-use quartzlever_standin::{Cloud, Store, http};
+use quartzlever_testkit::jobs::array;
+use quartzlever_testkit::program::Node;
+use quartzlever_testkit::worker_fleet::{Habits, WorkerFleet};
+use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzlever");
@@ -90,7 +90,7 @@
 struct Bench {
     begin: Instant,
     store: Arc<Mutex<Store>>,
-    crowd: Arc<Crowd>,
+    crowd: Arc<WorkerFleet>,
     node: Node,
     directory: PathBuf,
     machines: usize,
@@ -102,8 +102,9 @@
         let begin = Instant::now();
         let store = Arc::new(Mutex::new(Store::default()));
         let state = http::serve_store(store.clone(), begin).expect("store");
-        let habits = Habits { report: 6 * SECOND, lease: 36 * SECOND, run_time: RUN_S * SECOND };
-        let crowd = Crowd::start(habits, begin).expect("crowd");
+        let habits =
+            Habits { heartbeat_interval: 6 * SECOND, lease: 36 * SECOND, run_time: RUN_S * SECOND };
+        let crowd = WorkerFleet::start(habits, begin).expect("crowd");
         let mut cloud = Cloud::new(2.0, &["a"], machines);
         // Idle machines are kept for as long as one boots.
         cloud.catalogue.types[0].ready_s = 600.0;
--- a/crates/quartzlever/benches/account.rs
+++ b/crates/quartzlever/benches/resource_usage.rs
@@ -1,12 +1,12 @@
-//! Where the real program's processor time and memory go, beside stand-ins for everything else.
+//! Where the real program's processor time and memory go, beside fakes for everything else.
 //!
-//! `cargo bench -p quartzlever --bench account -- [MACHINES [PARTS [SECONDS]]]`
+//! `cargo bench -p quartzlever --bench account -- [MACHINES [PARTITION_PREFIX [SECONDS]]]`
 //!
-//! One controller holds one part, or the parts of all three names; so many machines are rented for
+//! One controller holds one partition, or the partitions of all three names; so many machines are rented for
 //! its queue and report every six seconds and at each change. Three spans are measured: the start
 //! with all machines coming up, so many seconds with a queue and users who submit and look up, and
 //! so many seconds in which machines only report. Between the two the process is killed and started
-//! again among its machines, first without the state service, so that it turns all of them away. Processor time and thread switches are the kernel's own account of
+//! again among its machines, first without the store, so that it turns all of them away. Processor time and thread switches are the kernel's own account of
 //! each thread, by name; system calls are counted with `perf trace` if that is there, in spans
 //! of their own, since it slows the program down.
 
@@ -19,9 +19,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quartzlever_standin::crowd::{Crowd, Habits};
-use quartzlever_standin::program::Node;
-use quartzlever_standin::{Cloud, Store, http};
+use quartzlever_testkit::program::Node;
+use quartzlever_testkit::worker_fleet::{Habits, WorkerFleet};
+use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
 use serde_json::json;
 
@@ -152,7 +152,7 @@
 
 /// Everything around the controller.
 struct World {
-    crowd: Arc<Crowd>,
+    crowd: Arc<WorkerFleet>,
     users: Arc<Users>,
 }
 
@@ -352,8 +352,9 @@
     let begin = Instant::now();
     let keys = Arc::new(Mutex::new(Store::default()));
     let store = http::serve_store(keys.clone(), begin).expect("store");
-    let habits = Habits { report: 6 * SECOND, lease: 36 * SECOND, run_time: RUN_S * SECOND };
-    let crowd = Crowd::start(habits, begin).expect("crowd");
+    let habits =
+        Habits { heartbeat_interval: 6 * SECOND, lease: 36 * SECOND, run_time: RUN_S * SECOND };
+    let crowd = WorkerFleet::start(habits, begin).expect("crowd");
     let mut cloud = Cloud::new(MACHINE, &["a"], machines);
     // Idle machines are kept for as long as one boots.
     cloud.catalogue.types[0].ready_s = 600.0;
@@ -387,7 +388,7 @@
     world.users.busy.store(false, Ordering::Relaxed);
     thread::sleep(Duration::from_secs(4));
     drop(node);
-    // Started anew while the state service is away, so that every worker is turned away.
+    // Started anew while the store is away, so that every worker is turned away.
     keys.lock().expect("lock").outage = true;
     let node = start(&config);
     let process = node.process();
--- a/crates/quartzlever/src/inbox.rs
+++ b/crates/quartzlever/src/inbox.rs
@@ -73,7 +73,7 @@
     /// The core knows nothing yet: it would turn away every worker and health check.
     turns_away: AtomicBool,
     /// Requests that were turned away since the core last asked.
-    turned_away: AtomicU32,
+    rejected: AtomicU32,
     /// Until then the node can take requests, as far as the core has said.
     ready_until: AtomicU64,
 }
@@ -92,7 +92,7 @@
     pub fn publish(&self, starting: bool, ready_until: Micros) -> u32 {
         self.published.turns_away.store(starting, Ordering::Relaxed);
         self.published.ready_until.store(ready_until, Ordering::Relaxed);
-        self.published.turned_away.swap(0, Ordering::Relaxed)
+        self.published.rejected.swap(0, Ordering::Relaxed)
     }
 
     /// Whether nothing waits in any queue.
@@ -118,7 +118,7 @@
         let (submissions, submissions_receiver) = bounded(MAX_SUBMISSIONS);
         let published = Arc::new(Published {
             turns_away: AtomicBool::new(false),
-            turned_away: AtomicU32::new(0),
+            rejected: AtomicU32::new(0),
             ready_until: AtomicU64::new(0),
         });
         let receiver = InboxReceiver {
@@ -136,7 +136,7 @@
     pub fn turns_away(&self) -> bool {
         let starting = self.published.turns_away.load(Ordering::Relaxed);
         if starting {
-            self.published.turned_away.fetch_add(1, Ordering::Relaxed);
+            self.published.rejected.fetch_add(1, Ordering::Relaxed);
         }
         starting
     }
--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -27,7 +27,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use quartzlever_core::Weight;
+use quartzlever_core::LogLevel;
 
 use exit_status::BAD_SETTINGS;
 use recovery::commands::{self, CommandError};
@@ -77,19 +77,19 @@
     Show { directory: PathBuf },
 }
 
-fn weight() -> Weight {
+fn log_level() -> LogLevel {
     match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("debug") => Weight::Debug,
-        Ok("error") => Weight::Error,
-        _ => Weight::Info,
+        Ok("debug") => LogLevel::Debug,
+        Ok("error") => LogLevel::Error,
+        _ => LogLevel::Info,
     }
 }
 
-fn start_logging(weight: Weight) {
-    let level = match weight {
-        Weight::Error => tracing::Level::ERROR,
-        Weight::Info => tracing::Level::INFO,
-        Weight::Debug => tracing::Level::DEBUG,
+fn start_logging(log_level: LogLevel) {
+    let level = match log_level {
+        LogLevel::Error => tracing::Level::ERROR,
+        LogLevel::Info => tracing::Level::INFO,
+        LogLevel::Debug => tracing::Level::DEBUG,
     };
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
@@ -118,13 +118,13 @@
 
 fn main() -> ExitCode {
     let Arguments { config, operator, verb } = Arguments::parse();
-    let weight = weight();
-    start_logging(weight);
+    let log_level = log_level();
+    start_logging(log_level);
     if let Some(Verb::Snapshot { verb }) = verb {
         return show_snapshots(&verb);
     }
     let Some(config) = config else { return bad_settings("--config FILE is missing") };
-    let settings = match settings::load(&config, operator.as_deref(), weight) {
+    let settings = match settings::load(&config, operator.as_deref(), log_level) {
         Ok(settings) => settings,
         Err(error) => return bad_settings(error),
     };
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::time::Duration;
 
-use quartzlever_core::{Command, Core, Effect, Weight};
+use quartzlever_core::{Command, Core, Effect, LogLevel};
 use quartzlever_wire::Micros;
 
 use super::executors::Executors;
@@ -24,7 +24,7 @@
 const STALL_LOGGED: Micros = 4_000_000;
 /// As long, and some of those who ask may have given up.
 const LATE: Micros = 400_000;
-/// Users and workers are served once the state service has been read, or else after this time, to
+/// Users and workers are served once the store has been read, or else after this time, to
 /// be told when to come back.
 const OPEN_AFTER: Micros = 5_000_000;
 /// How long the core's word that the node can take requests counts.
@@ -41,7 +41,7 @@
     executors: Executors,
     pending: PendingReplies,
     clock: Clock,
-    /// Opened once the state service has been read; none if it is open.
+    /// Opened once the store has been read; none if it is open.
     port: Option<Port>,
     /// When the port is opened at the latest.
     open_at: Micros,
@@ -54,7 +54,7 @@
 }
 
 impl CoreThread {
-    /// A core that has taken no command yet. A port that is handed over is opened once the state service
+    /// A core that has taken no command yet. A port that is handed over is opened once the store
     /// has been read.
     pub fn new(
         core: Core,
@@ -135,8 +135,8 @@
     /// Tells connections what they may answer without the core.
     fn publish(&mut self, now: Micros) {
         let ready_until = if self.core.is_ready() { now + READY_FOR } else { 0 };
-        let turned_away = self.incoming.publish(self.core.starting(), ready_until);
-        self.core.turned_away_unasked(turned_away);
+        let rejected = self.incoming.publish(self.core.starting(), ready_until);
+        self.core.count_rejected(rejected);
     }
 
     fn open_port(&mut self, now: Micros) -> io::Result<()> {
@@ -159,22 +159,26 @@
                     pending.answer(id, &Status { status, retry_after_s }, &body);
                 }
             }
-            Effect::End { why } => {
+            Effect::Terminate { why } => {
                 tracing::error!("{why}");
                 std::process::exit(i32::from(UNKNOWN_VERSION));
             }
             Effect::AnswerPeer { id, answer } => pending.answer_peer(id, answer),
-            Effect::State { token, lane, call } => executors.store.submit(token, lane, call),
-            Effect::Cloud { token, call, until } => executors.cloud.submit(token, call, until),
-            Effect::Worker { token, address, call, until } => {
-                executors.workers.submit(token, address, call, until);
+            Effect::Store { call_id, call_priority, call } => {
+                executors.store.submit(call_id, call_priority, call)
             }
-            Effect::Peer { token, node, request } => executors.peers.submit(token, node, request),
-            Effect::Share(share) => executors.set_share(share),
-            Effect::Note { weight, text } => match weight {
-                Weight::Error => tracing::error!("{text}"),
-                Weight::Info => tracing::info!("{text}"),
-                Weight::Debug => tracing::debug!("{text}"),
+            Effect::Cloud { call_id, call, until } => executors.cloud.submit(call_id, call, until),
+            Effect::Worker { call_id, address, call, until } => {
+                executors.workers.submit(call_id, address, call, until);
+            }
+            Effect::Peer { call_id, node, request } => {
+                executors.peers.submit(call_id, node, request)
+            }
+            Effect::RateShare(share) => executors.set_share(share),
+            Effect::Log { log_level, text } => match log_level {
+                LogLevel::Error => tracing::error!("{text}"),
+                LogLevel::Info => tracing::info!("{text}"),
+                LogLevel::Debug => tracing::debug!("{text}"),
             },
         }
     }
--- a/crates/quartzlever/src/node/executors.rs
+++ b/crates/quartzlever/src/node/executors.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::Clock;
 use crate::inbox::Inbox;
-use crate::recovery::StateService;
+use crate::recovery::StoreService;
 use crate::settings::Settings;
 use cloud::CloudExecutor;
 use limit::{NODES_SHARE, SharedLimit};
@@ -36,13 +36,13 @@
     /// Starts all threads.
     pub fn start(
         settings: &Settings,
-        client: &StateService,
+        client: &StoreService,
         inbox: &Inbox,
         clock: Clock,
     ) -> io::Result<Executors> {
         // Until the core knows who shares the limits.
         let share = NODES_SHARE / settings.core.nodes.len() as f64;
-        let store_limit = SharedLimit::new(settings.core.state_rps, share);
+        let store_limit = SharedLimit::new(settings.core.store_rps, share);
         let cloud_limit = SharedLimit::new(settings.cloud_rps, share);
         Ok(Executors {
             store: StoreExecutor::start(client, store_limit, inbox)?,
--- a/crates/quartzlever/src/node/executors/cloud.rs
+++ b/crates/quartzlever/src/node/executors/cloud.rs
@@ -8,7 +8,7 @@
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use quartzlever_clients::CloudClient;
-use quartzlever_core::{Command, Token};
+use quartzlever_core::{CallId, Command};
 use quartzlever_wire::cloud::CloudCall;
 use quartzlever_wire::{CallError, Micros};
 
@@ -24,7 +24,7 @@
 const KEEP: f64 = 0.0;
 
 struct Job {
-    token: Token,
+    call_id: CallId,
     call: CloudCall,
     until: Micros,
 }
@@ -58,9 +58,9 @@
     }
 
     /// Has a call made; the return of machines only before `until`.
-    pub fn submit(&self, token: Token, call: CloudCall, until: Micros) {
+    pub fn submit(&self, call_id: CallId, call: CloudCall, until: Micros) {
         // A queue that is gone means that nobody wants the result.
-        let _ = self.queue.send(Job { token, call, until });
+        let _ = self.queue.send(Job { call_id, call, until });
     }
 
     /// Sets this node's share of the cloud's requests.
@@ -80,13 +80,13 @@
 
 impl CloudThread {
     fn run(self) {
-        for Job { token, call, until } in &self.jobs {
+        for Job { call_id, call, until } in &self.jobs {
             let allowed = self.limit.wait(KEEP, PATIENCE);
-            // Whoever holds the part by then may have found the machines alive.
+            // Whoever holds the partition by then may have found the machines alive.
             let late = matches!(call, CloudCall::Return(_)) && self.clock.now() >= until;
             let allowed = allowed && !late;
             let result = if allowed { self.client.call(&call) } else { Err(CallError::Refused) };
-            self.inbox.deliver(Command::Cloud { token, result });
+            self.inbox.deliver(Command::CloudReply { call_id, result });
         }
     }
 }
--- a/crates/quartzlever/src/node/executors/peers.rs
+++ b/crates/quartzlever/src/node/executors/peers.rs
@@ -9,7 +9,7 @@
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use quartzlever_clients::PeerClient;
-use quartzlever_core::{Command, Token};
+use quartzlever_core::{CallId, Command};
 use quartzlever_wire::CallError;
 use quartzlever_wire::peers::PeerRequest;
 
@@ -20,7 +20,7 @@
 const THREADS: usize = 3;
 
 struct Job {
-    token: Token,
+    call_id: CallId,
     node: String,
     request: PeerRequest,
 }
@@ -50,9 +50,9 @@
     }
 
     /// Has a node asked.
-    pub fn submit(&self, token: Token, node: String, request: PeerRequest) {
+    pub fn submit(&self, call_id: CallId, node: String, request: PeerRequest) {
         // A queue that is gone means that nobody wants the result.
-        let _ = self.queue.send(Job { token, node, request });
+        let _ = self.queue.send(Job { call_id, node, request });
     }
 }
 
@@ -66,12 +66,12 @@
 
 impl PeerThread {
     fn run(self) {
-        for Job { token, node, request } in &self.jobs {
+        for Job { call_id, node, request } in &self.jobs {
             let result = match self.addresses.get(&node) {
                 Some(address) => self.client.call(*address, &request),
                 None => Err(CallError::Refused),
             };
-            self.inbox.deliver(Command::Asked { token, result });
+            self.inbox.deliver(Command::PeerReply { call_id, result });
         }
     }
 }
--- a/crates/quartzlever/src/node/executors/store.rs
+++ b/crates/quartzlever/src/node/executors/store.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
-use quartzlever_core::{Command, Lane, Token};
+use quartzlever_core::{CallId, CallPriority, Command};
 use quartzlever_wire::CallError;
-use quartzlever_wire::state::StateCall;
+use quartzlever_wire::store::StoreCall;
 
 use super::limit::SharedLimit;
 use super::thread::spawn;
 use crate::inbox::Inbox;
-use crate::recovery::StateService;
+use crate::recovery::StoreService;
 
 /// What a lane may use.
 struct LaneBounds {
-    lane: Lane,
+    call_priority: CallPriority,
     threads: usize,
     /// Share of the budget that is left to others.
     keep: f64,
@@ -28,31 +28,51 @@
 }
 
 const LANES: [LaneBounds; 4] = [
-    LaneBounds { lane: Lane::Lease, threads: 2, keep: 0.0, patience: Duration::from_millis(2000) },
-    LaneBounds { lane: Lane::Watch, threads: 2, keep: 0.0, patience: Duration::from_millis(2000) },
-    LaneBounds { lane: Lane::Work, threads: 4, keep: 0.1, patience: Duration::from_millis(1500) },
-    LaneBounds { lane: Lane::User, threads: 4, keep: 0.25, patience: Duration::from_millis(600) },
+    LaneBounds {
+        call_priority: CallPriority::Lease,
+        threads: 2,
+        keep: 0.0,
+        patience: Duration::from_millis(2000),
+    },
+    LaneBounds {
+        call_priority: CallPriority::Watch,
+        threads: 2,
+        keep: 0.0,
+        patience: Duration::from_millis(2000),
+    },
+    LaneBounds {
+        call_priority: CallPriority::Work,
+        threads: 4,
+        keep: 0.1,
+        patience: Duration::from_millis(1500),
+    },
+    LaneBounds {
+        call_priority: CallPriority::User,
+        threads: 4,
+        keep: 0.25,
+        patience: Duration::from_millis(600),
+    },
 ];
 
 struct Job {
-    token: Token,
-    call: StateCall,
+    call_id: CallId,
+    call: StoreCall,
 }
 
 /// Makes calls to the store.
 pub struct StoreExecutor {
-    lanes: HashMap<Lane, Sender<Job>>,
+    call_priorities: HashMap<CallPriority, Sender<Job>>,
     limit: SharedLimit,
 }
 
 impl StoreExecutor {
     /// Starts the threads of all lanes.
     pub fn start(
-        client: &StateService,
+        client: &StoreService,
         limit: SharedLimit,
         inbox: &Inbox,
     ) -> io::Result<StoreExecutor> {
-        let mut lanes = HashMap::new();
+        let mut call_priorities = HashMap::new();
         for bounds in LANES {
             let (sender, receiver) = unbounded();
             for _ in 0..bounds.threads {
@@ -66,16 +86,16 @@
                 };
                 spawn("state", move || thread.run())?;
             }
-            lanes.insert(bounds.lane, sender);
+            call_priorities.insert(bounds.call_priority, sender);
         }
-        Ok(StoreExecutor { lanes, limit })
+        Ok(StoreExecutor { call_priorities, limit })
     }
 
     /// Has a call made.
-    pub fn submit(&self, token: Token, lane: Lane, call: StateCall) {
-        if let Some(queue) = self.lanes.get(&lane) {
+    pub fn submit(&self, call_id: CallId, call_priority: CallPriority, call: StoreCall) {
+        if let Some(queue) = self.call_priorities.get(&call_priority) {
             // A queue that is gone means that nobody wants the result.
-            let _ = queue.send(Job { token, call });
+            let _ = queue.send(Job { call_id, call });
         }
     }
 
@@ -88,7 +108,7 @@
 /// A thread of a lane; lives as long as the process.
 struct LaneThread {
     jobs: Receiver<Job>,
-    client: StateService,
+    client: StoreService,
     limit: SharedLimit,
     keep: f64,
     patience: Duration,
@@ -97,10 +117,10 @@
 
 impl LaneThread {
     fn run(self) {
-        for Job { token, call } in &self.jobs {
+        for Job { call_id, call } in &self.jobs {
             let allowed = self.limit.wait(self.keep, self.patience);
             let result = if allowed { self.client.call(&call) } else { Err(CallError::Refused) };
-            self.inbox.deliver(Command::State { token, result });
+            self.inbox.deliver(Command::StoreReply { call_id, result });
         }
     }
 }
--- a/crates/quartzlever/src/node/executors/workers.rs
+++ b/crates/quartzlever/src/node/executors/workers.rs
@@ -6,7 +6,7 @@
 
 use crossbeam_channel::{Receiver, Sender, unbounded};
 use quartzlever_clients::WorkerClient;
-use quartzlever_core::{Command, Token};
+use quartzlever_core::{CallId, Command};
 use quartzlever_wire::workers::WorkerCall;
 use quartzlever_wire::{CallError, Micros};
 
@@ -18,7 +18,7 @@
 const THREADS: usize = 32;
 
 struct Job {
-    token: Token,
+    call_id: CallId,
     address: String,
     call: WorkerCall,
     until: Micros,
@@ -47,9 +47,9 @@
     }
 
     /// Has a call made, if its turn comes before `until`.
-    pub fn submit(&self, token: Token, address: String, call: WorkerCall, until: Micros) {
+    pub fn submit(&self, call_id: CallId, address: String, call: WorkerCall, until: Micros) {
         // A queue that is gone means that nobody wants the result.
-        let _ = self.queue.send(Job { token, address, call, until });
+        let _ = self.queue.send(Job { call_id, address, call, until });
     }
 }
 
@@ -63,12 +63,12 @@
 
 impl WorkerThread {
     fn run(self) {
-        for Job { token, address, call, until } in &self.jobs {
+        for Job { call_id, address, call, until } in &self.jobs {
             // The right to command may have run out while the call waited its turn.
             let allowed = self.clock.now() < until;
             let result =
                 if allowed { self.client.call(&address, &call) } else { Err(CallError::Refused) };
-            self.inbox.deliver(Command::Worker { token, result });
+            self.inbox.deliver(Command::WorkerReply { call_id, result });
         }
     }
 }
--- a/crates/quartzlever/src/node/executors/workers/tests.rs
+++ b/crates/quartzlever/src/node/executors/workers/tests.rs
@@ -16,6 +16,8 @@
     executor.submit(7, address, WorkerCall::Status, clock.now());
     let item = incoming.priority.recv_timeout(Duration::from_secs(10)).expect("a result");
     let refused = Err(CallError::Refused);
-    assert!(matches!(item.command, Command::Worker { token: 7, result } if result == refused));
+    assert!(
+        matches!(item.command, Command::WorkerReply { call_id: 7, result } if result == refused)
+    );
     assert!(listener.accept().is_err(), "nobody connected");
 }
--- a/crates/quartzlever/src/node/peer_server.rs
+++ b/crates/quartzlever/src/node/peer_server.rs
@@ -47,7 +47,7 @@
     match request {
         PeerRequest::Logged(changes) => recovery::take_changes(log, changes),
         request => inbox
-            .ask_for_peer(ANSWER_TIMEOUT, |id| Command::Peer { id, request })
+            .ask_for_peer(ANSWER_TIMEOUT, |id| Command::PeerRequest { id, request })
             .unwrap_or(PeerAnswer::Nothing),
     }
 }
--- a/crates/quartzlever/src/node/startup.rs
+++ b/crates/quartzlever/src/node/startup.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::inbox::{InboxReceiver, Item, Reply, Waiter};
-use crate::recovery::{self, OwnLog, Recovery, StateService};
+use crate::recovery::{self, OwnLog, Recovery, StoreService};
 use crate::responder::{BUSY, BUSY_BODY};
 use crate::settings::Settings;
 
@@ -20,7 +20,7 @@
     recovery: Recovery,
     log: &OwnLog,
     incoming: &InboxReceiver,
-) -> io::Result<StateService> {
+) -> io::Result<StoreService> {
     let core = thread::current();
     thread::scope(|scope| {
         let opening = thread::Builder::new().name("recovery".into()).spawn_scoped(scope, || {
@@ -32,14 +32,14 @@
         while !opening.is_finished() {
             incoming.publish(true, 0);
             incoming.sleep(CHECK_EVERY);
-            turn_away(incoming, &mut message);
+            reject_all(incoming, &mut message);
         }
         opening.join().map_err(|_| io::Error::other("the recovery of lost state failed"))?
     })
 }
 
 /// Tells all that wait to come back; `message` is where answers are written.
-fn turn_away(incoming: &InboxReceiver, message: &mut Vec<u8>) {
+fn reject_all(incoming: &InboxReceiver, message: &mut Vec<u8>) {
     let all = incoming.priority.try_iter().chain(incoming.questions.try_iter());
     for Item { waiter, .. } in all.chain(incoming.submissions.try_iter()) {
         // A peer whose reply is dropped is told nothing.
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -19,7 +19,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use quartzlever_clients::StateClient;
+use quartzlever_clients::StoreClient;
 use quartzlever_recovery::guard::Guard;
 use quartzlever_recovery::history::{LoadedHistory, read_history};
 use quartzlever_recovery::rebuild::{self, Local, RebuildSettings};
@@ -30,13 +30,13 @@
 use journal::Journal;
 use monitor::{Monitor, Pace};
 use replication::Replication;
-use state::{ClientAccess, GuardedState};
+use state::{ClientAccess, GuardedStore};
 
 pub use directory::{Directory, OwnDirectory};
 pub use peer_log::{OwnLog, take_changes};
-pub use state::StateService;
+pub use state::StoreService;
 
-/// Share of the state service's changes that may write inherited final states.
+/// Share of the store's changes that may write inherited final states.
 const RESTORE_SHARE: f64 = 0.25;
 
 /// What the operator has switched on.
@@ -62,21 +62,21 @@
         lease_life: core.operator.lease_life,
         worker_lease: core.workers.lease,
         txn_ops: core.txn_ops,
-        write_rps: core.state_write_rps,
+        write_rps: core.store_write_rps,
         value_bytes: core.value_bytes,
     }
 }
 
-/// Comes back when the state service may be worked with. Whatever its data has suffered while this process
+/// Comes back when the store may be worked with. Whatever its data has suffered while this process
 /// was away is mended by then, by this controller or another.
-pub fn open(settings: &Settings, recovery: Recovery, log: &OwnLog) -> io::Result<StateService> {
+pub fn open(settings: &Settings, recovery: Recovery, log: &OwnLog) -> io::Result<StoreService> {
     let Recovery { settings: own, directory } = recovery;
     let (loaded, marked) = load(&directory.directory)?;
     for complaint in &loaded.complaints {
         tracing::error!("recovery: {complaint}");
     }
     let witness = loaded.history.as_ref().map_or(0, |history| history.witness);
-    let client = StateClient::new(&settings.state);
+    let client = StoreClient::new(&settings.state);
     let mut access = ClientAccess { client: client.clone(), clock: Clock::new() };
     let local = Local { history: loaded.history, marked, found: None };
     let opened = rebuild::open(&mut access, &rebuild_settings(settings, &own), &local)
@@ -89,20 +89,20 @@
     let replication = Replication::start(identity.clone(), &settings.peers, patience)?;
     let journal = Journal::start(directory, &own, identity, opened.picture)?;
     journal.witness_written(witness);
-    let state = Arc::new(GuardedState {
+    let state = Arc::new(GuardedStore {
         client,
-        guard: Guard::new(opened.generation, opened.epoch),
+        guard: Guard::new(opened.generation, opened.revision),
         journal,
         replication,
         suspects: AtomicBool::new(false),
         lacks_jobs: AtomicBool::new(opened.lacks_jobs),
     });
     let core = &settings.core;
-    let rate = core.state_write_rps * RESTORE_SHARE / core.nodes.len() as f64;
+    let rate = core.store_write_rps * RESTORE_SHARE / core.nodes.len() as f64;
     let controllers = core.nodes.len();
     let pace = Pace { txn_ops: core.txn_ops, rate, controllers };
     // It is set once.
     let _ = log.set(state.clone());
     Monitor::start(state.clone(), own, core.node.clone(), witness, pace)?;
-    Ok(StateService::Guarded(state))
+    Ok(StoreService::Guarded(state))
 }
--- a/crates/quartzlever/src/recovery/commands.rs
+++ b/crates/quartzlever/src/recovery/commands.rs
@@ -4,8 +4,8 @@
 
 use std::path::Path;
 
-use quartzlever_clients::StateClient;
-use quartzlever_recovery::detection::{Verdict, judge, missing_records};
+use quartzlever_clients::StoreClient;
+use quartzlever_recovery::detection::{Feasibility, judge, missing_records};
 use quartzlever_recovery::format::{Snapshot, WriteTimes, read_log};
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::{History, StoredFiles, read_history};
@@ -100,7 +100,7 @@
     println!(
         "{count} writes before the snapshot: median {median} us, 99% {p99} us, longest {longest} us"
     );
-    let proven = history.is_proven(directory.is_marked(), wall());
+    let proven = history.is_verified(directory.is_marked(), wall());
     println!(
         "{}",
         if proven { "surely has all that was acted on" } else { "may lack what was acted on last" }
@@ -111,27 +111,27 @@
 /// What a rebuild from these files would do now; nothing is written.
 pub fn rebuild_dry_run(path: &Path, state: &str, node: &str) -> Outcome {
     let (directory, history) = load(path)?;
-    let mut access = ClientAccess { client: StateClient::new(state), clock: Clock::new() };
+    let mut access = ClientAccess { client: StoreClient::new(state), clock: Clock::new() };
     let observed = observe(&mut access).map_err(|_| CommandError::NoAnswer)?;
-    let verdict = judge(node, Some(&history.known()), &observed);
-    let generation = Generation { identity: history.identity.clone(), stamp: 0 };
+    let feasibility = judge(node, Some(&history.known()), &observed);
+    let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
     let listed = list_generation(&mut access, &generation).map_err(|_| CommandError::NoAnswer)?;
-    let same_line = matches!(verdict, Verdict::Intact(_));
+    let same_line = matches!(feasibility, Feasibility::Intact(_));
     let missing = missing_records(&history.picture, history.identity.base, listed.rows())
         .filter(|_| same_line);
-    let reason = match (&verdict, &missing) {
-        (Verdict::Lost(loss), _) | (_, Some(loss)) => format!("would rebuild: {loss}"),
-        (Verdict::Intact(_), None) => "would not rebuild: the records are intact".into(),
-        (Verdict::Newer(_), _) => "would not rebuild: another controller has".into(),
-        (Verdict::Unfounded, _) => "would wait for all controllers: the first start".into(),
-        (Verdict::ForeignCluster, _) => {
+    let reason = match (&feasibility, &missing) {
+        (Feasibility::Lost(loss), _) | (_, Some(loss)) => format!("would rebuild: {loss}"),
+        (Feasibility::Intact(_), None) => "would not rebuild: the records are intact".into(),
+        (Feasibility::Newer(_), _) => "would not rebuild: another controller has".into(),
+        (Feasibility::Unfounded, _) => "would wait for all controllers: the first start".into(),
+        (Feasibility::ForeignCluster, _) => {
             "would not start: the state service has another cluster's records".into()
         }
     };
     println!("{reason}");
     let survivors = Survivors { rows: listed.rows().clone(), same_line };
     println!("{}", plan(&history.picture, &survivors).summary);
-    if !history.is_proven(directory.is_marked(), wall()) {
+    if !history.is_verified(directory.is_marked(), wall()) {
         println!("the log may lack what was done last: would wait until no task is on any machine");
     }
     Ok(())
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -23,7 +23,7 @@
 use crate::recovery::directory::{Directory, LogFile, OwnDirectory, WriteError};
 use crate::settings::RecoverySettings;
 
-/// How long an answer of the state service is kept back for the disk.
+/// How long an answer of the store is kept back for the disk.
 const PATIENCE: Duration = Duration::from_secs(1);
 /// The log shows at least this often that it is written.
 const ALIVE_EVERY: Duration = Duration::from_secs(1);
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -12,14 +12,14 @@
 use quartzlever_recovery::detection::{Loss, missing_records};
 use quartzlever_recovery::guard::GuardError;
 use quartzlever_recovery::identity::{
-    IDENTITY, INHERITING, Inheriting, Observed, Stamped, UNVOUCHED, WITNESSES, Witness,
+    IDENTITY, INHERITING, Inheriting, Observed, Stamped, UNVERIFIED, WITNESSES, Witness,
 };
 use quartzlever_recovery::rebuild::{list_generation, observe, write_inherited};
-use quartzlever_wire::state::{StateCall, StateReply, Txn};
+use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json};
 
 use crate::clock::Clock;
-use crate::recovery::state::{ClientAccess, GuardedState, begin_anew};
+use crate::recovery::state::{ClientAccess, GuardedStore, reset_cache};
 use crate::settings::RecoverySettings;
 
 /// The witness key is written with every so many looks.
@@ -29,7 +29,7 @@
 
 /// Looks at the identity of the records now and then, and compares all records with the picture.
 pub struct Monitor {
-    state: Arc<GuardedState>,
+    state: Arc<GuardedStore>,
     settings: RecoverySettings,
     node: String,
     access: ClientAccess,
@@ -54,7 +54,7 @@
 impl Monitor {
     /// Starts the thread, which lives as long as the process.
     pub fn start(
-        state: Arc<GuardedState>,
+        state: Arc<GuardedStore>,
         settings: RecoverySettings,
         node: String,
         witness: u64,
@@ -87,8 +87,8 @@
 
     fn look(&mut self) {
         let looked = self.check_identity().and_then(|observed| {
-            let is_alone = observed.unvouched.len() >= self.pace.controllers;
-            self.vouch(&observed.unvouched, is_alone)?;
+            let is_alone = observed.unverified.len() >= self.pace.controllers;
+            self.announce_verified(&observed.unverified, is_alone)?;
             self.restore(observed.inheriting)?;
             if self.looks.is_multiple_of(LOOKS_PER_WITNESS) {
                 self.write_witness()?;
@@ -101,7 +101,7 @@
         });
         // A store that does not answer has lost nothing, as far as anybody knows.
         if let Err(GuardError::Lost(loss)) = looked {
-            begin_anew(&loss);
+            reset_cache(&loss);
         }
     }
 
@@ -120,22 +120,22 @@
 
     /// Compares the records with the picture for controllers that came without a history, and removes
     /// their keys. Where all came without one, nobody knows better than the store.
-    fn vouch(
+    fn announce_verified(
         &mut self,
-        unvouched: &BTreeMap<String, u64>,
+        unverified: &BTreeMap<String, u64>,
         nobody_knows: bool,
     ) -> Result<(), GuardError> {
-        if unvouched.is_empty() || (unvouched.contains_key(&self.node) && !nobody_knows) {
+        if unverified.is_empty() || (unverified.contains_key(&self.node) && !nobody_knows) {
             return Ok(());
         }
         self.audit()?;
-        let mut txn = Txn::default().when(IDENTITY, self.state.guard.generation.stamp);
-        for (node, stamp) in unvouched {
-            let key = format!("{UNVOUCHED}{node}");
-            txn = txn.when(&key, *stamp).delete(key);
+        let mut txn = Txn::default().when(IDENTITY, self.state.guard.generation.mod_revision);
+        for (node, mod_revision) in unverified {
+            let key = format!("{UNVERIFIED}{node}");
+            txn = txn.when(&key, *mod_revision).delete(key);
         }
         // Another controller may have been first.
-        self.state.client.call(&StateCall::Txn(txn))?;
+        self.state.client.call(&StoreCall::Txn(txn))?;
         Ok(())
     }
 
@@ -154,7 +154,7 @@
             };
             let last = last.clone();
             left -= records.len();
-            let mut store = |call: &StateCall| self.state.client.call(call);
+            let mut store = |call: &StoreCall| self.state.client.call(call);
             let generation = &self.state.guard.generation;
             match write_inherited(&mut store, generation, &records)? {
                 Some(update) => self.state.journal.record(update),
@@ -174,10 +174,10 @@
             return Ok(());
         }
         let txn = Txn::default()
-            .when(IDENTITY, self.state.guard.generation.stamp)
-            .when(INHERITING, inheriting.stamp)
+            .when(IDENTITY, self.state.guard.generation.mod_revision)
+            .when(INHERITING, inheriting.mod_revision)
             .delete(INHERITING);
-        self.state.client.call(&StateCall::Txn(txn))?;
+        self.state.client.call(&StoreCall::Txn(txn))?;
         tracing::info!("recovery: all final states are written");
         Ok(())
     }
@@ -186,15 +186,15 @@
         let count = self.witness + 1;
         let key = format!("{WITNESSES}{}", self.node);
         let txn = Txn::default()
-            .when(IDENTITY, self.state.guard.generation.stamp)
+            .when(IDENTITY, self.state.guard.generation.mod_revision)
             .write(key, Json::of(&Witness { count }));
-        match self.state.client.call(&StateCall::Txn(txn)) {
-            Ok(StateReply::Committed(_)) => {
+        match self.state.client.call(&StoreCall::Txn(txn)) {
+            Ok(StoreReply::Committed(_)) => {
                 self.witness = count;
                 self.state.journal.witness_written(count);
                 Ok(())
             }
-            Ok(StateReply::Conflict(_)) => Err(GuardError::Lost(Loss::IdentityDiffers)),
+            Ok(StoreReply::Conflict(_)) => Err(GuardError::Lost(Loss::IdentityDiffers)),
             Ok(_) => Err(GuardError::Call(CallError::Unknown)),
             Err(error) => Err(error.into()),
         }
@@ -212,7 +212,7 @@
         self.state.suspects.store(false, Ordering::SeqCst);
         let Some(picture) = self.state.journal.picture() else { return Ok(()) };
         let listed = list_generation(&mut self.access, &self.state.guard.generation)?;
-        let mut store = |call: &StateCall| self.state.client.call(call);
+        let mut store = |call: &StoreCall| self.state.client.call(call);
         self.state.guard.verify(&mut store)?;
         let base = self.state.guard.generation.identity.base;
         match missing_records(&picture, base, listed.rows()) {
--- a/crates/quartzlever/src/recovery/peer_log.rs
+++ b/crates/quartzlever/src/recovery/peer_log.rs
@@ -7,20 +7,20 @@
 use quartzlever_recovery::picture::{KeyChange, Update};
 use quartzlever_wire::peers::{LoggedChanges, PeerAnswer};
 
-use crate::recovery::state::GuardedState;
+use crate::recovery::state::GuardedStore;
 
 /// Where the changes of other controllers go once this one has an intact store.
-pub type OwnLog = Arc<OnceLock<Arc<GuardedState>>>;
+pub type OwnLog = Arc<OnceLock<Arc<GuardedStore>>>;
 
 /// Takes another controller's changes into the log, if they belong to the same generation.
 pub fn take_changes(log: &OwnLog, logged: LoggedChanges) -> PeerAnswer {
     let Some(state) = log.get() else { return PeerAnswer::Nothing };
-    let LoggedChanges { cluster, generation, stamp, changes } = logged;
+    let LoggedChanges { cluster, generation, mod_revision, changes } = logged;
     let own = &state.guard.generation.identity;
     if own.cluster != cluster || own.generation != generation {
         return PeerAnswer::Nothing;
     }
-    let changes = changes.into_iter().map(|(key, value)| KeyChange { key, stamp, value });
+    let changes = changes.into_iter().map(|(key, value)| KeyChange { key, mod_revision, value });
     state.journal.record(Update { changes: changes.collect(), complete_to: None });
     PeerAnswer::Logged
 }
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -61,11 +61,13 @@
     /// Comes back when another controller has the changes of a transaction in its log, or when none is to be
     /// waited for.
     pub fn share(&self, update: &Update) {
-        let Some(stamp) = update.changes.first().map(|change| change.stamp) else { return };
+        let Some(mod_revision) = update.changes.first().map(|change| change.mod_revision) else {
+            return;
+        };
         let changes = update.changes.iter().map(|c| (c.key.clone(), c.value.clone())).collect();
         let Identity { cluster, generation, .. } = &self.identity;
         let (cluster, generation) = (cluster.clone(), *generation);
-        let changes = Arc::new(LoggedChanges { cluster, generation, stamp, changes });
+        let changes = Arc::new(LoggedChanges { cluster, generation, mod_revision, changes });
         let (acknowledged, first) = bounded(self.peers.len());
         for peer in &self.peers {
             let entry = Entry { changes: changes.clone(), acknowledged: acknowledged.clone() };
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -1,4 +1,4 @@
-//! The state service as the rest of the program sees it: every answer was guarded against loss, and is in
+//! The store as the rest of the program sees it: every answer was guarded against loss, and is in
 //! the log before it is known.
 //!
 //! Owns the order of guard, journal and replication in a call, and how a process that has lost data begins
@@ -10,13 +10,13 @@
 use std::thread;
 use std::time::Duration;
 
-use quartzlever_clients::StateClient;
-use quartzlever_recovery::StateAccess;
+use quartzlever_clients::StoreClient;
+use quartzlever_recovery::StoreAccess;
 use quartzlever_recovery::detection::Loss;
 use quartzlever_recovery::guard::{Guard, GuardError};
 use quartzlever_recovery::picture::{Record, Update};
 use quartzlever_recovery::rebuild::list_generation;
-use quartzlever_wire::state::{OVER, Row, StateCall, StateReply};
+use quartzlever_wire::store::{Row, StoreCall, StoreReply, TERMINAL_JOB_PREFIX};
 use quartzlever_wire::{CallError, Json, Micros};
 
 use crate::clock::{Clock, wall};
@@ -24,26 +24,26 @@
 use crate::recovery::journal::Journal;
 use crate::recovery::replication::Replication;
 
-/// The state service, called directly or through the guard.
+/// The store, called directly or through the guard.
 #[derive(Clone)]
-pub enum StateService {
-    Direct(StateClient),
-    Guarded(std::sync::Arc<GuardedState>),
+pub enum StoreService {
+    DirectCommand(StoreClient),
+    Guarded(std::sync::Arc<GuardedStore>),
 }
 
-impl StateService {
+impl StoreService {
     /// Makes a call.
-    pub fn call(&self, call: &StateCall) -> Result<StateReply, CallError> {
+    pub fn call(&self, call: &StoreCall) -> Result<StoreReply, CallError> {
         match self {
-            StateService::Direct(client) => client.call(call),
-            StateService::Guarded(state) => state.call(call),
+            StoreService::DirectCommand(client) => client.call(call),
+            StoreService::Guarded(state) => state.call(call),
         }
     }
 }
 
-/// The state service behind the guard and the journal.
-pub struct GuardedState {
-    pub client: StateClient,
+/// The store behind the guard and the journal.
+pub struct GuardedStore {
+    pub client: StoreClient,
     pub guard: Guard,
     pub journal: Journal,
     pub replication: Replication,
@@ -54,27 +54,27 @@
     pub lacks_jobs: AtomicBool,
 }
 
-impl GuardedState {
-    fn call(&self, call: &StateCall) -> Result<StateReply, CallError> {
+impl GuardedStore {
+    fn call(&self, call: &StoreCall) -> Result<StoreReply, CallError> {
         let call = &self.joined_to_picture(call);
         if let Some(reply) = self.refused_by_inheritance(call) {
             return Ok(reply);
         }
-        let mut store = |call: &StateCall| self.client.call(call);
+        let mut store = |call: &StoreCall| self.client.call(call);
         match self.guard.call(&mut store, call, |key| self.is_written(key)) {
-            Ok(StateReply::Row(None)) if self.inherited(call).is_some() => {
-                Ok(StateReply::Row(self.inherited(call)))
+            Ok(StoreReply::Row(None)) if self.inherited(call).is_some() => {
+                Ok(StoreReply::Row(self.inherited(call)))
             }
-            Ok(StateReply::Row(None)) if self.may_be_known_elsewhere(call) => {
+            Ok(StoreReply::Row(None)) if self.may_be_known_elsewhere(call) => {
                 Err(CallError::Unknown)
             }
             Ok(reply) => {
                 if let Some(update) = Update::shown_by(call, &reply) {
                     self.journal.record(update.clone());
-                    if matches!(call, StateCall::Txn(_)) {
+                    if matches!(call, StoreCall::Txn(_)) {
                         self.replication.share(&update);
                     }
-                } else if matches!((call, &reply), (StateCall::Watch { .. }, StateReply::TooOld)) {
+                } else if matches!((call, &reply), (StoreCall::Watch { .. }, StoreReply::TooOld)) {
                     self.read_anew()?;
                 }
                 Ok(reply)
@@ -84,52 +84,56 @@
                 self.suspects.store(true, Ordering::SeqCst);
                 Err(CallError::Unknown)
             }
-            Err(GuardError::Lost(loss)) => begin_anew(&loss),
+            Err(GuardError::Lost(loss)) => reset_cache(&loss),
         }
     }
 
     /// Whether a record of the picture is in the store too, as far as the picture goes.
     fn is_written(&self, key: &str) -> bool {
-        self.journal.get(key).is_some_and(|r| r.stamp > self.guard.generation.identity.base)
+        self.journal.get(key).is_some_and(|r| r.mod_revision > self.guard.generation.identity.base)
     }
 
     fn inherited_record(&self, key: &str) -> Option<Record> {
         let base = self.guard.generation.identity.base;
-        let record = self.journal.get(key).filter(|_| base > 0 && key.starts_with(OVER))?;
-        (record.stamp <= base).then_some(record)
+        let record =
+            self.journal.get(key).filter(|_| base > 0 && key.starts_with(TERMINAL_JOB_PREFIX))?;
+        (record.mod_revision <= base).then_some(record)
     }
 
     /// A final state that is not written yet, as the answer to a read of it.
-    fn inherited(&self, call: &StateCall) -> Option<Row> {
-        let StateCall::Get(key) = call else { return None };
-        let Record { value, stamp } = self.inherited_record(key)?;
-        Some(Row { path: key.clone(), v: Json::from_text(&value)?, stamp, charter: None })
+    fn inherited(&self, call: &StoreCall) -> Option<Row> {
+        let StoreCall::Get(key) = call else { return None };
+        let Record { value, mod_revision } = self.inherited_record(key)?;
+        Some(Row { path: key.clone(), v: Json::from_text(&value)?, mod_revision, lease_id: None })
     }
 
     /// A job is not accepted if it is over by a final state that is not written yet.
-    fn refused_by_inheritance(&self, call: &StateCall) -> Option<StateReply> {
-        let StateCall::Txn(txn) = call else { return None };
-        let absent = txn.conditions.iter().filter(|c| c.stamp == 0 && c.path.starts_with(OVER));
+    fn refused_by_inheritance(&self, call: &StoreCall) -> Option<StoreReply> {
+        let StoreCall::Txn(txn) = call else { return None };
+        let absent = txn
+            .conditions
+            .iter()
+            .filter(|c| c.mod_revision == 0 && c.path.starts_with(TERMINAL_JOB_PREFIX));
         let over: Vec<String> = absent
             .map(|condition| condition.path.clone())
             .filter(|key| self.inherited_record(key).is_some())
             .collect();
-        (!over.is_empty()).then_some(StateReply::Conflict(over))
+        (!over.is_empty()).then_some(StoreReply::Conflict(over))
     }
 
-    fn may_be_known_elsewhere(&self, call: &StateCall) -> bool {
+    fn may_be_known_elsewhere(&self, call: &StoreCall) -> bool {
         // Whether a job is live is asked first, and says nothing alone.
-        let is_final = matches!(call, StateCall::Get(key) if key.starts_with(OVER));
+        let is_final = matches!(call, StoreCall::Get(key) if key.starts_with(TERMINAL_JOB_PREFIX));
         is_final && self.lacks_jobs.load(Ordering::SeqCst)
     }
 
     /// A watch begins where the picture is complete, at the latest: the core, which has listed the records
     /// later, knows what comes twice.
-    fn joined_to_picture(&self, call: &StateCall) -> StateCall {
+    fn joined_to_picture(&self, call: &StoreCall) -> StoreCall {
         match call {
-            StateCall::Watch { from, hold_ms } => {
+            StoreCall::Watch { from, hold_ms } => {
                 let from = (*from).min(self.journal.complete_to());
-                StateCall::Watch { from, hold_ms: *hold_ms }
+                StoreCall::Watch { from, hold_ms: *hold_ms }
             }
             call => call.clone(),
         }
@@ -139,10 +143,10 @@
     fn read_anew(&self) -> Result<(), CallError> {
         let mut access = ClientAccess { client: self.client.clone(), clock: Clock::new() };
         let picture = list_generation(&mut access, &self.guard.generation)?;
-        let mut store = |call: &StateCall| self.client.call(call);
+        let mut store = |call: &StoreCall| self.client.call(call);
         match self.guard.verify(&mut store) {
             Ok(()) => self.journal.replace(picture),
-            Err(GuardError::Lost(loss)) => begin_anew(&loss),
+            Err(GuardError::Lost(loss)) => reset_cache(&loss),
             Err(GuardError::Call(error)) => return Err(error),
             Err(GuardError::Suspect) => return Err(CallError::Unknown),
         }
@@ -155,7 +159,7 @@
 
 /// Data was lost: the process begins anew, in place, so that nothing it has learned or asked for before can
 /// be acted on any more.
-pub fn begin_anew(loss: &Loss) -> ! {
+pub fn reset_cache(loss: &Loss) -> ! {
     static BEGUN: AtomicBool = AtomicBool::new(false);
     if BEGUN.swap(true, Ordering::SeqCst) {
         // Another thread is at it, and ends this one.
@@ -171,14 +175,14 @@
     std::process::exit(CANNOT_BEGIN_ANEW);
 }
 
-/// What the steps of a rebuild need, by a client of the state service.
+/// What the steps of a rebuild need, by a client of the store.
 pub struct ClientAccess {
-    pub client: StateClient,
+    pub client: StoreClient,
     pub clock: Clock,
 }
 
-impl StateAccess for ClientAccess {
-    fn call(&mut self, call: &StateCall) -> Result<StateReply, CallError> {
+impl StoreAccess for ClientAccess {
+    fn call(&mut self, call: &StoreCall) -> Result<StoreReply, CallError> {
         self.client.call(call)
     }
 
--- a/crates/quartzlever/src/responder.rs
+++ b/crates/quartzlever/src/responder.rs
@@ -40,7 +40,7 @@
 }
 
 /// The way to a connection for one answer. The thread that has the answer writes it itself: a
-/// thread that woke up for each answer only to write it was half the cost of a report.
+/// thread that woke up for each answer only to write it was half the cost of a heartbeat.
 #[derive(Debug)]
 pub struct Responder {
     socket: Arc<ClientSocket>,
--- a/crates/quartzlever/src/server/admission.rs
+++ b/crates/quartzlever/src/server/admission.rs
@@ -50,9 +50,9 @@
 pub enum Admitted {
     /// For as long as the worker wants.
     Kept,
-    /// For this one report.
+    /// For this one heartbeat.
     Once,
-    /// Not even for this report.
+    /// Not even for this heartbeat.
     Refused,
 }
 
--- a/crates/quartzlever/src/server/dispatch.rs
+++ b/crates/quartzlever/src/server/dispatch.rs
@@ -8,7 +8,7 @@
 use quartzlever_core::Command;
 use quartzlever_wire::Micros;
 use quartzlever_wire::users::JobSpec;
-use quartzlever_wire::workers::Report;
+use quartzlever_wire::workers::Heartbeat;
 
 use super::routing::Route;
 use super::shedding::{FixedAnswer, answer_at_once};
@@ -41,9 +41,9 @@
             Route::Ready => {
                 self.ask(Queue::Priority, HEALTH_PATIENCE, close, |id| Command::Ready { id })
             }
-            Route::Hello => match Report::parse(body) {
-                Some(report) => self.ask(Queue::Priority, WORKER_PATIENCE, close, |id| {
-                    Command::Report { id, report }
+            Route::Hello => match Heartbeat::parse(body) {
+                Some(heartbeat) => self.ask(Queue::Priority, WORKER_PATIENCE, close, |id| {
+                    Command::Heartbeat { id, heartbeat }
                 }),
                 None => self.socket.refuse(400, "not a report", close),
             },
@@ -56,8 +56,8 @@
             Route::Lookup(job) => {
                 self.ask(Queue::Questions, LOOKUP_PATIENCE, close, |id| Command::Lookup { id, job })
             }
-            Route::Abort(job) => {
-                self.ask(Queue::Questions, USER_PATIENCE, close, |id| Command::Abort { id, job })
+            Route::Cancel(job) => {
+                self.ask(Queue::Questions, USER_PATIENCE, close, |id| Command::Cancel { id, job })
             }
         }
     }
--- a/crates/quartzlever/src/server/reader.rs
+++ b/crates/quartzlever/src/server/reader.rs
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    /// Reads another part of a request that must not end yet.
+    /// Reads another partition of a request that must not end yet.
     fn read_part(&mut self, deadline: Instant) -> io::Result<()> {
         if self.read_before(deadline)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
--- a/crates/quartzlever/src/server/routing.rs
+++ b/crates/quartzlever/src/server/routing.rs
@@ -15,7 +15,7 @@
     /// About the job of this name.
     Lookup(String),
     /// Of the job of this name.
-    Abort(String),
+    Cancel(String),
     /// Refused at once.
     Refused {
         status: u16,
@@ -33,7 +33,7 @@
         let path = target.split('?').next().unwrap_or("").trim_start_matches('/');
         let (route, allowed) = match path.strip_prefix("v2/runs") {
             Some("") => (Route::Submit, "POST"),
-            Some(rest) => match Route::of_job(rest) {
+            Some(rest) => match Route::required_by(rest) {
                 Some(Route::Lookup(job)) => (Route::Lookup(job), "GET"),
                 Some(route) => (route, "POST"),
                 None => return NO_SUCH_PATH,
@@ -47,18 +47,18 @@
         }
         match route {
             // No job was ever accepted under a name that is none.
-            Route::Lookup(job) | Route::Abort(job) if !valid_id(&job) => UNKNOWN_JOB,
+            Route::Lookup(job) | Route::Cancel(job) if !valid_id(&job) => UNKNOWN_JOB,
             route => route,
         }
     }
 
     /// The route of what follows the path of all jobs.
-    fn of_job(rest: &str) -> Option<Route> {
+    fn required_by(rest: &str) -> Option<Route> {
         let job_path = rest.strip_prefix('/')?;
         match job_path.split_once('/') {
             None if job_path.is_empty() => None,
             None => Some(Route::Lookup(job_path.to_owned())),
-            Some((job, "abort")) => Some(Route::Abort(job.to_owned())),
+            Some((job, "abort")) => Some(Route::Cancel(job.to_owned())),
             Some(_) => None,
         }
     }
--- a/crates/quartzlever/src/server/routing/tests.rs
+++ b/crates/quartzlever/src/server/routing/tests.rs
@@ -13,7 +13,7 @@
         ("POST", "/v2/runs?x=/y", Route::Submit),
         ("GET", "/v2/runs/req-1", Route::Lookup(job())),
         ("GET", "/v2/runs/req-1?x", Route::Lookup(job())),
-        ("POST", "/v2/runs/req-1/abort", Route::Abort(job())),
+        ("POST", "/v2/runs/req-1/abort", Route::Cancel(job())),
         ("POST", "/ready", METHOD_NOT_ALLOWED),
         ("GET", "/hello", METHOD_NOT_ALLOWED),
         ("GET", "/v2/runs", METHOD_NOT_ALLOWED),
--- a/crates/quartzlever/src/server/tests.rs
+++ b/crates/quartzlever/src/server/tests.rs
@@ -8,14 +8,14 @@
 use crate::inbox::{Reply, Waiter};
 use crate::responder::Status;
 
-/// A worker that reports over a connection for as long as it may.
+/// A worker that heartbeats over a connection for as long as it may.
 struct Reporter {
     address: SocketAddr,
     stream: Option<TcpStream>,
 }
 
 impl Reporter {
-    /// Reports once; the status of the answer.
+    /// Heartbeats once; the status of the answer.
     fn report(&mut self, n: usize) -> Option<u16> {
         let body = format!(
             r#"{{"host":"n-{n}","address":"n-{n}:1","frame":"m","bay":"a","loaners":true,
--- a/crates/quartzlever/src/settings.rs
+++ b/crates/quartzlever/src/settings.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use quartzlever_core::{Config, Weight};
+use quartzlever_core::{Config, LogLevel};
 
 use operator::OperatorSettings;
 use platform::PlatformSettings;
@@ -37,7 +37,7 @@
     pub peers: Vec<Peer>,
     /// The address of the cloud.
     pub cloud: String,
-    /// The address of the state service.
+    /// The address of the store.
     pub state: String,
     /// Requests a second that the cloud takes from all controllers together.
     pub cloud_rps: f64,
@@ -50,14 +50,14 @@
 pub fn load(
     config: &Path,
     operator: Option<&Path>,
-    notes: Weight,
+    log_level: LogLevel,
 ) -> Result<Settings, SettingsError> {
     let operator = match operator {
         Some(path) => operator::parse(&path.display().to_string(), &read(path)?)?,
         None => OperatorSettings::default(),
     };
     let platform = platform::parse(&config.display().to_string(), &read(config)?)?;
-    Ok(combine(platform, operator, notes))
+    Ok(combine(platform, operator, log_level))
 }
 
 fn read(path: &Path) -> Result<String, SettingsError> {
@@ -65,9 +65,13 @@
         .map_err(|cause| SettingsError::Read { file: path.display().to_string(), cause })
 }
 
-fn combine(platform: PlatformSettings, operator: OperatorSettings, notes: Weight) -> Settings {
+fn combine(
+    platform: PlatformSettings,
+    operator: OperatorSettings,
+    log_level: LogLevel,
+) -> Settings {
     let OperatorSettings { core: operator, recovery } = operator;
-    let state_rps = core_rps(&platform, recovery.as_ref());
+    let store_rps = core_rps(&platform, recovery.as_ref());
     let platform::Members { node, nodes, peers } = platform.members;
     Settings {
         recovery,
@@ -86,15 +90,15 @@
             teams: platform.teams,
             objectives: platform.objectives,
             workers: platform.workers,
-            state_rps,
-            state_write_rps: platform.state_write_rps,
+            store_rps,
+            store_write_rps: platform.store_write_rps,
             value_bytes: platform.value_bytes,
-            block_bytes: platform.block_bytes,
+            group_bytes: platform.group_bytes,
             txn_ops: platform.txn_ops,
             version: quartzlever_core::VERSION,
             machine_capacity: platform.machine_capacity,
             operator,
-            notes,
+            log_level,
         },
     }
 }
@@ -104,7 +108,7 @@
 fn core_rps(platform: &PlatformSettings, recovery: Option<&RecoverySettings>) -> f64 {
     let controllers = platform.members.nodes.len() as f64;
     let own = recovery.map_or(0.0, |_| recovery::REQUESTS_PER_SECOND * controllers);
-    (platform.state_rps - own).max(platform.state_rps * MIN_CORE_SHARE)
+    (platform.store_rps - own).max(platform.store_rps * MIN_CORE_SHARE)
 }
 
 #[cfg(test)]
--- a/crates/quartzlever/src/settings/operator.rs
+++ b/crates/quartzlever/src/settings/operator.rs
@@ -94,7 +94,7 @@
         core.peers_asked = check.amount(field)? as usize;
     }
     let Operator { steal_fraction, idle_boots, price_cap, .. } = core;
-    let amounts: [Override<f64>; 3] = [
+    let resources: [Override<f64>; 3] = [
         Override::new(
             "steal_fraction",
             entry.steal_fraction,
@@ -104,7 +104,7 @@
         Override::new("idle_boots", entry.idle_boots, idle_boots, Range::new(0.0, 1000.0)),
         Override::new("price_cap", entry.price_cap, price_cap, Range::new(1.0, 1000.0)),
     ];
-    amounts.into_iter().try_for_each(|amount| amount.apply(|field| check.amount(field)))
+    resources.into_iter().try_for_each(|amount| amount.apply(|field| check.amount(field)))
 }
 
 fn check_durations(
--- a/crates/quartzlever/src/settings/platform.rs
+++ b/crates/quartzlever/src/settings/platform.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use quartzlever_core::{Objective, Team, WorkerTimes};
+use quartzlever_core::{ServiceLevelObjective, Team, WorkerTimes};
 use quartzlever_wire::micros_from_secs;
 use serde::Deserialize;
 
@@ -26,11 +26,11 @@
 
 const BYTES_PER_KILOBYTE: f64 = 1024.0;
 
-/// What a report costs with all that follows from it, in processor seconds.
-const REPORT_COST: f64 = 150e-6;
-/// How many reports come for each that is due: every change of a task brings one.
-const REPORTS_EACH: f64 = 2.0;
-/// Share of the processor that reports may take: bursts need the rest.
+/// What a heartbeat costs with all that follows from it, in processor seconds.
+const HEARTBEAT_COST: f64 = 150e-6;
+/// How many heartbeats come for each that is due: every change of a task brings one.
+const HEARTBEATS_EACH: f64 = 2.0;
+/// Share of the processor that heartbeats may take: bursts need the rest.
 const REPORTS_CPU_SHARE: f64 = 0.5;
 
 /// What holds for a limit of the machine that the settings leave out. Nothing is said of threads then
@@ -159,21 +159,21 @@
     pub state: String,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<ServiceLevelObjective>,
     pub workers: WorkerTimes,
     /// How many machines the processor serves without falling behind.
     pub machine_capacity: usize,
-    pub state_rps: f64,
+    pub store_rps: f64,
     pub api: SocketAddr,
     pub internal: SocketAddr,
     pub cloud_rps: f64,
     pub limits: Limits,
     pub zone: String,
-    pub state_write_rps: f64,
+    pub store_write_rps: f64,
     /// The largest value that the store takes, now and with the limits to come.
     pub value_bytes: usize,
     /// The largest value that the store takes now.
-    pub block_bytes: usize,
+    pub group_bytes: usize,
     pub txn_ops: usize,
 }
 
@@ -217,15 +217,15 @@
         objectives: params.objectives.iter().filter_map(objective).collect(),
         workers: check_workers(&check, &params.workers)?,
         machine_capacity: machine_capacity(&check, limits, params.workers.report_s)?,
-        state_rps: store.rps()?,
+        store_rps: store.rps()?,
         api: check.address("api_addr", &entry.api_addr)?,
         internal: check.address("internal_addr", &entry.internal_addr)?,
         cloud_rps: check_cloud_rps(&check, &params.cloud)?,
         limits: check_limits(&check, limits)?,
         zone: check.name("site", &entry.site)?,
-        state_write_rps: store.write_rps()?,
+        store_write_rps: store.write_rps()?,
         value_bytes: store.value_bytes()?,
-        block_bytes: (params.state.value_kb * BYTES_PER_KILOBYTE) as usize,
+        group_bytes: (params.state.value_kb * BYTES_PER_KILOBYTE) as usize,
         txn_ops: store.transaction_operations()?,
     })
 }
@@ -283,14 +283,24 @@
 }
 
 /// Objectives of kinds that this version does not know are passed over, as new fields are.
-fn objective(entry: &ObjectiveEntry) -> Option<Objective> {
+fn objective(entry: &ObjectiveEntry) -> Option<ServiceLevelObjective> {
     let (class, share) = (entry.class.clone(), entry.share);
     match entry.kind.as_str() {
-        "deadline" => Some(Objective::Deadline { class, share, times: entry.times.unwrap_or(1.0) }),
-        "wait" => Some(Objective::Wait { class, share, within: micros_from_secs(entry.within_s?) }),
-        "finished" => {
-            Some(Objective::Finished { class, share, within: micros_from_secs(entry.within_s?) })
-        }
+        "deadline" => Some(ServiceLevelObjective::Deadline {
+            class,
+            share,
+            times: entry.times.unwrap_or(1.0),
+        }),
+        "wait" => Some(ServiceLevelObjective::Wait {
+            class,
+            share,
+            within: micros_from_secs(entry.within_s?),
+        }),
+        "finished" => Some(ServiceLevelObjective::Finished {
+            class,
+            share,
+            within: micros_from_secs(entry.within_s?),
+        }),
         _ => None,
     }
 }
@@ -298,7 +308,7 @@
 fn check_workers(check: &Checker, entry: &WorkersEntry) -> Result<WorkerTimes, SettingsError> {
     let duration = |name, value, range| check.duration(Field { name, value, range });
     Ok(WorkerTimes {
-        report: duration("params.workers.report_s", entry.report_s, REPORT_SECONDS)?,
+        heartbeat_interval: duration("params.workers.report_s", entry.report_s, REPORT_SECONDS)?,
         lease: duration("params.workers.lease_s", entry.lease_s, WORKER_SECONDS)?,
         cancel: duration("params.workers.cancel_s", entry.cancel_s, WORKER_SECONDS)?,
     })
@@ -313,7 +323,7 @@
     let Some(value) = entry.and_then(|limits| limits.cpu_share) else { return Ok(usize::MAX) };
     let name = "params.machine_limits.cpu_share";
     let share = check.amount(Field { name, value, range: CPU_SHARE })?;
-    let machines = share * REPORTS_CPU_SHARE * report_s / (REPORTS_EACH * REPORT_COST);
+    let machines = share * REPORTS_CPU_SHARE * report_s / (HEARTBEATS_EACH * HEARTBEAT_COST);
     Ok(machines.max(1.0) as usize)
 }
 
--- a/crates/quartzlever/src/settings/recovery.rs
+++ b/crates/quartzlever/src/settings/recovery.rs
@@ -9,7 +9,7 @@
 
 use super::validation::{Checker, Field, Range, SettingsError, Violation};
 
-/// What recovery asks of the state service beyond what the core asks, in requests a second: the looks at
+/// What recovery asks of the store beyond what the core asks, in requests a second: the looks at
 /// the identity, its check after each renewal, and the witness.
 pub const REQUESTS_PER_SECOND: f64 = 2.0;
 
--- a/crates/quartzlever/src/settings/tests.rs
+++ b/crates/quartzlever/src/settings/tests.rs
@@ -117,10 +117,10 @@
         "txn_ops = 24\nnext = { rps = 100.0, write_rps = 900.0, value_kb = 8.0, txn_ops = 12 }",
     );
     let platform = platform::parse("f.toml", &text).expect("fine");
-    assert_eq!(platform.state_rps, 100.0);
-    assert_eq!(platform.state_write_rps, 400.0);
+    assert_eq!(platform.store_rps, 100.0);
+    assert_eq!(platform.store_write_rps, 400.0);
     assert_eq!(platform.value_bytes, 8 * 1024);
-    assert_eq!(platform.block_bytes, 16 * 1024);
+    assert_eq!(platform.group_bytes, 16 * 1024);
     assert_eq!(platform.txn_ops, 12);
     assert_eq!(platform.machine_capacity, usize::MAX);
     assert!(platform.objectives.is_empty());
@@ -132,8 +132,8 @@
         let text = FILE.replace("rps = 500.0", &format!("rps = {rps}"));
         let parse = || platform::parse("f.toml", &text).expect("fine");
         let operator = operator::parse("f.yaml", "recovery: { directory: d }").expect("fine");
-        let without = combine(parse(), OperatorSettings::default(), Weight::Info);
-        assert_eq!(without.core.state_rps, rps.parse::<f64>().expect("a number"));
-        assert_eq!(combine(parse(), operator, Weight::Info).core.state_rps, with_recovery);
+        let without = combine(parse(), OperatorSettings::default(), LogLevel::Info);
+        assert_eq!(without.core.store_rps, rps.parse::<f64>().expect("a number"));
+        assert_eq!(combine(parse(), operator, LogLevel::Info).core.store_rps, with_recovery);
     }
 }
--- a/crates/quartzlever/src/settings/validation.rs
+++ b/crates/quartzlever/src/settings/validation.rs
@@ -120,7 +120,7 @@
         self.amount(field).map(micros_from_secs)
     }
 
-    /// A name that becomes a part of keys.
+    /// A name that becomes a partition of keys.
     pub fn name(&self, field: &str, value: &str) -> Result<String, SettingsError> {
         let is_usable = !value.is_empty()
             && value.len() <= MAX_NAME_BYTES
--- a/crates/quartzlever/tests/end_to_end.rs
+++ b/crates/quartzlever/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The real program with the stand-ins on loopback.
+//! The real program with the fakes on loopback.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quartzlever_standin::fleet::{Behaviour, Fleet};
-use quartzlever_standin::program::Node;
-use quartzlever_standin::rules::RuleChecker;
-use quartzlever_standin::{Cloud, Store, http};
+use quartzlever_testkit::fleet::{Behaviour, Fleet};
+use quartzlever_testkit::program::Node;
+use quartzlever_testkit::rules::RuleChecker;
+use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
 use serde_json::{Value, json};
 
@@ -101,9 +101,10 @@
     let store = http::serve_store(Arc::new(Mutex::new(Store::default())), begin).expect("store");
     let nowhere = ("one".to_owned(), "127.0.0.1:1".parse().expect("address"));
     let controllers = Arc::new(Mutex::new(vec![nowhere]));
-    let report = Duration::from_millis(100);
+    let heartbeat_interval = Duration::from_millis(100);
     let slow_calls = Duration::ZERO;
-    let behaviour = Behaviour { report, slow_calls, lease: 10 * SECOND, run_time: SECOND };
+    let behaviour =
+        Behaviour { heartbeat_interval, slow_calls, lease: 10 * SECOND, run_time: SECOND };
     let rules = RuleChecker::new(20 * SECOND, Vec::new());
     let fleet = Fleet::new(rules, controllers.clone(), behaviour, begin);
     let cloud = fleet.serve_cloud(Cloud::new(8.0, &["a"], 3)).expect("cloud");
