--- a/crates/quartzlever/tests/recovery/main.rs
+++ b/crates/quartzlever/tests/recovery/main.rs
@@ -1,4 +1,4 @@
-//! The real program rebuilds what the state service has lost, while controllers and machines fail.
+//! The real program rebuilds what the store has lost, while controllers and machines fail.
 
 mod commands;
 mod testbed;
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::Duration;
 
-use quartzlever_standin::Store;
-use quartzlever_standin::users::until;
+use quartzlever_testkit::Store;
+use quartzlever_testkit::users::until;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -25,7 +25,7 @@
     Backup,
     Identity,
     /// The records of all jobs that are over; of one job; of half of all keys.
-    FinalStates,
+    TerminalJobs,
     OneJob,
     Half,
 }
@@ -49,7 +49,7 @@
         Lost::Everything => store.wipe(),
         Lost::Backup => *store = backup.clone(),
         Lost::Identity => store.lose(|key| key == "recovery/identity"),
-        Lost::FinalStates => store.lose(|key| key.starts_with("over/")),
+        Lost::TerminalJobs => store.lose(|key| key.starts_with("over/")),
         Lost::OneJob => {
             let live = store.keys("live/");
             let lost = live.first().cloned().unwrap_or_else(|| store.keys("over/")[0].clone());
@@ -171,7 +171,7 @@
 
 #[test]
 fn final_states_are_lost() {
-    jobs_survive(Lost::FinalStates, Trouble::None, 7);
+    jobs_survive(Lost::TerminalJobs, Trouble::None, 7);
 }
 
 #[test]
--- a/crates/quartzlever/tests/recovery/testbed.rs
+++ b/crates/quartzlever/tests/recovery/testbed.rs
@@ -1,4 +1,4 @@
-//! Three controllers that keep snapshots and logs, with stand-ins for store, cloud and workers; the
+//! Three controllers that keep snapshots and logs, with fakes for store, cloud and workers; the
 //! store loses data.
 
 use std::net::SocketAddr;
@@ -8,22 +8,22 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use quartzlever_standin::fleet::{Behaviour, Fleet};
-use quartzlever_standin::jobs::array;
-use quartzlever_standin::program::Node;
-use quartzlever_standin::rules::RuleChecker;
-use quartzlever_standin::site::Site;
-use quartzlever_standin::users::{Users, until};
-use quartzlever_standin::{Cloud, Store, http};
+use quartzlever_testkit::fleet::{Behaviour, Fleet};
+use quartzlever_testkit::jobs::array;
+use quartzlever_testkit::program::Node;
+use quartzlever_testkit::rules::RuleChecker;
+use quartzlever_testkit::site::Site;
+use quartzlever_testkit::users::{Users, until};
+use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
-use quartzlever_wire::state::OverRecord;
+use quartzlever_wire::store::TerminalJobRecord;
 use quartzlever_wire::users::JobPhase;
 
 const NODES: [&str; 3] = ["one", "two", "three"];
 const ZONES: [&str; 3] = ["a", "b", "a"];
 const MACHINES: usize = 8;
 const LIMITS: &str = "value_kb = 16.0\ntxn_ops = 24";
-const LOOK: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 const POLL: Duration = Duration::from_millis(200);
 /// No question about a job may stay without an answer for longer.
 const KNOWN_WITHIN: u64 = 75 * SECOND;
@@ -67,7 +67,7 @@
         let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let site = Site::new(&format!("recovery-{name}"), scratch, &NODES, &ZONES, LIMITS);
         let behaviour = Behaviour {
-            report: Duration::from_millis(300),
+            heartbeat_interval: Duration::from_millis(300),
             slow_calls: Duration::from_millis(300),
             lease: 10 * SECOND,
             run_time: 2 * SECOND,
@@ -117,7 +117,7 @@
             while !ended.load(Ordering::Relaxed) {
                 let done = done_jobs(&store.lock().unwrap_or_else(PoisonError::into_inner));
                 fleet.rules(|rules, now| done.iter().for_each(|job| rules.job_done(now, job)));
-                thread::sleep(LOOK);
+                thread::sleep(CHECK_INTERVAL);
             }
         }));
         let (users, fleet, ended) = (self.users.clone(), self.fleet.clone(), self.ended.clone());
@@ -251,7 +251,7 @@
         let key = format!("over/{job}").into_bytes();
         let names_it = |path: &Path| {
             let bytes = std::fs::read(path).unwrap_or_default();
-            bytes.windows(key.len()).any(|part| part == key)
+            bytes.windows(key.len()).any(|partition| partition == key)
         };
         let has_it = |n: &usize| {
             let files = std::fs::read_dir(self.directory(*n)).expect("a directory");
@@ -320,7 +320,7 @@
 /// Jobs that are done by the store's records, of whatever generation.
 fn done_jobs(store: &Store) -> Vec<String> {
     let is_done = |key: &str| {
-        let record = store.get(key).and_then(|(value, _)| value.parse::<OverRecord>());
+        let record = store.get(key).and_then(|(value, _)| value.parse::<TerminalJobRecord>());
         record.is_some_and(|record| record.phase == JobPhase::Done)
     };
     let jobs = store.keys("").into_iter().filter_map(|key| {
--- a/crates/quartzlever/tests/rolling_upgrade/main.rs
+++ b/crates/quartzlever/tests/rolling_upgrade/main.rs
@@ -50,16 +50,16 @@
 fn an_old_process_holds_what_a_new_one_had() {
     let mut bed = Testbed::start("holds", [Version::Production; 3]);
     bed.restart(&[0], Version::Present);
-    bed.expect_holder(0, 0);
+    bed.expect_leader(0, 0);
     bed.submit_arrays(&[0, 1, 2]);
     bed.kill(&[0]);
     let old = bed.expect_taken_over(0, &[1, 2]);
     bed.exchange_jobs();
     bed.restart(&[old], Version::Production);
-    bed.expect_holder(0, old);
+    bed.expect_leader(0, old);
     bed.submit_arrays(&[1, 2]);
     bed.restart(&[0], Version::Present);
-    bed.expect_holder(0, 0);
+    bed.expect_leader(0, 0);
     bed.exchange_jobs();
     bed.expect_services_refused();
     bed.restart(&[1], Version::Present);
@@ -77,7 +77,7 @@
     bed.expect_taken_over(2, &[0, 1]);
     bed.exchange_jobs();
     bed.restart(&[2], Version::Production);
-    bed.expect_holder(2, 2);
+    bed.expect_leader(2, 2);
     bed.expect_services_refused();
     bed.restart(&[2], Version::Present);
     bed.finish();
@@ -112,11 +112,11 @@
         bed.expect_taken_over(partition, &[0, 2]);
     }
     bed.submit_arrays(&[0, 2]);
-    // The holder of one partition dies while the old process is up.
+    // The leader of one partition dies while the old process is up.
     bed.restart(&[0], Version::Present);
     bed.expect_taken_over(0, &[0, 2]);
     bed.expect_taken_over(1, &[0, 2]);
     bed.restart(&[1], Version::Present);
-    bed.expect_holder(1, 1);
+    bed.expect_leader(1, 1);
     bed.finish();
 }
--- a/crates/quartzlever/tests/rolling_upgrade/testbed.rs
+++ b/crates/quartzlever/tests/rolling_upgrade/testbed.rs
@@ -1,4 +1,4 @@
-//! Three controllers of either version with stand-ins for store, cloud and workers.
+//! Three controllers of either version with fakes for store, cloud and workers.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,15 +7,17 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use quartzlever_standin::fleet::{Behaviour, Fleet};
-use quartzlever_standin::jobs::{array, service};
-use quartzlever_standin::program::Node;
-use quartzlever_standin::rules::RuleChecker;
-use quartzlever_standin::site::Site;
-use quartzlever_standin::users::{Users, until};
-use quartzlever_standin::{Cloud, Store, http, production};
+use quartzlever_testkit::fleet::{Behaviour, Fleet};
+use quartzlever_testkit::jobs::{array, service};
+use quartzlever_testkit::program::Node;
+use quartzlever_testkit::rules::RuleChecker;
+use quartzlever_testkit::site::Site;
+use quartzlever_testkit::users::{Users, until};
+use quartzlever_testkit::{Cloud, Store, http, production};
 use quartzlever_wire::SECOND;
-use quartzlever_wire::state::{CLUSTER_VERSION, OVER, OverRecord, PARTS, PartRecord};
+use quartzlever_wire::store::{
+    CLUSTER_VERSION_KEY, PARTITION_PREFIX, PartitionRecord, TERMINAL_JOB_PREFIX, TerminalJobRecord,
+};
 use quartzlever_wire::users::{JobPhase, JobSpec};
 
 /// Controllers, and so partitions, by name.
@@ -25,7 +27,7 @@
 /// Limits to come, which the upgrade has to keep to.
 const LIMITS: &str = "value_kb = 16.0\ntxn_ops = 24\n[params.state.next]\nvalue_kb = 1.0";
 /// How often the workers and the store are looked at.
-const LOOK: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 const POLL: Duration = Duration::from_millis(200);
 /// No question about a job may stay without an answer for longer.
 const KNOWN_WITHIN: u64 = 75 * SECOND;
@@ -99,8 +101,8 @@
         let site = Site::new(&format!("upgrade-{name}"), directory, &PARTITIONS, &ZONES, LIMITS);
         let addresses = site.addresses();
         let behaviour = Behaviour {
-            report: Duration::from_millis(500),
-            // A new holder reaches some machines long before others.
+            heartbeat_interval: Duration::from_millis(500),
+            // A new leader reaches some machines long before others.
             slow_calls: Duration::from_millis(800),
             lease: 10 * SECOND,
             run_time: 4 * SECOND,
@@ -148,7 +150,7 @@
                     done.iter().for_each(|job| rules.job_done(now, job));
                     rules.broken.extend(unknown.map(|key| format!("new_form: {key}")));
                 });
-                thread::sleep(LOOK);
+                thread::sleep(CHECK_INTERVAL);
             }
         }));
         let (users, fleet, ended) = (self.users.clone(), self.fleet.clone(), self.ended.clone());
@@ -213,11 +215,11 @@
     }
 
     /// The node whose present process holds a partition.
-    fn holder(&self, partition: usize) -> Option<usize> {
-        let key = format!("{PARTS}{}", PARTITIONS[partition]);
+    fn leader(&self, partition: usize) -> Option<usize> {
+        let key = format!("{PARTITION_PREFIX}{}", PARTITIONS[partition]);
         let (record, revision) =
             self.in_store(|store| store.get(&key).map(|(value, at)| (value.clone(), at)))?;
-        let record = record.parse::<PartRecord>()?;
+        let record = record.parse::<PartitionRecord>()?;
         let node = PARTITIONS.iter().position(|name| *name == record.node)?;
         let controller = &self.controllers[node];
         (controller.process.is_some() && revision > controller.started_at).then_some(node)
@@ -226,11 +228,11 @@
     /// Waits until a partition is held by one of these nodes, and gives which.
     pub fn expect_taken_over(&self, partition: usize, nodes: &[usize]) -> usize {
         let what = format!("{}: partition {partition} at one of {nodes:?}", self.name);
-        let wanted = |holder: &Option<usize>| holder.is_some_and(|node| nodes.contains(&node));
-        until(&what, || self.holder(partition), wanted).unwrap_or_default()
+        let wanted = |leader: &Option<usize>| leader.is_some_and(|node| nodes.contains(&node));
+        until(&what, || self.leader(partition), wanted).unwrap_or_default()
     }
 
-    pub fn expect_holder(&self, partition: usize, node: usize) {
+    pub fn expect_leader(&self, partition: usize, node: usize) {
         self.expect_taken_over(partition, &[node]);
     }
 
@@ -306,7 +308,7 @@
     }
 
     fn raised(&self) -> bool {
-        self.in_store(|store| store.get(CLUSTER_VERSION).is_some())
+        self.in_store(|store| store.get(CLUSTER_VERSION_KEY).is_some())
     }
 
     pub fn expect_raised(&self) {
@@ -366,10 +368,10 @@
     let store = store.lock().unwrap_or_else(PoisonError::into_inner);
     let unknown = upgrading.then(|| store.key_unknown_to_first_version()).flatten();
     let is_done = |key: &String| {
-        let record = store.get(key).and_then(|(value, _)| value.parse::<OverRecord>());
+        let record = store.get(key).and_then(|(value, _)| value.parse::<TerminalJobRecord>());
         record.is_some_and(|record| record.phase == JobPhase::Done)
     };
-    let done = store.keys(OVER).into_iter().filter(is_done);
-    let jobs = done.map(|key| key[OVER.len()..].to_owned()).collect();
+    let done = store.keys(TERMINAL_JOB_PREFIX).into_iter().filter(is_done);
+    let jobs = done.map(|key| key[TERMINAL_JOB_PREFIX.len()..].to_owned()).collect();
     (unknown.map(str::to_owned), jobs)
 }
