--- a/crates/quartzlever-core/src/autoscaling.rs
+++ b/crates/quartzlever-core/src/autoscaling.rs
@@ -14,10 +14,11 @@
 use quartzlever_wire::store::{CATALOGUE_KEY, StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
+use crate::calls::{PendingCloudCall, PendingStoreCall};
 use crate::leadership::parse;
 use crate::messages::CallPriority;
 use crate::partition::Types;
-use crate::router::{Core, PendingStoreCall};
+use crate::router::Core;
 
 pub use pending_instances::{PendingInstance, PendingInstances};
 pub use scale_in::ScaleInReason;
@@ -32,15 +33,6 @@
 /// Late copies come minutes after the original.
 const TERMINATED_REMEMBERED_FOR: Micros = 3600 * SECOND;
 
-/// What an answer from the cloud belongs to.
-#[derive(Debug)]
-pub(crate) enum PendingCloudCall {
-    Catalogue,
-    ScaleOutRequest { partition: String, term: u64, request: ScaleOutRequest },
-    Return { partition: Option<(String, u64)>, hosts: Vec<String> },
-    List { seen: Vec<quartzlever_wire::cloud::Instance> },
-}
-
 /// What the whole process knows of the cloud.
 #[derive(Debug, Default)]
 pub(crate) struct Cloud {
@@ -150,7 +142,7 @@
         self.cloud.tick_at = self.now + TICK;
         if !self.cloud.catalogue_waiting && self.now >= self.cloud.catalogue_at {
             self.cloud.catalogue_waiting = true;
-            self.cloud_call(CloudCall::Catalogue, PendingCloudCall::Catalogue);
+            self.call_cloud(CloudCall::Catalogue, PendingCloudCall::Catalogue);
         }
         if !self.may_act() || self.types.is_none() {
             return;
@@ -159,7 +151,7 @@
         {
             self.cloud.list_waiting = true;
             let work = PendingCloudCall::List { seen: Vec::new() };
-            self.cloud_call(CloudCall::List { from: None }, work);
+            self.call_cloud(CloudCall::List { from: None }, work);
         }
         let names: Vec<String> =
             self.partitions.values().filter(|p| p.active()).map(|p| p.name.clone()).collect();
@@ -169,6 +161,11 @@
         }
     }
 
+    /// Calls the cloud for as long as the lease is surely alive.
+    fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall) {
+        self.outbox.call_cloud(call, pending, self.lease.valid_until);
+    }
+
     pub(crate) fn cloud_replied(
         &mut self,
         work: PendingCloudCall,
@@ -184,7 +181,7 @@
                     if kept.text().len() <= self.limits.value_bytes {
                         let txn = Txn::default().write(CATALOGUE_KEY, kept);
                         self.write_budget.spend(1);
-                        self.call_store(
+                        self.outbox.call_store(
                             CallPriority::Work,
                             StoreCall::Txn(txn),
                             PendingStoreCall::KeptCatalogue,
@@ -195,7 +192,11 @@
                     if self.types.is_none() {
                         // Without the types nothing can be placed, not even on machines at hand.
                         let call = StoreCall::Get(CATALOGUE_KEY.into());
-                        self.call_store(CallPriority::Work, call, PendingStoreCall::KeptCatalogue);
+                        self.outbox.call_store(
+                            CallPriority::Work,
+                            call,
+                            PendingStoreCall::KeptCatalogue,
+                        );
                     }
                 }
             }
@@ -242,7 +243,7 @@
         if has_next && let Some(last) = seen.last() {
             self.cloud.list_waiting = true;
             let call = CloudCall::List { from: Some(last.name.clone()) };
-            return self.cloud_call(call, PendingCloudCall::List { seen });
+            return self.call_cloud(call, PendingCloudCall::List { seen });
         }
         let mut strays = Vec::new();
         for instance in &seen {
@@ -280,7 +281,7 @@
                     partition.autoscaling.pending_instances.forget(host);
                 }
             }
-            self.cloud_call(
+            self.call_cloud(
                 CloudCall::Return(strays.clone()),
                 PendingCloudCall::Return { partition: None, hosts: strays },
             );
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -8,7 +8,8 @@
 use quartzlever_wire::{CallError, Micros, SECOND, micros_from_secs};
 
 use super::scale_out::{cheapest_price, price};
-use super::{MAX_MACHINES_PER_SCALE_IN, Offer, PendingCloudCall, RETRY};
+use super::{MAX_MACHINES_PER_SCALE_IN, Offer, RETRY};
+use crate::calls::PendingCloudCall;
 use crate::config::Config;
 use crate::machines::machine::Machine;
 use crate::messages::LogLevel;
@@ -250,15 +251,15 @@
         let reasons = partition.begin_scale_in(&hosts);
         let partition = Some((name.to_owned(), partition.term));
         if let Some((late, all)) = late {
-            self.log(LogLevel::Info, || {
+            self.outbox.log(LogLevel::Info, || {
                 format!("part {name}: {late} of {all} machines on their way are late")
             });
         }
         if hosts.is_empty() {
             return;
         }
-        self.log(LogLevel::Info, || format!("part {name}: returns {}", reasons.join(", ")));
-        self.cloud_call(
+        self.outbox.log(LogLevel::Info, || format!("part {name}: returns {}", reasons.join(", ")));
+        self.call_cloud(
             CloudCall::Return(hosts.clone()),
             PendingCloudCall::Return { partition, hosts },
         );
--- a/crates/quartzlever-core/src/autoscaling/scale_out.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_out.rs
@@ -8,14 +8,14 @@
 use quartzlever_wire::users::JobSpec;
 use quartzlever_wire::{CallError, Micros, SECOND, micros_from_secs};
 
-use super::{Offer, PendingCloudCall, PendingInstance, PendingScaleOut, RETRY};
+use super::{Offer, PendingInstance, PendingScaleOut, RETRY};
+use crate::calls::{PendingCloudCall, PendingPeerCall};
 use crate::config::Config;
 use crate::machines::machine::{Machine, Resources};
 use crate::messages::LogLevel;
 use crate::partition::{Partition, PartitionJob};
 use crate::router::Core;
 use crate::scheduling::placement::{RunTimes, ZoneCapacity, offer_allowed, urgency, zone_capacity};
-use crate::stealing::PendingPeerCall;
 
 /// How long a refused kind of machine is not asked for again.
 const REFUSAL_REMEMBERED_FOR: Micros = 10 * SECOND;
@@ -285,7 +285,7 @@
         }
         let term = partition.term;
         for request in calls {
-            self.log(LogLevel::Info, || {
+            self.outbox.log(LogLevel::Info, || {
                 let ScaleOutRequest { machine_type, zone, spot, count, .. } = &request;
                 format!("part {name}: asks for {count} {machine_type} in {zone}, spot {spot}")
             });
@@ -294,7 +294,7 @@
                 term,
                 request: request.clone(),
             };
-            self.cloud_call(CloudCall::ScaleOut(request), work);
+            self.call_cloud(CloudCall::ScaleOut(request), work);
         }
     }
 
@@ -339,7 +339,7 @@
                             partition: name.to_owned(),
                             hosts: hosts.clone(),
                         };
-                        self.ask_peer(&node, request, PendingPeerCall::Notification);
+                        self.outbox.ask_peer(&node, request, PendingPeerCall::Notification);
                     }
                 }
             }
@@ -349,7 +349,7 @@
                 partition.autoscaling.scale_outs.remove(&request.name);
                 let offer = (request.machine_type, request.zone, request.spot);
                 partition.autoscaling.refused.insert(offer, now + REFUSAL_REMEMBERED_FOR);
-                self.log(LogLevel::Info, || format!("part {name}: no capacity for {what}"));
+                self.outbox.log(LogLevel::Info, || format!("part {name}: no capacity for {what}"));
             }
             _ => {
                 if let Some(open) = partition.autoscaling.scale_outs.get_mut(&request.name) {
--- a/crates/quartzlever-core/src/jobs.rs
+++ b/crates/quartzlever-core/src/jobs.rs
@@ -14,13 +14,13 @@
 use quartzlever_wire::{CallError, Json, Micros, Ranges, SECOND};
 use rand::seq::IndexedRandom;
 
+use crate::calls::{JobWrite, JobWriteAction, PendingPeerCall, PendingStoreCall, Purpose};
 use crate::config::Config;
 use crate::jobs::pages::{Pages, ProgressWrite, WriteLimits};
 use crate::leadership::parse;
 use crate::messages::{Answer, CallPriority, LogLevel, RequestId};
 use crate::partition::{Partition, PartitionJob, active_job_key};
-use crate::router::{Core, PendingStoreCall};
-use crate::stealing::PendingPeerCall;
+use crate::router::Core;
 use crate::store::write_budget::WriteKind;
 
 /// Users' requests under way beyond which new ones are shed at once.
@@ -30,69 +30,6 @@
 const MAX_CANCEL_ATTEMPTS: u32 = 6;
 const WRITE_RETRY: Micros = SECOND / 2;
 
-/// A transaction that changes the record of a job.
-#[derive(Debug)]
-pub(crate) struct JobWrite {
-    pub partition: String,
-    pub term: u64,
-    pub job: String,
-    pub action: JobWriteAction,
-    /// The newly finished tasks that it records.
-    pub recorded: Ranges,
-    /// The pages that it writes, with all that is finished of each.
-    pub pages: Vec<(u32, Ranges)>,
-}
-
-/// What a transaction does with the record of a job.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum JobWriteAction {
-    /// Writes it anew.
-    Record,
-    /// Writes pages only, on condition of the record as it is.
-    PagesOnly,
-    /// Ends the job.
-    End,
-}
-
-/// Why a job is read from the store.
-#[derive(Debug)]
-pub(crate) enum Purpose {
-    /// Whether a submission that cannot be accepted is of a known job; `refuse` says whether an
-    /// unknown one is refused for good.
-    Submit {
-        id: RequestId,
-        job: String,
-        refuse: bool,
-    },
-    Lookup {
-        id: RequestId,
-        job: String,
-    },
-    Cancel {
-        id: RequestId,
-        job: String,
-        tries: u32,
-    },
-}
-
-impl Purpose {
-    fn request(&self) -> RequestId {
-        match self {
-            Purpose::Submit { id, .. }
-            | Purpose::Lookup { id, .. }
-            | Purpose::Cancel { id, .. } => *id,
-        }
-    }
-
-    fn job(&self) -> &str {
-        match self {
-            Purpose::Submit { job, .. }
-            | Purpose::Lookup { job, .. }
-            | Purpose::Cancel { job, .. } => job,
-        }
-    }
-}
-
 /// Whether a job could ever run, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feasibility {
@@ -126,19 +63,19 @@
 
 impl Core {
     fn user_answer(&mut self, id: RequestId, status: u16, job: &str, phase: JobPhase) {
-        self.answer(id, status, Answer::Job(JobAnswer { id: job.to_owned(), phase }));
+        self.outbox.answer(id, status, Answer::Job(JobAnswer { id: job.to_owned(), phase }));
     }
 
     /// Starts a call for a user.
     fn user_call(&mut self, call: StoreCall, waiting: PendingStoreCall) {
         self.user_calls_in_flight += 1;
-        self.call_store(CallPriority::User, call, waiting);
+        self.outbox.call_store(CallPriority::User, call, waiting);
     }
 
     /// Reads a job for a user, unless too many calls of users are under way.
     pub(crate) fn read_for_user(&mut self, purpose: Purpose) {
         if self.user_calls_in_flight >= MAX_USER_CALLS {
-            return self.reject_retryable(purpose.request(), 503, "busy");
+            return self.outbox.reject_retryable(purpose.request(), 503, "busy");
         }
         self.read(purpose);
     }
@@ -154,7 +91,7 @@
             return self.user_answer(id, 200, &spec.id, phase);
         }
         if self.user_calls_in_flight >= MAX_SUBMISSIONS || self.write_budget.exhausted() {
-            return self.reject_retryable(id, 429, "busy");
+            return self.outbox.reject_retryable(id, 429, "busy");
         }
         let types = self.types.as_ref().map(|t| t.values());
         let refuse = match feasibility(&self.config, types, &spec) {
@@ -268,10 +205,10 @@
                 if known {
                     self.read(Purpose::Submit { id, job, refuse: false });
                 } else {
-                    self.reject_retryable(id, 503, "the part has changed hands");
+                    self.outbox.reject_retryable(id, 503, "the part has changed hands");
                 }
             }
-            _ => self.reject_retryable(id, 503, "not written"),
+            _ => self.outbox.reject_retryable(id, 503, "not written"),
         }
     }
 
@@ -290,7 +227,7 @@
         over: &TerminalJobRecord,
     ) {
         let view = JobView { id: job.to_owned(), phase: over.phase, done: over.done, running: 0 };
-        self.answer(id, 200, Answer::View(view));
+        self.outbox.answer(id, 200, Answer::View(view));
     }
 
     pub(crate) fn active_job_read(
@@ -306,7 +243,7 @@
                 return self.user_call(call, PendingStoreCall::ReadTerminalJob { purpose });
             }
             _ => {
-                return self.reject_retryable(
+                return self.outbox.reject_retryable(
                     purpose.request(),
                     503,
                     "the state service gives no answer",
@@ -316,7 +253,7 @@
         let record = parse::<ActiveJobRecord>(&row);
         if record.is_none() {
             let path = row.path.clone();
-            self.log(LogLevel::Error, || format!("unreadable record: {path}"));
+            self.outbox.log(LogLevel::Error, || format!("unreadable record: {path}"));
         }
         match purpose {
             Purpose::Submit { id, job, .. } => {
@@ -328,7 +265,7 @@
                 let unreadable_jobs =
                     JobView { id: job, phase: JobPhase::Queued, done: 0, running: 0 };
                 let view = record.map_or(unreadable_jobs, |r| self.view_active_job(&r));
-                self.answer(id, 200, Answer::View(view));
+                self.outbox.answer(id, 200, Answer::View(view));
             }
             Purpose::Cancel { id, job, tries } => {
                 let done = record.map_or(0, |r| r.finished.len());
@@ -357,27 +294,27 @@
             Ok(StoreReply::Row(Some(row))) => {
                 let over = parse::<TerminalJobRecord>(&row);
                 if over.is_none() {
-                    self.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+                    self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
                 }
                 over
             }
             Ok(StoreReply::Row(None)) => {
                 return match purpose {
                     Purpose::Submit { id, refuse: true, .. } => {
-                        self.answer(id, 422, Answer::Error { error: "can never run" });
+                        self.outbox.answer(id, 422, Answer::Error { error: "can never run" });
                     }
                     Purpose::Submit { id, .. } => {
-                        self.reject_retryable(id, 503, "cannot decide yet")
+                        self.outbox.reject_retryable(id, 503, "cannot decide yet")
                     }
                     Purpose::Lookup { id, .. } | Purpose::Cancel { id, .. } => {
-                        self.answer(id, 404, Answer::Error { error: "unknown job" });
+                        self.outbox.answer(id, 404, Answer::Error { error: "unknown job" });
                     }
                 };
             }
             _ => None,
         };
         let Some(over) = over else {
-            return self.reject_retryable(
+            return self.outbox.reject_retryable(
                 purpose.request(),
                 503,
                 "the state service gives no answer",
@@ -411,7 +348,7 @@
             Ok(StoreReply::Conflict(_)) if tries < MAX_CANCEL_ATTEMPTS => {
                 self.read(Purpose::Cancel { id, job, tries: tries + 1 });
             }
-            _ => self.reject_retryable(id, 503, "not written"),
+            _ => self.outbox.reject_retryable(id, 503, "not written"),
         }
     }
 
@@ -428,7 +365,7 @@
         nodes.dedup();
         for node in nodes.into_iter().map(str::to_owned).collect::<Vec<_>>() {
             let request = PeerRequest::Cancelled { job: job.to_owned(), done };
-            self.ask_peer(&node, request, PendingPeerCall::Notification);
+            self.outbox.ask_peer(&node, request, PendingPeerCall::Notification);
         }
     }
 
@@ -517,7 +454,7 @@
             recorded,
             pages,
         };
-        self.call_store(
+        self.outbox.call_store(
             CallPriority::Work,
             StoreCall::Txn(txn),
             PendingStoreCall::JobWrite(Box::new(write)),
@@ -593,7 +530,7 @@
     pub(crate) fn reread_job(&mut self, partition: &str, term: u64, job: &str) {
         let waiting =
             PendingStoreCall::Reread { partition: partition.into(), term, job: job.into() };
-        self.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), waiting);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), waiting);
     }
 
     pub(crate) fn active_job_reread(
@@ -620,7 +557,7 @@
                     term,
                     job: id.to_owned(),
                 };
-                self.call_store(
+                self.outbox.call_store(
                     CallPriority::Work,
                     StoreCall::Get(format!("{TERMINAL_JOB_PREFIX}{id}")),
                     waiting,
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -13,10 +13,11 @@
 use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, Txn};
 use quartzlever_wire::{Json, Micros, Ranges, SECOND};
 
+use crate::calls::PendingStoreCall;
 use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
 use crate::partition::{Partition, active_job_key};
-use crate::router::{Core, PendingStoreCall};
+use crate::router::Core;
 use crate::store::write_budget::WriteKind;
 
 /// Leftover pages are removed no more often, so that the watch can tell of the last removal.
@@ -224,7 +225,7 @@
         let Some((job, number)) = page_of_key(&row.path) else { return };
         let Some(finished) = parse::<PageRecord>(row).and_then(|record| record.tasks(number))
         else {
-            return self.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+            return self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
         };
         self.record_page(job, number, finished, row.mod_revision);
     }
@@ -292,7 +293,7 @@
             return;
         }
         self.pages.remove_after = self.now + REMOVE_PAUSE;
-        self.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 }
 
--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -15,13 +15,13 @@
 use rand::Rng;
 use serde::de::DeserializeOwned;
 
+use crate::calls::{PendingPeerCall, PendingStoreCall};
 use crate::config::surely_within;
 use crate::leadership::reachability::PEERS_TAKE_OVER_WITHIN;
 use crate::machines::ownership::is_machine_key;
 use crate::messages::{CallPriority, LogLevel};
 use crate::partition::Partition;
-use crate::router::{Core, PendingStoreCall};
-use crate::stealing::PendingPeerCall;
+use crate::router::Core;
 
 /// Kept back from a lease's life for answers and calls that are on their way out.
 const LEASE_MARGIN: Micros = SECOND;
@@ -57,14 +57,14 @@
         match self.lease.id {
             None => {
                 let life_ms = self.config.operator.lease_life / 1000;
-                self.call_store(
+                self.outbox.call_store(
                     CallPriority::Lease,
                     StoreCall::Grant { life_ms },
                     PendingStoreCall::Grant { sent },
                 );
             }
             Some(lease) => {
-                self.call_store(
+                self.outbox.call_store(
                     CallPriority::Lease,
                     StoreCall::Renew { lease },
                     PendingStoreCall::Renew { sent, lease },
@@ -127,14 +127,14 @@
         self.lease.valid_until = 0;
         self.lease.next_renewal_at = self.now;
         self.cluster.forget_node(&self.config.node);
-        self.log(LogLevel::Info, || "lease lost, and all parts with it".into());
+        self.outbox.log(LogLevel::Info, || "lease lost, and all parts with it".into());
         self.partitions.clear();
     }
 
     pub(crate) fn lose_partition(&mut self, name: &str, term: u64) {
         if self.partitions.get(name).is_some_and(|p| p.term == term) {
             self.partitions.remove(name);
-            self.log(LogLevel::Info, || format!("part {name}: lost, term {term}"));
+            self.outbox.log(LogLevel::Info, || format!("part {name}: lost, term {term}"));
         }
     }
 
@@ -157,7 +157,7 @@
             let hold_ms = self.config.watch_hold() / 1000;
             let call = StoreCall::Watch { from: self.cache.revision, hold_ms };
             let number = self.cache.watch;
-            self.call_store(
+            self.outbox.call_store(
                 CallPriority::Watch,
                 call,
                 PendingStoreCall::Watch { number, sent: now },
@@ -182,7 +182,7 @@
         self.cache.view_read_pending = true;
         self.cache.next_view_read_at = now + RETRY;
         let waiting = PendingStoreCall::Revision { asked: Vec::new(), sent: now };
-        self.call_store(CallPriority::Lease, StoreCall::Revision, waiting);
+        self.outbox.call_store(CallPriority::Lease, StoreCall::Revision, waiting);
     }
 
     pub(crate) fn watched(
@@ -294,7 +294,7 @@
                 if let Some(id) = row.path.strip_prefix(ACTIVE_JOB_PREFIX) {
                     self.cache.unreadable_jobs.insert(id.to_owned());
                 }
-                self.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+                self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
             }
         }
     }
@@ -399,7 +399,7 @@
         );
         self.write_budget.spend(1);
         let waiting = PendingStoreCall::Acquire { partition: name.to_owned(), lease };
-        self.call_store(CallPriority::Lease, StoreCall::Txn(txn), waiting);
+        self.outbox.call_store(CallPriority::Lease, StoreCall::Txn(txn), waiting);
     }
 
     /// Whether a partition's key may be changed now; it counts as being changed then.
@@ -452,7 +452,7 @@
         {
             return;
         }
-        self.log(LogLevel::Info, || format!("part {name}: held, term {term}"));
+        self.outbox.log(LogLevel::Info, || format!("part {name}: held, term {term}"));
         let mut partition = Partition::new(name, term, self.types.clone(), self.now);
         if self.evicting.remove(name) {
             partition.sole_leader_from = self.now + self.config.operator.lease_life;
@@ -521,7 +521,7 @@
         self.stealing.next_handback_request_at = self.now + HANDBACK_REQUEST_INTERVAL;
         let request = PeerRequest::HandBack { partition: self.config.node.clone() };
         let leader = leader.to_owned();
-        self.ask_peer(&leader, request, PendingPeerCall::Notification);
+        self.outbox.ask_peer(&leader, request, PendingPeerCall::Notification);
     }
 
     /// A home node asks for its partition.
@@ -553,12 +553,12 @@
         if !self.may_change_partition(name) {
             return;
         }
-        self.log(LogLevel::Info, || format!("part {name}: handed back"));
+        self.outbox.log(LogLevel::Info, || format!("part {name}: handed back"));
         let key = format!("{PARTITION_PREFIX}{name}");
         let txn = Txn::default().when(key.clone(), mod_revision).delete(key);
         self.write_budget.spend(1);
         let waiting = PendingStoreCall::Release { partition: name.to_owned(), mod_revision };
-        self.call_store(CallPriority::Lease, StoreCall::Txn(txn), waiting);
+        self.outbox.call_store(CallPriority::Lease, StoreCall::Txn(txn), waiting);
     }
 
     /// A partition's key was given up, or is another's already. the cache lags behind, and a partition that
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -19,10 +19,10 @@
 use quartzlever_wire::{Json, Micros, SECOND};
 use rand::seq::IteratorRandom;
 
+use crate::calls::{PendingPeerCall, PendingStoreCall, PendingWorkerCall};
 use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
-use crate::router::{Core, PendingStoreCall, PendingWorkerCall};
-use crate::stealing::PendingPeerCall;
+use crate::router::Core;
 
 const CHECK_INTERVAL: Micros = SECOND;
 /// A peer's word counts as long.
@@ -127,7 +127,7 @@
                 .map(|p| (p.name.clone(), p.term))
                 .collect();
             for (partition, term) in unreachable_partitions {
-                self.log(LogLevel::Info, || {
+                self.outbox.log(LogLevel::Info, || {
                     format!("part {partition}: given up, peers hear its workers")
                 });
                 self.reachability.machines_seen.remove(&partition);
@@ -147,7 +147,7 @@
         // It hangs on this node's lease, so that nothing is left of it in the end.
         let value = Json::of(&MachinesSeenRecord { machines });
         let txn = Txn::default().write_held(key, value, lease);
-        self.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 
     /// What a peer has left at the store.
@@ -171,7 +171,7 @@
             if let Some(node) = self.other_leader_of(&partition).map(str::to_owned) {
                 let machines = machines as u32;
                 let request = PeerRequest::MachinesSeen { partition: partition.clone(), machines };
-                self.ask_peer(
+                self.outbox.ask_peer(
                     &node,
                     request,
                     PendingPeerCall::MachinesSeen { partition, machines },
@@ -223,13 +223,14 @@
             return;
         };
         let wait = PendingWorkerCall { machine, probe: true, ..PendingWorkerCall::default() };
-        self.worker_call(address, WorkerCall::Status, wait);
+        let until = self.authority_expires_at();
+        self.outbox.call_worker(address, WorkerCall::Status, wait, until);
     }
 
     /// A machine was reached again.
     pub(crate) fn probed(&mut self, reached: bool) {
         if reached && self.reachability.lost.take().is_some() {
-            self.log(LogLevel::Info, || "workers are reached again".into());
+            self.outbox.log(LogLevel::Info, || "workers are reached again".into());
         }
     }
 }
--- a/crates/quartzlever-core/src/leadership/tests.rs
+++ b/crates/quartzlever-core/src/leadership/tests.rs
@@ -37,7 +37,7 @@
         ("over/req-3", 11, false),
     ] {
         let mut core = with_leaders(100);
-        core.config.log_level = crate::messages::LogLevel::Error;
+        core.outbox.set_log_level(LogLevel::Error);
         core.reconcile_job(record_of(1, 4, "one"), 10);
         core.job_terminated("req-3", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
         core.cache.revision = 8;
@@ -45,7 +45,7 @@
         let v = Json::of(&"no record");
         let log = vec![Event::Write { write: key.into(), v, mod_revision }];
         core.watched(1, NOW, Ok(StoreReply::Watched(WatchAnswer { revision: 12, log })));
-        let noted = core.out.iter().any(|e| matches!(e, Effect::Log { .. }));
+        let noted = core.outbox.take_effects().iter().any(|e| matches!(e, Effect::Log { .. }));
         assert_eq!(noted, read, "{key} {mod_revision}");
         assert_eq!(core.cache.revision, 12, "{key} {mod_revision}");
         assert!(core.cache.active_jobs.contains_key("req-1"), "a job stays known");
--- a/crates/quartzlever-core/src/lib.rs
+++ b/crates/quartzlever-core/src/lib.rs
@@ -4,6 +4,7 @@
 //! [`Command`]s and returns [`Effect`]s; every reply to an effect comes back as a command.
 //! The same commands at the same times give the same effects.
 //!
+//! - `outbox`, `calls`: everything that leaves, and the calls that wait for a reply.
 //! - `router`: hands each command to the component that owns the state, and collects the effects.
 //! - `leadership`: the lease, which partitions this process leads, takeover and hand-back, reachability.
 //! - `store`: the cache of the replicated records, how it is filled, reads by revision, the write budget.
@@ -16,11 +17,13 @@
 //! - `upgrade`: what all controllers understand, and how that is raised while serving.
 
 pub mod autoscaling;
+mod calls;
 mod config;
 pub mod jobs;
 mod leadership;
 pub mod machines;
 mod messages;
+mod outbox;
 mod partition;
 mod router;
 pub mod scheduling;
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -7,12 +7,13 @@
 };
 use quartzlever_wire::{CallError, Micros, SECOND, micros_from_secs};
 
+use crate::calls::PendingWorkerCall;
 use crate::config::Config;
 use crate::machines::failures::MachineFailures;
 use crate::machines::machine::{DirectCommand, Machine, Resources, Slot, SlotKey};
-use crate::messages::{Answer, Effect, LogLevel, RequestId};
+use crate::messages::{Answer, LogLevel, RequestId};
 use crate::partition::{Assignment, Partition, PartitionJob, yields};
-use crate::router::{Core, PendingWorkerCall, STARTING, STORE_UNREACHABLE_AFTER};
+use crate::router::{Core, STARTING, STORE_UNREACHABLE_AFTER};
 use crate::scheduling::placement::RunTimes;
 
 /// Wait after a direct call that brought nothing.
@@ -71,7 +72,7 @@
             return self.handle_own_heartbeat(id, &name, &heartbeat);
         }
         if !self.cache.loaded() {
-            return self.reject_retryable(id, 503, STARTING);
+            return self.outbox.reject_retryable(id, 503, STARTING);
         }
         if let Some(record) = self.machine_record(&heartbeat.host) {
             let partition = record.partition.clone();
@@ -106,10 +107,10 @@
         match self.other_leader_of(partition).filter(|_| fresh) {
             Some(node) => {
                 let leader = node.to_owned();
-                self.answer(id, 421, Answer::Leader { leader });
+                self.outbox.answer(id, 421, Answer::Leader { leader });
             }
             // Held here but not yet known as a machine of it, or by nobody.
-            None => self.reject_retryable(id, 503, "not entitled"),
+            None => self.outbox.reject_retryable(id, 503, "not entitled"),
         }
     }
 
@@ -119,10 +120,10 @@
             .or_else(|| self.partitions.get(&self.config.node))
             .filter(|p| p.active());
         let Some(partition) = partition else {
-            return self.reject_retryable(id, 503, "not entitled");
+            return self.outbox.reject_retryable(id, 503, "not entitled");
         };
         if !self.may_act() || partition.autoscaling.terminated.contains(&heartbeat.host) {
-            return self.reject_retryable(id, 503, "not entitled");
+            return self.outbox.reject_retryable(id, 503, "not entitled");
         }
         let (partition_name, term) = (partition.name.clone(), partition.term);
         if partition.autoscaling.pending_instances.contains(&heartbeat.host) {
@@ -133,7 +134,7 @@
         if self.awaiting_presence_check.contains_key(&heartbeat.host)
             || self.awaiting_presence_check.len() >= MAX_PRESENCE_CHECKS
         {
-            return self.reject_retryable(id, 503, "asked already");
+            return self.outbox.reject_retryable(id, 503, "asked already");
         }
         let (machine, address) = (heartbeat.host.clone(), heartbeat.address.clone());
         self.awaiting_presence_check.insert(machine.clone(), (id, heartbeat));
@@ -144,7 +145,8 @@
             confirms_presence: true,
             ..PendingWorkerCall::default()
         };
-        self.worker_call(address, WorkerCall::Status, wait);
+        let until = self.authority_expires_at();
+        self.outbox.call_worker(address, WorkerCall::Status, wait, until);
     }
 
     /// A machine that nobody knew was asked whether it is there.
@@ -163,10 +165,10 @@
                 if held && self.may_act() && self.machine_record(&heartbeat.host).is_none() {
                     self.request_ownership(id, fresh, &wait.partition, wait.term);
                 } else {
-                    self.reject_retryable(id, 503, "not entitled");
+                    self.outbox.reject_retryable(id, 503, "not entitled");
                 }
             }
-            _ => self.reject_retryable(id, 503, "not entitled"),
+            _ => self.outbox.reject_retryable(id, 503, "not entitled"),
         }
     }
 
@@ -174,15 +176,15 @@
     fn handle_own_heartbeat(&mut self, id: RequestId, name: &str, heartbeat: &Heartbeat) {
         let now = self.now;
         if !self.may_act() {
-            return self.reject_retryable(id, 503, "not entitled");
+            return self.outbox.reject_retryable(id, 503, "not entitled");
         }
         let until = self.authority_expires_at();
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.active()) else {
-            return self.reject_retryable(id, 503, "not entitled");
+            return self.outbox.reject_retryable(id, 503, "not entitled");
         };
         if heartbeat.fencing_token > partition.term {
             // Somebody holds a later term, whatever the watch has told so far.
-            return self.reject_retryable(id, 503, "not entitled");
+            return self.outbox.reject_retryable(id, 503, "not entitled");
         }
         let newer =
             partition.apply_heartbeat(&self.config, &mut self.run_times, heartbeat, true, now);
@@ -191,7 +193,7 @@
         self.fill(name, &heartbeat.host);
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let Some(machine) = partition.machines.get_mut(&heartbeat.host) else {
-            return self.reject_retryable(id, 503, "not entitled");
+            return self.outbox.reject_retryable(id, 503, "not entitled");
         };
         // A late heartbeat's answer is dropped by the worker; the lease is taken as renewed all
         // the same, which errs on the safe side.
@@ -207,13 +209,7 @@
             incarnation: None,
             commands,
         });
-        self.out.push(Effect::Answer {
-            id,
-            status: 200,
-            body,
-            retry_after_s: None,
-            until: Some(until),
-        });
+        self.outbox.answer_until(id, body, until);
     }
 
     /// Asks machines with replicas of services that are late with their heartbeat whether they are
@@ -232,7 +228,7 @@
                     && m.serves()
             })
             .map(|m| m.name.clone())
-            .take(MAX_WORKER_CALLS.saturating_sub(self.pending_worker_calls.len()))
+            .take(MAX_WORKER_CALLS.saturating_sub(self.outbox.worker_calls_in_flight()))
             .collect();
         for machine in asked {
             self.call_worker(name, &machine);
@@ -242,7 +238,7 @@
     /// Calls workers that have something urgent to be told, or have to be fenced.
     pub(crate) fn call_workers(&mut self, name: &str) {
         let now = self.now;
-        let under_way = self.pending_worker_calls.len();
+        let under_way = self.outbox.worker_calls_in_flight();
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.active()) else { return };
         let (machines, unfenced) = (&partition.machines, &partition.unfenced);
         partition.urgent.retain(|host| {
@@ -315,7 +311,8 @@
             runs,
             ..PendingWorkerCall::default()
         };
-        let call_id = self.worker_call(address, call, wait);
+        let until = self.authority_expires_at();
+        let call_id = self.outbox.call_worker(address, call, wait, until);
         if let Some(machine) =
             self.partitions.get_mut(name).and_then(|p| p.machines.get_mut(machine_name))
         {
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -22,8 +22,9 @@
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 use serde::Serialize;
 
+use crate::calls::PendingStoreCall;
 use crate::messages::{CallPriority, LogLevel, RequestId};
-use crate::router::{Core, PendingStoreCall};
+use crate::router::Core;
 use crate::store::write_budget::WriteKind;
 
 const RETRY: Micros = SECOND / 2;
@@ -188,7 +189,7 @@
         self.write_budget.spend(txn.changes.len());
         self.splitting = true;
         let waiting = PendingStoreCall::SplitGroup { key, small: written, whole };
-        self.call_store(CallPriority::Work, StoreCall::Txn(txn), waiting);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), waiting);
     }
 
     pub(crate) fn group_split(
@@ -317,7 +318,7 @@
 
     fn reject_all(&mut self, requests: Vec<RequestId>) {
         for id in requests {
-            self.reject_retryable(id, 503, "not entitled");
+            self.outbox.reject_retryable(id, 503, "not entitled");
         }
     }
 
@@ -421,7 +422,7 @@
             dropped,
             partitions: terms,
         };
-        self.call_store(CallPriority::Work, StoreCall::Txn(txn), waiting);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), waiting);
     }
 
     pub(crate) fn group_written(
@@ -484,7 +485,7 @@
             work.writing = true;
         }
         let waiting = PendingStoreCall::ReadGroup { key: key.to_owned() };
-        self.call_store(CallPriority::Work, StoreCall::Get(key.to_owned()), waiting);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Get(key.to_owned()), waiting);
     }
 
     pub(crate) fn group_read(&mut self, key: &str, result: Result<StoreReply, CallError>) {
@@ -510,7 +511,7 @@
     pub(crate) fn apply_group_row(&mut self, row: &Row, is_change: bool) {
         let Some(hosts) = machine_records_in(&row.path, &row.v) else {
             let path = row.path.clone();
-            return self.log(LogLevel::Error, || format!("unreadable record: {path}"));
+            return self.outbox.log(LogLevel::Error, || format!("unreadable record: {path}"));
         };
         if is_change {
             self.apply_group_change(&row.path, hosts, row.mod_revision);
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -2,137 +2,30 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use quartzlever_wire::cloud::{CloudCall, CloudReply};
+use quartzlever_wire::cloud::CloudReply;
 use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
-use quartzlever_wire::store::{
-    ActiveJobRecord, Change as StoreChange, MachineRecords, StoreCall, StoreReply,
-};
-use quartzlever_wire::workers::{Heartbeat, WorkerCall, WorkerReply};
+use quartzlever_wire::store::StoreReply;
+use quartzlever_wire::workers::{Heartbeat, WorkerReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::autoscaling::PendingCloudCall;
+use crate::calls::{
+    PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall, TransactionSize,
+};
 use crate::config::Config;
 use crate::jobs::pages::Pages;
-use crate::jobs::{JobWrite, Purpose};
 use crate::leadership::reachability::Reachability;
 use crate::machines::ownership::PendingGroupChange;
-use crate::messages::{Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId};
+use crate::messages::{Answer, CallId, Command, Effect, LogLevel, RequestId};
+use crate::outbox::Outbox;
 use crate::partition::{Partition, Types};
 use crate::scheduling::placement::RunTimes;
 use crate::stealing::Stealing;
 use crate::store::cache::{Cache, LatestRevisions, TerminalJobs};
-use crate::store::listing::Section;
-use crate::store::lookups::{Asked, Lookups};
+use crate::store::lookups::Lookups;
 use crate::store::write_budget::WriteBudget;
-use crate::upgrade::{Cluster, ClusterWrite};
-
-/// What an answer from the store belongs to.
-#[derive(Debug)]
-pub(crate) enum PendingStoreCall {
-    /// Nothing depends on the answer: a hint for a peer, or the removal of what nobody needs.
-    Ignored,
-    /// The kept catalogue is read, or written.
-    KeptCatalogue,
-    Grant {
-        sent: Micros,
-    },
-    Renew {
-        sent: Micros,
-        lease: u64,
-    },
-    Acquire {
-        partition: String,
-        lease: u64,
-    },
-    Release {
-        partition: String,
-        mod_revision: u64,
-    },
-    /// A page of the records is listed.
-    List {
-        listing: u64,
-        section: Section,
-    },
-    /// A version was announced, or raised.
-    Cluster {
-        write: ClusterWrite,
-        lease: u64,
-    },
-    /// Machines move from a block of the first form to small ones.
-    SplitGroup {
-        key: String,
-        small: Vec<(String, MachineRecords)>,
-        whole: bool,
-    },
-    Watch {
-        number: u64,
-        sent: Micros,
-    },
-    /// The present revision, for the questions that wait for it, and for the age of the view.
-    Revision {
-        asked: Vec<Asked>,
-        sent: Micros,
-    },
-    ReadActiveJob {
-        purpose: Purpose,
-    },
-    ReadTerminalJob {
-        purpose: Purpose,
-    },
-    Accept {
-        id: RequestId,
-        record: Box<ActiveJobRecord>,
-    },
-    Cancel {
-        id: RequestId,
-        job: String,
-        done: u32,
-        tries: u32,
-    },
-    JobWrite(Box<JobWrite>),
-    Reread {
-        partition: String,
-        term: u64,
-        job: String,
-    },
-    RereadTerminalJob {
-        partition: String,
-        term: u64,
-        job: String,
-    },
-    StealWrite {
-        partition: String,
-        term: u64,
-        request: Option<RequestId>,
-        moved: Vec<crate::stealing::Move>,
-    },
-    /// A block of machines, as it will be; what was added and dropped, and for which terms.
-    WriteGroup {
-        key: String,
-        hosts: MachineRecords,
-        added: BTreeSet<String>,
-        dropped: BTreeSet<String>,
-        partitions: BTreeMap<String, u64>,
-    },
-    ReadGroup {
-        key: String,
-    },
-}
-
-/// What an answer from a worker belongs to.
-#[derive(Debug, Default)]
-pub(crate) struct PendingWorkerCall {
-    pub partition: String,
-    pub term: u64,
-    pub machine: String,
-    pub runs: Vec<crate::machines::machine::SlotKey>,
-    /// A machine that nobody knew is asked whether it is there.
-    pub confirms_presence: bool,
-    /// Any machine is asked, to see whether workers are reached from here.
-    pub probe: bool,
-}
+use crate::upgrade::Cluster;
 
 /// The state lease that all partitions of this process hang on.
 #[derive(Debug, Default)]
@@ -172,13 +65,6 @@
     pub learned_value_bytes: usize,
 }
 
-/// How large a transaction was: its largest value, and its changes.
-#[derive(Clone, Copy, Debug)]
-struct TransactionSize {
-    value: usize,
-    ops: usize,
-}
-
 /// Limits are never learned to be lower: the end of a job takes as much.
 const LEAST_VALUE: usize = 512;
 const LEAST_OPS: usize = 2;
@@ -193,12 +79,8 @@
     pub(crate) now: Micros,
     /// Time of day minus steady time.
     pub(crate) wall_offset: Option<i64>,
-    next_call_id: CallId,
-    pub(crate) out: Vec<Effect>,
-    pub(crate) pending_store_calls: HashMap<CallId, PendingStoreCall>,
-    pub(crate) pending_worker_calls: HashMap<CallId, PendingWorkerCall>,
-    pub(crate) pending_cloud_calls: HashMap<CallId, PendingCloudCall>,
-    pub(crate) pending_peer_calls: HashMap<CallId, crate::stealing::PendingPeerCall>,
+    /// Calls under way, answers, and everything else that leaves.
+    pub(crate) outbox: Outbox,
     pub(crate) lease: Lease,
     pub(crate) cache: Cache,
     pub(crate) partitions: BTreeMap<String, Partition>,
@@ -207,7 +89,6 @@
     pub(crate) pages: Pages,
     /// What the store takes, as far as is known.
     pub(crate) limits: Limits,
-    transaction_sizes: HashMap<CallId, TransactionSize>,
     pub(crate) reachability: Reachability,
     pub(crate) write_budget: WriteBudget,
     pub(crate) group_changes: BTreeMap<String, PendingGroupChange>,
@@ -238,9 +119,6 @@
     pub(crate) run_times: RunTimes,
     /// This node's part of the limits of the store and the cloud.
     share: f64,
-    /// What was turned away lately and why, for the log, and when that is told next.
-    rejected: BTreeMap<(u16, &'static str), u32>,
-    next_rejection_log_at: Micros,
     /// When all machines are looked at next, and all jobs for what is to be written.
     next_machine_check_at: Micros,
     next_job_write_at: Micros,
@@ -254,8 +132,6 @@
 const GROUP_WRITE_INTERVAL: Micros = SECOND / 10;
 /// Why everybody is turned away until the cache is there.
 pub(crate) const STARTING: &str = "starting";
-/// How often the log says what was turned away.
-const REJECTION_LOG_INTERVAL: Micros = 10 * SECOND;
 
 impl Core {
     /// A controller that has just started. `seed` must differ between processes of one node.
@@ -267,12 +143,7 @@
             started: now,
             now,
             wall_offset: None,
-            next_call_id: 0,
-            out: Vec::new(),
-            pending_store_calls: HashMap::new(),
-            pending_worker_calls: HashMap::new(),
-            pending_cloud_calls: HashMap::new(),
-            pending_peer_calls: HashMap::new(),
+            outbox: Outbox::new(config.log_level, now),
             lease: Lease::default(),
             cache: Cache::default(),
             partitions: BTreeMap::new(),
@@ -287,7 +158,6 @@
                 txn_ops: config.txn_ops,
                 learned_value_bytes: usize::MAX,
             },
-            transaction_sizes: HashMap::new(),
             reachability: Reachability::new(now),
             write_budget: WriteBudget::new(now),
             group_changes: BTreeMap::new(),
@@ -309,15 +179,13 @@
             user_calls_in_flight: 0,
             run_times: RunTimes::default(),
             share: 0.0,
-            rejected: BTreeMap::new(),
-            next_rejection_log_at: now,
             next_machine_check_at: 0,
             next_job_write_at: 0,
             next_group_write_at: 0,
             config,
         };
         if !core.config.leases_meet_cancel() {
-            core.log(LogLevel::Error, || {
+            core.outbox.log(LogLevel::Error, || {
                 "workers.cancel_s is too short for workers.lease_s: what cannot be reached is not \
                  gone in time by its lease alone"
                     .into()
@@ -337,7 +205,7 @@
         let share = self.config.share_of_limits(leaders, !self.partitions.is_empty());
         if share != self.share {
             self.share = share;
-            self.out.push(Effect::RateShare(share));
+            self.outbox.set_rate_share(share);
         }
         // What workers and users say concerns no partition's leader.
         let concerns_leaders = commands.is_empty()
@@ -364,7 +232,7 @@
         }
         self.decide();
         self.poll_lookups();
-        std::mem::take(&mut self.out)
+        self.outbox.take_effects()
     }
 
     fn dispatch(&mut self, command: Command) {
@@ -380,22 +248,22 @@
                     self.store_replied();
                 }
                 self.learn_limits(call_id, &result);
-                if let Some(waiting) = self.pending_store_calls.remove(&call_id) {
+                if let Some(waiting) = self.outbox.take_store_call(call_id) {
                     self.dispatch_store_reply(waiting, result);
                 }
             }
             Command::CloudReply { call_id, result } => {
-                if let Some(work) = self.pending_cloud_calls.remove(&call_id) {
+                if let Some(work) = self.outbox.take_cloud_call(call_id) {
                     self.dispatch_cloud_reply(work, result);
                 }
             }
             Command::WorkerReply { call_id, result } => {
-                if let Some(wait) = self.pending_worker_calls.remove(&call_id) {
+                if let Some(wait) = self.outbox.take_worker_call(call_id) {
                     self.dispatch_worker_reply(call_id, wait, result);
                 }
             }
             Command::PeerReply { call_id, result } => {
-                if let Some(work) = self.pending_peer_calls.remove(&call_id) {
+                if let Some(work) = self.outbox.take_peer_call(call_id) {
                     self.dispatch_peer_reply(work, result);
                 }
             }
@@ -441,15 +309,10 @@
         (self.now as i64 + self.wall_offset.unwrap_or(0)).max(0) as Micros
     }
 
-    pub(crate) fn call_id(&mut self) -> CallId {
-        self.next_call_id += 1;
-        self.next_call_id
-    }
-
     /// A transaction that is refused for its size, or for coming too often, shows a limit lower
     /// than the settings say: from then on less is written at once, or less often.
     fn learn_limits(&mut self, call_id: CallId, result: &Result<StoreReply, CallError>) {
-        let Some(size) = self.transaction_sizes.remove(&call_id) else { return };
+        let Some(size) = self.outbox.take_transaction_size(call_id) else { return };
         match result {
             Ok(StoreReply::TooLarge) => {
                 // Which of the two it was is not said.
@@ -466,7 +329,7 @@
                 let Limits { value_bytes, txn_ops, .. } = *limits;
                 // Once for each limit that is learned.
                 let is_lower = before.value_bytes > value_bytes || before.txn_ops > txn_ops;
-                self.log(if is_lower { LogLevel::Error } else { LogLevel::Debug }, || {
+                self.outbox.log(if is_lower { LogLevel::Error } else { LogLevel::Debug }, || {
                     let TransactionSize { value, ops } = size;
                     format!(
                         "the state service takes no transaction of {ops} changes with a value of \
@@ -475,74 +338,13 @@
                 });
             }
             Err(CallError::TooOften) if self.write_budget.throttle(self.now) => {
-                self.log(LogLevel::Error, || "the state service allows fewer changes".into());
+                self.outbox
+                    .log(LogLevel::Error, || "the state service allows fewer changes".into());
             }
             _ => {}
         }
     }
 
-    pub(crate) fn call_store(
-        &mut self,
-        call_priority: CallPriority,
-        call: StoreCall,
-        waiting: PendingStoreCall,
-    ) {
-        let call_id = self.call_id();
-        if let StoreCall::Txn(txn) = &call {
-            let value = |c: &StoreChange| match c {
-                StoreChange::Write { v, .. } => v.text().len(),
-                StoreChange::Delete { .. } => 0,
-            };
-            let value = txn.changes.iter().map(value).max().unwrap_or(0);
-            self.transaction_sizes
-                .insert(call_id, TransactionSize { value, ops: txn.changes.len() });
-        }
-        self.pending_store_calls.insert(call_id, waiting);
-        self.out.push(Effect::Store { call_id, call_priority, call });
-    }
-
-    pub(crate) fn cloud_call(&mut self, call: CloudCall, work: PendingCloudCall) {
-        let call_id = self.call_id();
-        self.pending_cloud_calls.insert(call_id, work);
-        let until = self.lease.valid_until;
-        self.out.push(Effect::Cloud { call_id, call, until });
-    }
-
-    pub(crate) fn worker_call(
-        &mut self,
-        address: String,
-        call: WorkerCall,
-        wait: PendingWorkerCall,
-    ) -> CallId {
-        let call_id = self.call_id();
-        self.pending_worker_calls.insert(call_id, wait);
-        let until = self.authority_expires_at();
-        self.out.push(Effect::Worker { call_id, address, call, until });
-        call_id
-    }
-
-    pub(crate) fn ask_peer(
-        &mut self,
-        node: &str,
-        request: PeerRequest,
-        work: crate::stealing::PendingPeerCall,
-    ) {
-        let call_id = self.call_id();
-        self.pending_peer_calls.insert(call_id, work);
-        self.out.push(Effect::Peer { call_id, node: node.to_owned(), request });
-    }
-
-    pub(crate) fn answer(&mut self, id: RequestId, status: u16, body: Answer) {
-        self.out.push(Effect::Answer { id, status, body, retry_after_s: None, until: None });
-    }
-
-    /// Tells a user to come back, at once.
-    pub(crate) fn reject_retryable(&mut self, id: RequestId, status: u16, why: &'static str) {
-        let body = Answer::Error { error: why };
-        *self.rejected.entry((status, why)).or_default() += 1;
-        self.out.push(Effect::Answer { id, status, body, retry_after_s: Some(1), until: None });
-    }
-
     /// Whether nothing of the service is known yet, so that every worker and every health check is
     /// turned away.
     pub fn starting(&self) -> bool {
@@ -556,30 +358,7 @@
 
     /// So many were turned away for that reason without asking.
     pub fn count_rejected(&mut self, count: u32) {
-        if count > 0 {
-            *self.rejected.entry((503, STARTING)).or_default() += count;
-        }
-    }
-
-    /// Says now and then what was turned away, and why: nothing else shows an overload.
-    fn log_rejected(&mut self) {
-        if self.now < self.next_rejection_log_at {
-            return;
-        }
-        self.next_rejection_log_at = self.now + REJECTION_LOG_INTERVAL;
-        let rejected = std::mem::take(&mut self.rejected);
-        if !rejected.is_empty() {
-            let each: Vec<String> =
-                rejected.iter().map(|((status, why), n)| format!("{status} {why} ({n})")).collect();
-            self.log(LogLevel::Info, || format!("turned away lately: {}", each.join(", ")));
-        }
-    }
-
-    /// Leaves a line in the log, if it is of enough weight.
-    pub(crate) fn log(&mut self, log_level: LogLevel, text: impl FnOnce() -> String) {
-        if log_level <= self.config.log_level {
-            self.out.push(Effect::Log { log_level, text: text() });
-        }
+        self.outbox.count_rejected(503, STARTING, count);
     }
 
     /// The store has answered.
@@ -588,7 +367,7 @@
         self.store_connectivity.last_reply_at = self.now;
         self.store_connectivity.isolated_at = None;
         if std::mem::take(&mut self.store_connectivity.outage_logged) {
-            self.log(LogLevel::Info, || {
+            self.outbox.log(LogLevel::Info, || {
                 format!("the state service answers again, after {silent} s without an answer")
             });
         }
@@ -600,7 +379,7 @@
         if self.store_connectivity.outage_logged
             && self.store_connectivity.isolated_at.replace(self.now).is_none()
         {
-            self.log(LogLevel::Info, || {
+            self.outbox.log(LogLevel::Info, || {
                 "the state service answers others and not this controller".into()
             });
         }
@@ -616,7 +395,7 @@
         }
         self.store_connectivity.peers_asked_at = now;
         if !std::mem::replace(&mut self.store_connectivity.outage_logged, true) {
-            self.log(LogLevel::Info, || {
+            self.outbox.log(LogLevel::Info, || {
                 format!(
                     "the state service has not answered for {} s",
                     STORE_UNREACHABLE_AFTER / SECOND
@@ -625,10 +404,10 @@
         }
         for node in self.config.nodes.clone() {
             if node != self.config.node {
-                self.ask_peer(
+                self.outbox.ask_peer(
                     &node,
                     PeerRequest::StoreConnectivity,
-                    crate::stealing::PendingPeerCall::StoreConnectivity,
+                    PendingPeerCall::StoreConnectivity,
                 );
             }
         }
@@ -636,9 +415,9 @@
 
     fn ready(&mut self, id: RequestId) {
         if self.is_ready() {
-            self.answer(id, 200, Answer::Ready { ready: true });
+            self.outbox.answer(id, 200, Answer::Ready { ready: true });
         } else {
-            self.reject_retryable(id, 503, STARTING);
+            self.outbox.reject_retryable(id, 503, STARTING);
         }
     }
 
@@ -726,7 +505,7 @@
 
     fn dispatch_peer_reply(
         &mut self,
-        work: crate::stealing::PendingPeerCall,
+        work: PendingPeerCall,
         result: Result<PeerAnswer, CallError>,
     ) {
         self.peer_replied(work, result);
@@ -738,7 +517,7 @@
             && partition.try_complete_recovery()
         {
             let after = (self.now - partition.acquired) / 1000;
-            self.log(LogLevel::Info, || format!("part {name}: recovered after {after} ms"));
+            self.outbox.log(LogLevel::Info, || format!("part {name}: recovered after {after} ms"));
         }
     }
 
@@ -759,7 +538,7 @@
             self.complete_recovery(name);
             let lines = self.partitions.get_mut(name).map(|p| std::mem::take(&mut p.log_events));
             for (log_level, line) in lines.into_iter().flatten() {
-                self.log(log_level, || format!("part {name}: {line}"));
+                self.outbox.log(log_level, || format!("part {name}: {line}"));
             }
             if self.may_act() {
                 self.place(name);
@@ -779,7 +558,7 @@
         self.poll_autoscaling();
         self.notify_saturated();
         self.poll_stealing();
-        self.log_rejected();
+        self.outbox.log_rejected(self.now);
     }
 
     pub(crate) fn partition_at_term(&mut self, name: &str, term: u64) -> Option<&mut Partition> {
--- a/crates/quartzlever-core/src/router/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -2,6 +2,16 @@
 
 use crate::testing::*;
 
+/// A call to the store under way, on whose reply nothing depends.
+fn ignored_store_call(core: &mut Core) -> CallId {
+    core.outbox.call_store(CallPriority::Work, StoreCall::Revision, PendingStoreCall::Ignored);
+    let call = core.outbox.take_effects().into_iter().find_map(|effect| match effect {
+        Effect::Store { call_id, .. } => Some(call_id),
+        _ => None,
+    });
+    call.expect("a call")
+}
+
 #[test]
 fn a_node_that_alone_is_out_of_touch_says_that_it_is_not_ready() {
     use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
@@ -56,7 +66,7 @@
 fn the_log_tells_once_of_a_state_service_that_is_out_of_reach() {
     use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
     let mut core = core();
-    core.config.log_level = LogLevel::Info;
+    core.outbox.set_log_level(LogLevel::Info);
     core.cache.loaded = true;
     core.store_connectivity.last_reply_at = NOW;
     assert!(lines(&core.step(NOW + 3 * SECOND, Vec::new())).is_empty());
@@ -78,8 +88,7 @@
         Effect::Peer { call_id, request: PeerRequest::StoreConnectivity, .. } => Some(*call_id),
         _ => None,
     });
-    let call_id = 1 << 40;
-    core.pending_store_calls.insert(call_id, crate::router::PendingStoreCall::Ignored);
+    let call_id = ignored_store_call(&mut core);
     let answer = Command::StoreReply { call_id, result: Ok(StoreReply::Renewed) };
     let effects = core.step(NOW + 9 * SECOND, vec![answer]);
     let back = "the state service answers again, after 9 s without an answer";
--- a/crates/quartzlever-core/src/scheduling/placement.rs
+++ b/crates/quartzlever-core/src/scheduling/placement.rs
@@ -10,7 +10,7 @@
 
 use crate::config::{Config, ServiceLevelObjective};
 use crate::machines::machine::{PendingPreemption, Resources, Slot, SlotKey};
-use crate::messages::{Effect, LogLevel};
+use crate::messages::LogLevel;
 use crate::partition::{Assignment, Partition, PartitionJob};
 use crate::router::Core;
 
@@ -346,9 +346,7 @@
             partition.saturated |= stopped.lacking > 0 && victims == Victims::Any;
             for (machine, count) in stopped.on {
                 let text = format!("part {name}: stops {count} on {machine} for {id}");
-                if self.config.log_level >= LogLevel::Info {
-                    self.out.push(Effect::Log { log_level: LogLevel::Info, text });
-                }
+                self.outbox.log(LogLevel::Info, || text);
             }
         }
     }
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -6,46 +6,18 @@
     ActiveJobRecord, PARTITION_PREFIX, StoreCall, StoreReply, TerminalJobRecord,
 };
 use quartzlever_wire::users::{JobPhase, Priority};
-use quartzlever_wire::{CallError, Json, Micros, Ranges, SECOND};
+use quartzlever_wire::{CallError, Json, Micros, SECOND};
 use rand::seq::IndexedRandom;
 
+use crate::calls::{Move, PendingPeerCall, PendingStoreCall};
 use crate::config::Config;
 use crate::machines::machine::{Resources, Slot};
-use crate::messages::{CallPriority, Effect, LogLevel, RequestId};
+use crate::messages::{CallPriority, LogLevel, RequestId};
 use crate::partition::{Partition, active_job_key};
-use crate::router::{Core, PendingStoreCall, STORE_UNREACHABLE_AFTER};
+use crate::router::{Core, STORE_UNREACHABLE_AFTER};
 use crate::scheduling::placement::offer_allowed;
 use crate::store::write_budget::WriteKind;
 
-/// What an answer from a peer belongs to.
-#[derive(Debug)]
-pub(crate) enum PendingPeerCall {
-    Count {
-        round: u64,
-        node: String,
-    },
-    Steal {
-        partition: String,
-    },
-    /// Whether the peer reaches the store.
-    StoreConnectivity,
-    /// A leader was told how many of a partition's machines come here.
-    MachinesSeen {
-        partition: String,
-        machines: u32,
-    },
-    /// Something was only told.
-    Notification,
-}
-
-/// Ranges of one job that a transaction moves, and the job's record after it.
-#[derive(Debug)]
-pub(crate) struct Move {
-    pub job: String,
-    pub cut: Ranges,
-    pub record: ActiveJobRecord,
-}
-
 /// One round of asking for counts.
 #[derive(Debug)]
 struct Round {
@@ -212,7 +184,7 @@
         self.stealing.round = Some(round);
         for node in asked {
             let work = PendingPeerCall::Count { round: number, node: node.clone() };
-            self.ask_peer(&node, PeerRequest::Counts { priority }, work);
+            self.outbox.ask_peer(&node, PeerRequest::Counts { priority }, work);
         }
     }
 
@@ -300,7 +272,7 @@
         self.stealing.next_saturation_notice_at = self.now + SATURATION_LIFETIME;
         for node in self.config.nodes.clone() {
             if node != self.config.node {
-                self.ask_peer(&node, PeerRequest::Saturated, PendingPeerCall::Notification);
+                self.outbox.ask_peer(&node, PeerRequest::Saturated, PendingPeerCall::Notification);
             }
         }
     }
@@ -396,7 +368,7 @@
         let (name, term) = (partition.name.clone(), partition.term);
         let request = PeerRequest::Steal { partition: name, term, priority, thief, load: None };
         self.stealing.waiting = true;
-        self.ask_peer(&node, request, PendingPeerCall::Steal { partition: round.partition });
+        self.outbox.ask_peer(&node, request, PendingPeerCall::Steal { partition: round.partition });
     }
 
     /// Takes from the peer whose queue lasts longest, if that is much longer than the partition's own.
@@ -412,7 +384,7 @@
         let (partition, priority) = (round.partition.clone(), round.priority);
         let request = PeerRequest::Steal { partition, term, priority, thief, load: Some(own) };
         self.stealing.waiting = true;
-        self.ask_peer(&node, request, PendingPeerCall::Steal { partition: round.partition });
+        self.outbox.ask_peer(&node, request, PendingPeerCall::Steal { partition: round.partition });
     }
 
     /// A peer asks something.
@@ -483,12 +455,12 @@
                 }
             }
         };
-        self.out.push(Effect::AnswerPeer { id, answer });
+        self.outbox.answer_peer(id, answer);
     }
 
     fn answer_nothing(&mut self, request: Option<RequestId>) {
         if let Some(id) = request {
-            self.out.push(Effect::AnswerPeer { id, answer: PeerAnswer::Nothing });
+            self.outbox.answer_peer(id, PeerAnswer::Nothing);
         }
     }
 
@@ -577,7 +549,7 @@
             request,
             moved,
         };
-        self.call_store(CallPriority::Work, StoreCall::Txn(txn), waiting);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), waiting);
     }
 
     /// The store has answered the write of a move, or not.
@@ -634,11 +606,11 @@
             jobs.push((id, mod_revision, text));
         }
         let count = jobs.len();
-        self.log(LogLevel::Info, || format!("part {name}: tasks of {count} jobs stolen"));
+        self.outbox.log(LogLevel::Info, || format!("part {name}: tasks of {count} jobs stolen"));
         match request {
             Some(id) => {
                 let answer = PeerAnswer::Stolen { jobs };
-                self.out.push(Effect::AnswerPeer { id, answer });
+                self.outbox.answer_peer(id, answer);
             }
             None => self.steal_succeeded(),
         }
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -1,6 +1,5 @@
 //! Steals, as tables.
 
-use crate::jobs::{JobWrite, JobWriteAction};
 use crate::testing::*;
 
 #[test]
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -5,59 +5,18 @@
 //! earlier listing is ignored. Later pages may tell of changes after the first one, and the watch, which
 //! begins at the revision of the first page, tells of these again.
 
-use quartzlever_wire::pages::PAGES;
-use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, CLUSTER_PREFIX, MACHINE_PREFIX, PARTITION_PREFIX, Row, Rows, StoreCall,
-    StoreReply,
-};
+use quartzlever_wire::store::{Row, Rows, StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
+use crate::calls::{PendingStoreCall, Section};
 use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
-use crate::router::{Core, PendingStoreCall};
+use crate::router::Core;
 use crate::store::cache::Cache;
 
 /// After a page that was not read.
 const RETRY: Micros = SECOND / 2;
 
-/// Records of one kind.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Section {
-    Partitions,
-    Machines,
-    Jobs,
-    /// Listed after the jobs: what has moved from a job's record to a page is in one of the two at least.
-    Pages,
-    Cluster,
-}
-
-impl Section {
-    #[cfg(test)]
-    pub(crate) const ALL: [Section; 5] =
-        [Section::Partitions, Section::Machines, Section::Jobs, Section::Pages, Section::Cluster];
-
-    pub(crate) fn prefix(self) -> &'static str {
-        match self {
-            Section::Partitions => PARTITION_PREFIX,
-            Section::Machines => MACHINE_PREFIX,
-            Section::Jobs => ACTIVE_JOB_PREFIX,
-            Section::Pages => PAGES,
-            Section::Cluster => CLUSTER_PREFIX,
-        }
-    }
-
-    /// The section that is listed next.
-    fn next(self) -> Option<Section> {
-        match self {
-            Section::Partitions => Some(Section::Machines),
-            Section::Machines => Some(Section::Jobs),
-            Section::Jobs => Some(Section::Pages),
-            Section::Pages => Some(Section::Cluster),
-            Section::Cluster => None,
-        }
-    }
-}
-
 /// The listing under way.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Listing {
@@ -92,7 +51,11 @@
 
     fn list(&mut self, listing: u64, section: Section, from: Option<String>) {
         let call = StoreCall::List { prefix: section.prefix().into(), from };
-        self.call_store(CallPriority::Lease, call, PendingStoreCall::List { listing, section });
+        self.outbox.call_store(
+            CallPriority::Lease,
+            call,
+            PendingStoreCall::List { listing, section },
+        );
     }
 
     /// A page of the records was read, or not.
@@ -173,7 +136,7 @@
             .collect();
         for name in lost {
             self.partitions.remove(&name);
-            self.log(LogLevel::Info, || format!("part {name}: lost unnoticed"));
+            self.outbox.log(LogLevel::Info, || format!("part {name}: lost unnoticed"));
         }
     }
 
--- a/crates/quartzlever-core/src/store/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -8,9 +8,9 @@
 use quartzlever_wire::users::{JobPhase, JobView};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
-use crate::jobs::Purpose;
+use crate::calls::{Asked, PendingStoreCall, Purpose};
 use crate::messages::{Answer, CallPriority, RequestId};
-use crate::router::{Core, PendingStoreCall};
+use crate::router::Core;
 
 /// Share of the requests to the store that may bring revisions.
 const SHARE: f64 = 0.2;
@@ -20,14 +20,6 @@
 /// revision, tens of milliseconds, so 20,000 a second may come, however many machines there are.
 const MOST: usize = 2_000;
 
-/// A question that waits.
-#[derive(Debug)]
-pub(crate) struct Asked {
-    id: RequestId,
-    job: String,
-    since: Micros,
-}
-
 /// The questions that wait.
 #[derive(Debug, Default)]
 pub(crate) struct Lookups {
@@ -46,7 +38,7 @@
         }
         let queued: usize = self.lookups.fenced.iter().map(|f| f.1.len()).sum();
         if self.lookups.waiting.len() + queued >= MOST {
-            return self.reject_retryable(id, 503, "busy");
+            return self.outbox.reject_retryable(id, 503, "busy");
         }
         let since = self.now;
         self.lookups.waiting.push(Asked { id, job, since });
@@ -61,7 +53,7 @@
             lookups.next = now + pause;
             let asked = std::mem::take(&mut lookups.waiting);
             let call = quartzlever_wire::store::StoreCall::Revision;
-            self.call_store(
+            self.outbox.call_store(
                 CallPriority::User,
                 call,
                 PendingStoreCall::Revision { asked, sent: now },
@@ -108,7 +100,7 @@
             }
             _ => {
                 for one in asked {
-                    self.reject_retryable(one.id, 503, "the state service gives no answer");
+                    self.outbox.reject_retryable(one.id, 503, "the state service gives no answer");
                 }
             }
         }
@@ -122,7 +114,7 @@
         match self.cache.active_jobs.get(&job) {
             Some((record, _)) => {
                 let view = self.view_active_job(record);
-                self.answer(id, 200, Answer::View(view));
+                self.outbox.answer(id, 200, Answer::View(view));
             }
             None => self.read_for_user(Purpose::Lookup { id, job }),
         }
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -1,13 +1,14 @@
 //! What tests of single modules share: a controller with one partition and one machine, jobs, and reports.
 
 pub(crate) use crate::autoscaling::PendingInstance;
+pub(crate) use crate::calls::{JobWrite, JobWriteAction, Move, PendingStoreCall, Section};
 pub(crate) use crate::config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
-pub(crate) use crate::messages::{Answer, CallId, Command, Effect, LogLevel, RequestId};
+pub(crate) use crate::messages::{
+    Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId,
+};
 pub(crate) use crate::partition::Partition;
 pub(crate) use crate::router::Core;
 pub(crate) use crate::scheduling::placement::RunTimes;
-pub(crate) use crate::stealing::Move;
-pub(crate) use crate::store::listing::Section;
 pub(crate) use quartzlever_wire::cloud::{CloudCall, MachineType};
 pub(crate) use quartzlever_wire::peers::{
     FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity,
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -12,9 +12,10 @@
 };
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
+use crate::calls::{ClusterWrite, PendingStoreCall};
 use crate::leadership::parse;
-use crate::messages::{CallPriority, Effect, LogLevel};
-use crate::router::{Core, PendingStoreCall};
+use crate::messages::{CallPriority, LogLevel};
+use crate::router::Core;
 
 /// The version of this program. Version 1 tells nothing of itself.
 pub const VERSION: u32 = 2;
@@ -28,17 +29,6 @@
 /// After an announcement or a raising that was not answered, or came too early.
 const RETRY: Micros = SECOND / 2;
 
-/// What was asked of the store for the cluster version.
-#[derive(Clone, Copy, Debug)]
-pub(crate) enum ClusterWrite {
-    /// This process's version was announced.
-    Announce,
-    /// Smaller blocks of machines were agreed on.
-    Blocks,
-    /// The cluster version was raised.
-    Raise,
-}
-
 /// What is known of the versions of all controllers.
 #[derive(Debug)]
 pub(crate) struct Cluster {
@@ -171,7 +161,7 @@
         self.cluster.write_pending = true;
         self.cluster.next_write_at = now + RETRY;
         self.write_budget.spend(1);
-        self.call_store(
+        self.outbox.call_store(
             CallPriority::Lease,
             StoreCall::Txn(txn),
             PendingStoreCall::Cluster { write, lease },
@@ -262,6 +252,7 @@
             match parse::<ClusterRecord>(row) {
                 Some(record) => self.cluster_raised(record.version),
                 None => self
+                    .outbox
                     .log(LogLevel::Error, || format!("unreadable record: {CLUSTER_VERSION_KEY}")),
             }
         } else if row.path == GROUP_SIZE_KEY {
@@ -269,12 +260,16 @@
                 Some(record) if record.size > 0 => {
                     self.cluster.group_size = Some((record.size, row.mod_revision));
                 }
-                _ => self.log(LogLevel::Error, || format!("unreadable record: {GROUP_SIZE_KEY}")),
+                _ => self
+                    .outbox
+                    .log(LogLevel::Error, || format!("unreadable record: {GROUP_SIZE_KEY}")),
             }
         } else if let Some(node) = row.path.strip_prefix(NODE_VERSION_PREFIX) {
             match parse::<NodeRecord>(row) {
                 Some(record) => self.cluster.insert_node(node, record, row.mod_revision),
-                None => self.log(LogLevel::Error, || format!("unreadable record: {}", row.path)),
+                None => {
+                    self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path))
+                }
             }
         }
     }
@@ -293,13 +288,13 @@
                 "the cluster is at version {version}, and this program knows versions up to \
                  {VERSION} only: start a newer one"
             );
-            self.out.push(Effect::Terminate { why });
+            self.outbox.terminate(why);
         } else if version > self.cluster.version {
             self.cluster.version = version;
             if self.cluster.upgrading {
                 self.cluster.services_expected_until = self.now + SERVICES_EXPECTED;
             }
-            self.log(LogLevel::Info, || {
+            self.outbox.log(LogLevel::Info, || {
                 format!("cluster version {version}: all controllers know it")
             });
         }
