--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -1,5 +1,5 @@
 //! A few workers on loopback ports, all under one lock, with a [`RuleChecker`] that is shown the
-//! whole fleet after each change. For thousands of workers see [`crate::crowd`].
+//! whole fleet after each change. For thousands of workers see [`crate::worker_fleet`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
--- a/crates/quartzlever-wire/src/json.rs
+++ b/crates/quartzlever-wire/src/json.rs
@@ -26,6 +26,7 @@
         serde_json::from_str(self.text()).ok()
     }
 
+    /// The value as JSON text, as it was received or written.
     pub fn text(&self) -> &str {
         self.0.get()
     }
--- a/crates/quartzlever-wire/src/lib.rs
+++ b/crates/quartzlever-wire/src/lib.rs
@@ -1,9 +1,13 @@
 //! The wire formats of quartzlever, in one package that clients can use too.
 //!
-//! Each module holds the serde types of one conversation: [`users`], [`workers`],
-//! [`cloud`], [`state`] (with [`pages`]) and [`peers`]. Names inside the code follow the usual terms
-//! (task, attempt, session, term, lease); the names that travel are given by serde
-//! attributes and appear nowhere else.
+//! Each module holds the serde types of one protocol: [`users`], [`workers`], [`cloud`],
+//! [`store`] (with [`pages`]) and [`peers`]. Names in the code are the usual terms (task, attempt,
+//! incarnation, term, lease); the names on the wire and in the store are given by serde
+//! attributes, and keys by the constants in [`store`] and [`pages`].
+//!
+//! Fields that end in `_s` are seconds, those in `_ms` milliseconds and those in `_gb` gigabytes.
+
+#![deny(missing_docs)]
 
 pub mod cloud;
 pub mod json;
@@ -23,7 +27,7 @@
 /// One second in [`Micros`].
 pub const SECOND: Micros = 1_000_000;
 
-/// The largest request body that the protocol allows.
+/// The largest body of a user's or worker's request, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
 /// Converts seconds from the wire to whole microseconds; never negative.
@@ -31,18 +35,13 @@
     if secs.is_finite() && secs > 0.0 { (secs * 1e6).round().min(1e18) as Micros } else { 0 }
 }
 
-/// Converts whole microseconds to the seconds of the wire.
-pub fn secs_from_micros(micros: Micros) -> f64 {
-    micros as f64 / 1e6
-}
-
 /// Why a call brought no answer that can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// The call was certainly not carried out and will not be.
     #[error("not carried out")]
     Refused,
-    /// Nor was this one, since more is asked than the store allows in a second (429).
+    /// The call was not carried out either, since the store allows fewer in a second (429).
     #[error("too often")]
     TooOften,
     /// The call may have been carried out, or may still be.
--- a/crates/quartzlever-wire/src/pages.rs
+++ b/crates/quartzlever-wire/src/pages.rs
@@ -1,18 +1,18 @@
-//! Finished tasks of large jobs in the store: pages of fixed task ranges, each under a key
-//! of its own. A page's value takes the same few bytes in whatever order tasks finish, so that it
-//! stays far below any limit of a value.
+//! Finished tasks of large jobs in the [store](crate::store): pages of fixed task ranges, each
+//! under a key of its own. A page's value takes the same few bytes in whatever order tasks finish,
+//! so that it stays far below any limit of a value.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Ranges;
 
-/// Prefix of the keys of pages.
+/// Prefix of the keys of [`PageRecord`].
 pub const PAGES: &str = "pages/";
 /// How many tasks a page stands for: as hexadecimal digits they take 256 bytes.
 pub const PAGE_TASKS: u32 = 1024;
 const BITS_PER_DIGIT: u32 = 4;
 
-/// Value of `pages/{ref}/{number}`: which tasks of the page have finished, as hexadecimal digits,
+/// Value of `pages/{job}/{number}`: which tasks of the page have finished, as hexadecimal digits,
 /// the lowest task in the highest bit of the first digit. Digits that are left out are zero.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageRecord {
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -1,4 +1,7 @@
-//! Controllers <-> controllers: frames of a length and a `bincode` message.
+//! The protocol between controllers: frames of a length (four bytes, most significant first) and a
+//! `bincode` message.
+//!
+//! Variants and fields are told apart by their order alone, so the order is part of the format.
 
 use std::io::{self, Read, Write};
 
@@ -6,63 +9,96 @@
 
 use crate::users::Priority;
 
-/// The largest frame that a peer may send. The longest request is a steal, which tells the room of each
-/// open machine: 80 bytes, so of 13,000 machines; the longest answer is a move, 48 KiB of records.
-pub const MAX_FRAME: u32 = 1 << 20;
+/// The largest frame that a peer may send, in bytes. The longest request is a steal, which tells
+/// the room of each open machine: 80 bytes, so of 13,000 machines; the longest answer is a move, 48
+/// KiB of records.
+const MAX_FRAME: u32 = 1 << 20;
 
 /// What one controller asks another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// How many ready tasks of this rank or above do you have?
-    Counts { priority: Priority },
-    /// Hand over ready tasks of this rank or above to `partition`, which the asker holds under `term`.
-    /// With a load the asker is not idle, and takes no more than evens out the two.
+    /// How many ready tasks could move, and how long are the queues? Sent by an idle controller
+    /// before it steals; answered by [`PeerAnswer::Counts`].
+    Counts {
+        /// Only tasks of this priority or above count.
+        priority: Priority,
+    },
+    /// Hand over ready tasks to a partition of the asker; answered by [`PeerAnswer::Stolen`].
     Steal {
+        /// The partition that the tasks are to move to.
         partition: String,
+        /// The term under which the asker holds it.
         term: u64,
+        /// Only tasks of this priority or above are wanted.
         priority: Priority,
+        /// Where the asker could run tasks.
         thief: ThiefCapacity,
+        /// Given by an asker that is not idle: it takes no more than evens out the two queues.
         load: Option<Load>,
     },
-    /// The asker has tasks that should start now and nowhere to start them: whoever has room
-    /// may come for them without waiting out its interval.
+    /// The asker has tasks that should start now and nowhere to start them: whoever has free
+    /// capacity may steal them without waiting out its interval.
     Saturated,
-    /// The home node of `partition` is up again and asks for it.
-    HandBack { partition: String },
-    /// Do you reach the store?
+    /// The home node of a partition is up again and asks its present leader for it.
+    HandBack {
+        /// The partition.
+        partition: String,
+    },
+    /// Do you reach the store? Answered by [`PeerAnswer::StoreConnectivity`].
     StoreConnectivity,
-    /// So many machines of `partition`, which the asked holds, have come to the asker of late.
-    MachinesSeen { partition: String, machines: u32 },
-    /// These machines were rented by `partition` and will report soon.
-    ScaledOut { partition: String, hosts: Vec<String> },
-    /// The cancellation of a job, with so many of its tasks done, has just been committed.
-    Cancelled { job: String, done: u32 },
-    /// Changes that the asker has just committed, for the asked one's log. Only controllers with recovery
-    /// switched on say this, and then all have it.
+    /// Sent to the leader of a partition by a node that receives heartbeats of the partition's
+    /// machines.
+    MachinesSeen {
+        /// The partition.
+        partition: String,
+        /// How many of its machines have lately reported to the asker.
+        machines: u32,
+    },
+    /// Machines were rented for a partition and will report soon.
+    ScaledOut {
+        /// The partition.
+        partition: String,
+        /// The names of the machines.
+        hosts: Vec<String>,
+    },
+    /// The cancellation of a job has just been committed.
+    Cancelled {
+        /// The job's id.
+        job: String,
+        /// How many of its tasks had run to completion.
+        done: u32,
+    },
+    /// Changes that the asker has just committed, for the log of the asked one; answered by
+    /// [`PeerAnswer::Logged`]. Only controllers with recovery switched on send this, and then all
+    /// have it.
     Logged(LoggedChanges),
 }
 
 /// Changes of a generation of records, as the log of one controller has them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoggedChanges {
+    /// The cluster's identity; changes of another cluster are not taken.
     pub cluster: String,
+    /// The generation of the store's records: rises with each rebuild of a lost store.
     pub generation: u32,
+    /// The revision at which the changes were committed.
     pub mod_revision: u64,
     /// Each key with its JSON text; without one it was deleted.
     pub changes: Vec<(String, Option<String>)>,
 }
 
-/// What the thief could run, so that the victim does not move what would only wait there.
+/// What an asking partition could run, so that the asked controller does not move what would only
+/// wait there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ThiefCapacity {
-    /// Free room by machine type, zone and kind.
+    /// Free capacity of each open machine.
     pub free: Vec<FreeCapacity>,
 }
 
 /// How long a partition's queue is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// What the ready tasks will take, in processor-seconds.
+    /// Expected run time of the ready tasks, in processor-seconds.
     pub work: f64,
     /// Processors of the partition's machines.
     pub cpus: f64,
@@ -70,8 +106,8 @@
 
 impl Load {
     /// Seconds until the queue is gone: never, where there is work and no machine. The sum of no
-    /// processors is -0.0, and what was divided by it came out as the shortest queue of all or as the
-    /// longest, as the compiler chose.
+    /// processors is -0.0, and what was divided by it came out as the shortest queue of all or as
+    /// the longest, as the compiler chose.
     pub fn drain_s(&self) -> f64 {
         if self.work <= 0.0 {
             0.0
@@ -82,7 +118,8 @@
         }
     }
 
-    /// What has to move from this queue to another so that both last equally long.
+    /// What has to move from this queue to another so that both last equally long, in
+    /// processor-seconds.
     pub fn excess_over(&self, other: &Load) -> f64 {
         let cpus = self.cpus + other.cpus;
         if cpus <= 0.0 {
@@ -92,30 +129,46 @@
     }
 }
 
-/// Free room on one machine.
+/// Free capacity of one machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FreeCapacity {
+    /// Name of the machine type.
     pub machine_type: String,
+    /// Name of the zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Free processors.
     pub cpus: f64,
+    /// Free graphics processors.
     pub gpus: f64,
+    /// Free memory.
     pub ram_gb: f64,
 }
 
 /// What the asked controller answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// Ready tasks that could move, over all partitions held, and the load of the partition whose queue
-    /// lasts longest.
-    Counts { ready: u32, load: Load },
-    /// The move is committed; each row is a job's record (JSON) with its modification revision.
-    Stolen { jobs: Vec<(String, u64, String)> },
-    /// Whether the store has answered lately.
-    StoreConnectivity { reached: bool },
+    /// Answer to [`PeerRequest::Counts`].
+    Counts {
+        /// Ready tasks that could move, of all partitions held.
+        ready: u32,
+        /// The load of the partition whose queue lasts longest.
+        load: Load,
+    },
+    /// Answer to [`PeerRequest::Steal`]: the move is committed.
+    Stolen {
+        /// The moved jobs: id, modification revision and record (JSON) of each.
+        jobs: Vec<(String, u64, String)>,
+    },
+    /// Answer to [`PeerRequest::StoreConnectivity`].
+    StoreConnectivity {
+        /// Whether the store has answered lately.
+        reached: bool,
+    },
     /// Nothing to move, or not able to.
     Nothing,
-    /// The changes are on the disk here too.
+    /// Answer to [`PeerRequest::Logged`]: the changes are on the disk here too.
     Logged,
 }
 
--- a/crates/quartzlever-wire/src/ranges.rs
+++ b/crates/quartzlever-wire/src/ranges.rs
@@ -27,6 +27,7 @@
         Self(set)
     }
 
+    /// Whether the set holds no task.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -36,42 +37,50 @@
         self.0.iter().map(|r| r.end - r.start).sum()
     }
 
+    /// Whether the set holds this task.
     pub fn contains(&self, index: u32) -> bool {
         self.0.contains(&index)
     }
 
+    /// Adds one task.
     pub fn insert(&mut self, index: u32) {
         self.0.insert(index..index + 1);
     }
 
+    /// Takes one task out.
     pub fn remove(&mut self, index: u32) {
         self.0.remove(index..index + 1);
     }
 
+    /// Adds all tasks of another set.
     pub fn add(&mut self, other: &Ranges) {
         for range in other.0.iter() {
             self.0.insert(range.clone());
         }
     }
 
+    /// Takes all tasks of another set out.
     pub fn subtract(&mut self, other: &Ranges) {
         for range in other.0.iter() {
             self.0.remove(range.clone());
         }
     }
 
+    /// The tasks of either set.
     pub fn union(&self, other: &Ranges) -> Ranges {
         let mut out = self.clone();
         out.add(other);
         out
     }
 
+    /// The tasks of this set that are not in the other.
     pub fn minus(&self, other: &Ranges) -> Ranges {
         let mut out = self.clone();
         out.subtract(other);
         out
     }
 
+    /// The tasks that both sets hold.
     pub fn intersect(&self, other: &Ranges) -> Ranges {
         self.minus(&self.minus(other))
     }
@@ -90,6 +99,7 @@
         self.0.len()
     }
 
+    /// The lowest task number of the set.
     pub fn lowest(&self) -> Option<u32> {
         self.0.first().map(|r| r.start)
     }
@@ -104,6 +114,7 @@
         self.0.iter().cloned()
     }
 
+    /// The task numbers, in order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|r| r.clone())
     }
@@ -156,7 +167,7 @@
     }
 }
 
-/// A text that does not name ranges.
+/// A text that is not a list of ranges; it is quoted in the message.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not a list of ranges: {0:?}")]
 pub struct BadRanges(String);
--- a/crates/quartzlever-wire/src/store.rs
+++ b/crates/quartzlever-wire/src/store.rs
@@ -1,4 +1,22 @@
-//! Controllers <-> store: its protocol, and the records that quartzlever keeps there.
+//! The protocol between controllers and the store, and the records that quartzlever keeps there.
+//!
+//! The store counts its changes: that count is its revision, and the revision of a key's latest
+//! change is the key's modification revision. A transaction changes keys on the condition that
+//! others stand at given modification revisions. A key may be attached to a lease and is deleted
+//! with it.
+//!
+//! | key | record | lease |
+//! | --- | --- | --- |
+//! | `parts/{partition}` | [`PartitionRecord`] | the leader's |
+//! | `heard/{partition}/{node}` | [`MachinesSeenRecord`] | the node's |
+//! | `live/{job}` | [`ActiveJobRecord`] | |
+//! | `over/{job}` | [`TerminalJobRecord`] | |
+//! | `pages/{job}/{number}` | [`PageRecord`](crate::pages::PageRecord) | |
+//! | `hosts/{group}` | [`MachineGroupRecord`] | |
+//! | `cluster/version` | [`ClusterRecord`] | |
+//! | `cluster/blocks` | [`GroupSizeRecord`] | |
+//! | `cluster/nodes/{node}` | [`NodeRecord`] | the node's |
+//! | `catalogue` | [`Catalogue`](crate::cloud::Catalogue) | |
 
 use std::collections::BTreeMap;
 
@@ -8,18 +26,25 @@
 use crate::json::Json;
 use crate::users::{JobPhase, JobSpec};
 
+/// Prefix of the keys of [`PartitionRecord`].
 pub const PARTITION_PREFIX: &str = "parts/";
-/// Prefix of the keys that tell a partition's leader who hears its workers, one for each node that does.
+/// Prefix of the keys of [`MachinesSeenRecord`], one for each partition and node that its workers
+/// report to.
 pub const MACHINES_SEEN_PREFIX: &str = "heard/";
+/// Prefix of the keys of [`ActiveJobRecord`].
 pub const ACTIVE_JOB_PREFIX: &str = "live/";
+/// Prefix of the keys of [`TerminalJobRecord`].
 pub const TERMINAL_JOB_PREFIX: &str = "over/";
+/// Prefix of the keys of [`MachineGroupRecord`].
 pub const MACHINE_PREFIX: &str = "hosts/";
-/// What controllers understand: the lasting cluster version, and under `nodes/` the version of each
-/// process that is up, on its own lease.
+/// Prefix of the keys that are about the whole cluster: what its controllers understand.
 pub const CLUSTER_PREFIX: &str = "cluster/";
+/// Key of the [`ClusterRecord`], which lasts.
 pub const CLUSTER_VERSION_KEY: &str = "cluster/version";
-/// How many machines share a key at most, once a value takes less than the settings say.
+/// Key of the [`GroupSizeRecord`]; written once a value of the store takes less than the settings
+/// say.
 pub const GROUP_SIZE_KEY: &str = "cluster/blocks";
+/// Prefix of the keys of [`NodeRecord`], one for each process that is up, on its own lease.
 pub const NODE_VERSION_PREFIX: &str = "cluster/nodes/";
 /// A key that nobody writes: reading it brings the present revision at little cost.
 pub const REVISION_PROBE_KEY: &str = "nobody";
@@ -29,28 +54,37 @@
 /// A key with its value and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
+    /// The key.
     pub path: String,
+    /// The value.
     pub v: Json,
+    /// Revision of the latest change of the key.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
+    /// The lease that the key is attached to.
     #[serde(rename = "charter", default)]
     pub lease_id: Option<u64>,
 }
 
-/// A page of keys.
+/// A page of keys: the answer to [`StoreCall::List`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rows {
+    /// The keys of the page, in order.
     pub rows: Vec<Row>,
+    /// Whether keys follow after the last of this page.
     #[serde(default)]
     pub has_next: bool,
+    /// Revision at which the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// A condition of a transaction: the key stands at this modification revision, 0 for absent.
+/// A condition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
+    /// The key.
     pub path: String,
+    /// The modification revision that the key must have; 0 if it must be absent.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
@@ -59,82 +93,106 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Change {
+    /// Set the value of a key.
     Write {
+        /// The key.
         write: String,
+        /// The value.
         v: Json,
+        /// The lease that the key is to be attached to.
         #[serde(rename = "charter", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
+    /// Delete a key.
     Delete {
+        /// The key.
         delete: String,
     },
 }
 
-/// An atomic transaction.
+/// A transaction: all of its changes are made at one revision if all of its conditions hold,
+/// otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
+    /// The conditions.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
+    /// The changes, at most one of each key.
     #[serde(rename = "apply", default)]
     pub changes: Vec<Change>,
 }
 
 impl Txn {
+    /// Adds the condition that a key has this modification revision, 0 for absent.
     pub fn when(mut self, path: impl Into<String>, mod_revision: u64) -> Self {
         self.conditions.push(Condition { path: path.into(), mod_revision });
         self
     }
 
+    /// Adds the writing of a key.
     pub fn write(mut self, path: impl Into<String>, v: Json) -> Self {
         self.changes.push(Change::Write { write: path.into(), v, lease_id: None });
         self
     }
 
+    /// Adds the writing of a key that is attached to a lease.
     pub fn write_held(mut self, path: impl Into<String>, v: Json, lease: u64) -> Self {
         self.changes.push(Change::Write { write: path.into(), v, lease_id: Some(lease) });
         self
     }
 
+    /// Adds the deletion of a key.
     pub fn delete(mut self, path: impl Into<String>) -> Self {
         self.changes.push(Change::Delete { delete: path.into() });
         self
     }
 }
 
-/// Answer to a transaction: the revision, and the failed conditions if it was refused.
+/// Answer to a transaction, and to the reading of an absent key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnAnswer {
+    /// The store's revision: that of the changes, if they were made.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// The keys whose conditions did not hold, if the transaction was refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failed: Option<Vec<String>>,
 }
 
-/// A lease to be granted.
+/// Body of the request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantRequest {
+    /// How long the lease lasts after its grant and after each renewal.
     pub life_ms: u64,
 }
 
-/// A granted lease.
+/// Answer to the request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantAnswer {
+    /// The number of the lease.
     #[serde(rename = "charter")]
     pub lease_id: u64,
 }
 
-/// One change in the log of a watch.
+/// One change that a watch tells of.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Event {
+    /// A key was written.
     Write {
+        /// The key.
         write: String,
+        /// Its new value.
         v: Json,
+        /// Revision of the change.
         #[serde(rename = "stamp")]
         mod_revision: u64,
     },
+    /// A key was deleted, or ended with its lease.
     Delete {
+        /// The key.
         delete: String,
+        /// Revision of the change.
         #[serde(rename = "stamp")]
         mod_revision: u64,
     },
@@ -182,21 +240,27 @@
 /// Answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchAnswer {
+    /// The revision up to which the log is complete.
     #[serde(rename = "epoch")]
     pub revision: u64,
+    /// The changes since the revision that the watch began at, in order.
     #[serde(default)]
     pub log: Vec<Event>,
 }
 
-/// So many machines of a partition came to a node of late that does not hold it.
+/// Value of `heard/{partition}/{node}`: written by a node that receives heartbeats of a partition
+/// it does not hold and cannot reach the leader, for the leader to read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachinesSeenRecord {
+    /// How many machines of the partition have lately reported to the node.
     pub machines: u32,
 }
 
-/// Value of `partitions/{name}`: which process holds the partition. The key's modification revision is the term.
+/// Value of `parts/{partition}`: which process holds the partition, as its leader. The key's
+/// modification revision is the leader's term, and the fencing token of its commands to workers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
+    /// Name of the node.
     pub node: String,
     /// Differs between processes of one node, so that a process knows its own write again.
     pub process: u64,
@@ -205,39 +269,50 @@
 /// Value of `cluster/version`: the version that every controller knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterRecord {
+    /// The version; records are written only in forms that it knows.
     pub version: u32,
 }
 
-/// Value of `cluster/blocks`: the size of the blocks of machines, which only ever sinks.
+/// Value of `cluster/blocks`: how many machines a group may hold, which only ever sinks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupSizeRecord {
+    /// The size, a power of two.
     pub size: u64,
 }
 
-/// Value of `cluster/nodes/{name}`: the version of the node's present process.
+/// Value of `cluster/nodes/{node}`: the version of the node's present process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
+    /// The newest version that the process knows.
     pub version: u32,
+    /// The process, as in [`PartitionRecord`].
     pub process: u64,
 }
 
-/// Tasks of a job that one partition answers for since the given term of that partition.
+/// Tasks of a job that belong to one partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
+    /// The partition.
     #[serde(rename = "part")]
     pub partition: String,
+    /// The term of the partition under which the tasks entered it.
     pub term: u64,
+    /// The tasks, finished ones among them.
     pub tasks: Ranges,
 }
 
-/// Value of `live/{ref}`: an accepted job that is neither done nor cancelled.
+/// Value of `live/{job}`: an accepted job that is neither done nor cancelled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActiveJobRecord {
+    /// The submission.
     pub job: JobSpec,
     /// Time of day of the submission, in microseconds since 1970.
     pub since: u64,
+    /// Whether any task has been started.
     pub started: bool,
+    /// Which partition each task belongs to.
     pub shares: Vec<Share>,
+    /// The finished tasks that are recorded here.
     pub finished: Ranges,
     /// More finished tasks are recorded in [pages](crate::pages); from the second version on.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
@@ -288,30 +363,34 @@
     }
 }
 
-/// Value of `over/{ref}`: a job that is done or cancelled, kept for good.
+/// Value of `over/{job}`: a job that is done or cancelled, kept for good.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TerminalJobRecord {
+    /// Done or cancelled.
     pub phase: JobPhase,
+    /// How many tasks had run to completion.
     pub done: u32,
 }
 
 /// Machines by name.
 pub type MachineRecords = BTreeMap<String, MachineRecord>;
 
-/// Value of `hosts/{block}`: the claimed machines of a block of names. A wave of first heartbeats or
-/// of returns is one change then.
+/// Value of `hosts/{group}`: the claimed machines of a group of names. Many first heartbeats or
+/// returns at once are one change then.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineGroupRecord {
+    /// The machines by name.
     pub m: MachineRecords,
 }
 
-/// How many numbered names make a block of the first form: their records stay well inside 16 KiB.
+/// How many numbered names make a group of the first form, whose key does not name the size: their
+/// records stay well inside 16 KiB.
 pub const LARGE_GROUP_SIZE: u64 = 64;
 /// What a machine's record takes at the most of a value, with its name.
 const MACHINE_RECORD_BYTES: usize = 128;
 
-/// How many machines a key may hold so that a value stays inside its limit: a power of two, so
-/// that small blocks never cross the bounds of those of the first form.
+/// How many machines a key may hold so that a value stays inside its limit of so many bytes: a
+/// power of two, so that small groups never cross the bounds of those of the first form.
 pub fn group_size(value_bytes: usize) -> u64 {
     let most = (value_bytes / MACHINE_RECORD_BYTES).clamp(1, LARGE_GROUP_SIZE as usize) as u64;
     if most.is_power_of_two() { most } else { most.next_power_of_two() / 2 }
@@ -322,7 +401,7 @@
     host[stem.len()..].parse().ok().map(|number| (stem, number))
 }
 
-/// The key of the block of the first form that a machine's name belongs to.
+/// The key of the group of the first form that a machine's name belongs to.
 pub fn large_group_key(host: &str) -> String {
     match numbered(host) {
         Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{}", number / LARGE_GROUP_SIZE),
@@ -330,7 +409,7 @@
     }
 }
 
-/// The key of the block of so many machines that a machine's name belongs to.
+/// The key of the group of so many machines that a machine's name belongs to.
 pub fn group_key(host: &str, size: u64) -> String {
     match numbered(host).filter(|_| size < LARGE_GROUP_SIZE) {
         Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{size}~{}", number / size),
@@ -338,7 +417,7 @@
     }
 }
 
-/// How many machines the block under a key may hold; none for the key of a single machine.
+/// How many machines the group under a key may hold; none for the key of a single machine.
 pub fn group_capacity(key: &str) -> Option<u64> {
     let mut partitions = key.strip_prefix(MACHINE_PREFIX)?.rsplit('~');
     let (_number, before) = (partitions.next()?, partitions.next()?);
@@ -348,7 +427,7 @@
     }
 }
 
-/// The machines under a key: a block, or one machine as an earlier version kept it.
+/// The machines under a key: a group, or one machine as an earlier version kept it.
 pub fn machine_records_in(path: &str, value: &Json) -> Option<MachineRecords> {
     #[derive(Deserialize)]
     struct Earlier {
@@ -360,22 +439,27 @@
         zone: String,
         spot: bool,
     }
-    if let Some(block) = value.parse::<MachineGroupRecord>() {
-        return Some(block.m);
+    if let Some(group) = value.parse::<MachineGroupRecord>() {
+        return Some(group.m);
     }
     let Earlier { partition, address, machine_type, zone, spot } = value.parse()?;
     let name = path.strip_prefix(MACHINE_PREFIX)?.to_owned();
     Some(BTreeMap::from([(name, MachineRecord { partition, address, machine_type, zone, spot })]))
 }
 
-/// A machine and the partition that it belongs to; a plain list on the wire, to be short.
+/// A machine and the partition that it belongs to; stored as a list of its fields, to be short.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "MachineRecordFields", into = "MachineRecordFields")]
 pub struct MachineRecord {
+    /// The partition.
     pub partition: String,
+    /// Address and port of the machine's worker.
     pub address: String,
+    /// Name of the machine type.
     pub machine_type: String,
+    /// Name of the zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
@@ -393,25 +477,37 @@
     }
 }
 
-/// A call to the store.
+/// A call of a controller to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreCall {
     /// What is the present revision?
     Revision,
+    /// Read one key.
     Get(String),
+    /// Read a page of the keys with a prefix.
     List {
+        /// The prefix.
         prefix: String,
+        /// The last key of the page before; none for the first page.
         from: Option<String>,
     },
+    /// Carry out a transaction.
     Txn(Txn),
+    /// Grant a lease.
     Grant {
+        /// How long it lasts after its grant and after each renewal.
         life_ms: u64,
     },
+    /// Renew a lease.
     Renew {
+        /// The number of the lease.
         lease: u64,
     },
+    /// Wait for changes of any key.
     Watch {
+        /// Changes after this revision are told.
         from: u64,
+        /// How long to wait if there is none.
         hold_ms: u64,
     },
 }
@@ -419,8 +515,11 @@
 /// What the store answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
+    /// The present revision.
     Revision(u64),
+    /// The key, if it is there.
     Row(Option<Row>),
+    /// A page of keys.
     Rows(Rows),
     /// The transaction is in force at this revision.
     Committed(u64),
@@ -430,8 +529,11 @@
     NoLease,
     /// The store takes no transaction of that size (400): a value, or the whole.
     TooLarge,
+    /// The lease of this number is granted.
     Granted(u64),
+    /// The lease is renewed.
     Renewed,
+    /// The changes since the revision of the watch, or none.
     Watched(WatchAnswer),
     /// The watch started too far back; the keys have to be read again.
     TooOld,
--- a/crates/quartzlever-wire/src/workers.rs
+++ b/crates/quartzlever-wire/src/workers.rs
@@ -1,4 +1,7 @@
-//! Workers <-> controllers: reports, commands, status.
+//! The protocol between workers and controllers: heartbeats, commands, status.
+//!
+//! A worker posts its [`Heartbeat`] to a controller's `/hello` and receives [`WorkerCommands`]. The
+//! controller may also call the worker's own address: `/status` and `/commands`.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,7 +11,9 @@
 /// One task of a job, written `req-000412/3`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job's id.
     pub job: String,
+    /// Number of the task in the job, from 0.
     pub index: u32,
 }
 
@@ -18,7 +23,7 @@
     }
 }
 
-/// A text that names no task.
+/// A text that names no task; it is quoted in the message.
 #[derive(Debug, thiserror::Error)]
 #[error("not a task: {0:?}")]
 pub struct BadTask(String);
@@ -58,64 +63,91 @@
     }
 }
 
-/// What a worker says of a task.
+/// State of an attempt on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
+    /// The worker pulls the image.
     Pulling,
+    /// The attempt runs.
     Running,
+    /// The attempt is being stopped and saves its work.
     Saving,
+    /// The attempt has ended; the worker reports it until it is told to forget it.
     Exited,
 }
 
-/// Why a task exited.
+/// Why an attempt exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
+    /// It ran to completion.
     Done,
+    /// It was killed by a command.
     Halted,
+    /// It failed.
     Error,
+    /// It was not started: the machine has too little free capacity.
     NoRoom,
+    /// It was not started: another attempt of the task is on the machine.
     Busy,
+    /// The worker does not know what became of it.
     Unknown,
     /// A cause that this version does not know; treated as a failure.
     #[serde(other)]
     Other,
 }
 
-/// One task in a heartbeat.
+/// One attempt of a task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
+    /// The task.
     #[serde(rename = "shard")]
     pub task: TaskId,
+    /// The attempt of the task, as the command that started it numbered it.
     #[serde(rename = "try")]
     pub attempt: u64,
+    /// State of the attempt.
     pub phase: TaskPhase,
+    /// Why it exited; given if and only if it has.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
+    /// Whether a stopped attempt has saved its work. Controllers read it and do not use it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
 
-/// A worker's report: the body of `/hello`, and of the answers of `/status` and `/commands`.
+/// The state of a machine: the body that a worker posts to `/hello`, and its answer to `/status`
+/// and `/commands`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// The machine's name, as the cloud gave it.
     pub host: String,
+    /// Address and port where the worker takes calls.
     pub address: String,
+    /// Name of the machine type.
     #[serde(rename = "frame")]
     pub machine_type: String,
+    /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Rises each time the worker starts anew without tasks, as when its lease has run out;
+    /// never 0.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
+    /// Rises with each heartbeat of an incarnation.
     #[serde(rename = "tick")]
     pub sequence: u64,
+    /// The highest fencing token that the worker has accepted a command under.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
+    /// The cloud takes the machine back in so many seconds; absent if it has not said so.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub warning_s: Option<f64>,
+    /// All attempts on the machine, exited ones until they are cleared.
     #[serde(rename = "shards")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -131,9 +163,7 @@
             heartbeat.tasks.iter().all(|t| (t.phase == TaskPhase::Exited) == t.cause.is_some());
         (named && heartbeat.incarnation > 0 && sound).then_some(heartbeat)
     }
-}
 
-impl Heartbeat {
     /// Whether the heartbeat lists an attempt of a task.
     pub fn lists(&self, (task, attempt): &(TaskId, u64)) -> bool {
         self.tasks.iter().any(|t| t.attempt == *attempt && t.task == *task)
@@ -144,42 +174,59 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum WorkerCommand {
+    /// Start an attempt.
     Run {
+        /// The task.
         #[serde(rename = "shard")]
         task: TaskId,
+        /// The attempt of the task.
         #[serde(rename = "try")]
         attempt: u64,
     },
+    /// Stop an attempt.
     Kill {
+        /// The task.
         #[serde(rename = "shard")]
         task: TaskId,
+        /// The attempt of the task.
         #[serde(rename = "try")]
         attempt: u64,
+        /// Time that it has to save its work; 0 to stop it at once.
         leeway_s: f64,
     },
+    /// Forget an attempt that has exited.
     Clear {
+        /// The task.
         #[serde(rename = "shard")]
         task: TaskId,
+        /// The attempt of the task.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a heartbeat, and the body of a direct command.
+/// What a controller sends to a worker: the answer to a heartbeat, or the body of a post to
+/// `/commands`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommands {
+    /// The term of the partition that the machine belongs to; a worker refuses a lower one than it
+    /// has accepted.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
+    /// The incarnation that the commands are meant for; required in a post to `/commands`.
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<u64>,
+    /// The commands, carried out in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// A call to a worker's own address.
+/// A call of a controller to a worker's own address.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
+    /// Ask for the state of the machine.
     Status,
+    /// Carry out commands.
     Command(WorkerCommands),
 }
 
@@ -188,6 +235,6 @@
 pub enum WorkerReply {
     /// Status, or commands executed.
     Status(Heartbeat),
-    /// Nothing executed: lower token or another session.
+    /// Nothing executed: lower fencing token or another incarnation.
     Refused(Heartbeat),
 }
