--- a/crates/quartzlever-core/src/autoscaling.rs
+++ b/crates/quartzlever-core/src/autoscaling.rs
@@ -15,10 +15,10 @@
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
 use crate::calls::{PendingCloudCall, PendingStoreCall};
-use crate::leadership::parse;
 use crate::messages::CallPriority;
 use crate::partition::Types;
 use crate::router::Core;
+use crate::store::parse;
 
 pub use pending_instances::{PendingInstance, PendingInstances};
 pub use scale_in::ScaleInReason;
@@ -178,7 +178,7 @@
                     self.cloud.catalogue_at = self.now + CATALOGUE_EVERY;
                     let kept = Json::of(&catalogue);
                     self.use_catalogue(catalogue);
-                    if kept.text().len() <= self.limits.value_bytes {
+                    if kept.text().len() <= self.limits.value_bytes() {
                         let txn = Txn::default().write(CATALOGUE_KEY, kept);
                         self.write_budget.spend(1);
                         self.outbox.call_store(
--- a/crates/quartzlever-core/src/jobs.rs
+++ b/crates/quartzlever-core/src/jobs.rs
@@ -17,10 +17,10 @@
 use crate::calls::{JobWrite, JobWriteAction, PendingPeerCall, PendingStoreCall, Purpose};
 use crate::config::Config;
 use crate::jobs::pages::{Pages, ProgressWrite, WriteLimits};
-use crate::leadership::parse;
 use crate::messages::{Answer, CallPriority, LogLevel, RequestId};
 use crate::partition::{Partition, PartitionJob, active_job_key};
 use crate::router::Core;
+use crate::store::parse;
 use crate::store::write_budget::WriteKind;
 
 /// Users' requests under way beyond which new ones are shed at once.
@@ -109,7 +109,7 @@
         let share = Share { partition: partition.clone(), term, tasks: Ranges::first(spec.tasks) };
         let record = ActiveJobRecord::new((*spec).clone(), self.wall(), vec![share]);
         let value = Json::of(&record);
-        if value.text().len() > self.limits.value_bytes {
+        if value.text().len() > self.limits.value_bytes() {
             // Nothing could ever be kept of such a job; a known one is still answered as known.
             return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse: true });
         }
@@ -421,7 +421,7 @@
         let now = self.now;
         let pause = self.config.operator.progress_write;
         let room =
-            WriteLimits { value_bytes: self.limits.value_bytes, pages: self.affordable_pages() };
+            WriteLimits { value_bytes: self.limits.value_bytes(), pages: self.affordable_pages() };
         let paging = self.cluster.pages();
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let (term, base) = (partition.term, partition.txn());
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -14,10 +14,10 @@
 use quartzlever_wire::{Json, Micros, Ranges, SECOND};
 
 use crate::calls::PendingStoreCall;
-use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
 use crate::partition::{Partition, active_job_key};
 use crate::router::Core;
+use crate::store::parse;
 use crate::store::write_budget::WriteKind;
 
 /// Leftover pages are removed no more often, so that the watch can tell of the last removal.
@@ -217,7 +217,7 @@
     /// How many pages may be written beside a record now.
     pub(crate) fn affordable_pages(&self) -> usize {
         let affordable = |pages: &usize| self.write_budget.has(WriteKind::Progress, *pages);
-        (1..self.limits.txn_ops).rev().find(affordable).unwrap_or(0)
+        (1..self.limits.txn_ops()).rev().find(affordable).unwrap_or(0)
     }
 
     /// A page as the store has it.
@@ -282,7 +282,7 @@
         let pages: Vec<(u32, u64)> = self.pages.jobs[&job]
             .iter()
             .map(|(number, page)| (*number, page.mod_revision))
-            .take(self.limits.txn_ops)
+            .take(self.limits.txn_ops())
             .collect();
         let mut txn = partition.txn().when(active_job_key(&job), 0);
         for (number, mod_revision) in &pages {
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -20,9 +20,9 @@
 use rand::seq::IteratorRandom;
 
 use crate::calls::{PendingPeerCall, PendingStoreCall, PendingWorkerCall};
-use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
+use crate::store::parse;
 
 const CHECK_INTERVAL: Micros = SECOND;
 /// A peer's word counts as long.
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -162,7 +162,7 @@
             .when(&key, *mod_revision)
             .when(GROUP_SIZE_KEY, self.cluster.group_size_revision());
         let mut written = Vec::new();
-        let most = self.limits.txn_ops;
+        let most = self.limits.txn_ops();
         let known = |key: &String| self.cache.ownership_groups.get(key);
         // What an earlier step has copied need not be written again.
         small.retain(|key, partition| {
@@ -276,9 +276,9 @@
     /// The largest value that a block may take now.
     fn group_value_limit(&self) -> usize {
         if self.cluster.services() {
-            self.limits.value_bytes
+            self.limits.value_bytes()
         } else {
-            self.config.group_bytes.min(self.limits.learned_value_bytes)
+            self.config.group_bytes.min(self.limits.learned_value_bytes())
         }
     }
 
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -10,9 +10,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::calls::{
-    PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall, TransactionSize,
-};
+use crate::calls::{PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall};
 use crate::config::Config;
 use crate::jobs::pages::Pages;
 use crate::leadership::reachability::Reachability;
@@ -23,6 +21,7 @@
 use crate::scheduling::placement::RunTimes;
 use crate::stealing::Stealing;
 use crate::store::cache::{Cache, LatestRevisions, TerminalJobs};
+use crate::store::limits::StoreLimits;
 use crate::store::lookups::Lookups;
 use crate::store::write_budget::WriteBudget;
 use crate::upgrade::Cluster;
@@ -56,19 +55,6 @@
 pub(crate) const STORE_UNREACHABLE_AFTER: Micros = 4 * SECOND;
 const PEER_PROBE_INTERVAL: Micros = SECOND;
 
-/// What the store takes in one transaction.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Limits {
-    pub value_bytes: usize,
-    pub txn_ops: usize,
-    /// The largest value by its own answers alone, whatever the settings say of limits to come.
-    pub learned_value_bytes: usize,
-}
-
-/// Limits are never learned to be lower: the end of a job takes as much.
-const LEAST_VALUE: usize = 512;
-const LEAST_OPS: usize = 2;
-
 /// All state of a controller.
 pub struct Core {
     pub(crate) config: Config,
@@ -88,7 +74,7 @@
     pub(crate) cluster: Cluster,
     pub(crate) pages: Pages,
     /// What the store takes, as far as is known.
-    pub(crate) limits: Limits,
+    pub(crate) limits: StoreLimits,
     pub(crate) reachability: Reachability,
     pub(crate) write_budget: WriteBudget,
     pub(crate) group_changes: BTreeMap<String, PendingGroupChange>,
@@ -153,11 +139,7 @@
             },
             cluster: Cluster::default(),
             pages: Pages::default(),
-            limits: Limits {
-                value_bytes: config.value_bytes,
-                txn_ops: config.txn_ops,
-                learned_value_bytes: usize::MAX,
-            },
+            limits: StoreLimits::new(&config),
             reachability: Reachability::new(now),
             write_budget: WriteBudget::new(now),
             group_changes: BTreeMap::new(),
@@ -247,7 +229,10 @@
                 if result.is_ok() {
                     self.store_replied();
                 }
-                self.learn_limits(call_id, &result);
+                if let Some(size) = self.outbox.take_transaction_size(call_id) {
+                    let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
+                    self.limits.learn(self.now, size, &result, budget, outbox);
+                }
                 if let Some(waiting) = self.outbox.take_store_call(call_id) {
                     self.dispatch_store_reply(waiting, result);
                 }
@@ -309,42 +294,6 @@
         (self.now as i64 + self.wall_offset.unwrap_or(0)).max(0) as Micros
     }
 
-    /// A transaction that is refused for its size, or for coming too often, shows a limit lower
-    /// than the settings say: from then on less is written at once, or less often.
-    fn learn_limits(&mut self, call_id: CallId, result: &Result<StoreReply, CallError>) {
-        let Some(size) = self.outbox.take_transaction_size(call_id) else { return };
-        match result {
-            Ok(StoreReply::TooLarge) => {
-                // Which of the two it was is not said.
-                let before = self.limits;
-                let limits = &mut self.limits;
-                if size.value > LEAST_VALUE {
-                    let lower = (size.value * 3 / 4).max(LEAST_VALUE);
-                    limits.value_bytes = limits.value_bytes.min(lower);
-                    limits.learned_value_bytes = limits.learned_value_bytes.min(lower);
-                }
-                if size.ops > LEAST_OPS {
-                    limits.txn_ops = limits.txn_ops.min(size.ops - 1);
-                }
-                let Limits { value_bytes, txn_ops, .. } = *limits;
-                // Once for each limit that is learned.
-                let is_lower = before.value_bytes > value_bytes || before.txn_ops > txn_ops;
-                self.outbox.log(if is_lower { LogLevel::Error } else { LogLevel::Debug }, || {
-                    let TransactionSize { value, ops } = size;
-                    format!(
-                        "the state service takes no transaction of {ops} changes with a value of \
-                         {value} bytes: from now on {txn_ops} and {value_bytes}"
-                    )
-                });
-            }
-            Err(CallError::TooOften) if self.write_budget.throttle(self.now) => {
-                self.outbox
-                    .log(LogLevel::Error, || "the state service allows fewer changes".into());
-            }
-            _ => {}
-        }
-    }
-
     /// Whether nothing of the service is known yet, so that every worker and every health check is
     /// turned away.
     pub fn starting(&self) -> bool {
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -478,8 +478,8 @@
         load: Option<Load>,
     ) {
         let fraction = self.config.operator.steal_fraction;
-        let most_jobs = self.limits.txn_ops.clamp(1, 8);
-        let value_bytes = self.limits.value_bytes;
+        let most_jobs = self.limits.txn_ops().clamp(1, 8);
+        let value_bytes = self.limits.value_bytes();
         let order = match self.partitions.get(victim) {
             Some(partition) => partition.queue_order(&self.config, &self.run_times, self.now),
             None => return self.answer_nothing(request),
--- /dev/null
+++ b/crates/quartzlever-core/src/store/limits/tests.rs
@@ -0,0 +1,59 @@
+//! What is learned from refused transactions.
+
+use super::*;
+use crate::testing::{NOW, config};
+
+fn limits(value_bytes: usize, txn_ops: usize) -> StoreLimits {
+    StoreLimits::new(&Config { value_bytes, txn_ops, ..config() })
+}
+
+/// Each refusal shows that both the largest value and the number of changes may be too high; neither
+/// sinks below what the end of a job takes.
+#[test]
+fn refused_transactions_lower_the_limits_to_what_the_end_of_a_job_takes() {
+    // (value and changes of the refused transaction; largest value, learned, and changes after it)
+    for (value, ops, value_bytes, learned, txn_ops) in [
+        (4_000, 10, 3_000, 3_000, 9),
+        (600, 3, 512, 512, 2),
+        (512, 2, 8_000, usize::MAX, 40),
+        (100, 50, 8_000, usize::MAX, 40),
+        (40_000, 2, 8_000, 30_000, 40),
+    ] {
+        let mut limits = limits(8_000, 40);
+        let (mut write_budget, mut outbox) =
+            (WriteBudget::new(NOW), Outbox::new(LogLevel::Error, NOW));
+        let size = TransactionSize { value, ops };
+        limits.learn(NOW, size, &Ok(StoreReply::TooLarge), &mut write_budget, &mut outbox);
+        assert_eq!(limits.value_bytes(), value_bytes, "{size:?}");
+        assert_eq!(limits.learned_value_bytes(), learned, "{size:?}");
+        assert_eq!(limits.txn_ops(), txn_ops, "{size:?}");
+        // A second refusal of the same size is no news.
+        let lines = usize::from(value_bytes < 8_000 || txn_ops < 40);
+        assert_eq!(outbox.take_effects().len(), lines, "{size:?}");
+        limits.learn(NOW, size, &Ok(StoreReply::TooLarge), &mut write_budget, &mut outbox);
+        assert!(outbox.take_effects().is_empty(), "{size:?}");
+    }
+}
+
+/// Only a refusal for its size says anything of how large a transaction may be.
+#[test]
+fn other_answers_leave_the_limits_as_they_are() {
+    for result in [
+        Ok(StoreReply::Committed(7)),
+        Ok(StoreReply::NoLease),
+        Err(CallError::TooOften),
+        Err(CallError::Refused),
+        Err(CallError::Unknown),
+    ] {
+        let mut limits = limits(8_000, 40);
+        let (mut write_budget, mut outbox) =
+            (WriteBudget::new(NOW), Outbox::new(LogLevel::Error, NOW));
+        let size = TransactionSize { value: 4_000, ops: 10 };
+        limits.learn(NOW, size, &result, &mut write_budget, &mut outbox);
+        let known = (limits.value_bytes(), limits.txn_ops(), limits.learned_value_bytes());
+        assert_eq!(known, (8_000, 40, usize::MAX), "{result:?}");
+        // A transaction that came too often makes all changes slower instead.
+        let is_throttled = !outbox.take_effects().is_empty();
+        assert_eq!(is_throttled, matches!(result, Err(CallError::TooOften)), "{result:?}");
+    }
+}
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -9,10 +9,10 @@
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::{PendingStoreCall, Section};
-use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
 use crate::store::cache::Cache;
+use crate::store::parse;
 
 /// After a page that was not read.
 const RETRY: Micros = SECOND / 2;
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -42,9 +42,9 @@
     ActiveJobRecord::new(spec(4), NOW, vec![share("one", 5, mine), share("two", 6, other)])
 }
 
-/// A controller that holds partition "one" under term 5, with one open machine.
-pub(crate) fn core() -> Core {
-    let config = Config {
+/// Settings of node "one" of a service of two.
+pub(crate) fn config() -> Config {
+    Config {
         node: "one".into(),
         zone: "a".into(),
         nodes: vec!["one".into(), "two".into()],
@@ -68,8 +68,12 @@
         machine_capacity: 10_000,
         operator: Operator::default(),
         log_level: LogLevel::Error,
-    };
-    let mut core = Core::new(config, 1, NOW);
+    }
+}
+
+/// A controller that holds partition "one" under term 5, with one open machine.
+pub(crate) fn core() -> Core {
+    let mut core = Core::new(config(), 1, NOW);
     let machine_type = MachineType {
         name: "m".into(),
         cpus: 8.0,
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -13,9 +13,9 @@
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
 use crate::calls::{ClusterWrite, PendingStoreCall};
-use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
+use crate::store::parse;
 
 /// The version of this program. Version 1 tells nothing of itself.
 pub const VERSION: u32 = 2;
@@ -210,7 +210,7 @@
     /// The transaction that makes blocks of machines smaller, if the store has turned out to
     /// take less than the settings say.
     fn smaller_group_size(&self) -> Option<Txn> {
-        let size = group_size(self.limits.value_bytes);
+        let size = group_size(self.limits.value_bytes());
         if !self.cluster.services() || size >= self.group_size() {
             return None;
         }
