--- a/crates/quartzlever-core/src/autoscaling.rs
+++ b/crates/quartzlever-core/src/autoscaling.rs
@@ -163,7 +163,7 @@
 
     /// Calls the cloud for as long as the lease is surely alive.
     fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall) {
-        self.outbox.call_cloud(call, pending, self.lease.valid_until);
+        self.outbox.call_cloud(call, pending, self.lease.valid_until());
     }
 
     pub(crate) fn cloud_replied(
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -393,7 +393,7 @@
             core.now = NOW + seconds * SECOND;
             core.apply_cluster_row(&raised_version(10));
         }
-        core.lease.valid_until = NOW + 900 * SECOND;
+        core.lease.expire_at(NOW + 900 * SECOND);
         let now = NOW + after * SECOND;
         core.cache.view_as_of = now;
         let batch = vec![Command::Tick { wall: now, behind: false }];
--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -1,6 +1,9 @@
 //! Holding partitions: the lease, taking a partition, losing it, handing it back.
 
+pub(crate) mod authority;
 pub(crate) mod awaited;
+pub(crate) mod connectivity;
+pub(crate) mod lease;
 pub(crate) mod reachability;
 
 use quartzlever_wire::peers::PeerRequest;
@@ -12,15 +15,12 @@
 use rand::Rng;
 
 use crate::calls::{PendingPeerCall, PendingStoreCall};
-use crate::config::surely_within;
 use crate::leadership::reachability::PEERS_TAKE_OVER_WITHIN;
 use crate::messages::{CallPriority, LogLevel};
 use crate::partition::Partition;
 use crate::router::Core;
 use crate::store::watch::{WATCH_PAUSE, WATCH_SHARE};
 
-/// Kept back from a lease's life for answers and calls that are on their way out.
-const LEASE_MARGIN: Micros = SECOND;
 const RETRY: Micros = SECOND / 2;
 /// After an attempt to take or give up a partition that failed. At once, again and again, they came
 /// to a hundred a second, which the limit of changes left nothing beside.
@@ -32,90 +32,6 @@
 const STARTUP_GRACE: Micros = 8 * SECOND;
 
 impl Core {
-    /// Keeps the process's lease alive.
-    pub(crate) fn renew_lease(&mut self) {
-        if self.lease.call_pending || self.now < self.lease.next_renewal_at {
-            return;
-        }
-        self.lease.call_pending = true;
-        let sent = self.now;
-        match self.lease.id {
-            None => {
-                let life_ms = self.config.operator.lease_life / 1000;
-                self.outbox.call_store(
-                    CallPriority::Lease,
-                    StoreCall::Grant { life_ms },
-                    PendingStoreCall::Grant { sent },
-                );
-            }
-            Some(lease) => {
-                self.outbox.call_store(
-                    CallPriority::Lease,
-                    StoreCall::Renew { lease },
-                    PendingStoreCall::Renew { sent, lease },
-                );
-            }
-        }
-    }
-
-    fn extend_lease(&mut self, sent: Micros) {
-        if !self.holds_lease() {
-            // The store may have been away, and its leases with their full time again: nobody is
-            // called silent for what was not answered meanwhile.
-            self.lease.regained_at = sent;
-            self.reachability.listening_since = self.now;
-        }
-        let life = surely_within(self.config.operator.lease_life);
-        self.lease.valid_until =
-            self.lease.valid_until.max(sent + life.saturating_sub(LEASE_MARGIN));
-        self.lease.next_renewal_at = sent + self.config.operator.lease_life / 6;
-    }
-
-    pub(crate) fn granted(&mut self, sent: Micros, result: Result<StoreReply, CallError>) {
-        self.lease.call_pending = false;
-        if let Ok(StoreReply::Granted(lease)) = result {
-            self.lease.id = Some(lease);
-            self.lease.valid_until = 0;
-            self.extend_lease(sent);
-        } else {
-            self.lease.next_renewal_at = self.now + RETRY;
-        }
-    }
-
-    pub(crate) fn renewed(
-        &mut self,
-        sent: Micros,
-        lease: u64,
-        result: Result<StoreReply, CallError>,
-    ) {
-        self.lease.call_pending = false;
-        if self.lease.id != Some(lease) {
-            return;
-        }
-        match result {
-            Ok(StoreReply::Renewed) => self.extend_lease(sent),
-            Ok(StoreReply::NoLease) => self.lease_ended(lease),
-            _ => self.lease.next_renewal_at = self.now + RETRY,
-        }
-    }
-
-    /// The store says that a lease has ended: of an earlier one that is nothing new.
-    pub(crate) fn lease_ended(&mut self, lease: u64) {
-        if self.lease.id == Some(lease) {
-            self.lose_all_partitions();
-        }
-    }
-
-    /// The lease is gone, and with it every partition.
-    fn lose_all_partitions(&mut self) {
-        self.lease.id = None;
-        self.lease.valid_until = 0;
-        self.lease.next_renewal_at = self.now;
-        self.cluster.forget_node(&self.config.node);
-        self.outbox.log(LogLevel::Info, || "lease lost, and all parts with it".into());
-        self.partitions.clear();
-    }
-
     pub(crate) fn lose_partition(&mut self, name: &str, term: u64) {
         if self.partitions.get(name).is_some_and(|p| p.term == term) {
             self.partitions.remove(name);
@@ -185,7 +101,7 @@
     }
 
     fn acquire(&mut self, name: &str, mod_revision: u64) {
-        let Some(lease) = self.lease.id.filter(|_| self.has_announced()) else { return };
+        let Some(lease) = self.lease.id().filter(|_| self.has_announced()) else { return };
         if !self.may_change_partition(name) {
             return;
         }
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -140,7 +140,7 @@
 
     /// The leader was not reached: it is told by way of the store.
     pub(crate) fn store_machines_seen(&mut self, partition: &str, machines: u32) {
-        let Some(lease) = self.lease.id.filter(|_| self.may_act()) else { return };
+        let Some(lease) = self.lease.id().filter(|_| self.may_act()) else { return };
         // As urgent as a partition's own key, and no more often than it is told.
         self.write_budget.spend(1);
         let key = format!("{MACHINES_SEEN_PREFIX}{partition}/{}", self.config.node);
--- a/crates/quartzlever-core/src/leadership/reachability/tests.rs
+++ b/crates/quartzlever-core/src/leadership/reachability/tests.rs
@@ -181,7 +181,7 @@
         let (mut asked, mut taken) = (false, false);
         for step in 1..=after * 4 {
             let now = NOW + step * SECOND / 4;
-            core.lease.valid_until = now + 10 * SECOND;
+            core.lease.expire_at(now + 10 * SECOND);
             if step == 2 && held {
                 let record = PartitionRecord { node: "two".into(), process: 77 };
                 core.cache.partitions.insert("one".into(), (record, 21));
--- a/crates/quartzlever-core/src/leadership/tests.rs
+++ b/crates/quartzlever-core/src/leadership/tests.rs
@@ -79,9 +79,9 @@
     core.watched(3, NOW + 7 * SECOND, watched(14));
     assert!(at(&mut core, 9 * SECOND + bound - 1));
     // Renewed after a time without a sure lease: the view must be newer than that renewal.
-    core.lease.valid_until = NOW;
+    core.lease.expire_at(NOW);
     core.now = NOW + 20 * SECOND;
-    core.renewed(NOW + 19 * SECOND, 1, Ok(StoreReply::Renewed));
+    core.lease_renewed(NOW + 19 * SECOND, 1, &Ok(StoreReply::Renewed));
     assert!(core.holds_lease() && !core.may_act(), "the view is from before the renewal");
     core.fenced(Vec::new(), NOW + 19 * SECOND, Ok(StoreReply::Revision(14)));
     assert!(core.may_act());
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -13,7 +13,7 @@
 use crate::machines::machine::{DirectCommand, Machine, Resources, Slot, SlotKey};
 use crate::messages::{Answer, LogLevel, RequestId};
 use crate::partition::{Assignment, Partition, PartitionJob, yields};
-use crate::router::{Core, STARTING, STORE_UNREACHABLE_AFTER};
+use crate::router::{Core, STARTING};
 use crate::scheduling::placement::RunTimes;
 
 /// Wait after a direct call that brought nothing.
@@ -103,7 +103,7 @@
         // Without the store the cache tells of leaders that may be none any more. Two such
         // nodes sent workers to and fro between them, past the one that had taken over, until
         // 809 machines were given up; turned away without a name, a worker tries one after the other.
-        let fresh = self.now < self.store_connectivity.last_reply_at + STORE_UNREACHABLE_AFTER;
+        let fresh = self.store_connectivity.is_reached(self.now);
         match self.other_leader_of(partition).filter(|_| fresh) {
             Some(node) => {
                 let leader = node.to_owned();
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -1,5 +1,6 @@
 //! Heartbeats, answers and calls, as tables.
 
+use crate::leadership::connectivity::StoreConnectivity;
 use crate::testing::*;
 
 #[test]
@@ -238,7 +239,7 @@
     ] {
         let mut core = core();
         core.cache.loaded = true;
-        core.lease.next_renewal_at = NOW + 900 * SECOND;
+        core.lease.renew_at(NOW + 900 * SECOND);
         if let Some(partition) = core.partitions.get_mut("one").filter(|_| expected) {
             let machine = PendingInstance {
                 machine_type: "m".into(),
@@ -289,7 +290,7 @@
             [("n-7".into(), machine_record_of("n-7", "two"))].into(),
             9,
         );
-        core.store_connectivity.last_reply_at = NOW;
+        core.store_connectivity = StoreConnectivity::new(NOW);
         let come = Command::Heartbeat { id: 4, heartbeat: idle_heartbeat("n-7", 3, 6) };
         let effects = core.step(NOW + quiet * SECOND, vec![come]);
         let answer = effects.iter().find_map(|e| match e {
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -44,7 +44,7 @@
     ] {
         let mut core = core();
         core.cache.loaded = true;
-        core.lease.next_renewal_at = NOW + 900 * SECOND;
+        core.lease.renew_at(NOW + 900 * SECOND);
         core.request_ownership(1, heartbeat_from("n-9", 1, 1, 0, &[]), "one", 5);
         let txn = |effects: &[Effect]| {
             effects.iter().find_map(|e| match e {
@@ -143,7 +143,8 @@
         let mut core = core();
         core.cache.loaded = true;
         core.cache.revision = revision;
-        (core.config.value_bytes, core.lease.next_renewal_at) = (2048, NOW + 900 * SECOND);
+        core.config.value_bytes = 2048;
+        core.lease.renew_at(NOW + 900 * SECOND);
         core.apply_cluster_row(&raised_version(10));
         if let Some((size, mod_revision)) = agreed {
             let v = Json::of(&GroupSizeRecord { size });
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -1,9 +1,11 @@
 //! The one owner of all state of a process.
 
+mod leadership;
+
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use quartzlever_wire::cloud::CloudReply;
-use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
+use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::StoreReply;
 use quartzlever_wire::workers::{Heartbeat, WorkerReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
@@ -13,6 +15,8 @@
 use crate::calls::{PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall};
 use crate::config::Config;
 use crate::jobs::pages::Pages;
+use crate::leadership::connectivity::StoreConnectivity;
+use crate::leadership::lease::Lease;
 use crate::leadership::reachability::Reachability;
 use crate::machines::ownership::PendingGroupChange;
 use crate::messages::{Answer, CallId, Command, Effect, LogLevel, RequestId};
@@ -26,35 +30,6 @@
 use crate::store::write_budget::WriteBudget;
 use crate::upgrade::Cluster;
 
-/// The state lease that all partitions of this process hang on.
-#[derive(Debug, Default)]
-pub(crate) struct Lease {
-    pub id: Option<u64>,
-    /// Until then the lease is surely alive.
-    pub valid_until: Micros,
-    /// When the renewal was sent that ended the latest time without a sure lease. The view must
-    /// have been read later: a leader that was away may have missed anything.
-    pub regained_at: Micros,
-    pub call_pending: bool,
-    pub next_renewal_at: Micros,
-}
-
-/// Whether the store is to be reached from here.
-#[derive(Debug, Default)]
-pub(crate) struct StoreConnectivity {
-    /// When it last answered.
-    pub last_reply_at: Micros,
-    /// When a peer last said that it is reached from there while it is not from here.
-    pub isolated_at: Option<Micros>,
-    peers_asked_at: Micros,
-    /// The log was told that it is out of reach.
-    outage_logged: bool,
-}
-
-/// The store counts as out of reach after this time; a lease is renewed more often.
-pub(crate) const STORE_UNREACHABLE_AFTER: Micros = 4 * SECOND;
-const PEER_PROBE_INTERVAL: Micros = SECOND;
-
 /// All state of a controller.
 pub struct Core {
     pub(crate) config: Config,
@@ -133,10 +108,7 @@
             lease: Lease::default(),
             cache: Cache::default(),
             partitions: BTreeMap::new(),
-            store_connectivity: StoreConnectivity {
-                last_reply_at: now,
-                ..StoreConnectivity::default()
-            },
+            store_connectivity: StoreConnectivity::new(now),
             cluster: Cluster::default(),
             pages: Pages::default(),
             limits: StoreLimits::new(&config),
@@ -204,8 +176,8 @@
         for command in commands {
             self.dispatch(command);
         }
-        self.renew_lease();
-        self.poll_store_connectivity();
+        self.lease.poll(self.now, &self.config, &mut self.outbox);
+        self.store_connectivity.poll(self.now, &self.config, &mut self.outbox);
         self.poll_cache();
         self.poll_cluster_version();
         self.poll_reachability();
@@ -227,7 +199,7 @@
             Command::PeerRequest { id, request } => self.peer_request(id, request),
             Command::StoreReply { call_id, result } => {
                 if result.is_ok() {
-                    self.store_replied();
+                    self.store_connectivity.store_replied(self.now, &mut self.outbox);
                 }
                 if let Some(size) = self.outbox.take_transaction_size(call_id) {
                     let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
@@ -267,28 +239,6 @@
         quartzlever_wire::micros_from_secs(1.0 / rate.max(0.1))
     }
 
-    /// Whether this process surely holds its lease.
-    pub(crate) fn holds_lease(&self) -> bool {
-        self.lease.id.is_some() && self.now < self.lease.valid_until
-    }
-
-    /// Until when this process may act for its partitions: as long as its lease is surely alive and its
-    /// view of the jobs fresh. One does not follow from the other: while the store refused
-    /// a leader alone and then everybody, its lease lived on, its watch told nothing, and another
-    /// node had confirmed cancellations.
-    pub(crate) fn authority_expires_at(&self) -> Micros {
-        let caught_up = self.cache.view_as_of >= self.lease.regained_at;
-        if self.lease.id.is_none() || !caught_up {
-            return 0;
-        }
-        self.lease.valid_until.min(self.cache.view_as_of + self.config.view_bound())
-    }
-
-    /// Whether this process may act for its partitions.
-    pub(crate) fn may_act(&self) -> bool {
-        self.now < self.authority_expires_at()
-    }
-
     /// The present time of day.
     pub(crate) fn wall(&self) -> Micros {
         (self.now as i64 + self.wall_offset.unwrap_or(0)).max(0) as Micros
@@ -310,58 +260,6 @@
         self.outbox.count_rejected(503, STARTING, count);
     }
 
-    /// The store has answered.
-    fn store_replied(&mut self) {
-        let silent = self.now.saturating_sub(self.store_connectivity.last_reply_at) / SECOND;
-        self.store_connectivity.last_reply_at = self.now;
-        self.store_connectivity.isolated_at = None;
-        if std::mem::take(&mut self.store_connectivity.outage_logged) {
-            self.outbox.log(LogLevel::Info, || {
-                format!("the state service answers again, after {silent} s without an answer")
-            });
-        }
-    }
-
-    /// A peer reaches the store while this node does not.
-    pub(crate) fn peer_reaches_store(&mut self) {
-        // A late answer says nothing of the present.
-        if self.store_connectivity.outage_logged
-            && self.store_connectivity.isolated_at.replace(self.now).is_none()
-        {
-            self.outbox.log(LogLevel::Info, || {
-                "the state service answers others and not this controller".into()
-            });
-        }
-    }
-
-    /// Asks the peers, while the store gives no answer, whether they reach it.
-    fn poll_store_connectivity(&mut self) {
-        let now = self.now;
-        if now < self.store_connectivity.last_reply_at + STORE_UNREACHABLE_AFTER
-            || now < self.store_connectivity.peers_asked_at + PEER_PROBE_INTERVAL
-        {
-            return;
-        }
-        self.store_connectivity.peers_asked_at = now;
-        if !std::mem::replace(&mut self.store_connectivity.outage_logged, true) {
-            self.outbox.log(LogLevel::Info, || {
-                format!(
-                    "the state service has not answered for {} s",
-                    STORE_UNREACHABLE_AFTER / SECOND
-                )
-            });
-        }
-        for node in self.config.nodes.clone() {
-            if node != self.config.node {
-                self.outbox.ask_peer(
-                    &node,
-                    PeerRequest::StoreConnectivity,
-                    PendingPeerCall::StoreConnectivity,
-                );
-            }
-        }
-    }
-
     fn ready(&mut self, id: RequestId) {
         if self.is_ready() {
             self.outbox.answer(id, 200, Answer::Ready { ready: true });
@@ -376,10 +274,7 @@
         // of no use only while it has no picture of the service at all.
         // One that alone is refused by the store can do nothing for users whom others
         // could serve; in an outage all go on, since nobody could do better.
-        let alone = self
-            .store_connectivity
-            .isolated_at
-            .is_some_and(|t| self.now < t + 3 * PEER_PROBE_INTERVAL);
+        let alone = self.store_connectivity.is_isolated(self.now);
         self.cache.loaded() && self.wall_offset.is_some() && !alone
     }
 
@@ -390,8 +285,8 @@
     ) {
         match waiting {
             PendingStoreCall::Ignored => {}
-            PendingStoreCall::Grant { sent } => self.granted(sent, result),
-            PendingStoreCall::Renew { sent, lease } => self.renewed(sent, lease, result),
+            PendingStoreCall::Grant { sent } => self.lease_granted(sent, &result),
+            PendingStoreCall::Renew { sent, lease } => self.lease_renewed(sent, lease, &result),
             PendingStoreCall::Acquire { partition, lease } => {
                 self.acquired(&partition, lease, result)
             }
--- a/crates/quartzlever-core/src/router/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -1,5 +1,6 @@
 //! Being ready, and being behind.
 
+use crate::leadership::connectivity::StoreConnectivity;
 use crate::testing::*;
 
 /// A call to the store under way, on whose reply nothing depends.
@@ -26,7 +27,7 @@
         let mut core = core();
         core.cache.loaded = true;
         core.wall_offset = Some(0);
-        core.store_connectivity.last_reply_at = NOW;
+        core.store_connectivity = StoreConnectivity::new(NOW);
         let now = NOW + quiet * SECOND;
         let effects = core.step(now, Vec::new());
         let call_id = effects.iter().find_map(|e| match e {
@@ -68,7 +69,7 @@
     let mut core = core();
     core.outbox.set_log_level(LogLevel::Info);
     core.cache.loaded = true;
-    core.store_connectivity.last_reply_at = NOW;
+    core.store_connectivity = StoreConnectivity::new(NOW);
     assert!(lines(&core.step(NOW + 3 * SECOND, Vec::new())).is_empty());
     let effects = core.step(NOW + 5 * SECOND, Vec::new());
     assert_eq!(lines(&effects), ["the state service has not answered for 4 s"]);
@@ -94,7 +95,7 @@
     let back = "the state service answers again, after 9 s without an answer";
     assert!(lines(&effects).contains(&back), "{:?}", lines(&effects));
     core.step(NOW + 9 * SECOND, reached(late.expect("a peer is asked again")));
-    assert!(core.store_connectivity.isolated_at.is_none(), "a late word");
+    assert!(!core.store_connectivity.is_isolated(core.now), "a late word");
 }
 
 #[test]
@@ -102,8 +103,8 @@
     // Seconds between two steps for 30 s, with the answer to each call only in the next step.
     for step_ms in [200, 1_500, 3_000, 5_000] {
         let mut core = with_leaders(100);
-        core.lease.next_renewal_at = NOW + 1;
-        core.lease.valid_until = NOW + 13 * SECOND;
+        core.lease.renew_at(NOW + 1);
+        core.lease.expire_at(NOW + 13 * SECOND);
         // Its one task runs all the time, so that the machine is not returned as idle.
         core.reconcile_job(record_of(1, 1, "one"), 10);
         core.step(NOW, vec![Command::Heartbeat { id: 1_000, heartbeat: report_of_one(1, None) }]);
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -14,7 +14,7 @@
 use crate::machines::machine::{Resources, Slot};
 use crate::messages::{CallPriority, LogLevel, RequestId};
 use crate::partition::{Partition, active_job_key};
-use crate::router::{Core, STORE_UNREACHABLE_AFTER};
+use crate::router::Core;
 use crate::scheduling::placement::offer_allowed;
 use crate::store::write_budget::WriteKind;
 
@@ -309,7 +309,7 @@
             }
             PendingPeerCall::StoreConnectivity => {
                 if let Ok(PeerAnswer::StoreConnectivity { reached: true }) = result {
-                    self.peer_reaches_store();
+                    self.store_connectivity.peer_reaches_store(self.now, &mut self.outbox);
                 }
             }
             PendingPeerCall::Count { round, node } => {
@@ -398,7 +398,7 @@
                 PeerAnswer::Nothing
             }
             PeerRequest::StoreConnectivity => PeerAnswer::StoreConnectivity {
-                reached: self.now < self.store_connectivity.last_reply_at + STORE_UNREACHABLE_AFTER,
+                reached: self.store_connectivity.is_reached(self.now),
             },
             PeerRequest::Counts { priority } => {
                 let ready = self
--- a/crates/quartzlever-core/src/store/listing/tests.rs
+++ b/crates/quartzlever-core/src/store/listing/tests.rs
@@ -83,9 +83,9 @@
     // (the lease that the answer is about, whether the present one, 2, is kept)
     for (lease, kept) in [(1, true), (2, false)] {
         let mut core = core();
-        core.lease.id = Some(2);
+        core.lease = Lease::held(2, NOW + 1_000 * SECOND);
         core.acquired("two", lease, Ok(StoreReply::NoLease));
-        assert_eq!(core.lease.id.is_some(), kept, "{lease}");
+        assert_eq!(core.lease.id().is_some(), kept, "{lease}");
         assert_eq!(core.partitions.contains_key("one"), kept, "{lease}");
     }
 }
--- a/crates/quartzlever-core/src/store/watch.rs
+++ b/crates/quartzlever-core/src/store/watch.rs
@@ -59,7 +59,7 @@
         let now = self.now;
         let is_aged =
             now.saturating_sub(self.cache.view_as_of) > self.config.watch_hold() + VIEW_LATE;
-        let behind = self.cache.view_as_of < self.lease.regained_at;
+        let behind = self.cache.view_as_of < self.lease.regained_at();
         if !(is_aged || behind)
             || self.cache.view_read_pending
             || now < self.cache.next_view_read_at
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -3,6 +3,7 @@
 pub(crate) use crate::autoscaling::PendingInstance;
 pub(crate) use crate::calls::{JobWrite, JobWriteAction, Move, PendingStoreCall, Section};
 pub(crate) use crate::config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
+pub(crate) use crate::leadership::lease::Lease;
 pub(crate) use crate::messages::{
     Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId,
 };
@@ -87,8 +88,7 @@
         zones: vec!["a".into()],
     };
     core.types = Some(Arc::new(BTreeMap::from([("m".into(), machine_type)])));
-    core.lease.id = Some(1);
-    core.lease.valid_until = NOW + 1_000 * SECOND;
+    core.lease = Lease::held(1, NOW + 1_000 * SECOND);
     core.cache.view_as_of = NOW;
     let mut partition = Partition::new("one", 5, core.types.clone(), NOW);
     (partition.loaded, partition.recovery_complete) = (true, true);
@@ -203,7 +203,7 @@
     let mut core = core();
     core.cache.loaded = true;
     core.wall_offset = Some(0);
-    core.lease.next_renewal_at = NOW + 900 * SECOND;
+    core.lease.renew_at(NOW + 900 * SECOND);
     for (partition, node, mod_revision) in partitions {
         let process = if *node == core.config.node { core.process } else { 77 };
         let record = PartitionRecord { node: (*node).into(), process };
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -139,7 +139,7 @@
     /// Tells this process's version, and raises the cluster version when all have told theirs.
     pub(crate) fn poll_cluster_version(&mut self) {
         let now = self.now;
-        let Some(lease) = self.lease.id.filter(|_| self.holds_lease()) else { return };
+        let Some(lease) = self.lease.id().filter(|_| self.holds_lease()) else { return };
         if self.config.version < VERSION
             || self.cluster.write_pending
             || now < self.cluster.next_write_at
@@ -228,7 +228,7 @@
         match (write, result) {
             // What was announced on an earlier lease has gone with it.
             (ClusterWrite::Announce, Ok(StoreReply::Committed(mod_revision)))
-                if self.lease.id == Some(lease) =>
+                if self.lease.id() == Some(lease) =>
             {
                 let (node, record) = (self.config.node.clone(), self.own_record());
                 self.cluster.insert_node(&node, record, *mod_revision);
