--- a/crates/quartzlever-clients/src/cloud.rs
+++ b/crates/quartzlever-clients/src/cloud.rs
@@ -1,70 +1,71 @@
 //! Client of the cloud.
 
-use std::time::Duration;
-
 use quartzlever_wire::CallError;
-use quartzlever_wire::cloud::{Catalogue, CloudCall, CloudReply, HostNames, InstancePage};
+use quartzlever_wire::cloud::{
+    Catalogue, CloudCall, CloudReply, HostNames, InstancePage, ScaleOutRequest,
+};
 
-use crate::http::{agent, call, to_body};
+use crate::http::HttpClient;
+use crate::policy::CallPolicy;
 
 /// Client of the cloud.
 #[derive(Clone, Debug)]
 pub struct CloudClient {
     base: String,
-    agent: ureq::Agent,
+    http: HttpClient,
 }
 
 impl CloudClient {
     /// A client of the cloud at this address and port.
     pub fn new(address: &str) -> Self {
-        CloudClient {
-            base: format!("http://{address}"),
-            agent: agent(Duration::from_secs(1), Duration::from_secs(5), 3),
-        }
+        CloudClient { base: format!("http://{address}"), http: HttpClient::new(CallPolicy::CLOUD) }
     }
 
     /// Makes one call and waits for its answer.
     pub fn call(&self, what: &CloudCall) -> Result<CloudReply, CallError> {
-        let base = &self.base;
         match what {
-            CloudCall::Catalogue => {
-                let reply = call(self.agent.get(&format!("{base}/catalog")), None)?;
-                match reply.status {
-                    200 => Ok(CloudReply::Catalogue(reply.json::<Catalogue>()?)),
-                    _ => Err(CallError::Refused),
-                }
-            }
-            CloudCall::ScaleOut(request) => {
-                let reply =
-                    call(self.agent.post(&format!("{base}/rentals")), Some(to_body(request)?))?;
-                let refused = || reply.body.windows(11).any(|w| w == b"no capacity");
-                match reply.status {
-                    200 => Ok(CloudReply::ScaledOut(reply.json::<HostNames>()?.hosts)),
-                    503 if refused() => Ok(CloudReply::NoCapacity),
-                    // Malformed for the cloud, so never to be had.
-                    400 => Ok(CloudReply::NoCapacity),
-                    _ => Err(CallError::Refused),
-                }
-            }
-            CloudCall::Return(hosts) => {
-                let body = to_body(&HostNames { hosts: hosts.clone() })?;
-                let reply = call(self.agent.post(&format!("{base}/rentals/return")), Some(body))?;
-                match reply.status {
-                    200 => Ok(CloudReply::ScaledIn),
-                    _ => Err(CallError::Refused),
-                }
-            }
-            CloudCall::List { from } => {
-                let mut request = self.agent.get(&format!("{base}/rentals")).query("limit", "500");
-                if let Some(from) = from {
-                    request = request.query("from", from);
-                }
-                let reply = call(request, None)?;
-                match reply.status {
-                    200 => Ok(CloudReply::Listed(reply.json::<InstancePage>()?)),
-                    _ => Err(CallError::Refused),
-                }
-            }
+            CloudCall::Catalogue => self.catalogue(),
+            CloudCall::ScaleOut(request) => self.scale_out(request),
+            CloudCall::Return(hosts) => self.return_machines(hosts),
+            CloudCall::List { from } => self.list(from.as_deref()),
+        }
+    }
+
+    fn catalogue(&self) -> Result<CloudReply, CallError> {
+        let reply = self.http.get(&format!("{}/catalog", self.base), &[])?;
+        match reply.status {
+            200 => Ok(CloudReply::Catalogue(reply.json::<Catalogue>()?)),
+            _ => Err(self.http.failure(&reply)),
+        }
+    }
+
+    fn scale_out(&self, request: &ScaleOutRequest) -> Result<CloudReply, CallError> {
+        let reply = self.http.post(&format!("{}/rentals", self.base), request)?;
+        match reply.status {
+            200 => Ok(CloudReply::ScaledOut(reply.json::<HostNames>()?.hosts)),
+            503 if reply.says("no capacity") => Ok(CloudReply::NoCapacity),
+            // Malformed for the cloud, so never to be had.
+            400 => Ok(CloudReply::NoCapacity),
+            _ => Err(self.http.failure(&reply)),
+        }
+    }
+
+    fn return_machines(&self, hosts: &[String]) -> Result<CloudReply, CallError> {
+        let names = HostNames { hosts: hosts.to_vec() };
+        let reply = self.http.post(&format!("{}/rentals/return", self.base), &names)?;
+        match reply.status {
+            200 => Ok(CloudReply::ScaledIn),
+            _ => Err(self.http.failure(&reply)),
+        }
+    }
+
+    fn list(&self, from: Option<&str>) -> Result<CloudReply, CallError> {
+        let mut query = vec![("limit", "500")];
+        query.extend(from.map(|from| ("from", from)));
+        let reply = self.http.get(&format!("{}/rentals", self.base), &query)?;
+        match reply.status {
+            200 => Ok(CloudReply::Listed(reply.json::<InstancePage>()?)),
+            _ => Err(self.http.failure(&reply)),
         }
     }
 }
--- a/crates/quartzlever-clients/src/lib.rs
+++ b/crates/quartzlever-clients/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of everything that a controller calls: the store, the cloud, workers and
 //! other controllers.
 //!
-//! Every call has a deadline, connections are reused, and calls that count against a rate limit
+//! Every call has a deadline and reuses connections, by the `CallPolicy` of its client, and calls that count against a rate limit
 //! of the region go through a [`Budget`]. A call ends in an answer or in a
 //! [`CallError`](quartzlever_wire::CallError) that says whether it may have been carried out.
 
@@ -11,6 +11,7 @@
 mod cloud;
 mod http;
 mod peer;
+mod policy;
 mod store;
 mod worker;
 
--- a/crates/quartzlever-clients/src/peer.rs
+++ b/crates/quartzlever-clients/src/peer.rs
@@ -1,16 +1,14 @@
 //! Client of the other controllers.
 
 use std::collections::HashMap;
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Mutex;
-use std::time::Duration;
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::peers::{self, PeerAnswer, PeerRequest};
 
-const CONNECT: Duration = Duration::from_millis(700);
-const WHOLE: Duration = Duration::from_millis(2000);
+use crate::policy::CallPolicy;
 
 /// Client of all peers, with one idle connection kept for each.
 #[derive(Debug, Default)]
@@ -38,13 +36,7 @@
                 Err(_) => {}
             }
         }
-        let mut stream =
-            TcpStream::connect_timeout(&peer, CONNECT).map_err(|_| CallError::Refused)?;
-        let set = stream
-            .set_read_timeout(Some(WHOLE))
-            .and_then(|()| stream.set_write_timeout(Some(WHOLE)))
-            .and_then(|()| stream.set_nodelay(true));
-        set.map_err(|_| CallError::Refused)?;
+        let mut stream = connect(peer).map_err(|_| CallError::Refused)?;
         peers::send(&mut stream, request).map_err(|_| CallError::Unknown)?;
         let answer = peers::receive(&mut stream).map_err(|_| CallError::Unknown)?;
         self.keep(peer, stream);
@@ -55,3 +47,12 @@
         self.idle.lock().unwrap_or_else(|e| e.into_inner()).insert(peer, stream);
     }
 }
+
+fn connect(peer: SocketAddr) -> io::Result<TcpStream> {
+    let CallPolicy { connect, whole, .. } = CallPolicy::PEER;
+    let stream = TcpStream::connect_timeout(&peer, connect)?;
+    stream.set_read_timeout(Some(whole))?;
+    stream.set_write_timeout(Some(whole))?;
+    stream.set_nodelay(true)?;
+    Ok(stream)
+}
--- a/crates/quartzlever-clients/src/worker.rs
+++ b/crates/quartzlever-clients/src/worker.rs
@@ -1,21 +1,20 @@
 //! Client of the workers' own addresses.
 
-use std::time::Duration;
-
 use quartzlever_wire::CallError;
 use quartzlever_wire::workers::{Heartbeat, WorkerCall, WorkerReply};
 
-use crate::http::{agent, call, to_body};
+use crate::http::HttpClient;
+use crate::policy::CallPolicy;
 
 /// Client of all workers.
 #[derive(Clone, Debug)]
 pub struct WorkerClient {
-    agent: ureq::Agent,
+    http: HttpClient,
 }
 
 impl Default for WorkerClient {
     fn default() -> Self {
-        WorkerClient { agent: agent(Duration::from_millis(800), Duration::from_secs(2), 100) }
+        WorkerClient { http: HttpClient::new(CallPolicy::WORKERS) }
     }
 }
 
@@ -23,18 +22,16 @@
     /// Makes one call and waits for its answer.
     pub fn call(&self, address: &str, what: &WorkerCall) -> Result<WorkerReply, CallError> {
         let reply = match what {
-            WorkerCall::Status => call(self.agent.get(&format!("http://{address}/status")), None)?,
-            WorkerCall::Command(commands) => call(
-                self.agent.post(&format!("http://{address}/commands")),
-                Some(to_body(commands)?),
-            )?,
+            WorkerCall::Status => self.http.get(&format!("http://{address}/status"), &[])?,
+            WorkerCall::Command(commands) => {
+                self.http.post(&format!("http://{address}/commands"), commands)?
+            }
         };
-        let report = || Heartbeat::parse(&reply.body).ok_or(CallError::Unknown);
+        let heartbeat = || Heartbeat::parse(&reply.body).ok_or(CallError::Unknown);
         match reply.status {
-            200 => Ok(WorkerReply::Status(report()?)),
-            409 => Ok(WorkerReply::Refused(report()?)),
-            400 => Err(CallError::Refused),
-            _ => Err(CallError::Unknown),
+            200 => Ok(WorkerReply::Status(heartbeat()?)),
+            409 => Ok(WorkerReply::Refused(heartbeat()?)),
+            _ => Err(self.http.failure(&reply)),
         }
     }
 }
