--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -13,9 +13,9 @@
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
 use crate::calls::{ClusterWrite, PendingStoreCall};
-use crate::leadership::parse;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
+use crate::store::parse;
 
 /// The version of this program. Version 1 tells nothing of itself.
 pub const VERSION: u32 = 2;
@@ -139,7 +139,7 @@
     /// Tells this process's version, and raises the cluster version when all have told theirs.
     pub(crate) fn poll_cluster_version(&mut self) {
         let now = self.now;
-        let Some(lease) = self.lease.id.filter(|_| self.holds_lease()) else { return };
+        let Some(lease) = self.lease.id().filter(|_| self.holds_lease()) else { return };
         if self.config.version < VERSION
             || self.cluster.write_pending
             || now < self.cluster.next_write_at
@@ -210,7 +210,7 @@
     /// The transaction that makes blocks of machines smaller, if the store has turned out to
     /// take less than the settings say.
     fn smaller_group_size(&self) -> Option<Txn> {
-        let size = group_size(self.limits.value_bytes);
+        let size = group_size(self.limits.value_bytes());
         if !self.cluster.services() || size >= self.group_size() {
             return None;
         }
@@ -228,7 +228,7 @@
         match (write, result) {
             // What was announced on an earlier lease has gone with it.
             (ClusterWrite::Announce, Ok(StoreReply::Committed(mod_revision)))
-                if self.lease.id == Some(lease) =>
+                if self.lease.id() == Some(lease) =>
             {
                 let (node, record) = (self.config.node.clone(), self.own_record());
                 self.cluster.insert_node(&node, record, *mod_revision);
