--- a/crates/quartzlever-core/src/autoscaling/scale_out.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_out.rs
@@ -11,9 +11,10 @@
 use super::{Offer, PendingInstance, PendingScaleOut, RETRY};
 use crate::calls::{PendingCloudCall, PendingPeerCall};
 use crate::config::Config;
+use crate::jobs::partition_job::PartitionJob;
 use crate::machines::machine::{Machine, Resources};
 use crate::messages::LogLevel;
-use crate::partition::{Partition, PartitionJob};
+use crate::partition::Partition;
 use crate::router::Core;
 use crate::scheduling::placement::{RunTimes, ZoneCapacity, offer_allowed, urgency, zone_capacity};
 
--- a/crates/quartzlever-core/src/jobs.rs
+++ b/crates/quartzlever-core/src/jobs.rs
@@ -1,6 +1,8 @@
 //! Jobs: what users ask for, and the writing of each job's record.
 
+mod feasibility;
 pub mod pages;
+pub mod partition_job;
 
 use std::collections::BTreeMap;
 
@@ -10,15 +12,15 @@
     TERMINAL_JOB_PREFIX, TerminalJobRecord, Txn,
 };
 use quartzlever_wire::users::{JobAnswer, JobPhase, JobSpec, JobView};
-use quartzlever_wire::workers::TaskId;
 use quartzlever_wire::{CallError, Json, Micros, Ranges, SECOND};
 use rand::seq::IndexedRandom;
 
 use crate::calls::{JobWrite, JobWriteAction, PendingPeerCall, PendingStoreCall, Purpose};
-use crate::config::Config;
+use crate::jobs::feasibility::{Feasibility, feasibility};
 use crate::jobs::pages::{Pages, ProgressWrite, WriteLimits};
+use crate::jobs::partition_job::{PartitionJob, RecordStep};
 use crate::messages::{Answer, CallPriority, LogLevel, RequestId};
-use crate::partition::{Partition, PartitionJob, active_job_key};
+use crate::partition::active_job_key;
 use crate::router::Core;
 use crate::store::parse;
 use crate::store::write_budget::WriteKind;
@@ -30,37 +32,6 @@
 const MAX_CANCEL_ATTEMPTS: u32 = 6;
 const WRITE_RETRY: Micros = SECOND / 2;
 
-/// Whether a job could ever run, as far as is known.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Feasibility {
-    Fits,
-    Never,
-    /// The machine types are not known yet.
-    Unsure,
-}
-
-/// Decides whether a job can ever run.
-pub fn feasibility<'a>(
-    config: &Config,
-    types: Option<impl Iterator<Item = &'a quartzlever_wire::cloud::MachineType>>,
-    spec: &JobSpec,
-) -> Feasibility {
-    let Some(team) = config.team(&spec.team) else { return Feasibility::Never };
-    let over = |want: f64, most: f64| most > 0.0 && want > most;
-    // All replicas of a service run at once.
-    let at_once = if spec.is_service() { f64::from(spec.tasks) } else { 1.0 };
-    if over(spec.cpus * at_once, team.cpus_max) || over(spec.gpus * at_once, team.gpus_max) {
-        return Feasibility::Never;
-    }
-    let Some(mut types) = types else { return Feasibility::Unsure };
-    let fits = types.any(|t| {
-        crate::scheduling::placement::type_allowed(spec, t)
-            && crate::machines::machine::Resources::capacity_of(t)
-                .fits(&crate::machines::machine::Resources::required_by(spec))
-    });
-    if fits { Feasibility::Fits } else { Feasibility::Never }
-}
-
 impl Core {
     fn user_answer(&mut self, id: RequestId, status: u16, job: &str, phase: JobPhase) {
         self.outbox.answer(id, status, Answer::Job(JobAnswer { id: job.to_owned(), phase }));
@@ -373,47 +344,39 @@
     /// has waited longest, as far as the account of changes allows.
     pub(crate) fn write_jobs(&mut self) {
         let now = self.now;
-        let mut due: Vec<(WriteKind, Micros, String, String)> = Vec::new();
+        let mut due: Vec<DueWrite> = Vec::new();
         let progress = self.write_budget.has(WriteKind::Progress, 1);
         for (name, partition) in self.partitions.iter_mut().filter(|(_, p)| p.active()) {
             let mut done_with = Vec::new();
             for (id, job) in &partition.jobs {
-                if job.writing || now < job.write_not_before {
-                    continue;
-                }
-                if job.idle() && !job.needs_write {
-                    if job.may_end_here(name) {
-                        if job.all_finished() {
-                            due.push((
-                                WriteKind::Finish,
-                                job.write_not_before,
-                                name.clone(),
-                                id.clone(),
-                            ));
-                        }
-                    } else if job.record.owned_by(name).is_empty() {
+                let write_kind = match job.next_record_step(name, now) {
+                    RecordStep::Wait => continue,
+                    RecordStep::Forget => {
                         done_with.push(id.clone());
-                    }
-                } else if job.write_outcome_unknown || job.needs_write || !job.finished.is_empty() {
-                    let ends = job.all_finished();
-                    let write_kind = if ends { WriteKind::Finish } else { WriteKind::Progress };
-                    if !ends && !progress {
                         continue;
                     }
-                    due.push((write_kind, job.write_not_before, name.clone(), id.clone()));
-                }
+                    RecordStep::WriteProgress if !progress => continue,
+                    RecordStep::WriteProgress => WriteKind::Progress,
+                    RecordStep::WriteEnd => WriteKind::Finish,
+                };
+                due.push(DueWrite {
+                    write_kind,
+                    due_since: job.write_not_before(),
+                    partition: name.clone(),
+                    job: id.clone(),
+                });
             }
             for id in done_with {
                 partition.jobs.swap_remove(&id);
             }
         }
         due.sort();
-        for (write_kind, _, partition, id) in due {
+        for DueWrite { write_kind, partition, job, .. } in due {
             let changes = if write_kind == WriteKind::Finish { 2 } else { 1 };
             if !self.write_budget.try_spend(write_kind, changes) {
                 break;
             }
-            self.write_job(&partition, &id);
+            self.write_job(&partition, &job);
         }
     }
 
@@ -426,7 +389,7 @@
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let (term, base) = (partition.term, partition.txn());
         let Some(job) = partition.jobs.get_mut(id) else { return };
-        let base = base.when(active_job_key(id), job.mod_revision);
+        let base = base.when(active_job_key(id), job.mod_revision());
         let planned = if job.all_finished() {
             Some(end_of_job(base, job))
         } else {
@@ -438,12 +401,10 @@
             progress.map(|progress| progress_of_job(base, id, progress, &self.pages))
         };
         let Some((txn, planned)) = planned else {
-            job.write_not_before = now + 2 * pause;
+            job.postpone_write(now + 2 * pause);
             return;
         };
-        job.writing = true;
-        job.needs_write = false;
-        job.write_not_before = now + pause;
+        job.begin_write(now + pause);
         let PlannedWrite { action, recorded, pages } = planned;
         self.write_budget.spend(pages.len());
         let write = JobWrite {
@@ -474,7 +435,7 @@
         let now = self.now;
         let Some(partition) = self.partition_at_term(&name, term) else { return };
         let Some(job) = partition.jobs.get_mut(&id) else { return };
-        job.writing = false;
+        job.end_write();
         match result {
             Ok(StoreReply::Committed(mod_revision)) => match action {
                 JobWriteAction::End => {
@@ -482,8 +443,7 @@
                     self.job_terminated(&id, TerminalJobRecord { phase: JobPhase::Done, done });
                 }
                 JobWriteAction::PagesOnly => {
-                    job.needs_write = true;
-                    job.write_not_before = now + WRITE_RETRY;
+                    job.retry_write(now + WRITE_RETRY);
                 }
                 JobWriteAction::Record => {
                     self.progress_written(&name, &id, &recorded, mod_revision)
@@ -493,12 +453,11 @@
                 if failed.contains(&format!("{PARTITION_PREFIX}{name}")) {
                     return self.lose_partition(&name, term);
                 }
-                job.writing = true;
+                job.begin_reread();
                 self.reread_job(&name, term, &id);
             }
             Ok(_) | Err(_) => {
-                job.needs_write = true;
-                job.write_not_before = now + WRITE_RETRY;
+                job.retry_write(now + WRITE_RETRY);
             }
         }
     }
@@ -507,20 +466,9 @@
     fn progress_written(&mut self, name: &str, id: &str, recorded: &Ranges, mod_revision: u64) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let Some(job) = partition.jobs.get_mut(id) else { return };
-        job.finished.subtract(recorded);
-        if mod_revision > job.mod_revision {
-            job.mod_revision = mod_revision;
-            job.record.finished.add(recorded);
-            job.record.started = true;
-        }
-        let record = (job.mod_revision == mod_revision).then(|| job.record.clone());
-        if job.write_outcome_unknown {
-            // Ours came into force at that modification revision, so the doubtful one never will.
-            job.write_outcome_unknown = false;
-            let cut = std::mem::take(&mut job.moving);
-            job.ready.add(&cut);
-            partition.placement_wanted = true;
-        }
+        let placement_wanted = job.progress_written(recorded, mod_revision);
+        let record = (job.mod_revision() == mod_revision).then(|| job.record.clone());
+        partition.placement_wanted |= placement_wanted;
         if let Some(record) = record {
             // So the watch, which tells of it too, brings nothing new.
             self.reconcile_job(record, mod_revision);
@@ -543,7 +491,7 @@
         let now = self.now;
         let Some(partition) = self.partition_at_term(name, term) else { return };
         let Some(job) = partition.jobs.get_mut(id) else { return };
-        job.writing = false;
+        job.end_write();
         match result {
             Ok(StoreReply::Row(Some(row))) => {
                 if let Some(record) = parse::<ActiveJobRecord>(&row) {
@@ -551,7 +499,7 @@
                 }
             }
             Ok(StoreReply::Row(None)) => {
-                job.writing = true;
+                job.begin_reread();
                 let waiting = PendingStoreCall::RereadTerminalJob {
                     partition: name.into(),
                     term,
@@ -564,8 +512,7 @@
                 );
             }
             _ => {
-                job.needs_write = true;
-                job.write_not_before = now + WRITE_RETRY;
+                job.retry_write(now + WRITE_RETRY);
             }
         }
     }
@@ -586,13 +533,21 @@
         if let Some(partition) = self.partition_at_term(name, term)
             && let Some(job) = partition.jobs.get_mut(id)
         {
-            job.writing = false;
-            job.needs_write = true;
-            job.write_not_before = now + WRITE_RETRY;
+            job.end_write();
+            job.retry_write(now + WRITE_RETRY);
         }
     }
 }
 
+/// A job whose record is to be written, in the order of what is written first.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct DueWrite {
+    write_kind: WriteKind,
+    due_since: Micros,
+    partition: String,
+    job: String,
+}
+
 /// What a planned transaction will have done.
 pub(crate) struct PlannedWrite {
     pub action: JobWriteAction,
@@ -638,7 +593,7 @@
     if length > value_bytes {
         recorded_now = fitting(&mut record, &recorded, &recorded_now, value_bytes);
         length = Json::of(&record).text().len();
-        if recorded_now.is_empty() && (length > value_bytes || !job.write_outcome_unknown) {
+        if recorded_now.is_empty() && (length > value_bytes || !job.is_write_outcome_unknown()) {
             return None;
         }
     }
@@ -671,30 +626,5 @@
     recorded_now
 }
 
-impl Partition {
-    /// Notes that a task is done; it counts once the record says so.
-    pub fn finish(&mut self, id: &str, index: u32, now: Micros) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        job.ready.remove(index);
-        job.awaiting_recovery.remove(index);
-        if let Some(place) = job.assignments.get(&index).cloned()
-            && let Some(machine) = self.machines.get_mut(&place.machine)
-            && let Some(slot) =
-                machine.slots.get_mut(&(TaskId { job: id.to_owned(), index }, place.attempt))
-        {
-            // Another attempt, if that is what it is, has no use any more.
-            slot.wanted = slot.exited();
-            self.urgent.insert(place.machine);
-        }
-        if job.record.owned_by(&self.name).contains(index) {
-            job.succeeded += 1;
-            job.finished.insert(index);
-            if job.all_finished() {
-                job.write_not_before = now;
-            }
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -15,7 +15,7 @@
 
 use crate::calls::PendingStoreCall;
 use crate::messages::{CallPriority, LogLevel};
-use crate::partition::{Partition, active_job_key};
+use crate::partition::active_job_key;
 use crate::router::Core;
 use crate::store::parse;
 use crate::store::write_budget::WriteKind;
@@ -242,7 +242,9 @@
             record.finished.add(&finished);
         }
         for partition in self.partitions.values_mut().filter(|partition| partition.loaded) {
-            partition.page_recorded(job, number, &finished);
+            if let Some(job) = partition.jobs.get_mut(job) {
+                job.take_page(number, &finished);
+            }
         }
         self.pages.insert(job, number, finished, mod_revision);
     }
@@ -297,20 +299,5 @@
     }
 }
 
-impl Partition {
-    /// A page of a job, which another leader may have written, records these tasks as finished.
-    fn page_recorded(&mut self, id: &str, number: u32, finished: &Ranges) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        job.record.paged = true;
-        // Most pages are of this leader's own writing: a look at the page's tasks alone is cheap.
-        let new = finished.minus(&tasks_of_page(&job.record.finished, number));
-        job.record.finished.add(&new);
-        job.ready.subtract(&new);
-        job.awaiting_recovery.subtract(&new);
-        job.moving.subtract(&new);
-        job.finished.subtract(&new);
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/quartzlever-core/src/jobs/partition_job/tests.rs
@@ -0,0 +1,149 @@
+//! What becomes of a job's tasks as records, pages and answers to writes come in.
+
+use super::*;
+use crate::testing::{NOW, record};
+
+const HOLDER: RecordHolder<'_> =
+    RecordHolder { partition: "one", term: 5, recovery_complete: true, team_limited: false };
+
+fn ranges(text: &str) -> Ranges {
+    text.parse().unwrap_or_default()
+}
+
+/// A job of four tasks, these of them in partition "one", known as of revision 10.
+fn job(mine: &str) -> PartitionJob {
+    let other = Ranges::first(4).minus(&ranges(mine)).to_string();
+    let record = record(mine, &other);
+    let mut job = PartitionJob::new(record.clone(), NOW, NOW);
+    job.take_record(record, 10, HOLDER);
+    job
+}
+
+#[test]
+fn tasks_of_a_new_record_are_ready_unless_an_earlier_leader_may_have_started_them() {
+    // (recovery complete, team limited, term; ready, awaiting recovery)
+    for (recovery_complete, team_limited, term, ready, awaiting) in [
+        (true, false, 5, "0-3", ""),
+        (true, true, 9, "0-3", ""),
+        (false, false, 5, "0-3", ""),
+        (false, false, 9, "", "0-3"),
+        (false, true, 5, "", "0-3"),
+    ] {
+        let record = record("0-3", "");
+        let mut job = PartitionJob::new(record.clone(), NOW, NOW);
+        let holder = RecordHolder { partition: "one", term, recovery_complete, team_limited };
+        let taken = job.take_record(record, 10, holder);
+        let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
+        let name = format!("{recovery_complete} {team_limited} {term}");
+        assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
+        assert_eq!(taken.placement_wanted, !ready.is_empty(), "{name}");
+        assert!(!taken.nothing_left_here, "{name}");
+    }
+}
+
+#[test]
+fn an_older_record_changes_nothing() {
+    let mut job = job("0-1");
+    assert_eq!(job.take_record(record("0-3", ""), 10, HOLDER), RecordTaken::default());
+    assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-1".into(), 10));
+    let taken = job.take_record(record("", "0-3"), 11, HOLDER);
+    assert!(taken.nothing_left_here && job.ready.is_empty());
+}
+
+#[test]
+fn a_move_ends_with_each_task_in_one_place() {
+    type End = fn(&mut PartitionJob, &Ranges);
+    let ends: [(&str, End, &str, usize); 4] = [
+        ("undone", |job, cut| job.move_undone(cut), "0-3", 0),
+        ("conflict", |job, cut| job.move_conflicted(cut, "one"), "0-3", 0),
+        ("unknown", |job, _| job.move_outcome_unknown(NOW), "0-1", 2),
+        ("committed", |job, cut| job.move_committed(cut, &mut record("0-1", "2-3"), 11), "0-1", 0),
+    ];
+    for (name, end, ready, moving) in ends {
+        let mut job = job("0-3");
+        let cut = job.ready.cut_last(2);
+        job.begin_move(&cut);
+        assert!(job.is_moving(2) && !job.is_record_settled(), "{name}");
+        assert_eq!(job.next_record_step("one", NOW), RecordStep::Wait, "{name}");
+        end(&mut job, &cut);
+        assert_eq!((job.ready.to_string(), job.moving_count() as usize), (ready.into(), moving));
+        assert_eq!(job.is_record_settled(), moving == 0, "{name}");
+    }
+}
+
+/// Only a write at the same modification revision, or a newer record while no write is under way,
+/// shows that a move of unknown outcome never comes into force.
+#[test]
+fn a_move_of_unknown_outcome_stays_cut_until_it_is_settled() {
+    let doubtful = || {
+        let mut job = job("0-3");
+        let cut = job.ready.cut_last(2);
+        job.begin_move(&cut);
+        job.move_outcome_unknown(NOW);
+        job
+    };
+    let mut job = doubtful();
+    assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteProgress);
+    job.begin_write(NOW + 1);
+    let taken = job.take_record(record("0-3", ""), 11, HOLDER);
+    assert_eq!((taken.placement_wanted, job.ready.to_string()), (false, "0-1".into()));
+    job.end_write();
+    assert!(job.progress_written(&Ranges::default(), 12));
+    assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-3".into(), 12));
+    let mut job = doubtful();
+    let taken = job.take_record(record("0-2", "3"), 11, HOLDER);
+    assert_eq!((taken.placement_wanted, job.ready.to_string()), (true, "0-2".into()));
+    assert!(job.is_record_settled());
+}
+
+#[test]
+fn the_record_is_written_when_there_is_something_to_say() {
+    let mut job = job("0-3");
+    assert_eq!(job.next_record_step("one", NOW), RecordStep::Wait);
+    job.record_start();
+    assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteProgress);
+    job.begin_write(NOW + 5);
+    assert_eq!(job.next_record_step("one", NOW + 5), RecordStep::Wait, "once at a time");
+    job.end_write();
+    assert_eq!(job.next_record_step("one", NOW + 5), RecordStep::Wait, "nothing new");
+    for index in 0..4 {
+        job.ready.remove(index);
+        job.finish(index, NOW);
+    }
+    assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteEnd, "the end waits for nothing");
+    job.postpone_write(NOW + 9);
+    assert_eq!(job.next_record_step("one", NOW + 8), RecordStep::Wait);
+    assert_eq!(job.next_record_step("one", NOW + 9), RecordStep::WriteEnd);
+}
+
+/// Others may have recorded the last tasks in pages without knowing of each other.
+#[test]
+fn a_holder_without_tasks_ends_a_job_with_pages_or_forgets_it() {
+    for (paged, finished, step) in [
+        (false, "", RecordStep::Forget),
+        (true, "0-1", RecordStep::Wait),
+        (true, "0-3", RecordStep::WriteEnd),
+    ] {
+        let mut job = job("0-1");
+        let mut record = record("0-1", "2-3");
+        (record.paged, record.finished) = (paged, ranges(finished));
+        if !paged {
+            record = crate::testing::record("", "0-3");
+        }
+        job.take_record(record, 11, HOLDER);
+        assert_eq!(job.next_record_step("one", NOW), step, "{paged} {finished}");
+    }
+}
+
+#[test]
+fn a_page_takes_finished_tasks_from_wherever_they_were() {
+    let mut job = job("0-3");
+    let cut = job.ready.cut_last(1);
+    job.begin_move(&cut);
+    job.ready.remove(0);
+    job.finish(0, NOW);
+    job.take_page(0, &ranges("0-1,3"));
+    assert_eq!(job.ready.to_string(), "2");
+    assert!(job.finished.is_empty() && !job.is_moving(3));
+    assert_eq!(job.record.finished.to_string(), "0-1,3");
+}
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -9,10 +9,11 @@
 
 use crate::calls::PendingWorkerCall;
 use crate::config::Config;
+use crate::jobs::partition_job::{Assignment, PartitionJob, yields};
 use crate::machines::failures::MachineFailures;
 use crate::machines::machine::{DirectCommand, Machine, Resources, Slot, SlotKey};
 use crate::messages::{Answer, LogLevel, RequestId};
-use crate::partition::{Assignment, Partition, PartitionJob, yields};
+use crate::partition::Partition;
 use crate::router::{Core, STARTING};
 use crate::scheduling::placement::RunTimes;
 
@@ -654,8 +655,7 @@
             }
         }
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| j.service()) {
-            // No progress is ever written of a service, so that others would call it queued.
-            job.needs_write |= !job.record.started;
+            job.record_start();
             if slot.running_since.is_some_and(|t| now.saturating_sub(t) > REPLICA_HEALTHY_AFTER) {
                 job.mark_healthy();
             }
@@ -792,7 +792,7 @@
             let free =
                 ours && !job.assignments.contains_key(&index) && !job.finished.contains(index);
             let allowed = config.team(&job.record.job.team).is_some();
-            if free && !exited && allowed && !job.moving.contains(index) {
+            if free && !exited && allowed && !job.is_moving(index) {
                 slot.wanted = true;
                 job.ready.remove(index);
                 job.awaiting_recovery.remove(index);
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -7,17 +7,17 @@
 use std::sync::Arc;
 
 use indexmap::IndexMap;
+use quartzlever_wire::Micros;
 use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::store::{
     ACTIVE_JOB_PREFIX, ActiveJobRecord, MachineRecord, PARTITION_PREFIX, Txn,
 };
-use quartzlever_wire::users::{JobSpec, Priority};
+use quartzlever_wire::users::Priority;
 use quartzlever_wire::workers::TaskId;
-use quartzlever_wire::{Micros, Ranges, SECOND};
 
 use crate::autoscaling::Fleet;
 use crate::config::Config;
-use crate::machines::failures::{JobFailures, MAX_TRIAL_TASKS};
+use crate::jobs::partition_job::{PartitionJob, RecordHolder};
 use crate::machines::machine::{Machine, Resources, Slot, SlotKey};
 use crate::messages::LogLevel;
 use crate::scheduling::free_capacity_index::FreeCapacityIndex;
@@ -27,147 +27,6 @@
 /// of insertions and removals, so the same commands give the same effects.
 pub type Table<T> = IndexMap<String, Box<T>, BuildHasherDefault<DefaultHasher>>;
 
-/// A machine that a job failed on is tried again after this time where nothing of the job runs.
-const FORGIVEN_AFTER: Micros = 20 * SECOND;
-
-/// Where a task may be.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Assignment {
-    pub machine: String,
-    pub attempt: u64,
-}
-
-/// A job with tasks in this partition.
-#[derive(Clone, Debug)]
-pub struct PartitionJob {
-    pub record: ActiveJobRecord,
-    pub mod_revision: u64,
-    /// May be placed at once.
-    pub ready: Ranges,
-    /// May have been started by an earlier leader; waits for the recovery barrier.
-    pub awaiting_recovery: Ranges,
-    /// Cut off for a thief, the move not committed yet.
-    pub moving: Ranges,
-    /// On a machine, or possibly so.
-    pub assignments: BTreeMap<u32, Assignment>,
-    /// Reported done, not recorded yet.
-    pub finished: Ranges,
-    /// A write of this job's record is under way.
-    pub writing: bool,
-    /// An earlier write of unknown outcome may still come into force; only another write at the
-    /// same modification revision can settle that.
-    pub write_outcome_unknown: bool,
-    pub write_not_before: Micros,
-    pub needs_write: bool,
-    /// When the submission was made, by the steady clock.
-    pub since: Micros,
-    pub due: Option<Micros>,
-    /// Attempts that failed here.
-    pub failures: JobFailures,
-    /// Tasks of the job that were done here.
-    pub succeeded: u32,
-    pub no_start_before: Micros,
-    /// Tasks that were stopped for others once; they are not stopped again.
-    pub preempted: Ranges,
-    /// Its tasks lose nothing by starting with their machine's next heartbeat.
-    pub can_wait_for_heartbeat: bool,
-}
-
-impl PartitionJob {
-    pub fn spec(&self) -> &JobSpec {
-        &self.record.job
-    }
-
-    pub fn need(&self) -> Resources {
-        Resources::required_by(&self.record.job)
-    }
-
-    /// Whether its tasks run until it is cancelled.
-    pub fn service(&self) -> bool {
-        self.record.job.is_service()
-    }
-
-    /// Whether it is idle-time work that saves its progress when it is stopped, so that it loses next to nothing.
-    pub fn yields(&self) -> bool {
-        yields(&self.record.job)
-    }
-
-    /// All tasks that this partition answers for, as far as it knows.
-    fn known(&self) -> Ranges {
-        let mut all = self.ready.union(&self.awaiting_recovery);
-        all.add(&self.moving);
-        all.add(&self.finished);
-        all.add(&self.assignments.keys().copied().collect());
-        all
-    }
-
-    /// The record, with whether the job has begun.
-    pub fn begun_record(&self) -> ActiveJobRecord {
-        let mut record = self.record.clone();
-        record.started |= !self.assignments.is_empty();
-        record.started |= !record.finished.is_empty() || !self.finished.is_empty();
-        record
-    }
-
-    /// Whether this partition may have to end the job although it has no task of it any more: others
-    /// may have recorded the last tasks in pages without knowing of each other.
-    pub fn may_end_here(&self, partition: &str) -> bool {
-        self.record.paged && self.record.is_shared_by(partition)
-    }
-
-    /// Whether the last tasks have finished, recorded or not.
-    pub fn all_finished(&self) -> bool {
-        self.record.finished.len() + self.finished.len() >= self.record.job.tasks
-    }
-
-    /// A replica of the service has run for a while: it works, and earlier failures count no more.
-    pub fn mark_healthy(&mut self) {
-        self.succeeded = self.succeeded.max(1);
-        self.failures.forget();
-    }
-
-    /// Whether the job fails wherever it is tried. A service may do so after it has run well: what
-    /// failed before that is forgotten by then.
-    pub fn fails_everywhere(&self) -> bool {
-        (self.succeeded == 0 || self.service()) && self.failures.blame_job()
-    }
-
-    /// How many of its ready tasks may be placed now: one that fails wherever it is tried is tried with
-    /// few at once, so that it costs the machines next to nothing until it is cancelled.
-    pub fn placeable(&self) -> u32 {
-        if self.fails_everywhere() && !self.service() {
-            MAX_TRIAL_TASKS.saturating_sub(self.assignments.len() as u32).min(self.ready.len())
-        } else {
-            self.ready.len()
-        }
-    }
-
-    /// When the machines that it failed on are tried again although it has not failed on as many as a
-    /// mistaken job: nothing of it runs, and there may be no others to be had. Where all machines had
-    /// failed for a while, a service stayed away for good after they were sound again.
-    pub fn forgives_at(&self) -> Option<Micros> {
-        let waits =
-            !self.failures.is_empty() && self.assignments.is_empty() && !self.fails_everywhere();
-        waits.then(|| self.failures.last() + FORGIVEN_AFTER)
-    }
-
-    /// Whether the work of this partition on the job is over and recorded.
-    pub fn idle(&self) -> bool {
-        self.ready.is_empty()
-            && self.awaiting_recovery.is_empty()
-            && self.moving.is_empty()
-            && self.assignments.is_empty()
-            && self.finished.is_empty()
-            && !self.writing
-            && !self.write_outcome_unknown
-    }
-}
-
-/// Whether tasks of a job give way to any other work at next to no loss.
-pub fn yields(job: &JobSpec) -> bool {
-    job.priority == Priority::BestEffort && job.checkpoint_s > 0.0
-}
-
 /// Machine types by name, shared by all partitions of a process.
 pub type Types = Arc<BTreeMap<String, MachineType>>;
 
@@ -278,69 +137,24 @@
         now: Micros,
         wall: Micros,
     ) {
-        let id = record.job.id.clone();
-        let owned = record.owned_by(&self.name);
-        let known_job = self.jobs.contains_key(&id);
-        let ends_here = record.paged && record.is_shared_by(&self.name);
-        if !known_job && owned.is_empty() && !ends_here {
-            return;
-        }
-        let job = self.jobs.entry(id).or_insert_with(|| {
-            let age = wall.saturating_sub(record.since);
-            let since = now.saturating_sub(age);
-            let due = record.job.due_s.map(|s| since + quartzlever_wire::micros_from_secs(s));
-            Box::new(PartitionJob {
-                record: record.clone(),
-                mod_revision: 0,
-                ready: Ranges::default(),
-                awaiting_recovery: Ranges::default(),
-                moving: Ranges::default(),
-                assignments: BTreeMap::new(),
-                finished: Ranges::default(),
-                writing: false,
-                write_outcome_unknown: false,
-                write_not_before: 0,
-                needs_write: false,
-                since,
-                due,
-                failures: JobFailures::default(),
-                succeeded: 0,
-                no_start_before: 0,
-                preempted: Ranges::default(),
-                can_wait_for_heartbeat: false,
-            })
-        });
-        if mod_revision <= job.mod_revision {
+        if !self.jobs.contains_key(&record.job.id) && !PartitionJob::concerns(&record, &self.name) {
             return;
         }
-        let fresh = record.entered_under(&self.name, self.term);
-        job.record = record;
-        job.mod_revision = mod_revision;
-        if job.write_outcome_unknown && !job.writing {
-            // The record has moved on, so the doubtful write can no longer come into force.
-            job.write_outcome_unknown = false;
-            let cut = std::mem::take(&mut job.moving);
-            job.ready.add(&cut);
-            self.placement_wanted = true;
-        }
-        let new = owned.minus(&job.known());
-        let at_once = if self.recovery_complete {
-            new.clone()
-        } else if config.limited(&job.record.job.team) {
-            // The team's limit counts what an earlier leader may have started.
-            Ranges::default()
-        } else {
-            new.intersect(&fresh)
+        let holder = RecordHolder {
+            partition: &self.name,
+            term: self.term,
+            recovery_complete: self.recovery_complete,
+            team_limited: config.limited(&record.job.team),
         };
-        job.awaiting_recovery.add(&new.minus(&at_once));
-        job.ready.add(&at_once);
-        job.ready = job.ready.intersect(&owned);
-        job.awaiting_recovery = job.awaiting_recovery.intersect(&owned);
-        job.moving = job.moving.intersect(&owned);
-        job.finished = job.finished.intersect(&owned);
-        self.placement_wanted |= !job.ready.is_empty() && !at_once.is_empty();
-        if job.idle() && owned.is_empty() && !ends_here {
-            let id = job.record.job.id.clone();
+        let id = record.job.id.clone();
+        let job = self
+            .jobs
+            .entry(id)
+            .or_insert_with(|| Box::new(PartitionJob::new(record.clone(), now, wall)));
+        let taken = job.take_record(record, mod_revision, holder);
+        self.placement_wanted |= taken.placement_wanted;
+        if taken.nothing_left_here {
+            let id = job.spec().id.clone();
             self.jobs.swap_remove(&id);
         }
     }
@@ -370,6 +184,25 @@
         }
     }
 
+    /// Notes that a task is done; it counts once the record says so.
+    pub fn finish(&mut self, id: &str, index: u32, now: Micros) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.ready.remove(index);
+        job.awaiting_recovery.remove(index);
+        if let Some(place) = job.assignments.get(&index).cloned()
+            && let Some(machine) = self.machines.get_mut(&place.machine)
+            && let Some(slot) =
+                machine.slots.get_mut(&(TaskId { job: id.to_owned(), index }, place.attempt))
+        {
+            // Another attempt, if that is what it is, has no use any more.
+            slot.wanted = slot.exited();
+            self.urgent.insert(place.machine);
+        }
+        if job.record.owned_by(&self.name).contains(index) {
+            job.finish(index, now);
+        }
+    }
+
     /// Puts a task that is surely on no machine back into the queue.
     pub fn requeue(&mut self, task: &TaskId, attempt: u64) {
         let barrier = self.recovery_complete;
--- a/crates/quartzlever-core/src/scheduling/placement.rs
+++ b/crates/quartzlever-core/src/scheduling/placement.rs
@@ -3,15 +3,15 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::users::{JobSpec, Priority};
 use quartzlever_wire::workers::TaskId;
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
 use crate::config::{Config, ServiceLevelObjective};
+use crate::jobs::partition_job::{Assignment, PartitionJob};
 use crate::machines::machine::{PendingPreemption, Resources, Slot, SlotKey};
 use crate::messages::LogLevel;
-use crate::partition::{Assignment, Partition, PartitionJob};
+use crate::partition::Partition;
 use crate::router::Core;
 
 /// A machine that was not heard of for so many heartbeat intervals gets no new tasks.
@@ -40,12 +40,6 @@
 const PLACEMENT_INTERVAL: Micros = SECOND / 10;
 const PREEMPTION_INTERVAL: Micros = SECOND / 5;
 
-/// Whether a job may run on a machine type at all (room aside).
-pub fn type_allowed(spec: &JobSpec, machine_type: &MachineType) -> bool {
-    spec.types.as_ref().is_none_or(|types| types.contains(&machine_type.name))
-        && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
-}
-
 /// Whether a job may run on machines of this type, zone and kind (room aside).
 pub fn offer_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type))
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -11,6 +11,7 @@
 
 use crate::calls::{Move, PendingPeerCall, PendingStoreCall};
 use crate::config::Config;
+use crate::jobs::partition_job::PartitionJob;
 use crate::machines::machine::{Resources, Slot};
 use crate::messages::{CallPriority, LogLevel, RequestId};
 use crate::partition::{Partition, active_job_key};
@@ -531,9 +532,9 @@
             }
             bytes += size;
             left -= cut.len();
-            job.moving.add(&cut);
-            job.writing = true;
-            txn = txn.when(active_job_key(&id), job.mod_revision).write(active_job_key(&id), value);
+            job.begin_move(&cut);
+            txn =
+                txn.when(active_job_key(&id), job.mod_revision()).write(active_job_key(&id), value);
             moved.push(Move { job: id, cut, record });
         }
         if moved.is_empty() {
@@ -592,14 +593,7 @@
         for Move { job: id, cut, mut record } in moved {
             let text = Json::of(&self.pages.stored_form(&record)).text().to_owned();
             if let Some(job) = self.partitions.get_mut(name).and_then(|p| p.jobs.get_mut(&id)) {
-                job.writing = false;
-                job.moving.subtract(&cut);
-                if mod_revision > job.mod_revision {
-                    // A page may have told of finished tasks meanwhile.
-                    record.finished.add(&job.record.finished);
-                    job.mod_revision = mod_revision;
-                    job.record = record.clone();
-                }
+                job.move_committed(&cut, &mut record, mod_revision);
             }
             // The thief may be another partition of this very process.
             self.reconcile_job(record, mod_revision);
@@ -623,12 +617,9 @@
         let mut again = Vec::new();
         for Move { job: id, cut, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
-            job.writing = false;
-            job.moving.subtract(&cut);
-            let owned = job.record.owned_by(name);
-            job.ready.add(&cut.intersect(&owned));
+            job.move_conflicted(&cut, name);
             if failed.contains(&active_job_key(&id)) {
-                job.writing = true;
+                job.begin_reread();
                 again.push(id);
             }
         }
@@ -646,9 +637,7 @@
         let Some(partition) = self.partitions.get_mut(name) else { return };
         for Move { job: id, cut, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
-            job.writing = false;
-            job.moving.subtract(&cut);
-            job.ready.add(&cut);
+            job.move_undone(&cut);
         }
     }
 
@@ -659,21 +648,17 @@
         let Some(partition) = self.partitions.get_mut(name) else { return };
         for Move { job: id, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
-            job.writing = false;
-            job.write_outcome_unknown = true;
-            job.needs_write = true;
-            job.write_not_before = soon;
+            job.move_outcome_unknown(soon);
         }
     }
 }
 
 /// Whether tasks of the job may go to another partition.
-fn movable(config: &Config, job: &crate::partition::PartitionJob, priority: Priority) -> bool {
+fn movable(config: &Config, job: &PartitionJob, priority: Priority) -> bool {
     let spec = job.spec();
     // A limited team stays in its partition, zones are counted within one partition, and services stay put.
-    !job.writing
+    job.is_record_settled()
         && spec.priority <= priority
-        && !job.write_outcome_unknown
         && !job.ready.is_empty()
         // Elsewhere it would fail on as many machines again.
         && !job.fails_everywhere()
@@ -684,7 +669,7 @@
 }
 
 /// How many of the job's ready tasks the thief has room for, taking that room.
-fn fit_count(free: &mut [FreeCapacity], job: &crate::partition::PartitionJob, most: u32) -> u32 {
+fn fit_count(free: &mut [FreeCapacity], job: &PartitionJob, most: u32) -> u32 {
     let need = job.need();
     let mut count = 0;
     let most = most.min(job.ready.len());
@@ -703,10 +688,7 @@
 }
 
 /// Whether a task of the job could ever run on one of these machines.
-fn fits_somewhere(
-    free_capacity_index: &[FreeCapacity],
-    job: &crate::partition::PartitionJob,
-) -> bool {
+fn fits_somewhere(free_capacity_index: &[FreeCapacity], job: &PartitionJob) -> bool {
     let need = job.need();
     free_capacity_index.iter().any(|r| {
         let resources = Resources { cpus: r.cpus, gpus: r.gpus, ram_gb: r.ram_gb };
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -32,8 +32,7 @@
         let cut: Ranges = "2-3".parse().unwrap_or_default();
         if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
             job.ready.subtract(&cut);
-            job.moving.add(&cut);
-            job.writing = true;
+            job.begin_move(&cut);
         }
         let the_move = Move { job: "req-1".into(), cut, record: record("0-1", "2-3") };
         core.steal_written("one", 5, None, vec![the_move], moved);
@@ -122,7 +121,7 @@
             load: Some(Load { work, cpus: 8.0 }),
         };
         core.step(NOW + 2 * SECOND, vec![Command::PeerRequest { id: 1, request }]);
-        let cut = core.partitions["one"].jobs["req-1"].moving.len();
+        let cut = core.partitions["one"].jobs["req-1"].moving_count();
         assert_eq!(cut, moves, "{name}");
     }
 }
@@ -165,12 +164,11 @@
             partition.saturated = saturated;
             // Whatever the steps have moved is here again.
             if let Some(job) = partition.jobs.get_mut("req-1") {
-                (job.ready, job.moving) = (Ranges::first(4), Ranges::default());
-                job.writing = false;
+                job.move_undone(&Ranges::first(4));
             }
         }
         core.poll_stealing();
-        let cut = core.partitions["one"].jobs["req-1"].moving.len();
+        let cut = core.partitions["one"].jobs["req-1"].moving_count();
         assert_eq!(cut > 0, saturated, "pressed {saturated}");
     }
 }
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -152,7 +152,7 @@
             let over: Vec<String> = partition
                 .jobs
                 .iter()
-                .filter(|(id, job)| job.mod_revision <= revision && !self.cache.is_active_job(id))
+                .filter(|(id, job)| job.mod_revision() <= revision && !self.cache.is_active_job(id))
                 .map(|(id, _)| id.clone())
                 .collect();
             for id in over {
