--- a/crates/quartzlever-core/src/jobs.rs
+++ b/crates/quartzlever-core/src/jobs.rs
@@ -3,6 +3,7 @@
 mod feasibility;
 pub mod pages;
 pub mod partition_job;
+pub(crate) mod records;
 
 use std::collections::BTreeMap;
 
@@ -12,25 +13,21 @@
     TERMINAL_JOB_PREFIX, TerminalJobRecord, Txn,
 };
 use quartzlever_wire::users::{JobAnswer, JobPhase, JobSpec, JobView};
-use quartzlever_wire::{CallError, Json, Micros, Ranges, SECOND};
+use quartzlever_wire::{CallError, Json, Ranges};
 use rand::seq::IndexedRandom;
 
-use crate::calls::{JobWrite, JobWriteAction, PendingPeerCall, PendingStoreCall, Purpose};
+use crate::calls::{PendingPeerCall, PendingStoreCall, Purpose};
 use crate::jobs::feasibility::{Feasibility, feasibility};
-use crate::jobs::pages::{Pages, ProgressWrite, WriteLimits};
-use crate::jobs::partition_job::{PartitionJob, RecordStep};
+use crate::jobs::records::{active_job_key, terminal_job_key};
 use crate::messages::{Answer, CallPriority, LogLevel, RequestId};
-use crate::partition::active_job_key;
 use crate::router::Core;
 use crate::store::parse;
-use crate::store::write_budget::WriteKind;
 
 /// Users' requests under way beyond which new ones are shed at once.
 const MAX_USER_CALLS: usize = 64;
 /// Submissions are shed earlier, so that lookups and cancellations still pass.
 const MAX_SUBMISSIONS: usize = 40;
 const MAX_CANCEL_ATTEMPTS: u32 = 6;
-const WRITE_RETRY: Micros = SECOND / 2;
 
 impl Core {
     fn user_answer(&mut self, id: RequestId, status: u16, job: &str, phase: JobPhase) {
@@ -85,9 +82,8 @@
             return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse: true });
         }
         let active_key = active_job_key(&spec.id);
-        let mut txn = Txn::default()
-            .when(active_key.clone(), 0)
-            .when(format!("{TERMINAL_JOB_PREFIX}{}", spec.id), 0);
+        let mut txn =
+            Txn::default().when(active_key.clone(), 0).when(terminal_job_key(&spec.id), 0);
         if term > 0 {
             txn = txn.when(format!("{PARTITION_PREFIX}{partition}"), term);
         }
@@ -210,7 +206,7 @@
         let row: Row = match result {
             Ok(StoreReply::Row(Some(row))) => row,
             Ok(StoreReply::Row(None)) => {
-                let call = StoreCall::Get(format!("{TERMINAL_JOB_PREFIX}{}", purpose.job()));
+                let call = StoreCall::Get(terminal_job_key(purpose.job()));
                 return self.user_call(call, PendingStoreCall::ReadTerminalJob { purpose });
             }
             _ => {
@@ -245,7 +241,7 @@
                 let txn = Txn::default()
                     .when(active_key.clone(), row.mod_revision)
                     .delete(active_key)
-                    .write(format!("{TERMINAL_JOB_PREFIX}{job}"), Json::of(&over));
+                    .write(terminal_job_key(&job), Json::of(&over));
                 self.write_budget.spend(2);
                 self.user_call(
                     StoreCall::Txn(txn),
@@ -339,291 +335,6 @@
             self.outbox.ask_peer(&node, request, PendingPeerCall::Notification);
         }
     }
-
-    /// Writes what has changed of the jobs, each job at most once at a time: ends first, then what
-    /// has waited longest, as far as the account of changes allows.
-    pub(crate) fn write_jobs(&mut self) {
-        let now = self.now;
-        let mut due: Vec<DueWrite> = Vec::new();
-        let progress = self.write_budget.has(WriteKind::Progress, 1);
-        for (name, partition) in self.partitions.iter_mut().filter(|(_, p)| p.active()) {
-            let mut done_with = Vec::new();
-            for (id, job) in &partition.jobs {
-                let write_kind = match job.next_record_step(name, now) {
-                    RecordStep::Wait => continue,
-                    RecordStep::Forget => {
-                        done_with.push(id.clone());
-                        continue;
-                    }
-                    RecordStep::WriteProgress if !progress => continue,
-                    RecordStep::WriteProgress => WriteKind::Progress,
-                    RecordStep::WriteEnd => WriteKind::Finish,
-                };
-                due.push(DueWrite {
-                    write_kind,
-                    due_since: job.write_not_before(),
-                    partition: name.clone(),
-                    job: id.clone(),
-                });
-            }
-            for id in done_with {
-                partition.jobs.swap_remove(&id);
-            }
-        }
-        due.sort();
-        for DueWrite { write_kind, partition, job, .. } in due {
-            let changes = if write_kind == WriteKind::Finish { 2 } else { 1 };
-            if !self.write_budget.try_spend(write_kind, changes) {
-                break;
-            }
-            self.write_job(&partition, &job);
-        }
-    }
-
-    fn write_job(&mut self, name: &str, id: &str) {
-        let now = self.now;
-        let pause = self.config.operator.progress_write;
-        let room =
-            WriteLimits { value_bytes: self.limits.value_bytes(), pages: self.affordable_pages() };
-        let paging = self.cluster.pages();
-        let Some(partition) = self.partitions.get_mut(name) else { return };
-        let (term, base) = (partition.term, partition.txn());
-        let Some(job) = partition.jobs.get_mut(id) else { return };
-        let base = base.when(active_job_key(id), job.mod_revision());
-        let planned = if job.all_finished() {
-            Some(end_of_job(base, job))
-        } else {
-            let progress = if paging {
-                self.pages.plan(&job.begun_record(), &job.finished, room)
-            } else {
-                progress_without_pages(job, room.value_bytes)
-            };
-            progress.map(|progress| progress_of_job(base, id, progress, &self.pages))
-        };
-        let Some((txn, planned)) = planned else {
-            job.postpone_write(now + 2 * pause);
-            return;
-        };
-        job.begin_write(now + pause);
-        let PlannedWrite { action, recorded, pages } = planned;
-        self.write_budget.spend(pages.len());
-        let write = JobWrite {
-            partition: name.to_owned(),
-            term,
-            job: id.to_owned(),
-            action,
-            recorded,
-            pages,
-        };
-        self.outbox.call_store(
-            CallPriority::Work,
-            StoreCall::Txn(txn),
-            PendingStoreCall::JobWrite(Box::new(write)),
-        );
-    }
-
-    pub(crate) fn job_written(&mut self, write: JobWrite, result: Result<StoreReply, CallError>) {
-        let JobWrite { partition: name, term, job: id, action, recorded, pages } = write;
-        if let Ok(StoreReply::Committed(mod_revision)) = result {
-            if action != JobWriteAction::PagesOnly {
-                self.mod_revisions.saw(&id, mod_revision);
-            }
-            for (number, finished) in pages {
-                self.record_page(&id, number, finished, mod_revision);
-            }
-        }
-        let now = self.now;
-        let Some(partition) = self.partition_at_term(&name, term) else { return };
-        let Some(job) = partition.jobs.get_mut(&id) else { return };
-        job.end_write();
-        match result {
-            Ok(StoreReply::Committed(mod_revision)) => match action {
-                JobWriteAction::End => {
-                    let done = job.record.job.tasks;
-                    self.job_terminated(&id, TerminalJobRecord { phase: JobPhase::Done, done });
-                }
-                JobWriteAction::PagesOnly => {
-                    job.retry_write(now + WRITE_RETRY);
-                }
-                JobWriteAction::Record => {
-                    self.progress_written(&name, &id, &recorded, mod_revision)
-                }
-            },
-            Ok(StoreReply::Conflict(failed)) => {
-                if failed.contains(&format!("{PARTITION_PREFIX}{name}")) {
-                    return self.lose_partition(&name, term);
-                }
-                job.begin_reread();
-                self.reread_job(&name, term, &id);
-            }
-            Ok(_) | Err(_) => {
-                job.retry_write(now + WRITE_RETRY);
-            }
-        }
-    }
-
-    /// The record of a job is in force with newly finished tasks.
-    fn progress_written(&mut self, name: &str, id: &str, recorded: &Ranges, mod_revision: u64) {
-        let Some(partition) = self.partitions.get_mut(name) else { return };
-        let Some(job) = partition.jobs.get_mut(id) else { return };
-        let placement_wanted = job.progress_written(recorded, mod_revision);
-        let record = (job.mod_revision() == mod_revision).then(|| job.record.clone());
-        partition.placement_wanted |= placement_wanted;
-        if let Some(record) = record {
-            // So the watch, which tells of it too, brings nothing new.
-            self.reconcile_job(record, mod_revision);
-        }
-    }
-
-    pub(crate) fn reread_job(&mut self, partition: &str, term: u64, job: &str) {
-        let waiting =
-            PendingStoreCall::Reread { partition: partition.into(), term, job: job.into() };
-        self.outbox.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), waiting);
-    }
-
-    pub(crate) fn active_job_reread(
-        &mut self,
-        name: &str,
-        term: u64,
-        id: &str,
-        result: Result<StoreReply, CallError>,
-    ) {
-        let now = self.now;
-        let Some(partition) = self.partition_at_term(name, term) else { return };
-        let Some(job) = partition.jobs.get_mut(id) else { return };
-        job.end_write();
-        match result {
-            Ok(StoreReply::Row(Some(row))) => {
-                if let Some(record) = parse::<ActiveJobRecord>(&row) {
-                    self.reconcile_job(record, row.mod_revision);
-                }
-            }
-            Ok(StoreReply::Row(None)) => {
-                job.begin_reread();
-                let waiting = PendingStoreCall::RereadTerminalJob {
-                    partition: name.into(),
-                    term,
-                    job: id.to_owned(),
-                };
-                self.outbox.call_store(
-                    CallPriority::Work,
-                    StoreCall::Get(format!("{TERMINAL_JOB_PREFIX}{id}")),
-                    waiting,
-                );
-            }
-            _ => {
-                job.retry_write(now + WRITE_RETRY);
-            }
-        }
-    }
-
-    pub(crate) fn terminal_job_reread(
-        &mut self,
-        name: &str,
-        term: u64,
-        id: &str,
-        result: Result<StoreReply, CallError>,
-    ) {
-        let now = self.now;
-        if let Ok(StoreReply::Row(Some(row))) = &result
-            && let Some(over) = parse::<TerminalJobRecord>(row)
-        {
-            return self.job_terminated(id, over);
-        }
-        if let Some(partition) = self.partition_at_term(name, term)
-            && let Some(job) = partition.jobs.get_mut(id)
-        {
-            job.end_write();
-            job.retry_write(now + WRITE_RETRY);
-        }
-    }
-}
-
-/// A job whose record is to be written, in the order of what is written first.
-#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct DueWrite {
-    write_kind: WriteKind,
-    due_since: Micros,
-    partition: String,
-    job: String,
-}
-
-/// What a planned transaction will have done.
-pub(crate) struct PlannedWrite {
-    pub action: JobWriteAction,
-    pub recorded: Ranges,
-    pub pages: Vec<(u32, Ranges)>,
-}
-
-fn end_of_job(txn: Txn, job: &PartitionJob) -> (Txn, PlannedWrite) {
-    let spec = job.spec();
-    let over = TerminalJobRecord { phase: JobPhase::Done, done: spec.tasks };
-    let txn = txn
-        .delete(active_job_key(&spec.id))
-        .write(format!("{TERMINAL_JOB_PREFIX}{}", spec.id), Json::of(&over));
-    let recorded = job.finished.clone();
-    (txn, PlannedWrite { action: JobWriteAction::End, recorded, pages: Vec::new() })
-}
-
-/// Makes a transaction record the progress of a job.
-pub(crate) fn progress_of_job(
-    txn: Txn,
-    id: &str,
-    progress: ProgressWrite,
-    known: &Pages,
-) -> (Txn, PlannedWrite) {
-    let ProgressWrite { record, pages, recorded } = progress;
-    let txn = known.add_to(txn, id, &pages);
-    let (txn, action) = match record {
-        Some(record) => (txn.write(active_job_key(id), Json::of(&record)), JobWriteAction::Record),
-        None => (txn, JobWriteAction::PagesOnly),
-    };
-    (txn, PlannedWrite { action, recorded, pages })
-}
-
-/// While a controller may be of the first version, a record keeps what fits: too many gaps are not
-/// recorded until other tasks have finished between. What is not recorded is not cleared on the
-/// machines either.
-fn progress_without_pages(job: &PartitionJob, value_bytes: usize) -> Option<ProgressWrite> {
-    let mut record = job.begun_record();
-    let recorded = record.finished.clone();
-    record.finished.add(&job.finished);
-    let mut recorded_now = job.finished.clone();
-    let mut length = Json::of(&record).text().len();
-    if length > value_bytes {
-        recorded_now = fitting(&mut record, &recorded, &recorded_now, value_bytes);
-        length = Json::of(&record).text().len();
-        if recorded_now.is_empty() && (length > value_bytes || !job.is_write_outcome_unknown()) {
-            return None;
-        }
-    }
-    Some(ProgressWrite { record: Some(record), pages: Vec::new(), recorded: recorded_now })
-}
-
-/// Puts as much of what has finished into a record as keeps it within a value's limit, the longest
-/// ranges first, and gives what that is.
-fn fitting(
-    record: &mut ActiveJobRecord,
-    recorded: &Ranges,
-    finished: &Ranges,
-    most: usize,
-) -> Ranges {
-    /// So many ranges are tried: they fill gaps or are long, and the rest can wait.
-    const TRIED: usize = 64;
-    record.finished = recorded.clone();
-    let room = most.saturating_sub(Json::of(&*record).text().len() - recorded.to_string().len());
-    let mut ranges: Vec<Ranges> = finished.ranges().map(Ranges::of).collect();
-    ranges.sort_by_key(|r| std::cmp::Reverse(r.len()));
-    let (mut kept, mut recorded_now) = (recorded.clone(), Ranges::default());
-    for range in ranges.into_iter().take(TRIED) {
-        let with = kept.union(&range);
-        if with.to_string().len() <= room {
-            kept = with;
-            recorded_now.add(&range);
-        }
-    }
-    record.finished = kept;
-    recorded_now
 }
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -6,6 +6,8 @@
 //! been seen of them may be joined with any view of the record: a late view knows less, never
 //! anything wrong. Every page is written on condition of the record's modification revision, so none can appear
 //! after the job is done or cancelled; what is left of such jobs is removed later.
+//!
+//! [`Pages`] owns what is known of all pages, plans how progress is recorded, and removes leftovers.
 
 use std::collections::BTreeMap;
 
@@ -14,11 +16,11 @@
 use quartzlever_wire::{Json, Micros, Ranges, SECOND};
 
 use crate::calls::PendingStoreCall;
-use crate::messages::{CallPriority, LogLevel};
-use crate::partition::active_job_key;
-use crate::router::Core;
+use crate::jobs::records::active_job_key;
+use crate::messages::CallPriority;
+use crate::outbox::Outbox;
 use crate::store::parse;
-use crate::store::write_budget::WriteKind;
+use crate::store::write_budget::{WriteBudget, WriteKind};
 
 /// Leftover pages are removed no more often, so that the watch can tell of the last removal.
 const REMOVE_PAUSE: Micros = 2 * SECOND;
@@ -57,6 +59,30 @@
     pub recorded: Ranges,
 }
 
+/// A row under the prefix of the pages.
+#[derive(Debug)]
+pub(crate) enum PageRow<'a> {
+    /// Its key is not the key of a page.
+    NoPage,
+    Unreadable,
+    Page {
+        job: &'a str,
+        number: u32,
+        finished: Ranges,
+    },
+}
+
+impl<'a> PageRow<'a> {
+    /// Reads the key and the value of a row.
+    pub fn read(row: &'a Row) -> Self {
+        let Some((job, number)) = page_of_key(&row.path) else { return PageRow::NoPage };
+        match parse::<PageRecord>(row).and_then(|record| record.tasks(number)) {
+            Some(finished) => PageRow::Page { job, number, finished },
+            None => PageRow::Unreadable,
+        }
+    }
+}
+
 impl Pages {
     /// Takes in a page as it is at a revision; a later one may be known already.
     pub fn insert(&mut self, job: &str, number: u32, finished: Ranges, mod_revision: u64) {
@@ -66,8 +92,9 @@
         }
     }
 
-    /// A page was removed at a revision.
-    pub fn remove(&mut self, job: &str, number: u32, mod_revision: u64) {
+    /// The page with this key was removed at a revision.
+    pub fn remove(&mut self, path: &str, mod_revision: u64) {
+        let Some((job, number)) = page_of_key(path) else { return };
         let Some(pages) = self.jobs.get_mut(job) else { return };
         if pages.get(&number).is_some_and(|known| known.mod_revision <= mod_revision) {
             pages.remove(&number);
@@ -91,6 +118,53 @@
         finished
     }
 
+    /// Joins a record with all that is known to have finished of its job: the pages, and what the
+    /// known record lists.
+    pub fn join_finished(&self, record: &mut ActiveJobRecord, known: Option<&ActiveJobRecord>) {
+        let job = &record.job.id;
+        if !record.paged && !self.has(job) {
+            return;
+        }
+        record.paged = true;
+        record.finished.add(&self.finished_of(job));
+        if let Some(known) = known {
+            record.finished.add(&known.finished);
+        }
+    }
+
+    /// Whether there are pages, and leftover ones may be removed by now.
+    pub fn may_remove(&self, now: Micros) -> bool {
+        now >= self.remove_after && !self.jobs.is_empty()
+    }
+
+    /// Removes pages of one job that is over, as far as the account of changes allows, on condition
+    /// that the job is not live. `leader` is a transaction that only the leader of the first partition
+    /// gets into force.
+    pub fn remove_leftovers(
+        &mut self,
+        now: Micros,
+        is_active_job: impl Fn(&str) -> bool,
+        leader: Txn,
+        txn_ops: usize,
+        budget: &mut WriteBudget,
+        outbox: &mut Outbox,
+    ) {
+        let Some((job, pages)) = self.jobs.iter().find(|(job, _)| !is_active_job(job)) else {
+            return;
+        };
+        let mut txn = leader.when(active_job_key(job), 0);
+        let removed = pages.len().min(txn_ops);
+        for (number, page) in pages.iter().take(removed) {
+            let key = page_key(job, *number);
+            txn = txn.when(key.clone(), page.mod_revision).delete(key);
+        }
+        if !budget.try_spend(WriteKind::GarbageCollection, removed) {
+            return;
+        }
+        self.remove_after = now + REMOVE_PAUSE;
+        outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
+    }
+
     fn has(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
@@ -176,6 +250,12 @@
     }
 }
 
+/// How many pages may be written beside a record now.
+pub(crate) fn affordable_pages(budget: &WriteBudget, txn_ops: usize) -> usize {
+    let affordable = |pages: &usize| budget.has(WriteKind::Progress, *pages);
+    (1..txn_ops).rev().find(affordable).unwrap_or(0)
+}
+
 /// How long a set is as text.
 fn text_length(tasks: &Ranges) -> usize {
     tasks.to_string().len()
@@ -213,91 +293,5 @@
     chosen
 }
 
-impl Core {
-    /// How many pages may be written beside a record now.
-    pub(crate) fn affordable_pages(&self) -> usize {
-        let affordable = |pages: &usize| self.write_budget.has(WriteKind::Progress, *pages);
-        (1..self.limits.txn_ops()).rev().find(affordable).unwrap_or(0)
-    }
-
-    /// A page as the store has it.
-    pub(crate) fn apply_page_row(&mut self, row: &Row) {
-        let Some((job, number)) = page_of_key(&row.path) else { return };
-        let Some(finished) = parse::<PageRecord>(row).and_then(|record| record.tasks(number))
-        else {
-            return self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
-        };
-        self.record_page(job, number, finished, row.mod_revision);
-    }
-
-    /// A page is in force at a modification revision.
-    pub(crate) fn record_page(
-        &mut self,
-        job: &str,
-        number: u32,
-        finished: Ranges,
-        mod_revision: u64,
-    ) {
-        if let Some((record, _)) = self.cache.active_jobs.get_mut(job) {
-            record.finished.add(&finished);
-        }
-        for partition in self.partitions.values_mut().filter(|partition| partition.loaded) {
-            if let Some(job) = partition.jobs.get_mut(job) {
-                job.take_page(number, &finished);
-            }
-        }
-        self.pages.insert(job, number, finished, mod_revision);
-    }
-
-    pub(crate) fn page_deleted(&mut self, path: &str, mod_revision: u64) {
-        if let Some((job, number)) = page_of_key(path) {
-            self.pages.remove(job, number, mod_revision);
-        }
-    }
-
-    /// Joins a record with all that is known to have finished of its job.
-    pub(crate) fn join_finished(&self, record: &mut ActiveJobRecord) {
-        let job = &record.job.id;
-        if !record.paged && !self.pages.has(job) {
-            return;
-        }
-        record.paged = true;
-        record.finished.add(&self.pages.finished_of(job));
-        if let Some((known, _)) = self.cache.active_jobs.get(job) {
-            record.finished.add(&known.finished);
-        }
-    }
-
-    /// Removes pages of jobs that are over, as far as the account of changes allows. One node does
-    /// so: the leader of the first partition.
-    pub(crate) fn remove_leftover_pages(&mut self) {
-        if self.now < self.pages.remove_after || self.pages.jobs.is_empty() || !self.may_act() {
-            return;
-        }
-        let Some((first, _)) = self.cache.partitions.first_key_value() else { return };
-        let Some(partition) = self.partitions.get(first).filter(|partition| partition.active())
-        else {
-            return;
-        };
-        let is_terminal = |job: &&String| !self.cache.is_active_job(job);
-        let Some(job) = self.pages.jobs.keys().find(is_terminal).cloned() else { return };
-        let pages: Vec<(u32, u64)> = self.pages.jobs[&job]
-            .iter()
-            .map(|(number, page)| (*number, page.mod_revision))
-            .take(self.limits.txn_ops())
-            .collect();
-        let mut txn = partition.txn().when(active_job_key(&job), 0);
-        for (number, mod_revision) in &pages {
-            let key = page_key(&job, *number);
-            txn = txn.when(key.clone(), *mod_revision).delete(key);
-        }
-        if !self.write_budget.try_spend(WriteKind::GarbageCollection, pages.len()) {
-            return;
-        }
-        self.pages.remove_after = self.now + REMOVE_PAUSE;
-        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -5,7 +5,7 @@
 use quartzlever_wire::store::{PARTITION_PREFIX, Txn};
 
 use super::{Pages, ProgressWrite, WriteLimits};
-use crate::jobs::{PlannedWrite, progress_of_job};
+use crate::jobs::records::{PlannedWrite, progress_of_job};
 use crate::testing::*;
 
 const ID: &str = "req-1";
--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -7,10 +7,7 @@
 pub(crate) mod reachability;
 
 use quartzlever_wire::peers::PeerRequest;
-use quartzlever_wire::store::{
-    ActiveJobRecord, PARTITION_PREFIX, PartitionRecord, StoreCall, StoreReply, TerminalJobRecord,
-    Txn,
-};
+use quartzlever_wire::store::{PARTITION_PREFIX, PartitionRecord, StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 use rand::Rng;
 
@@ -195,41 +192,6 @@
         }
     }
 
-    /// Takes a job's record into every partition held here.
-    pub(crate) fn reconcile_job(&mut self, mut record: ActiveJobRecord, mod_revision: u64) {
-        // A watch may tell of earlier writes after this process has ended the job itself.
-        if self.terminal_jobs.get(&record.job.id).is_some()
-            || !self.mod_revisions.saw(&record.job.id, mod_revision)
-        {
-            return;
-        }
-        self.join_finished(&mut record);
-        let id = &record.job.id;
-        let (now, wall) = (self.now, self.wall());
-        for partition in self.partitions.values_mut().filter(|p| p.loaded) {
-            if partition.jobs.contains_key(id)
-                || record.shares.iter().any(|s| s.partition == partition.name)
-            {
-                partition.reconcile_job(&self.config, record.clone(), mod_revision, now, wall);
-            }
-        }
-        self.cache.unreadable_jobs.remove(id);
-        if self.cache.active_jobs.get(id).is_none_or(|(_, s)| *s <= mod_revision) {
-            self.cache.active_jobs.insert(id.clone(), (record, mod_revision));
-        }
-    }
-
-    /// A job is done or cancelled for good.
-    pub(crate) fn job_terminated(&mut self, id: &str, over: TerminalJobRecord) {
-        self.terminal_jobs.put(id, over);
-        self.cache.active_jobs.remove(id);
-        // It ended after the view was read that this process had until now.
-        let since = self.cache.view_as_of.min(self.now);
-        for partition in self.partitions.values_mut() {
-            partition.drop_job(id, since);
-        }
-    }
-
     fn request_handback(&mut self, leader: &str) {
         if self.now < self.stealing.next_handback_request_at {
             return;
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -9,9 +9,7 @@
 use indexmap::IndexMap;
 use quartzlever_wire::Micros;
 use quartzlever_wire::cloud::MachineType;
-use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, ActiveJobRecord, MachineRecord, PARTITION_PREFIX, Txn,
-};
+use quartzlever_wire::store::{ActiveJobRecord, MachineRecord, PARTITION_PREFIX, Txn};
 use quartzlever_wire::users::Priority;
 use quartzlever_wire::workers::TaskId;
 
@@ -334,10 +332,5 @@
     }
 }
 
-/// The key of a job that is neither done nor cancelled.
-pub fn active_job_key(id: &str) -> String {
-    format!("{ACTIVE_JOB_PREFIX}{id}")
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -1,5 +1,6 @@
 //! The one owner of all state of a process.
 
+mod job_records;
 mod leadership;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- /dev/null
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -0,0 +1,271 @@
+//! The steps that keep the records of jobs: taking them in from the store, writing what has changed,
+//! and reading again what another leader has changed.
+//!
+//! Here a record meets all that it concerns: the cache, the partitions held by this process, the
+//! pages, the final states. What is decided is decided in `jobs`; the steps hand it on, in an order
+//! that matters: a final state is noted before anything older can be taken in.
+
+use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, StoreReply, TerminalJobRecord};
+use quartzlever_wire::users::JobPhase;
+use quartzlever_wire::{CallError, Micros, Ranges, SECOND};
+
+use crate::calls::{JobWrite, JobWriteAction, PendingStoreCall};
+use crate::jobs::pages::{PageRow, WriteLimits, affordable_pages};
+use crate::jobs::records::{
+    self, DueWrite, PlannedWrite, WriteOutcome, active_job_key, terminal_job_key,
+};
+use crate::messages::{CallPriority, LogLevel};
+use crate::router::Core;
+use crate::store::parse;
+use crate::store::write_budget::WriteKind;
+
+/// After a write that failed, or that wrote pages only, the next one of the job waits this long.
+const WRITE_RETRY: Micros = SECOND / 2;
+
+impl Core {
+    /// Takes a job's record into every partition held here.
+    pub(crate) fn reconcile_job(&mut self, mut record: ActiveJobRecord, mod_revision: u64) {
+        // A watch may tell of earlier writes after this process has ended the job itself.
+        if self.terminal_jobs.get(&record.job.id).is_some()
+            || !self.mod_revisions.saw(&record.job.id, mod_revision)
+        {
+            return;
+        }
+        let known = self.cache.active_jobs.get(&record.job.id).map(|(known, _)| known);
+        self.pages.join_finished(&mut record, known);
+        let id = &record.job.id;
+        let (now, wall) = (self.now, self.wall());
+        for partition in self.partitions.values_mut().filter(|p| p.loaded) {
+            if partition.jobs.contains_key(id)
+                || record.shares.iter().any(|s| s.partition == partition.name)
+            {
+                partition.reconcile_job(&self.config, record.clone(), mod_revision, now, wall);
+            }
+        }
+        self.cache.unreadable_jobs.remove(id);
+        if self.cache.active_jobs.get(id).is_none_or(|(_, s)| *s <= mod_revision) {
+            self.cache.active_jobs.insert(id.clone(), (record, mod_revision));
+        }
+    }
+
+    /// A job is done or cancelled for good.
+    pub(crate) fn job_terminated(&mut self, id: &str, over: TerminalJobRecord) {
+        self.terminal_jobs.put(id, over);
+        self.cache.active_jobs.remove(id);
+        // It ended after the view was read that this process had until now.
+        let since = self.cache.view_as_of.min(self.now);
+        for partition in self.partitions.values_mut() {
+            partition.drop_job(id, since);
+        }
+    }
+
+    /// A page as the store has it.
+    pub(crate) fn apply_page_row(&mut self, row: &Row) {
+        match PageRow::read(row) {
+            PageRow::NoPage => {}
+            PageRow::Unreadable => {
+                self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+            }
+            PageRow::Page { job, number, finished } => {
+                self.record_page(job, number, finished, row.mod_revision);
+            }
+        }
+    }
+
+    /// A page is in force at a modification revision.
+    fn record_page(&mut self, job: &str, number: u32, finished: Ranges, mod_revision: u64) {
+        if let Some((record, _)) = self.cache.active_jobs.get_mut(job) {
+            record.finished.add(&finished);
+        }
+        for partition in self.partitions.values_mut().filter(|partition| partition.loaded) {
+            if let Some(job) = partition.jobs.get_mut(job) {
+                job.take_page(number, &finished);
+            }
+        }
+        self.pages.insert(job, number, finished, mod_revision);
+    }
+
+    /// Removes pages of jobs that are over. One node does so: the leader of the first partition.
+    pub(super) fn remove_leftover_pages(&mut self) {
+        if !self.pages.may_remove(self.now) || !self.may_act() {
+            return;
+        }
+        let Some((first, _)) = self.cache.partitions.first_key_value() else { return };
+        let Some(partition) = self.partitions.get(first).filter(|partition| partition.active())
+        else {
+            return;
+        };
+        let cache = &self.cache;
+        self.pages.remove_leftovers(
+            self.now,
+            |job| cache.is_active_job(job),
+            partition.txn(),
+            self.limits.txn_ops(),
+            &mut self.write_budget,
+            &mut self.outbox,
+        );
+    }
+
+    /// Writes what has changed of the jobs, each job at most once at a time: ends first, then what
+    /// has waited longest, as far as the account of changes allows.
+    pub(super) fn write_jobs(&mut self) {
+        let now = self.now;
+        let mut due: Vec<DueWrite> = Vec::new();
+        let progress = self.write_budget.has(WriteKind::Progress, 1);
+        for (name, partition) in self.partitions.iter_mut().filter(|(_, p)| p.active()) {
+            let jobs = partition.jobs.iter().map(|(id, job)| (id, &**job));
+            for id in records::collect_due(name, jobs, progress, now, &mut due) {
+                partition.jobs.swap_remove(&id);
+            }
+        }
+        due.sort();
+        for write in due {
+            if !self.write_budget.try_spend(write.write_kind, write.changes()) {
+                break;
+            }
+            self.write_job(&write.partition, &write.job);
+        }
+    }
+
+    fn write_job(&mut self, name: &str, id: &str) {
+        let now = self.now;
+        let pause = self.config.operator.progress_write;
+        let room = WriteLimits {
+            value_bytes: self.limits.value_bytes(),
+            pages: affordable_pages(&self.write_budget, self.limits.txn_ops()),
+        };
+        let paging = self.cluster.pages();
+        let Some(partition) = self.partitions.get_mut(name) else { return };
+        let (term, leader) = (partition.term, partition.txn());
+        let Some(job) = partition.jobs.get_mut(id) else { return };
+        let Some((txn, planned)) = records::plan_write(leader, job, &self.pages, paging, room)
+        else {
+            return job.postpone_write(now + 2 * pause);
+        };
+        job.begin_write(now + pause);
+        let PlannedWrite { action, recorded, pages } = planned;
+        self.write_budget.spend(pages.len());
+        let write = JobWrite {
+            partition: name.to_owned(),
+            term,
+            job: id.to_owned(),
+            action,
+            recorded,
+            pages,
+        };
+        self.outbox.call_store(
+            CallPriority::Work,
+            StoreCall::Txn(txn),
+            PendingStoreCall::JobWrite(Box::new(write)),
+        );
+    }
+
+    pub(crate) fn job_written(&mut self, write: JobWrite, result: Result<StoreReply, CallError>) {
+        let JobWrite { partition: name, term, job: id, action, recorded, pages } = write;
+        let outcome = WriteOutcome::of(&result, &name);
+        if let WriteOutcome::Committed { mod_revision } = outcome {
+            if action != JobWriteAction::PagesOnly {
+                self.mod_revisions.saw(&id, mod_revision);
+            }
+            for (number, finished) in pages {
+                self.record_page(&id, number, finished, mod_revision);
+            }
+        }
+        let now = self.now;
+        let Some(partition) = self.partition_at_term(&name, term) else { return };
+        let Some(job) = partition.jobs.get_mut(&id) else { return };
+        job.end_write();
+        match (outcome, action) {
+            (WriteOutcome::Committed { .. }, JobWriteAction::End) => {
+                let done = job.record.job.tasks;
+                self.job_terminated(&id, TerminalJobRecord { phase: JobPhase::Done, done });
+            }
+            (WriteOutcome::Committed { mod_revision }, JobWriteAction::Record) => {
+                self.progress_written(&name, &id, &recorded, mod_revision);
+            }
+            (WriteOutcome::PartitionLost, _) => self.lose_partition(&name, term),
+            (WriteOutcome::RecordChanged, _) => {
+                job.begin_reread();
+                self.reread_job(&name, term, &id);
+            }
+            (WriteOutcome::Committed { .. }, JobWriteAction::PagesOnly)
+            | (WriteOutcome::Failed, _) => job.retry_write(now + WRITE_RETRY),
+        }
+    }
+
+    /// The record of a job is in force with newly finished tasks.
+    fn progress_written(&mut self, name: &str, id: &str, recorded: &Ranges, mod_revision: u64) {
+        let Some(partition) = self.partitions.get_mut(name) else { return };
+        let Some(job) = partition.jobs.get_mut(id) else { return };
+        let placement_wanted = job.progress_written(recorded, mod_revision);
+        let record = (job.mod_revision() == mod_revision).then(|| job.record.clone());
+        partition.placement_wanted |= placement_wanted;
+        if let Some(record) = record {
+            // So the watch, which tells of it too, brings nothing new.
+            self.reconcile_job(record, mod_revision);
+        }
+    }
+
+    pub(crate) fn reread_job(&mut self, partition: &str, term: u64, job: &str) {
+        let waiting =
+            PendingStoreCall::Reread { partition: partition.into(), term, job: job.into() };
+        self.outbox.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), waiting);
+    }
+
+    pub(crate) fn active_job_reread(
+        &mut self,
+        name: &str,
+        term: u64,
+        id: &str,
+        result: Result<StoreReply, CallError>,
+    ) {
+        let now = self.now;
+        let Some(partition) = self.partition_at_term(name, term) else { return };
+        let Some(job) = partition.jobs.get_mut(id) else { return };
+        job.end_write();
+        match result {
+            Ok(StoreReply::Row(Some(row))) => {
+                if let Some(record) = parse::<ActiveJobRecord>(&row) {
+                    self.reconcile_job(record, row.mod_revision);
+                }
+            }
+            Ok(StoreReply::Row(None)) => {
+                job.begin_reread();
+                let waiting = PendingStoreCall::RereadTerminalJob {
+                    partition: name.into(),
+                    term,
+                    job: id.to_owned(),
+                };
+                self.outbox.call_store(
+                    CallPriority::Work,
+                    StoreCall::Get(terminal_job_key(id)),
+                    waiting,
+                );
+            }
+            _ => {
+                job.retry_write(now + WRITE_RETRY);
+            }
+        }
+    }
+
+    pub(crate) fn terminal_job_reread(
+        &mut self,
+        name: &str,
+        term: u64,
+        id: &str,
+        result: Result<StoreReply, CallError>,
+    ) {
+        let now = self.now;
+        if let Ok(StoreReply::Row(Some(row))) = &result
+            && let Some(over) = parse::<TerminalJobRecord>(row)
+        {
+            return self.job_terminated(id, over);
+        }
+        if let Some(partition) = self.partition_at_term(name, term)
+            && let Some(job) = partition.jobs.get_mut(id)
+        {
+            job.end_write();
+            job.retry_write(now + WRITE_RETRY);
+        }
+    }
+}
--- a/crates/quartzlever-core/src/store/watch.rs
+++ b/crates/quartzlever-core/src/store/watch.rs
@@ -136,7 +136,7 @@
                         self.partitions.remove(name);
                     }
                 } else if delete.starts_with(PAGES) {
-                    self.page_deleted(&delete, mod_revision);
+                    self.pages.remove(&delete, mod_revision);
                 } else if delete.starts_with(CLUSTER_PREFIX) {
                     self.cluster_deleted(&delete, mod_revision);
                 } else if is_machine_key(&delete) {
