--- /dev/null
+++ b/crates/quartzlever-core/src/jobs/lookups/tests.rs
@@ -0,0 +1,22 @@
+//! What users are told of a job.
+
+use quartzlever_wire::Ranges;
+
+use super::*;
+use crate::testing::record;
+
+#[test]
+fn a_job_runs_once_a_task_has_begun_anywhere() {
+    for (started, finished, running, phase) in [
+        (false, 0, 0, JobPhase::Queued),
+        (true, 0, 0, JobPhase::Running),
+        (false, 1, 0, JobPhase::Running),
+        (false, 0, 2, JobPhase::Running),
+    ] {
+        let mut record = record("0-3", "");
+        (record.started, record.finished) = (started, Ranges::first(finished));
+        let view = view_active_job(&record, running);
+        let found = (view.phase, view.done, view.running);
+        assert_eq!(found, (phase, finished, running as u32), "{started} {finished} {running}");
+    }
+}
--- /dev/null
+++ b/crates/quartzlever-core/src/jobs/submission/tests.rs
@@ -0,0 +1,122 @@
+//! Which partition a new job enters, and on which conditions it is accepted.
+
+use rand::SeedableRng;
+
+use super::*;
+use crate::testing::*;
+
+/// A cache in which these nodes hold partitions: name, node, term.
+fn cache(partitions: &[(&str, &str, u64)]) -> Cache {
+    let mut cache = Cache::default();
+    for (name, node, term) in partitions {
+        let record = PartitionRecord { node: (*node).into(), process: 77 };
+        cache.partitions.insert((*name).into(), (record, *term));
+    }
+    cache
+}
+
+fn choose(
+    cache: &Cache,
+    config: &Config,
+    own: Option<LedPartition<'_>>,
+    spec: &JobSpec,
+) -> Option<(String, u64)> {
+    let leads = |name: &str| own.is_some_and(|own| own.name == name);
+    let choice = EntryChoice { config, cache, own, leads };
+    let mut rng = SmallRng::seed_from_u64(1);
+    choice.choose(spec, &mut rng).map(|entry| (entry.partition, entry.term))
+}
+
+#[test]
+fn a_job_enters_the_own_partition_or_any_that_is_led() {
+    let own = Some(LedPartition { name: "one", term: 5 });
+    let (free, both) = (spec(2), cache(&[("one", "one", 5), ("two", "two", 6)]));
+    assert_eq!(choose(&both, &config(), own, &free), Some(("one".into(), 5)));
+    let other = cache(&[("two", "two", 6)]);
+    assert_eq!(choose(&other, &config(), None, &free), Some(("two".into(), 6)));
+    assert_eq!(choose(&Cache::default(), &config(), None, &free), None);
+}
+
+/// The team's limit counts what one leader knows of.
+#[test]
+fn all_jobs_of_a_limited_team_enter_one_partition_whoever_leads_it() {
+    let limited = JobSpec { team: "tight".into(), ..spec(2) };
+    let home = config().partition_of_team("tight").to_owned();
+    let away = if home == "one" { "two" } else { "one" };
+    let own = Some(LedPartition { name: away, term: 5 });
+    let led = cache(&[(&home, "any", 8)]);
+    assert_eq!(choose(&led, &config(), own, &limited), Some((home.clone(), 8)));
+    let nobody = Cache::default();
+    assert_eq!(choose(&nobody, &config(), own, &limited), Some((home, 0)), "no leader");
+}
+
+#[test]
+fn a_job_enters_another_partition_only_if_that_has_far_less_and_is_at_home() {
+    let own = Some(LedPartition { name: "one", term: 5 });
+    // (tasks of the own partition, of the other; the node of the other; what a job enters)
+    for (tasks, other, node, enters) in [
+        (100, 0, "two", "one"),
+        (101, 0, "two", "two"),
+        (150, 74, "two", "two"),
+        (150, 75, "two", "one"),
+        (150, 0, "three", "one"),
+    ] {
+        let mut cache = cache(&[("one", "one", 5), ("two", node, 6)]);
+        for (number, count, partition) in [(1, tasks, "one"), (2, other, "two")] {
+            let record = record_of(number, count, partition);
+            cache.active_jobs.insert(record.job.id.clone(), (record, 10));
+        }
+        let config = Config { machine_capacity: 100, ..config() };
+        let found = choose(&cache, &config, own, &spec(4)).map(|(name, _)| name);
+        assert_eq!(found.as_deref(), Some(enters), "{tasks} {other} {node}");
+    }
+}
+
+#[test]
+fn a_job_is_refused_for_good_only_if_it_can_never_run() {
+    let service = JobSpec { shape: Shape::Service, ..spec(2) };
+    for (feasibility, job, services, refused) in [
+        (Feasibility::Fits, &spec(2), false, None),
+        (Feasibility::Fits, &service, true, None),
+        (Feasibility::Fits, &service, false, Some(Refusal::ForNow)),
+        (Feasibility::Unsure, &spec(2), true, Some(Refusal::ForNow)),
+        (Feasibility::Never, &service, false, Some(Refusal::ForGood)),
+    ] {
+        assert_eq!(refusal(feasibility, job, services), refused, "{feasibility:?} {services}");
+    }
+}
+
+#[test]
+fn a_job_is_accepted_once_and_under_the_term_of_its_partition() {
+    for (term, conditions) in [
+        (5, vec![("live/req-1", 0), ("over/req-1", 0), ("parts/one", 5)]),
+        (0, vec![("live/req-1", 0), ("over/req-1", 0)]),
+    ] {
+        let entry = || Entry { partition: "one".into(), term };
+        let planned = plan_acceptance(&spec(4), entry(), NOW, 16 * 1024).expect("it fits");
+        let found: Vec<(&str, u64)> =
+            planned.txn.conditions.iter().map(|c| (c.path.as_str(), c.mod_revision)).collect();
+        assert_eq!(found, conditions);
+        assert_eq!(planned.record.owned_by("one"), Ranges::first(4));
+        let size = Json::of(&*planned.record).text().len();
+        assert!(plan_acceptance(&spec(4), entry(), NOW, size).is_some());
+        assert!(plan_acceptance(&spec(4), entry(), NOW, size - 1).is_none(), "too large");
+    }
+}
+
+#[test]
+fn a_conflict_tells_a_repeated_submission_from_another_leader() {
+    let conflict = |keys: &[&str]| {
+        Ok(StoreReply::Conflict(keys.iter().map(|key| (*key).to_owned()).collect()))
+    };
+    for (result, outcome) in [
+        (Ok(StoreReply::Committed(7)), AcceptOutcome::Committed { mod_revision: 7 }),
+        (conflict(&["live/req-1"]), AcceptOutcome::Known),
+        (conflict(&["over/req-1", "parts/one"]), AcceptOutcome::Known),
+        (conflict(&["parts/one"]), AcceptOutcome::PartitionChanged),
+        (Ok(StoreReply::TooLarge), AcceptOutcome::Failed),
+        (Err(CallError::Unknown), AcceptOutcome::Failed),
+    ] {
+        assert_eq!(AcceptOutcome::of(&result), outcome, "{result:?}");
+    }
+}
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -2,6 +2,7 @@
 
 mod job_records;
 mod leadership;
+mod user_requests;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,6 +17,7 @@
 use crate::calls::{PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall};
 use crate::config::Config;
 use crate::jobs::pages::Pages;
+use crate::jobs::user_requests::UserRequests;
 use crate::leadership::connectivity::StoreConnectivity;
 use crate::leadership::lease::Lease;
 use crate::leadership::reachability::Reachability;
@@ -76,7 +78,7 @@
     pub(crate) cloud: crate::autoscaling::Cloud,
     pub(crate) terminal_jobs: TerminalJobs,
     pub(crate) mod_revisions: LatestRevisions,
-    pub(crate) user_calls_in_flight: usize,
+    user_requests: UserRequests,
     pub(crate) stealing: Stealing,
     pub(crate) run_times: RunTimes,
     /// This node's part of the limits of the store and the cloud.
@@ -131,7 +133,7 @@
             cloud: crate::autoscaling::Cloud::default(),
             terminal_jobs: TerminalJobs::default(),
             mod_revisions: LatestRevisions::default(),
-            user_calls_in_flight: 0,
+            user_requests: UserRequests::default(),
             run_times: RunTimes::default(),
             share: 0.0,
             next_machine_check_at: 0,
@@ -310,9 +312,9 @@
             PendingStoreCall::ReadTerminalJob { purpose } => {
                 self.terminal_job_read(purpose, result)
             }
-            PendingStoreCall::Accept { id, record } => self.accept_answered(id, *record, result),
+            PendingStoreCall::Accept { id, record } => self.accept_answered(id, *record, &result),
             PendingStoreCall::Cancel { id, job, done, tries } => {
-                self.cancel_answered(id, job, done, tries, result);
+                self.cancel_answered(id, job, done, tries, &result);
             }
             PendingStoreCall::JobWrite(write) => self.job_written(*write, result),
             PendingStoreCall::Reread { partition, term, job } => {
--- /dev/null
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -0,0 +1,257 @@
+//! The steps of users' requests: submissions, cancellations, and the reads that answer them.
+//!
+//! What is decided is decided in `jobs`. Here a request meets the final states that are known, the
+//! cache and the partitions held by this process. Every answer of the store to a call that was made
+//! for a user first gives its place among the calls under way free.
+
+use quartzlever_wire::CallError;
+use quartzlever_wire::peers::PeerRequest;
+use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, StoreReply, TerminalJobRecord};
+use quartzlever_wire::users::{JobPhase, JobSpec, JobView};
+
+use crate::calls::{PendingPeerCall, PendingStoreCall, Purpose};
+use crate::jobs::cancellation::{self, CancelOutcome, cancelled};
+use crate::jobs::feasibility::feasibility;
+use crate::jobs::lookups;
+use crate::jobs::records::terminal_job_key;
+use crate::jobs::submission::{
+    self, AcceptOutcome, Acceptance, Entry, EntryChoice, LedPartition, Refusal,
+};
+use crate::messages::{Answer, LogLevel, RequestId};
+use crate::router::Core;
+use crate::store::parse;
+
+const NO_ANSWER: &str = "the state service gives no answer";
+
+impl Core {
+    fn answer_phase(&mut self, id: RequestId, status: u16, job: &str, phase: JobPhase) {
+        lookups::answer_phase(id, status, job, phase, &mut self.outbox);
+    }
+
+    pub(crate) fn answer_terminal_job(
+        &mut self,
+        id: RequestId,
+        job: &str,
+        over: &TerminalJobRecord,
+    ) {
+        lookups::answer_terminal_job(id, job, over, &mut self.outbox);
+    }
+
+    /// What a user is told of a job that is neither done nor cancelled.
+    pub(crate) fn view_active_job(&self, record: &ActiveJobRecord) -> JobView {
+        let here = self.partitions.values().filter_map(|p| p.jobs.get(&record.job.id));
+        lookups::view_active_job(record, here.map(|job| job.assignments.len()).sum())
+    }
+
+    /// Reads a job for a new request, unless too many calls of users are under way.
+    pub(crate) fn read_for_user(&mut self, purpose: Purpose) {
+        self.user_requests.read_or_reject(purpose, &mut self.outbox);
+    }
+
+    /// Reads a job for a request under way.
+    fn read(&mut self, purpose: Purpose) {
+        self.user_requests.read(purpose, &mut self.outbox);
+    }
+
+    pub(super) fn submit(&mut self, id: RequestId, spec: Box<JobSpec>) {
+        if let Some(over) = self.terminal_jobs.get(&spec.id) {
+            let phase = over.phase;
+            return self.answer_phase(id, 200, &spec.id, phase);
+        }
+        if !self.user_requests.admits_submission(&self.write_budget) {
+            return self.outbox.reject_retryable(id, 429, "busy");
+        }
+        let types = self.types.as_ref().map(|t| t.values());
+        let fits = feasibility(&self.config, types, &spec);
+        let refusal = submission::refusal(fits, &spec, self.cluster.services());
+        let entry = self.choose_entry(&spec);
+        let (Some(entry), None) = (entry, refusal) else {
+            let refuse = refusal == Some(Refusal::ForGood);
+            return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse });
+        };
+        let (wall, value_bytes) = (self.wall(), self.limits.value_bytes());
+        let planned = submission::plan_acceptance(&spec, entry, wall, value_bytes);
+        let Some(Acceptance { txn, record }) = planned else {
+            // Nothing could ever be kept of such a job; a known one is still answered as known.
+            return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse: true });
+        };
+        self.write_budget.spend(1);
+        let pending = PendingStoreCall::Accept { id, record };
+        self.user_requests.call(StoreCall::Txn(txn), pending, &mut self.outbox);
+    }
+
+    /// The partition that a new job enters.
+    fn choose_entry(&mut self, spec: &JobSpec) -> Option<Entry> {
+        let own = if self.may_act() {
+            let home = self.partitions.get(&self.config.node);
+            home.or_else(|| self.partitions.values().next())
+        } else {
+            None
+        };
+        let choice = EntryChoice {
+            config: &self.config,
+            cache: &self.cache,
+            own: own.map(|partition| LedPartition { name: &partition.name, term: partition.term }),
+            leads: |partition: &str| self.partitions.contains_key(partition),
+        };
+        choice.choose(spec, &mut self.rng)
+    }
+
+    pub(super) fn accept_answered(
+        &mut self,
+        id: RequestId,
+        record: ActiveJobRecord,
+        result: &Result<StoreReply, CallError>,
+    ) {
+        self.user_requests.call_answered();
+        let job = record.job.id.clone();
+        match AcceptOutcome::of(result) {
+            AcceptOutcome::Committed { mod_revision } => {
+                // Whichever node holds the partition hears of it by the watch; here it may start now.
+                self.reconcile_job(record, mod_revision);
+                // It may be over by now, and a user may have been told so at another node.
+                match self.terminal_jobs.get(&job).map(|over| over.phase) {
+                    Some(phase) => self.answer_phase(id, 200, &job, phase),
+                    None => self.answer_phase(id, 201, &job, JobPhase::Queued),
+                }
+            }
+            AcceptOutcome::Known => self.read(Purpose::Submit { id, job, refuse: false }),
+            AcceptOutcome::PartitionChanged => {
+                self.outbox.reject_retryable(id, 503, "the part has changed hands");
+            }
+            AcceptOutcome::Failed => self.outbox.reject_retryable(id, 503, "not written"),
+        }
+    }
+
+    pub(super) fn cancel(&mut self, id: RequestId, job: String) {
+        if let Some(over) = self.terminal_jobs.get(&job) {
+            let phase = over.phase;
+            return self.answer_phase(id, 200, &job, phase);
+        }
+        self.read_for_user(Purpose::Cancel { id, job, tries: 0 });
+    }
+
+    pub(super) fn active_job_read(
+        &mut self,
+        purpose: Purpose,
+        result: Result<StoreReply, CallError>,
+    ) {
+        self.user_requests.call_answered();
+        match result {
+            Ok(StoreReply::Row(Some(row))) => self.answer_active_job(purpose, &row),
+            Ok(StoreReply::Row(None)) => {
+                let call = StoreCall::Get(terminal_job_key(purpose.job()));
+                let pending = PendingStoreCall::ReadTerminalJob { purpose };
+                self.user_requests.call(call, pending, &mut self.outbox);
+            }
+            _ => self.outbox.reject_retryable(purpose.request(), 503, NO_ANSWER),
+        }
+    }
+
+    /// Goes on with a request for a job that is neither done nor cancelled.
+    fn answer_active_job(&mut self, purpose: Purpose, row: &Row) {
+        let record = parse::<ActiveJobRecord>(row);
+        if record.is_none() {
+            self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+        }
+        match purpose {
+            Purpose::Submit { id, job, .. } => {
+                let phase = record.map_or(JobPhase::Queued, |r| self.view_active_job(&r).phase);
+                self.answer_phase(id, 200, &job, phase);
+            }
+            Purpose::Lookup { id, job } => {
+                let view = match record {
+                    Some(record) => self.view_active_job(&record),
+                    None => lookups::view_unreadable_job(job),
+                };
+                self.outbox.answer(id, 200, Answer::View(view));
+            }
+            Purpose::Cancel { id, job, tries } => {
+                let done = record.map_or(0, |r| r.finished.len());
+                let txn = cancellation::plan_cancellation(&job, row.mod_revision, done);
+                self.write_budget.spend(cancellation::CHANGES);
+                let pending = PendingStoreCall::Cancel { id, job, done, tries };
+                self.user_requests.call(StoreCall::Txn(txn), pending, &mut self.outbox);
+            }
+        }
+    }
+
+    pub(super) fn terminal_job_read(
+        &mut self,
+        purpose: Purpose,
+        result: Result<StoreReply, CallError>,
+    ) {
+        self.user_requests.call_answered();
+        let over = match result {
+            Ok(StoreReply::Row(Some(row))) => {
+                let over = parse::<TerminalJobRecord>(&row);
+                if over.is_none() {
+                    self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+                }
+                over
+            }
+            Ok(StoreReply::Row(None)) => return self.answer_unknown_job(&purpose),
+            _ => None,
+        };
+        let Some(over) = over else {
+            return self.outbox.reject_retryable(purpose.request(), 503, NO_ANSWER);
+        };
+        let job = purpose.job().to_owned();
+        self.job_terminated(&job, over.clone());
+        match purpose {
+            Purpose::Lookup { id, .. } => self.answer_terminal_job(id, &job, &over),
+            Purpose::Submit { id, .. } | Purpose::Cancel { id, .. } => {
+                self.answer_phase(id, 200, &job, over.phase);
+            }
+        }
+    }
+
+    /// Answers a request for a job that is neither live nor over.
+    fn answer_unknown_job(&mut self, purpose: &Purpose) {
+        match *purpose {
+            Purpose::Submit { id, refuse: true, .. } => {
+                self.outbox.answer(id, 422, Answer::Error { error: "can never run" });
+            }
+            Purpose::Submit { id, .. } => {
+                self.outbox.reject_retryable(id, 503, "cannot decide yet");
+            }
+            Purpose::Lookup { id, .. } | Purpose::Cancel { id, .. } => {
+                self.outbox.answer(id, 404, Answer::Error { error: "unknown job" });
+            }
+        }
+    }
+
+    pub(super) fn cancel_answered(
+        &mut self,
+        id: RequestId,
+        job: String,
+        done: u32,
+        tries: u32,
+        result: &Result<StoreReply, CallError>,
+    ) {
+        self.user_requests.call_answered();
+        match CancelOutcome::of(result, tries) {
+            CancelOutcome::Committed => {
+                self.notify_cancelled(&job, done);
+                self.job_terminated(&job, cancelled(done));
+                self.answer_phase(id, 200, &job, JobPhase::Cancelled);
+            }
+            CancelOutcome::ReadAgain => self.read(Purpose::Cancel { id, job, tries: tries + 1 }),
+            CancelOutcome::Failed => self.outbox.reject_retryable(id, 503, "not written"),
+        }
+    }
+
+    /// Tells the leaders of a job that was just cancelled, so that its tasks end sooner where the
+    /// watch is late. Nothing rests on it.
+    fn notify_cancelled(&mut self, job: &str, done: u32) {
+        let Some((record, _)) = self.cache.active_jobs.get(job) else { return };
+        let leaders = cancellation::other_leaders(record, |name| self.other_leader_of(name));
+        for node in leaders.into_iter().map(str::to_owned).collect::<Vec<_>>() {
+            let request = PeerRequest::Cancelled { job: job.to_owned(), done };
+            self.outbox.ask_peer(&node, request, PendingPeerCall::Notification);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever-core/src/store/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -4,8 +4,7 @@
 
 use std::collections::VecDeque;
 
-use quartzlever_wire::store::{ActiveJobRecord, StoreReply};
-use quartzlever_wire::users::{JobPhase, JobView};
+use quartzlever_wire::store::StoreReply;
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::{Asked, PendingStoreCall, Purpose};
@@ -119,20 +118,6 @@
             None => self.read_for_user(Purpose::Lookup { id, job }),
         }
     }
-
-    /// What a user is told of a job that is neither done nor cancelled.
-    pub(crate) fn view_active_job(&self, record: &ActiveJobRecord) -> JobView {
-        let id = &record.job.id;
-        let here = self.partitions.values().filter_map(|p| p.jobs.get(id));
-        let running: usize = here.map(|j| j.assignments.len()).sum();
-        let begun = record.started || !record.finished.is_empty() || running > 0;
-        JobView {
-            id: id.clone(),
-            phase: if begun { JobPhase::Running } else { JobPhase::Queued },
-            done: record.finished.len(),
-            running: running as u32,
-        }
-    }
 }
 
 #[cfg(test)]
