--- a/crates/quartzlever-core/src/autoscaling.rs
+++ b/crates/quartzlever-core/src/autoscaling.rs
@@ -86,7 +86,7 @@
         self.known.contains_key(host)
     }
 
-    fn put(&mut self, host: &str, now: Micros) {
+    pub(crate) fn put(&mut self, host: &str, now: Micros) {
         self.known.insert(host.to_owned(), now);
         self.order.push_back((now, host.to_owned()));
         // By age: by number or name, a day with many returns forgot the last ones too early.
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -93,26 +93,28 @@
         request: Option<RequestId>,
         moved: Vec<Move>,
     },
-    /// A block of machines, as it will be; what was added and dropped, and for which terms.
-    WriteGroup {
-        key: String,
-        hosts: MachineRecords,
-        added: BTreeSet<String>,
-        dropped: BTreeSet<String>,
-        partitions: BTreeMap<String, u64>,
-    },
+    WriteGroup(GroupWrite),
     ReadGroup {
         key: String,
     },
 }
 
+/// Names an attempt on a machine. The attempts of a job are neighbours in the order of keys.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptKey {
+    pub task: TaskId,
+    /// A number that no other attempt ever had.
+    pub attempt: u64,
+}
+
 /// What an answer from a worker belongs to.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWorkerCall {
     pub partition: String,
     pub term: u64,
     pub machine: String,
-    pub runs: Vec<(TaskId, u64)>,
+    /// The attempts whose `run` the call carries.
+    pub runs: Vec<AttemptKey>,
     /// A machine that nobody knew is asked whether it is there.
     pub confirms_presence: bool,
     /// Any machine is asked, to see whether workers are reached from here.
@@ -156,6 +158,18 @@
     pub ops: usize,
 }
 
+/// A transaction that writes a group of machines.
+#[derive(Debug)]
+pub(crate) struct GroupWrite {
+    pub key: String,
+    /// The group as it will be.
+    pub hosts: MachineRecords,
+    pub added: BTreeSet<String>,
+    pub dropped: BTreeSet<String>,
+    /// The partitions whose machines the change concerns, with their terms.
+    pub partitions: BTreeMap<String, u64>,
+}
+
 /// A transaction that changes the record of a job.
 #[derive(Debug)]
 pub(crate) struct JobWrite {
--- a/crates/quartzlever-core/src/jobs/feasibility.rs
+++ b/crates/quartzlever-core/src/jobs/feasibility.rs
@@ -7,7 +7,7 @@
 use quartzlever_wire::users::JobSpec;
 
 use crate::config::Config;
-use crate::machines::machine::Resources;
+use crate::machines::resources::Resources;
 
 /// Whether a job could ever run, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -15,7 +15,7 @@
 use quartzlever_wire::{Micros, Ranges, SECOND};
 
 use crate::machines::failures::{JobFailures, MAX_TRIAL_TASKS};
-use crate::machines::machine::Resources;
+use crate::machines::resources::Resources;
 
 /// A machine that a job failed on is tried again after this time where nothing of the job runs.
 const FORGIVEN_AFTER: Micros = 20 * SECOND;
--- /dev/null
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -0,0 +1,211 @@
+//! Commands in answers and direct calls, as tables.
+
+use crate::testing::*;
+
+#[test]
+fn an_attempt_is_cleared_only_when_its_run_is_spent() {
+    // Whether the answer to a heartbeat carries the `run`, whether a direct call does that is given
+    // up, and whether a later heartbeat comes; what may be cleared.
+    for (answer, given_up, unsolicited, clear) in [
+        (false, false, false, true),
+        (true, false, false, false),
+        (true, false, true, true),
+        (false, true, false, false),
+        (false, true, true, false),
+        (true, true, true, false),
+    ] {
+        let mut core = core();
+        core.reconcile_job(record("0", "1-3"), 10);
+        let config = core.config.clone();
+        let Some(partition) = core.partitions.get_mut("one") else { unreachable!() };
+        let mut run_times = RunTimes::default();
+        partition.apply_heartbeat(
+            &config,
+            &mut run_times,
+            &heartbeat_with(1, &[]),
+            StatusSource::Heartbeat,
+            NOW,
+        );
+        partition.start("req-1", 0, "n-1", NOW);
+        let attempt = partition.jobs["req-1"].assignments[&0].attempt;
+        assert_eq!(partition.commands_for("n-1", answer).len(), 1);
+        if given_up {
+            let Some(machine) = partition.machines.get_mut("n-1") else { unreachable!() };
+            machine.slots.values_mut().for_each(|s| {
+                s.direct_command = crate::machines::attempt::DirectCommand::OutcomeUnknown
+            });
+        }
+        let ended = [(attempt, TaskPhase::Exited, Some(Cause::Halted))];
+        partition.apply_heartbeat(
+            &config,
+            &mut run_times,
+            &heartbeat_with(2, &ended),
+            StatusSource::DirectReply,
+            NOW,
+        );
+        if unsolicited {
+            partition.apply_heartbeat(
+                &config,
+                &mut run_times,
+                &heartbeat_with(3, &ended),
+                StatusSource::Heartbeat,
+                NOW,
+            );
+        }
+        let cleared = partition
+            .commands_for("n-1", false)
+            .iter()
+            .any(|o| matches!(o, WorkerCommand::Clear { .. }));
+        assert_eq!(cleared, clear, "answer {answer} given up {given_up} hello {unsolicited}");
+    }
+}
+
+#[test]
+fn what_has_ended_is_cleared_along_with_other_orders() {
+    // (ended attempts, whether a task is to start, in the answer to a heartbeat; orders, clears)
+    for (ended, starts, answer, commands, clears) in [
+        (1, false, true, 0, 0),
+        (1, true, true, 2, 1),
+        (1, false, false, 1, 1),
+        (3, false, true, 0, 0),
+        (4, false, true, 4, 4),
+        (0, true, true, 1, 0),
+    ] {
+        let mut core = core();
+        core.reconcile_job(record("0-9", ""), 10);
+        let config = core.config.clone();
+        let Some(partition) = core.partitions.get_mut("one") else { unreachable!() };
+        let mut run_times = RunTimes::default();
+        partition.apply_heartbeat(
+            &config,
+            &mut run_times,
+            &heartbeat_with(1, &[]),
+            StatusSource::Heartbeat,
+            NOW,
+        );
+        let mut list = Vec::new();
+        for index in 0..ended {
+            partition.start("req-1", index, "n-1", NOW);
+            let attempt = partition.jobs["req-1"].assignments[&index].attempt;
+            list.push((attempt, TaskPhase::Exited, Some(Cause::Halted)));
+        }
+        let mut told = heartbeat_with(2, &list);
+        for (index, task) in told.tasks.iter_mut().enumerate() {
+            task.task.index = index as u32;
+        }
+        partition.apply_heartbeat(&config, &mut run_times, &told, StatusSource::Heartbeat, NOW);
+        if starts {
+            partition.start("req-1", 9, "n-1", NOW);
+        }
+        let found = partition.commands_for("n-1", answer);
+        let cleared = found.iter().filter(|o| matches!(o, WorkerCommand::Clear { .. })).count();
+        assert_eq!((found.len(), cleared), (commands, clears), "{ended} {starts} {answer}");
+    }
+}
+
+#[test]
+fn a_call_is_made_for_what_cannot_wait_for_a_report() {
+    // (machines that the processor serves, seconds within which a task should start; whether its start is called)
+    for (machine_capacity, within, called) in
+        [(100, None, true), (1, None, false), (1, Some(2), true)]
+    {
+        let mut core = with_leaders(machine_capacity);
+        core.config.objectives = within
+            .map(|s| ServiceLevelObjective::Wait {
+                class: spec(1).class,
+                share: 0.9,
+                within: s * SECOND,
+            })
+            .into_iter()
+            .collect();
+        if let Some(partition) = core.partitions.get_mut("one") {
+            // A second machine, so that the partition has more than half of what the processor serves.
+            let host = MachineRecord {
+                partition: "one".into(),
+                address: "n-2:9000".into(),
+                machine_type: "m".into(),
+                zone: "a".into(),
+                spot: true,
+            };
+            partition.add_machine("n-2", host, true, NOW);
+            for machine in partition.machines.values_mut() {
+                (machine.incarnation, machine.last_heartbeat_at) = (1, NOW);
+            }
+            for host in ["n-1", "n-2"] {
+                partition.refresh(host);
+            }
+        }
+        core.reconcile_job(record_of(1, 1, "one"), 10);
+        let effects = core.step(NOW + SECOND, Vec::new());
+        let calls = effects.iter().filter(|e| matches!(e, Effect::Worker { .. })).count();
+        assert_eq!(calls > 0, called, "{machine_capacity} {within:?}");
+        assert_eq!(
+            core.partitions["one"].jobs["req-1"].assignments.len(),
+            1,
+            "it is placed all the same"
+        );
+    }
+}
+
+/// The orders in the answer to a heartbeat.
+fn commands_to(core: &mut Core, heartbeat: Heartbeat) -> Vec<WorkerCommand> {
+    let now = core.now + SECOND;
+    let effects = core.step(now, vec![Command::Heartbeat { id: 77, heartbeat }]);
+    let commands = effects.into_iter().find_map(|e| match e {
+        Effect::Answer { id: 77, status: 200, body: Answer::WorkerCommands(commands), .. } => {
+            Some(commands)
+        }
+        _ => None,
+    });
+    commands.expect("the report is answered").commands
+}
+
+/// A 200 renews the lease of whatever runs on the worker: without the kill in the answer to a new
+/// leader's first heartbeat, or to one that a direct call had overtaken, a cancelled task on a machine
+/// that could not be reached from then on lived for one more lease.
+#[test]
+fn every_answer_that_renews_a_lease_carries_its_kills() {
+    // (the heartbeat is from before the takeover, it is older than what is known, the job is live,
+    // whether the attempt that it lists is killed)
+    for (before, older, active, killed) in [
+        (true, false, false, true),
+        (true, false, true, false),
+        (false, true, false, true),
+        (false, true, true, false),
+        (false, false, false, true),
+    ] {
+        let mut core = core();
+        if active {
+            core.reconcile_job(record("0-3", ""), 4);
+        }
+        let partition = core.partitions.get_mut("one").expect("it is held");
+        partition.add_machine("n-2", machine_record_of("n-2", "one"), !before, NOW);
+        if older {
+            commands_to(&mut core, heartbeat_from("n-2", 1, 9, 5, &[]));
+        }
+        let fencing_token = if before { 4 } else { 5 };
+        let commands = commands_to(&mut core, heartbeat_from("n-2", 1, 3, fencing_token, &[7]));
+        let kills =
+            commands.iter().filter(|o| matches!(o, WorkerCommand::Kill { attempt: 7, .. })).count();
+        assert_eq!(
+            kills == 1,
+            killed,
+            "before {before}, older {older}, active {active}: {commands:?}"
+        );
+    }
+}
+
+/// What must not wait for a place among many orders goes first.
+#[test]
+fn kills_go_before_all_other_orders() {
+    let mut core = core();
+    let attempts: Vec<u64> = (1..=260).collect();
+    let mut heartbeat = heartbeat_from("n-1", 1, 1, 5, &attempts);
+    for task in &mut heartbeat.tasks[..250] {
+        (task.phase, task.cause) = (TaskPhase::Exited, Some(Cause::Halted));
+    }
+    let commands = commands_to(&mut core, heartbeat);
+    let kills = commands.iter().take_while(|o| matches!(o, WorkerCommand::Kill { .. })).count();
+    assert_eq!(kills, 10);
+    assert!(commands.len() > 10 && commands.len() < 260, "{}", commands.len());
+}
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -3,119 +3,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzlever_wire::Micros;
-use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::store::MachineRecord;
-use quartzlever_wire::users::{JobSpec, Priority};
-use quartzlever_wire::workers::{Cause, Heartbeat, TaskId, TaskPhase, TaskStatus, WorkerCommand};
+use quartzlever_wire::users::Priority;
+use quartzlever_wire::workers::{Heartbeat, TaskPhase, TaskStatus};
 
 use crate::autoscaling::ScaleInReason;
+use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
 use crate::machines::failures::MachineFailures;
+use crate::machines::resources::Resources;
 use crate::messages::CallId;
 
-/// Amounts of a machine, or what a task takes of one.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Resources {
-    pub cpus: f64,
-    pub gpus: f64,
-    pub ram_gb: f64,
-}
-
-impl Resources {
-    pub fn required_by(spec: &JobSpec) -> Self {
-        Resources { cpus: spec.cpus, gpus: spec.gpus, ram_gb: spec.ram_gb }
-    }
-
-    pub fn capacity_of(machine_type: &MachineType) -> Self {
-        Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram_gb }
-    }
-
-    pub fn fits(&self, need: &Resources) -> bool {
-        const SLACK: f64 = 1e-9;
-        self.cpus + SLACK >= need.cpus
-            && self.gpus + SLACK >= need.gpus
-            && self.ram_gb + SLACK >= need.ram_gb
-    }
-
-    pub fn take(&mut self, need: &Resources) {
-        self.cpus -= need.cpus;
-        self.gpus -= need.gpus;
-        self.ram_gb -= need.ram_gb;
-    }
-
-    pub fn give(&mut self, need: &Resources) {
-        self.cpus += need.cpus;
-        self.gpus += need.gpus;
-        self.ram_gb += need.ram_gb;
-    }
-
-    /// How many tasks of `need` fit.
-    pub fn count(&self, need: &Resources) -> u32 {
-        let by = |have: f64, want: f64| if want > 0.0 { have / want + 1e-9 } else { 1e6 };
-        let most = by(self.cpus, need.cpus)
-            .min(by(self.gpus, need.gpus))
-            .min(by(self.ram_gb, need.ram_gb));
-        most.max(0.0) as u32
-    }
-}
-
-/// What became of the last direct call that carried an attempt's `run`.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DirectCommand {
-    /// None was made, or it was answered.
-    Settled,
-    InFlight,
-    /// It was given up and may still arrive, minutes late. Such an attempt is never cleared in
-    /// this session: a cleared attempt would be started again by the late command.
-    OutcomeUnknown,
-}
-
 /// So many heartbeats in a row without a sign of what answers said show a machine that hears nothing.
 const UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
 
-/// An attempt that is on a machine, or may be.
-#[derive(Clone, Debug)]
-pub struct Slot {
-    pub need: Resources,
-    pub priority: Priority,
-    /// Team and class of the job; empty for an attempt of a job that is not known here.
-    pub team: String,
-    pub class: String,
-    pub image: String,
-    pub expect: Micros,
-    /// When the command was first given, or the attempt first seen.
-    pub since: Micros,
-    /// When it was first reported running.
-    pub running_since: Option<Micros>,
-    pub phase: Option<TaskPhase>,
-    pub cause: Option<Cause>,
-    pub wanted: bool,
-    pub leeway_s: f64,
-    pub direct_command: DirectCommand,
-    /// The answer to a heartbeat carries its `run`, and no later heartbeat has come: the answer may
-    /// still be under way. Answers and direct commands go by different connections, so that a
-    /// late answer would start the attempt again if it were killed and cleared meanwhile.
-    pub in_answer: bool,
-    /// Its end has been taken account of.
-    pub accounted: bool,
-    /// The command was handed to the worker's address at least once.
-    pub sent: bool,
-    /// It is idle-time work that saves its progress when it is stopped, so that it loses next to nothing.
-    pub yields: bool,
-    /// It is a replica of a service.
-    pub service: bool,
-    /// Since when its job may have been over, at the earliest.
-    pub job_terminal_since: Option<Micros>,
-    /// Its start need not be told by a call: the answer to the next heartbeat is soon enough.
-    pub can_wait_for_heartbeat: bool,
-    pub kill_sent: Option<Micros>,
-}
-
-impl Slot {
-    pub fn exited(&self) -> bool {
-        self.phase == Some(TaskPhase::Exited)
-    }
-}
-
 /// Room that is being made on a machine for work of a rank: work of lower rank stays out of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingPreemption {
@@ -123,9 +23,6 @@
     pub until: Micros,
 }
 
-/// Names an attempt on a machine.
-pub type SlotKey = (TaskId, u64);
-
 /// A claimed machine of a partition.
 #[derive(Clone, Debug)]
 pub struct Machine {
@@ -145,7 +42,7 @@
     pub idle_since: Option<Micros>,
     /// The cloud takes it away at about this time.
     pub spot_notice_until: Option<Micros>,
-    pub slots: BTreeMap<SlotKey, Slot>,
+    pub slots: BTreeMap<AttemptKey, Slot>,
     /// What is free, kept by `Partition::refresh`.
     pub free: Resources,
     /// Direct calls in a row that brought nothing, with nothing heard since.
@@ -236,7 +133,8 @@
     /// do, and cost no more than to be heard.
     pub fn confirms_known_state(&self, heartbeat: &Heartbeat) -> bool {
         let known = |t: &TaskStatus| {
-            let slot = self.slots.iter().find(|(key, _)| key.1 == t.attempt && key.0 == t.task);
+            let slot =
+                self.slots.iter().find(|(key, _)| key.attempt == t.attempt && key.task == t.task);
             slot.is_some_and(|(_, s)| {
                 s.phase == Some(t.phase)
                     && s.cause == t.cause
@@ -257,8 +155,10 @@
     /// Takes account of whether a newer heartbeat shows that answers arrive: a worker has one heartbeat
     /// under way at a time, so it has seen the answer to the one before, or never will.
     pub fn track_acknowledgement(&mut self, heartbeat: &Heartbeat, now: Micros) {
-        let missing =
-            self.slots.iter().any(|(key, s)| s.in_answer && s.wanted && !heartbeat.lists(key));
+        let missing = self
+            .slots
+            .iter()
+            .any(|(key, s)| s.in_answer && s.wanted && !heartbeat.lists(&key.task, key.attempt));
         // A session that ran out although it was answered all the time.
         let lapsed = heartbeat.incarnation > self.incarnation
             && self.incarnation > 0
@@ -309,35 +209,11 @@
         })
     }
 
-    /// The commands that bring the worker to what is wanted. `clearable` says whether an
-    /// exited attempt is accounted for.
-    pub fn commands(&self, clearable: impl Fn(&SlotKey, &Slot) -> bool) -> Vec<WorkerCommand> {
-        const MOST: usize = 200;
-        let mut commands = Vec::new();
-        for (key, slot) in &self.slots {
-            let (task, attempt) = (key.0.clone(), key.1);
-            if slot.exited() {
-                let spent = slot.direct_command == DirectCommand::Settled && !slot.in_answer;
-                if slot.accounted && spent && clearable(key, slot) {
-                    commands.push(WorkerCommand::Clear { task, attempt });
-                }
-            } else if !slot.wanted && slot.phase.is_some() {
-                let saving = slot.phase == Some(TaskPhase::Saving) && slot.leeway_s > 0.0;
-                if !saving {
-                    commands.push(WorkerCommand::Kill { task, attempt, leeway_s: slot.leeway_s });
-                }
-            }
-        }
-        for (key, slot) in &self.slots {
-            // A `run` without effect may be repeated. An unwanted attempt that was never reported
-            // is not: it leaves the table once a later heartbeat proves that it is not there.
-            if slot.wanted && !slot.exited() && slot.phase.is_none() {
-                commands.push(WorkerCommand::Run { task: key.0.clone(), attempt: key.1 });
-            }
+    /// Marks an attempt as unwanted.
+    pub fn stop(&mut self, key: &AttemptKey, leeway_s: f64) {
+        if let Some(slot) = self.slots.get_mut(key) {
+            slot.wanted = false;
+            slot.leeway_s = leeway_s;
         }
-        // Whatever does not fit, what has to end goes first.
-        commands.sort_by_key(|o| !matches!(o, WorkerCommand::Kill { .. }));
-        commands.truncate(MOST);
-        commands
     }
 }
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -1,8 +1,18 @@
-//! Claims of machines.
+//! Claims and removals of machines, through the component's interface.
 
-use super::*;
+use quartzlever_wire::store::{
+    LARGE_GROUP_SIZE, MachineGroupRecord, MachineRecord, MachineRecords,
+};
+
+use super::group_update::written_length;
+use super::{
+    GroupContext, GroupLayout, GroupWriteOutcome, Ownership, PAUSE, PartitionTerm,
+    RELEASE_INTERVAL, RETRY, TOO_LARGE_PAUSE,
+};
+use crate::calls::GroupWrite;
+use crate::outbox::Outbox;
+use crate::store::write_budget::WriteBudget;
 use crate::testing::*;
-use quartzlever_wire::store::{Change as StoreChange, GroupSizeRecord};
 
 /// What is reckoned record by record is never less than what is written.
 #[test]
@@ -26,147 +36,157 @@
     }
 }
 
+const LAYOUT: GroupLayout = GroupLayout {
+    size: LARGE_GROUP_SIZE,
+    size_revision: 0,
+    is_known: true,
+    value_limit: 100_000,
+    max_changes: 100,
+};
+
+fn owner() -> PartitionTerm {
+    PartitionTerm { partition: "one".into(), term: 5 }
+}
+
+/// What is written of the changes that wait, or answered, at this moment.
+fn write(
+    ownership: &mut Ownership,
+    core: &Core,
+    may_act: bool,
+    layout: GroupLayout,
+    now: Micros,
+) -> Vec<Effect> {
+    let mut outbox = Outbox::new(LogLevel::Info, now);
+    let mut write_budget = WriteBudget::new(now - SECOND);
+    write_budget.pass(now, 100.0, 1);
+    let (cache, partitions) = (&core.cache, &core.partitions);
+    let context = GroupContext { now, may_act, cache, partitions, layout };
+    ownership.write_changes(&context, &mut write_budget, &mut outbox);
+    outbox.take_effects()
+}
+
+fn is_write(effects: &[Effect]) -> bool {
+    matches!(effects, [Effect::Store { call: StoreCall::Txn(_), .. }])
+}
+
+fn rejects(effects: &[Effect], request: u64) -> bool {
+    matches!(effects, [Effect::Answer { id, status: 503, .. }] if *id == request)
+}
+
+/// A write of a group that adds n-9 and drops n-8.
+fn group_write() -> GroupWrite {
+    GroupWrite {
+        key: large_group_key("n-9"),
+        hosts: [("n-9".into(), machine_record_of("n-9", "one"))].into(),
+        added: ["n-9".into()].into(),
+        dropped: ["n-8".into()].into(),
+        partitions: [("one".into(), 5)].into(),
+    }
+}
+
+/// (whether this leader may act, the term of the claim, whether all claims in larger groups are known, the largest
+/// value; whether the claim is written, or its request rejected)
 #[test]
-fn a_block_write_of_unknown_outcome_claims_once() {
-    // (what the write brings, what the block is read as after that; machines in the end)
-    let block = |names: &[&str]| {
-        let record = |n: &&str| {
-            let mut host = core().partitions["one"].machines["n-1"].record.clone();
-            host.address = format!("{n}:9000");
-            ((*n).to_owned(), host)
-        };
-        serde_json::json!(MachineGroupRecord { m: names.iter().map(record).collect() })
-    };
-    for (name, brings, found, machines) in [
-        ("in force", Ok(StoreReply::Committed(20)), None, 2),
-        ("unknown, and it was carried out", Err(CallError::Unknown), Some(block(&["n-9"])), 2),
-        ("unknown, and it was not", Err(CallError::Unknown), Some(block(&["n-8"])), 3),
+fn a_claim_is_written_only_for_a_partition_that_is_held() {
+    for (may_act, term, is_known, value_limit, written) in [
+        (true, 5, true, 100_000, true),
+        (false, 5, true, 100_000, false),
+        (true, 4, true, 100_000, false),
+        (true, 5, false, 100_000, false),
+        (true, 5, true, 20, false),
     ] {
-        let mut core = core();
-        core.cache.loaded = true;
-        core.lease.renew_at(NOW + 900 * SECOND);
-        core.request_ownership(1, heartbeat_from("n-9", 1, 1, 0, &[]), "one", 5);
-        let txn = |effects: &[Effect]| {
-            effects.iter().find_map(|e| match e {
-                Effect::Store { call_id, call: StoreCall::Txn(txn), .. }
-                    if txn.conditions.iter().any(|c| c.path.starts_with("hosts/")) =>
-                {
-                    Some(*call_id)
-                }
-                _ => None,
-            })
-        };
-        let Some(call_id) = txn(&core.step(NOW + SECOND, Vec::new())) else { panic!("{name}") };
-        let effects =
-            core.step(NOW + SECOND, vec![Command::StoreReply { call_id, result: brings }]);
-        if let Some(v) = found {
-            let call_id = effects.iter().find_map(|e| match e {
-                Effect::Store { call_id, call: StoreCall::Get(_), .. } => Some(*call_id),
-                _ => None,
-            });
-            let Some(call_id) = call_id else { panic!("{name}: not read back") };
-            let path = large_group_key("n-9");
-            let row = quartzlever_wire::store::Row {
-                path,
-                v: quartzlever_wire::Json::of(&v),
-                mod_revision: 21,
-                lease_id: None,
-            };
-            let result = Ok(StoreReply::Row(Some(row)));
-            core.step(NOW + 2 * SECOND, vec![Command::StoreReply { call_id, result }]);
-            if let Some(call_id) = txn(&core.step(NOW + 4 * SECOND, Vec::new())) {
-                let result = Ok(StoreReply::Committed(22));
-                core.step(NOW + 4 * SECOND, vec![Command::StoreReply { call_id, result }]);
-            }
-        }
-        let partition = &core.partitions["one"];
-        assert!(partition.machines.contains_key("n-9"), "{name}");
-        assert_eq!(partition.machines.len(), machines, "{name}");
+        let (core, mut ownership) = (core(), Ownership::default());
+        let owner = PartitionTerm { term, ..owner() };
+        ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner, &LAYOUT, NOW);
+        let layout = GroupLayout { is_known, value_limit, ..LAYOUT };
+        let effects = write(&mut ownership, &core, may_act, layout, NOW);
+        let case = format!("{may_act} {term} {is_known} {value_limit}: {effects:?}");
+        assert_eq!(is_write(&effects), written, "{case}");
+        assert_eq!(rejects(&effects, 1), !written, "{case}");
+        let waits = ownership.take_claim(&large_group_key("n-9"), "n-9");
+        assert_eq!(waits.is_some(), written, "{case}");
     }
 }
 
-/// A claim in the large block that an earlier write brings late, after the machine was claimed for
-/// another partition in its small block, counts for nothing, whichever is seen first.
 #[test]
-fn a_machine_in_two_blocks_belongs_to_the_small_one() {
-    for (large, small) in [("hosts/n-~3", "hosts/n-~16~14"), ("hosts/n-~16~14", "hosts/n-~4~57")] {
-        in_two_blocks(large, small);
+fn heartbeats_of_a_machine_wait_for_one_claim_with_the_latest_of_them() {
+    let mut ownership = Ownership::default();
+    for (id, sequence) in [(1, 5), (2, 7), (3, 6)] {
+        let heartbeat = heartbeat_from("n-9", 1, sequence, 0, &[]);
+        ownership.request(id, heartbeat, owner(), &LAYOUT, NOW);
     }
+    let claim = ownership.take_claim(&large_group_key("n-9"), "n-9").expect("it waits");
+    assert_eq!((claim.ids, claim.heartbeat.sequence), (vec![1, 2, 3], 7));
+    assert!(ownership.take_claim(&large_group_key("n-9"), "n-9").is_none());
 }
 
-fn in_two_blocks(large: &str, small: &str) {
-    let block = |partition: &str| {
-        Json::of(&MachineGroupRecord {
-            m: MachineRecords::from([(
-                "n-000231".to_owned(),
-                machine_record_of("n-000231", partition),
-            )]),
-        })
-    };
-    let row = |path: &str, partition: &str, mod_revision| Row {
-        path: path.into(),
-        v: block(partition),
-        mod_revision,
-        lease_id: None,
-    };
-    for order in [[0, 1], [1, 0]] {
-        for news in [true, false] {
-            let mut core = core();
-            let rows = [row(small, "two", 20), row(large, "one", 21)];
-            for n in order {
-                core.apply_group_row(&rows[n], news && order == [0, 1]);
-            }
-            let owner = core.machine_record("n-000231").map(|r| r.partition.clone());
-            assert_eq!(owner.as_deref(), Some("two"), "{order:?}");
-            assert!(!core.partitions["one"].machines.contains_key("n-000231"), "{order:?} {news}");
-            assert_eq!(core.cache.machines_of("one").count(), 0, "{order:?}");
-            assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
-            // The end of the large block leaves the small one's machine where it is.
-            core.apply_group_change(large, MachineRecords::new(), 22);
-            assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
-        }
+/// One write of a group is under way at a time. (the answer; the outcome; when it is written again)
+#[test]
+fn a_group_is_written_again_after_a_pause_that_depends_on_the_answer() {
+    let reread = |lost: &[PartitionTerm]| GroupWriteOutcome::ToBeReread { lost: lost.to_vec() };
+    let conflict = |path: &str| Ok(StoreReply::Conflict(vec![path.to_owned()]));
+    for (result, outcome, again_after) in [
+        (Ok(StoreReply::Committed(20)), GroupWriteOutcome::Committed { mod_revision: 20 }, PAUSE),
+        (Ok(StoreReply::TooLarge), GroupWriteOutcome::Failed, TOO_LARGE_PAUSE),
+        (Err(CallError::Refused), GroupWriteOutcome::Failed, RETRY),
+        (Err(CallError::TooOften), GroupWriteOutcome::Failed, RETRY),
+        (Err(CallError::Unknown), reread(&[]), PAUSE),
+        (conflict("hosts/n-~0"), reread(&[]), PAUSE),
+        (conflict("parts/one"), reread(&[owner()]), PAUSE),
+        (conflict("parts/two"), reread(&[]), PAUSE),
+    ] {
+        let (core, mut ownership) = (core(), Ownership::default());
+        ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
+        assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW)));
+        let later = write(&mut ownership, &core, true, LAYOUT, NOW + 60 * SECOND);
+        assert!(later.is_empty(), "one at a time: {later:?}");
+        assert_eq!(ownership.write_answered(&group_write(), &result, NOW), outcome, "{result:?}");
+        let early = write(&mut ownership, &core, true, LAYOUT, NOW + again_after - 1);
+        assert!(early.is_empty(), "{result:?}: {early:?}");
+        assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + again_after)));
     }
 }
 
-/// While controllers might use different sizes of blocks a machine could get two owners. So a claim
-/// has the agreement on the size as a condition, and waits until all earlier claims are known.
+/// Nothing is written to a group while it is read again.
 #[test]
-fn a_claim_depends_on_the_agreed_size_of_blocks() {
-    // (agreed size and its modification revision, how far the cache has come, the key that is written)
-    for (agreed, revision, key) in [
-        (None, 30, Some("hosts/n-~16~14")),
-        (Some((4, 20)), 30, Some("hosts/n-~4~57")),
-        (Some((4, 31)), 30, None),
-        // It only ever sinks: the settings' own size is smaller.
-        (Some((32, 20)), 30, Some("hosts/n-~16~14")),
-    ] {
-        let mut core = core();
-        core.cache.loaded = true;
-        core.cache.revision = revision;
-        core.config.value_bytes = 2048;
-        core.lease.renew_at(NOW + 900 * SECOND);
-        core.apply_cluster_row(&raised_version(10));
-        if let Some((size, mod_revision)) = agreed {
-            let v = Json::of(&GroupSizeRecord { size });
-            let path = GROUP_SIZE_KEY.into();
-            core.apply_cluster_row(&Row { path, v, mod_revision, lease_id: None });
+fn a_group_is_not_written_while_it_is_read_again() {
+    for (is_read, pause) in [(true, PAUSE), (false, RETRY)] {
+        let (core, mut ownership) = (core(), Ownership::default());
+        ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
+        let (key, mut outbox) = (large_group_key("n-9"), Outbox::new(LogLevel::Info, NOW));
+        ownership.reread(&key, &mut outbox);
+        let reads = outbox.take_effects();
+        assert!(
+            matches!(&reads[..], [Effect::Store { call: StoreCall::Get(path), .. }] if *path == key)
+        );
+        assert!(write(&mut ownership, &core, true, LAYOUT, NOW + 60 * SECOND).is_empty());
+        ownership.read_answered(&key, is_read, NOW);
+        assert!(write(&mut ownership, &core, true, LAYOUT, NOW + pause - 1).is_empty());
+        assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + pause)));
+    }
+}
+
+/// A returned machine's record is removed on condition of its partition's term, and only if it is still that one's.
+#[test]
+fn only_the_partition_that_returned_a_machine_removes_its_record() {
+    for (recorded_for, removed) in [("one", true), ("two", false)] {
+        let (mut core, mut ownership) = (core(), Ownership::default());
+        let hosts = [("n-8".into(), machine_record_of("n-8", recorded_for))].into();
+        core.cache.record_group(&large_group_key("n-8"), hosts, 9);
+        ownership.release("n-8", owner(), &core.cache, &LAYOUT);
+        let effects = write(&mut ownership, &core, true, LAYOUT, NOW);
+        assert_eq!(is_write(&effects), removed, "{recorded_for}");
+        if let [Effect::Store { call: StoreCall::Txn(txn), .. }] = &effects[..] {
+            let conditions: Vec<_> =
+                txn.conditions.iter().map(|c| (c.path.as_str(), c.mod_revision)).collect();
+            assert_eq!(conditions, [("hosts/n-~0", 9), ("parts/one", 5)]);
+            assert!(
+                matches!(&txn.changes[..], [Change::Delete { delete }] if delete == "hosts/n-~0")
+            );
+            let failed = Err(CallError::Refused);
+            ownership.write_answered(&group_write(), &failed, NOW);
+            assert!(write(&mut ownership, &core, true, LAYOUT, NOW + RETRY - 1).is_empty());
+            assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + RELEASE_INTERVAL)));
         }
-        core.request_ownership(1, idle_heartbeat("n-000231", 1, 0), "one", 5);
-        let effects = core.step(NOW + SECOND, Vec::new());
-        let written = effects.iter().find_map(|effect| match effect {
-            Effect::Store { call: StoreCall::Txn(txn), .. } => {
-                let writes = |c: &&StoreChange| matches!(c, StoreChange::Write { write, .. } if write.starts_with("hosts/"));
-                txn.changes.iter().find(writes).map(|change| (change, txn))
-            }
-            _ => None,
-        });
-        assert_eq!(written.is_some(), key.is_some(), "{agreed:?}: {effects:?}");
-        let (Some((StoreChange::Write { write, .. }, txn)), Some(key)) = (written, key) else {
-            continue;
-        };
-        assert_eq!(write, key, "{agreed:?}");
-        let mod_revision = agreed.map_or(0, |(_, mod_revision)| mod_revision);
-        let condition = txn.conditions.iter().find(|c| c.path == GROUP_SIZE_KEY);
-        assert_eq!(condition.map(|c| c.mod_revision), Some(mod_revision), "{agreed:?}");
     }
 }
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -9,14 +9,16 @@
 use indexmap::IndexMap;
 use quartzlever_wire::Micros;
 use quartzlever_wire::cloud::MachineType;
-use quartzlever_wire::store::{ActiveJobRecord, MachineRecord, PARTITION_PREFIX, Txn};
+use quartzlever_wire::store::{ActiveJobRecord, PARTITION_PREFIX, Txn};
 use quartzlever_wire::users::Priority;
 use quartzlever_wire::workers::TaskId;
 
 use crate::autoscaling::Fleet;
 use crate::config::Config;
 use crate::jobs::partition_job::{PartitionJob, RecordHolder};
-use crate::machines::machine::{Machine, Resources, Slot, SlotKey};
+use crate::machines::attempt::{AttemptKey, Slot};
+use crate::machines::machine::Machine;
+use crate::machines::resources::Resources;
 use crate::messages::LogLevel;
 use crate::scheduling::free_capacity_index::FreeCapacityIndex;
 
@@ -164,12 +166,13 @@
             // What machines may have of it is unwanted already.
             return;
         }
-        let task = |index| TaskId { job: id.to_owned(), index };
-        let (first, last) = ((task(0), 0), (task(u32::MAX), u64::MAX));
+        let key =
+            |index, attempt| AttemptKey { task: TaskId { job: id.to_owned(), index }, attempt };
+        let (first, last) = (key(0, 0), key(u32::MAX, u64::MAX));
         let all = (Bound::Included(&first), Bound::Included(&last));
         for name in self.attempted.remove(id).into_iter().flatten() {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
-            for (_, slot) in machine.slots.range_mut::<SlotKey, _>(all) {
+            for (_, slot) in machine.slots.range_mut::<AttemptKey, _>(all) {
                 slot.wanted = false;
                 slot.leeway_s = 0.0;
                 if slot.exited() {
@@ -189,8 +192,10 @@
         job.awaiting_recovery.remove(index);
         if let Some(place) = job.assignments.get(&index).cloned()
             && let Some(machine) = self.machines.get_mut(&place.machine)
-            && let Some(slot) =
-                machine.slots.get_mut(&(TaskId { job: id.to_owned(), index }, place.attempt))
+            && let Some(slot) = machine.slots.get_mut(&AttemptKey {
+                task: TaskId { job: id.to_owned(), index },
+                attempt: place.attempt,
+            })
         {
             // Another attempt, if that is what it is, has no use any more.
             slot.wanted = slot.exited();
@@ -223,45 +228,6 @@
         }
     }
 
-    /// Takes everything off a machine that is surely empty.
-    pub fn empty_machine(&mut self, name: &str) {
-        let Some(machine) = self.machines.get_mut(name) else { return };
-        let slots = std::mem::take(&mut machine.slots);
-        for ((task, attempt), slot) in slots {
-            if slot.phase == Some(quartzlever_wire::workers::TaskPhase::Exited) && slot.accounted {
-                continue;
-            }
-            self.requeue(&task, attempt);
-        }
-        self.refresh(name);
-    }
-
-    /// Removes a machine that is surely empty for good.
-    pub fn remove_machine(&mut self, name: &str) -> bool {
-        self.empty_machine(name);
-        self.urgent.remove(name);
-        self.unfenced.remove(name);
-        self.free_capacity_index.remove(name);
-        self.machines.swap_remove(name).is_some()
-    }
-
-    /// Brings what is kept of a machine's room up to date, after its attempts or its standing
-    /// have changed.
-    pub fn refresh(&mut self, name: &str) {
-        let Some(machine) = self.machines.get_mut(name) else { return };
-        if machine.has_urgent_commands() {
-            self.urgent.insert(name.to_owned());
-        }
-        let machine_type = self.types.as_ref().and_then(|t| t.get(&machine.record.machine_type));
-        match machine_type.filter(|_| machine.usable()) {
-            Some(machine_type) => {
-                machine.free = machine.free_of(Resources::capacity_of(machine_type));
-                self.free_capacity_index.put(name, &machine.record, machine.free.cpus);
-            }
-            None => self.free_capacity_index.remove(name),
-        }
-    }
-
     /// Takes up the machine types, or newer ones.
     pub fn use_types(&mut self, types: Types) {
         self.types = Some(types);
@@ -272,39 +238,6 @@
         self.placement_wanted = true;
     }
 
-    /// Adds a claimed machine. `ours` says that it was claimed under this very term, so no
-    /// earlier leader ever commanded it.
-    pub fn add_machine(&mut self, name: &str, record: MachineRecord, ours: bool, now: Micros) {
-        self.autoscaling.pending_instances.arrived(name, self.types.as_deref(), now);
-        let machine = self
-            .machines
-            .entry(name.to_owned())
-            .or_insert_with(|| Box::new(Machine::new(name, record, now)));
-        if ours {
-            machine.fenced = true;
-            machine.verified = true;
-        }
-        if !machine.fenced {
-            self.unfenced.insert(name.to_owned());
-        }
-        self.refresh(name);
-    }
-
-    /// Opens the recovery barrier once every machine is proven.
-    pub fn try_complete_recovery(&mut self) -> bool {
-        if self.recovery_complete || !self.active() || self.machines.values().any(|m| !m.verified) {
-            return false;
-        }
-        self.recovery_complete = true;
-        self.unfenced.clear();
-        self.placement_wanted = true;
-        for job in self.jobs.values_mut() {
-            let held = std::mem::take(&mut job.awaiting_recovery);
-            job.ready.add(&held);
-        }
-        true
-    }
-
     /// What a team's tasks may be using in this partition, and whether that is known in full: an
     /// attempt of a forgotten job could be anybody's.
     pub fn team_use(&self, team: &str) -> (Resources, bool) {
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -1,15 +1,17 @@
 //! The one owner of all state of a process.
 
+mod heartbeats;
 mod job_records;
 mod leadership;
+mod ownership;
 mod user_requests;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 
 use quartzlever_wire::cloud::CloudReply;
 use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::StoreReply;
-use quartzlever_wire::workers::{Heartbeat, WorkerReply};
+use quartzlever_wire::workers::WorkerReply;
 use quartzlever_wire::{CallError, Micros, SECOND};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -21,7 +23,8 @@
 use crate::leadership::connectivity::StoreConnectivity;
 use crate::leadership::lease::Lease;
 use crate::leadership::reachability::Reachability;
-use crate::machines::ownership::PendingGroupChange;
+use crate::machines::ownership::Ownership;
+use crate::machines::presence::PresenceChecks;
 use crate::messages::{Answer, CallId, Command, Effect, LogLevel, RequestId};
 use crate::outbox::Outbox;
 use crate::partition::{Partition, Types};
@@ -55,13 +58,9 @@
     pub(crate) limits: StoreLimits,
     pub(crate) reachability: Reachability,
     pub(crate) write_budget: WriteBudget,
-    pub(crate) group_changes: BTreeMap<String, PendingGroupChange>,
-    /// A block is being split; when the next one may be.
-    pub(crate) splitting: bool,
-    pub(crate) next_split_at: Micros,
+    pub(crate) ownership: Ownership,
     pub(crate) lookups: Lookups,
-    /// Heartbeats of machines that nobody knew, while the machines are asked.
-    pub(crate) awaiting_presence_check: HashMap<String, (RequestId, Heartbeat)>,
+    pub(crate) presence_checks: PresenceChecks,
     /// Partitions whose keys are being changed; those whose change failed, and when the next may be made.
     pub(crate) partitions_being_written: BTreeSet<String>,
     pub(crate) partition_retry_at: BTreeMap<String, Micros>,
@@ -117,11 +116,9 @@
             limits: StoreLimits::new(&config),
             reachability: Reachability::new(now),
             write_budget: WriteBudget::new(now),
-            group_changes: BTreeMap::new(),
-            splitting: false,
-            next_split_at: 0,
+            ownership: Ownership::default(),
             lookups: Lookups::default(),
-            awaiting_presence_check: HashMap::new(),
+            presence_checks: PresenceChecks::default(),
             partitions_being_written: BTreeSet::new(),
             partition_retry_at: BTreeMap::new(),
             releasing: BTreeSet::new(),
@@ -326,9 +323,7 @@
             PendingStoreCall::StealWrite { partition, term, request, moved } => {
                 self.steal_written(&partition, term, request, moved, result);
             }
-            PendingStoreCall::WriteGroup { key, hosts, added, dropped, partitions } => {
-                self.group_written(&key, hosts, &added, &dropped, &partitions, result);
-            }
+            PendingStoreCall::WriteGroup(write) => self.group_written(write, &result),
             PendingStoreCall::ReadGroup { key } => self.group_read(&key, result),
         }
     }
@@ -377,10 +372,7 @@
         }
         for name in &names {
             if look {
-                self.expire_silent_machines(name);
-                if self.may_act() {
-                    self.probe_late_service_machines(name);
-                }
+                self.check_machines(name);
             }
             self.complete_recovery(name);
             let lines = self.partitions.get_mut(name).map(|p| std::mem::take(&mut p.log_events));
@@ -400,7 +392,6 @@
         if self.now >= self.next_group_write_at {
             self.next_group_write_at = self.now + GROUP_WRITE_INTERVAL;
             self.write_groups();
-            self.split_groups();
         }
         self.poll_autoscaling();
         self.notify_saturated();
--- /dev/null
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -0,0 +1,78 @@
+//! Heartbeats of machines that are not known here, through the whole controller.
+
+use crate::leadership::connectivity::StoreConnectivity;
+use crate::testing::*;
+
+#[test]
+fn a_machine_that_nobody_knows_is_asked_before_it_is_claimed() {
+    let alive = |host: &str| Ok(WorkerReply::Status(heartbeat_from(host, 1, 9, 0, &[])));
+    // (whether its first heartbeat is expected, what it says when it is asked, whether it is claimed)
+    for (name, expected, says, claimed) in [
+        ("rented and coming up", true, None, true),
+        ("there, though nobody knew", false, Some(alive("n-9")), true),
+        ("gone, and a copy came late", false, Some(Err(CallError::Unknown)), false),
+        ("another lives at its address", false, Some(alive("n-8")), false),
+    ] {
+        let mut core = core();
+        core.cache.loaded = true;
+        core.lease.renew_at(NOW + 900 * SECOND);
+        if let Some(partition) = core.partitions.get_mut("one").filter(|_| expected) {
+            let machine = PendingInstance {
+                machine_type: "m".into(),
+                zone: "a".into(),
+                spot: true,
+                since: NOW,
+            };
+            partition.autoscaling.pending_instances.expect("n-9", machine);
+        }
+        let first = Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-9", 1, 1, 0, &[]) };
+        let mut effects = core.step(NOW, vec![first]);
+        let asked = effects.iter().find_map(|e| match e {
+            Effect::Worker { call_id, call: WorkerCall::Status, address, .. }
+                if address == "n-9:9000" =>
+            {
+                Some(*call_id)
+            }
+            _ => None,
+        });
+        assert_eq!(asked.is_some(), says.is_some(), "{name}: asked");
+        if let (Some(call_id), Some(result)) = (asked, says) {
+            effects.extend(core.step(NOW, vec![Command::WorkerReply { call_id, result }]));
+        }
+        effects.extend(core.step(NOW + SECOND, Vec::new()));
+        let key = large_group_key("n-9");
+        let written = effects.iter().any(|e| match e {
+            Effect::Store { call: StoreCall::Txn(txn), .. } => {
+                txn.conditions.iter().any(|c| c.path == key)
+            }
+            _ => false,
+        });
+        assert_eq!(written, claimed, "{name}: claimed");
+        let turned = effects.iter().any(|e| matches!(e, Effect::Answer { id: 1, status: 503, .. }));
+        assert_eq!(turned, !claimed, "{name}: turned away");
+    }
+}
+
+#[test]
+fn only_who_reaches_the_state_service_names_a_holder() {
+    // (seconds since the store last answered, who holds partition "two" by the copy; the
+    // status that a worker of that partition gets)
+    for (quiet, leader, status) in
+        [(1, "two", 421), (3, "two", 421), (5, "two", 503), (1, "one", 503)]
+    {
+        let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
+        core.apply_group_change(
+            &large_group_key("n-7"),
+            [("n-7".into(), machine_record_of("n-7", "two"))].into(),
+            9,
+        );
+        core.store_connectivity = StoreConnectivity::new(NOW);
+        let come = Command::Heartbeat { id: 4, heartbeat: idle_heartbeat("n-7", 3, 6) };
+        let effects = core.step(NOW + quiet * SECOND, vec![come]);
+        let answer = effects.iter().find_map(|e| match e {
+            Effect::Answer { id: 4, status, .. } => Some(*status),
+            _ => None,
+        });
+        assert_eq!(answer, Some(status), "{quiet} s, {leader}");
+    }
+}
--- /dev/null
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -0,0 +1,161 @@
+//! Claims of machines and the groups that they are in, step by step through the components that they concern.
+
+use quartzlever_wire::CallError;
+use quartzlever_wire::store::{MachineRecords, Row, StoreReply, machine_records_in};
+use quartzlever_wire::workers::Heartbeat;
+
+use super::Core;
+use crate::calls::GroupWrite;
+use crate::machines::ownership::{
+    GroupContext, GroupLayout, GroupSizeAgreement, GroupWriteOutcome, PartitionTerm,
+};
+use crate::messages::{LogLevel, RequestId};
+
+impl Core {
+    fn group_layout(&self) -> GroupLayout {
+        let agreement = GroupSizeAgreement {
+            small_groups: self.cluster.services(),
+            size: self.cluster.agreed_group_size(),
+            revision: self.cluster.group_size_revision(),
+        };
+        GroupLayout::new(&agreement, &self.config, &self.limits, self.cache.revision)
+    }
+
+    /// How many machines share a key that is written now.
+    pub(crate) fn group_size(&self) -> u64 {
+        self.group_layout().size
+    }
+
+    /// An unclaimed machine is to be claimed for a partition held here.
+    pub(crate) fn request_ownership(
+        &mut self,
+        id: RequestId,
+        heartbeat: Heartbeat,
+        owner: PartitionTerm,
+    ) {
+        let layout = self.group_layout();
+        self.ownership.request(id, heartbeat, owner, &layout, self.now);
+    }
+
+    /// A returned machine's record is no longer wanted.
+    pub(crate) fn release_ownership(&mut self, host: &str, partition: &str, term: u64) {
+        let owner = PartitionTerm { partition: partition.to_owned(), term };
+        let layout = self.group_layout();
+        self.ownership.release(host, owner, &self.cache, &layout);
+    }
+
+    /// Writes groups of machines that have to change, and splits one that is too large.
+    pub(super) fn write_groups(&mut self) {
+        let context = GroupContext {
+            now: self.now,
+            may_act: self.may_act(),
+            layout: self.group_layout(),
+            cache: &self.cache,
+            partitions: &self.partitions,
+        };
+        self.ownership.write_changes(&context, &mut self.write_budget, &mut self.outbox);
+        self.ownership.split_group(&context, &mut self.write_budget, &mut self.outbox);
+    }
+
+    /// A step of splitting a group has been answered.
+    pub(super) fn group_split(
+        &mut self,
+        key: &str,
+        small: Vec<(String, MachineRecords)>,
+        whole: bool,
+        result: &Result<StoreReply, CallError>,
+    ) {
+        let Some(mod_revision) = self.ownership.split_answered(result, self.now) else { return };
+        for (key, hosts) in small {
+            self.cache.record_group(&key, hosts, mod_revision);
+        }
+        if whole {
+            self.cache.record_group(key, MachineRecords::new(), mod_revision + 1);
+        }
+    }
+
+    /// The write of a group has been answered.
+    pub(super) fn group_written(
+        &mut self,
+        write: GroupWrite,
+        result: &Result<StoreReply, CallError>,
+    ) {
+        match self.ownership.write_answered(&write, result, self.now) {
+            GroupWriteOutcome::Committed { mod_revision } => {
+                let GroupWrite { key, hosts, added, .. } = write;
+                self.apply_group_change(&key, hosts, mod_revision);
+                // An event of a later change may have been quicker: then these are known already.
+                for host in &added {
+                    self.settle_claim(&key, host);
+                }
+                self.ownership.forget_if_settled(&key);
+            }
+            GroupWriteOutcome::ToBeReread { lost } => {
+                for owner in lost {
+                    self.lose_partition(&owner.partition, owner.term);
+                }
+                self.ownership.reread(&write.key, &mut self.outbox);
+            }
+            GroupWriteOutcome::Failed => {}
+        }
+    }
+
+    /// A group has been read again.
+    pub(super) fn group_read(&mut self, key: &str, result: Result<StoreReply, CallError>) {
+        let is_read = matches!(result, Ok(StoreReply::Row(_)));
+        self.ownership.read_answered(key, is_read, self.now);
+        match result {
+            Ok(StoreReply::Row(Some(row))) => self.apply_group_row(&row, true),
+            // The watch tells of its removal, at which modification revision it cannot be written any more.
+            Ok(StoreReply::Row(None)) => self.apply_group_change(key, MachineRecords::new(), 0),
+            _ => {}
+        }
+    }
+
+    /// Takes in a group as the store has it. `is_change` says that a machine which was not
+    /// known before has been claimed since.
+    pub(crate) fn apply_group_row(&mut self, row: &Row, is_change: bool) {
+        let Some(hosts) = machine_records_in(&row.path, &row.v) else {
+            let path = row.path.clone();
+            return self.outbox.log(LogLevel::Error, || format!("unreadable record: {path}"));
+        };
+        if is_change {
+            self.apply_group_change(&row.path, hosts, row.mod_revision);
+        } else {
+            self.cache.record_group(&row.path, hosts, row.mod_revision);
+        }
+    }
+
+    /// A group has changed.
+    pub(crate) fn apply_group_change(
+        &mut self,
+        key: &str,
+        hosts: MachineRecords,
+        mod_revision: u64,
+    ) {
+        let now = self.now;
+        let Some(new) = self.cache.record_group(key, hosts, mod_revision) else { return };
+        for (host, record) in new {
+            for partition in self.partitions.values_mut() {
+                if partition.name == record.partition {
+                    partition.add_claimed_machine(&host, &record, mod_revision, now);
+                } else {
+                    let types = partition.types.as_deref();
+                    partition.autoscaling.pending_instances.arrived(&host, types, now);
+                }
+            }
+            self.settle_claim(key, &host);
+        }
+    }
+
+    /// The machine belongs to somebody now: answers the heartbeats that waited for that.
+    fn settle_claim(&mut self, key: &str, host: &str) {
+        let Some(claim) = self.ownership.take_claim(key, host) else { return };
+        for id in claim.ids {
+            self.handle_heartbeat(id, claim.heartbeat.clone());
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/quartzlever-core/src/router/ownership/tests.rs
@@ -0,0 +1,160 @@
+//! Claims of machines, through the whole controller.
+
+use super::*;
+use crate::testing::*;
+use quartzlever_wire::store::{
+    Change as StoreChange, GROUP_SIZE_KEY, GroupSizeRecord, MachineGroupRecord,
+};
+
+#[test]
+fn a_block_write_of_unknown_outcome_claims_once() {
+    // (what the write brings, what the block is read as after that; machines in the end)
+    let block = |names: &[&str]| {
+        let record = |n: &&str| {
+            let mut host = core().partitions["one"].machines["n-1"].record.clone();
+            host.address = format!("{n}:9000");
+            ((*n).to_owned(), host)
+        };
+        serde_json::json!(MachineGroupRecord { m: names.iter().map(record).collect() })
+    };
+    for (name, brings, found, machines) in [
+        ("in force", Ok(StoreReply::Committed(20)), None, 2),
+        ("unknown, and it was carried out", Err(CallError::Unknown), Some(block(&["n-9"])), 2),
+        ("unknown, and it was not", Err(CallError::Unknown), Some(block(&["n-8"])), 3),
+    ] {
+        let mut core = core();
+        core.cache.loaded = true;
+        core.lease.renew_at(NOW + 900 * SECOND);
+        core.request_ownership(
+            1,
+            heartbeat_from("n-9", 1, 1, 0, &[]),
+            PartitionTerm { partition: "one".into(), term: 5 },
+        );
+        let txn = |effects: &[Effect]| {
+            effects.iter().find_map(|e| match e {
+                Effect::Store { call_id, call: StoreCall::Txn(txn), .. }
+                    if txn.conditions.iter().any(|c| c.path.starts_with("hosts/")) =>
+                {
+                    Some(*call_id)
+                }
+                _ => None,
+            })
+        };
+        let Some(call_id) = txn(&core.step(NOW + SECOND, Vec::new())) else { panic!("{name}") };
+        let effects =
+            core.step(NOW + SECOND, vec![Command::StoreReply { call_id, result: brings }]);
+        if let Some(v) = found {
+            let call_id = effects.iter().find_map(|e| match e {
+                Effect::Store { call_id, call: StoreCall::Get(_), .. } => Some(*call_id),
+                _ => None,
+            });
+            let Some(call_id) = call_id else { panic!("{name}: not read back") };
+            let path = large_group_key("n-9");
+            let row = quartzlever_wire::store::Row {
+                path,
+                v: quartzlever_wire::Json::of(&v),
+                mod_revision: 21,
+                lease_id: None,
+            };
+            let result = Ok(StoreReply::Row(Some(row)));
+            core.step(NOW + 2 * SECOND, vec![Command::StoreReply { call_id, result }]);
+            if let Some(call_id) = txn(&core.step(NOW + 4 * SECOND, Vec::new())) {
+                let result = Ok(StoreReply::Committed(22));
+                core.step(NOW + 4 * SECOND, vec![Command::StoreReply { call_id, result }]);
+            }
+        }
+        let partition = &core.partitions["one"];
+        assert!(partition.machines.contains_key("n-9"), "{name}");
+        assert_eq!(partition.machines.len(), machines, "{name}");
+    }
+}
+
+/// A claim in the large block that an earlier write brings late, after the machine was claimed for
+/// another partition in its small block, counts for nothing, whichever is seen first.
+#[test]
+fn a_machine_in_two_blocks_belongs_to_the_small_one() {
+    for (large, small) in [("hosts/n-~3", "hosts/n-~16~14"), ("hosts/n-~16~14", "hosts/n-~4~57")] {
+        in_two_blocks(large, small);
+    }
+}
+
+fn in_two_blocks(large: &str, small: &str) {
+    let block = |partition: &str| {
+        Json::of(&MachineGroupRecord {
+            m: MachineRecords::from([(
+                "n-000231".to_owned(),
+                machine_record_of("n-000231", partition),
+            )]),
+        })
+    };
+    let row = |path: &str, partition: &str, mod_revision| Row {
+        path: path.into(),
+        v: block(partition),
+        mod_revision,
+        lease_id: None,
+    };
+    for order in [[0, 1], [1, 0]] {
+        for news in [true, false] {
+            let mut core = core();
+            let rows = [row(small, "two", 20), row(large, "one", 21)];
+            for n in order {
+                core.apply_group_row(&rows[n], news && order == [0, 1]);
+            }
+            let owner = core.cache.machine_record("n-000231").map(|r| r.partition.clone());
+            assert_eq!(owner.as_deref(), Some("two"), "{order:?}");
+            assert!(!core.partitions["one"].machines.contains_key("n-000231"), "{order:?} {news}");
+            assert_eq!(core.cache.machines_of("one").count(), 0, "{order:?}");
+            assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
+            // The end of the large block leaves the small one's machine where it is.
+            core.apply_group_change(large, MachineRecords::new(), 22);
+            assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
+        }
+    }
+}
+
+/// While controllers might use different sizes of blocks a machine could get two owners. So a claim
+/// has the agreement on the size as a condition, and waits until all earlier claims are known.
+#[test]
+fn a_claim_depends_on_the_agreed_size_of_blocks() {
+    // (agreed size and its modification revision, how far the cache has come, the key that is written)
+    for (agreed, revision, key) in [
+        (None, 30, Some("hosts/n-~16~14")),
+        (Some((4, 20)), 30, Some("hosts/n-~4~57")),
+        (Some((4, 31)), 30, None),
+        // It only ever sinks: the settings' own size is smaller.
+        (Some((32, 20)), 30, Some("hosts/n-~16~14")),
+    ] {
+        let mut core = core();
+        core.cache.loaded = true;
+        core.cache.revision = revision;
+        core.config.value_bytes = 2048;
+        core.lease.renew_at(NOW + 900 * SECOND);
+        core.apply_cluster_row(&raised_version(10));
+        if let Some((size, mod_revision)) = agreed {
+            let v = Json::of(&GroupSizeRecord { size });
+            let path = GROUP_SIZE_KEY.into();
+            core.apply_cluster_row(&Row { path, v, mod_revision, lease_id: None });
+        }
+        core.request_ownership(
+            1,
+            idle_heartbeat("n-000231", 1, 0),
+            PartitionTerm { partition: "one".into(), term: 5 },
+        );
+        let effects = core.step(NOW + SECOND, Vec::new());
+        let written = effects.iter().find_map(|effect| match effect {
+            Effect::Store { call: StoreCall::Txn(txn), .. } => {
+                let writes = |c: &&StoreChange| matches!(c, StoreChange::Write { write, .. } if write.starts_with("hosts/"));
+                txn.changes.iter().find(writes).map(|change| (change, txn))
+            }
+            _ => None,
+        });
+        assert_eq!(written.is_some(), key.is_some(), "{agreed:?}: {effects:?}");
+        let (Some((StoreChange::Write { write, .. }, txn)), Some(key)) = (written, key) else {
+            continue;
+        };
+        assert_eq!(write, key, "{agreed:?}");
+        let mod_revision = agreed.map_or(0, |(_, mod_revision)| mod_revision);
+        let condition = txn.conditions.iter().find(|c| c.path == GROUP_SIZE_KEY);
+        assert_eq!(condition.map(|c| c.mod_revision), Some(mod_revision), "{agreed:?}");
+    }
+}
--- a/crates/quartzlever-core/src/scheduling/placement.rs
+++ b/crates/quartzlever-core/src/scheduling/placement.rs
@@ -9,7 +9,9 @@
 
 use crate::config::{Config, ServiceLevelObjective};
 use crate::jobs::partition_job::{Assignment, PartitionJob};
-use crate::machines::machine::{PendingPreemption, Resources, Slot, SlotKey};
+use crate::machines::attempt::{AttemptKey, Slot};
+use crate::machines::machine::PendingPreemption;
+use crate::machines::resources::Resources;
 use crate::messages::LogLevel;
 use crate::partition::Partition;
 use crate::router::Core;
@@ -174,7 +176,7 @@
         let count = machine
             .slots
             .iter()
-            .filter(|((task, _), slot)| task.job == spec.id && !slot.exited())
+            .filter(|(key, slot)| key.task.job == spec.id && !slot.exited())
             .count() as u32;
         if count > 0 {
             *used.entry(machine.record.zone.as_str()).or_default() += count;
@@ -222,7 +224,7 @@
     /// Tasks of the job that get room.
     gain: u32,
     machine: String,
-    attempts: Vec<SlotKey>,
+    attempts: Vec<AttemptKey>,
 }
 
 impl Core {
@@ -611,7 +613,7 @@
         };
         job.ready.remove(index);
         job.assignments.insert(index, Assignment { machine: host.to_owned(), attempt });
-        let key = (TaskId { job: id.to_owned(), index }, attempt);
+        let key = AttemptKey { task: TaskId { job: id.to_owned(), index }, attempt };
         let slot = Slot {
             can_wait_for_heartbeat: job.can_wait_for_heartbeat,
             ..Slot::new(job.spec(), now)
@@ -623,7 +625,7 @@
     }
 
     /// Marks an attempt as unwanted.
-    pub fn stop(&mut self, host: &str, key: &SlotKey, leeway_s: f64) {
+    pub fn stop(&mut self, host: &str, key: &AttemptKey, leeway_s: f64) {
         if let Some(machine) = self.machines.get_mut(host) {
             machine.stop(key, leeway_s);
             self.urgent.insert(host.to_owned());
@@ -641,8 +643,8 @@
                 self.reserve_preempted_capacity(asks.spec.priority, &machine, asks.now);
             }
             for key in attempts {
-                if let Some(job) = self.jobs.get_mut(&key.0.job) {
-                    job.preempted.insert(key.0.index);
+                if let Some(job) = self.jobs.get_mut(&key.task.job) {
+                    job.preempted.insert(key.task.index);
                     let leeway = job.record.job.save_s;
                     self.stop(&machine, &key, leeway);
                 }
@@ -659,7 +661,7 @@
     }
 
     /// Whether some of these attempts save before they end, so that they end one after the other.
-    fn takes_time_to_end(&self, host: &str, attempts: &[SlotKey]) -> bool {
+    fn takes_time_to_end(&self, host: &str, attempts: &[AttemptKey]) -> bool {
         let slots = self.machines.get(host).map(|machine| &machine.slots);
         let slots = attempts.iter().filter_map(|key| slots.and_then(|slots| slots.get(key)));
         slots.into_iter().any(|slot| slot.yields)
@@ -716,7 +718,7 @@
             return None;
         }
         let claims = inside.contains(&spec.team);
-        let mut stoppable: Vec<(f64, &SlotKey, &Slot)> = machine
+        let mut stoppable: Vec<(f64, &AttemptKey, &Slot)> = machine
             .slots
             .iter()
             .filter(|(k, s)| {
@@ -725,14 +727,15 @@
                     && s.team != spec.team
                     && !s.team.is_empty()
                     && !inside.contains(&s.team);
-                let is_protected = self.jobs.get(&k.0.job).is_some_and(|j| j.is_protected(now));
+                let is_protected = self.jobs.get(&k.task.job).is_some_and(|j| j.is_protected(now));
                 let asked = *victims == Victims::Any || s.yields;
                 s.wanted && !s.exited() && asked && ((lower && !is_protected) || borrowed)
             })
             .map(|(k, s)| {
                 let ran = s.running_since.map_or(0, |t| now.saturating_sub(t));
                 // Sparing them for good made the older ones pay, and lost more work.
-                let again = self.jobs.get(&k.0.job).is_none_or(|j| j.preempted.contains(k.0.index));
+                let again =
+                    self.jobs.get(&k.task.job).is_none_or(|j| j.preempted.contains(k.task.index));
                 let ran = if again { ran + REPEATED_PREEMPTION_COST } else { ran };
                 (ran as f64 * s.need.cpus.max(0.1), k, s)
             })
--- a/crates/quartzlever-core/src/scheduling/placement/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/placement/tests.rs
@@ -140,11 +140,13 @@
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.recovery_complete = open;
             if stranger {
-                let mut slot = crate::machines::machine::Slot::new(&spec(1), NOW);
+                let mut slot = crate::machines::attempt::Slot::new(&spec(1), NOW);
                 slot.team = String::new();
                 let task = quartzlever_wire::workers::TaskId { job: "req-9".into(), index: 0 };
                 if let Some(machine) = partition.machines.get_mut("n-1") {
-                    machine.slots.insert((task, 1), slot);
+                    machine
+                        .slots
+                        .insert(crate::machines::attempt::AttemptKey { task, attempt: 1 }, slot);
                 }
             }
         }
@@ -242,7 +244,7 @@
         core.place("one");
     };
     place(&mut core, NOW + SECOND);
-    let stopped = |core: &Core| -> Vec<crate::machines::machine::SlotKey> {
+    let stopped = |core: &Core| -> Vec<crate::machines::attempt::AttemptKey> {
         let slots = &core.partitions["one"].machines["n-1"].slots;
         slots.iter().filter(|(_, s)| !s.wanted).map(|(key, _)| key.clone()).collect()
     };
@@ -252,7 +254,7 @@
         assert_eq!(placed(&core, &wide.id), [], "{n} have ended");
         let partition = core.partitions.get_mut("one").expect("it is held");
         partition.machines["n-1"].slots.remove(key);
-        partition.requeue(&key.0, key.1);
+        partition.requeue(&key.task, key.attempt);
         partition.refresh("n-1");
         core.fill("one", "n-1");
         place(&mut core, NOW + 2 * SECOND + n as u64 * SECOND / 5);
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -145,7 +145,7 @@
                 &config,
                 &mut RunTimes::default(),
                 &idle_heartbeat("n-2", 1, 6),
-                true,
+                StatusSource::Heartbeat,
                 NOW,
             );
         }
--- a/crates/quartzlever-core/src/store/cache.rs
+++ b/crates/quartzlever-core/src/store/cache.rs
@@ -6,6 +6,7 @@
 use quartzlever_wire::Micros;
 use quartzlever_wire::store::{
     ActiveJobRecord, MachineRecord, MachineRecords, PartitionRecord, TerminalJobRecord,
+    group_capacity,
 };
 
 use crate::store::listing::Listing;
@@ -66,6 +67,50 @@
         blocks.filter(move |(_, record)| record.partition == partition)
     }
 
+    /// The record of a machine, with the partition that it belongs to, as far as is known here.
+    pub fn machine_record(&self, host: &str) -> Option<&MachineRecord> {
+        let key = self.group_of_machine.get(host)?;
+        self.ownership_groups.get(key)?.0.get(host)
+    }
+
+    /// Notes a block's machines; `None` if a later state is known. Gives those that are new.
+    pub fn record_group(
+        &mut self,
+        key: &str,
+        hosts: MachineRecords,
+        mod_revision: u64,
+    ) -> Option<MachineRecords> {
+        let (before, known) = self.ownership_groups.get(key).cloned().unwrap_or_default();
+        if mod_revision != 0 && known >= mod_revision {
+            return None;
+        }
+        // While a block is split its machines are in two.
+        for host in before.keys().filter(|h| !hosts.contains_key(*h)) {
+            if self.group_of_machine.get(host).is_some_and(|k| k == key) {
+                self.group_of_machine.remove(host);
+            }
+        }
+        let mut new = MachineRecords::new();
+        for (host, record) in &hosts {
+            // One in a smaller block too belongs there: that claim had this block, as it was then, or
+            // the size of blocks as a condition, so what stands here is a write that came late.
+            let mapped = self.group_of_machine.get(host);
+            if mapped.is_some_and(|smaller| group_capacity(smaller) < group_capacity(key)) {
+                continue;
+            }
+            if before.get(host) != Some(record) || mapped.is_none() {
+                self.group_of_machine.insert(host.clone(), key.to_owned());
+                new.insert(host.clone(), record.clone());
+            }
+        }
+        if hosts.is_empty() {
+            self.ownership_groups.remove(key);
+        } else {
+            self.ownership_groups.insert(key.to_owned(), (hosts, mod_revision));
+        }
+        Some(new)
+    }
+
     /// Whether a job is neither done nor cancelled, as far as the cache has come.
     pub fn is_active_job(&self, job: &str) -> bool {
         self.active_jobs.contains_key(job) || self.unreadable_jobs.contains(job)
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -4,6 +4,7 @@
 pub(crate) use crate::calls::{JobWrite, JobWriteAction, Move, PendingStoreCall, Section};
 pub(crate) use crate::config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
 pub(crate) use crate::leadership::lease::Lease;
+pub(crate) use crate::machines::reconciliation::StatusSource;
 pub(crate) use crate::messages::{
     Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId,
 };
@@ -272,7 +273,7 @@
             &config,
             &mut RunTimes::default(),
             &idle_heartbeat("n-1", 1, 5),
-            true,
+            StatusSource::Heartbeat,
             NOW,
         );
     }
@@ -357,7 +358,13 @@
             warning_s: None,
             tasks: Vec::new(),
         };
-        partition.apply_heartbeat(&config, &mut RunTimes::default(), &heartbeat, true, NOW);
+        partition.apply_heartbeat(
+            &config,
+            &mut RunTimes::default(),
+            &heartbeat,
+            StatusSource::Heartbeat,
+            NOW,
+        );
     }
 }
 
@@ -371,8 +378,9 @@
 
 /// How many of a job's tasks went to each machine, by the machines' names.
 pub(crate) fn placed(core: &Core, id: &str) -> Vec<(String, usize)> {
-    let on =
-        |m: &crate::machines::machine::Machine| m.slots.keys().filter(|(t, _)| t.job == id).count();
+    let on = |m: &crate::machines::machine::Machine| {
+        m.slots.keys().filter(|key| key.task.job == id).count()
+    };
     let partition = &core.partitions["one"];
     let counts = partition.machines.values().map(|m| (m.name.clone(), on(m)));
     counts.filter(|(_, n)| *n > 0).collect()
--- a/crates/quartzlever-wire/src/workers.rs
+++ b/crates/quartzlever-wire/src/workers.rs
@@ -165,8 +165,8 @@
     }
 
     /// Whether the heartbeat lists an attempt of a task.
-    pub fn lists(&self, (task, attempt): &(TaskId, u64)) -> bool {
-        self.tasks.iter().any(|t| t.attempt == *attempt && t.task == *task)
+    pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
+        self.tasks.iter().any(|t| t.attempt == attempt && t.task == *task)
     }
 }
 
