--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -195,3 +195,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -104,3 +104,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -130,3 +130,6 @@
     }
     Some(GroupSplit { txn, small, whole })
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -12,6 +12,7 @@
 use crate::jobs::partition_job::Assignment;
 use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
 use crate::machines::attempt_outcomes::EndedAttempt;
+use crate::machines::machine::Machine;
 use crate::partition::Partition;
 use crate::scheduling::placement::RunTimes;
 
@@ -24,6 +25,26 @@
     DirectReply,
 }
 
+impl Machine {
+    /// Notes what a newer status says of the machine itself.
+    fn note_status(&mut self, heartbeat: &Heartbeat, source: StatusSource, now: Micros) {
+        self.incarnation = heartbeat.incarnation;
+        self.sequence = heartbeat.sequence;
+        self.last_heartbeat_at = now;
+        self.failed_calls = 0;
+        match source {
+            // A worker has one heartbeat under way at a time: earlier answers are spent.
+            StatusSource::Heartbeat => {
+                self.slots.values_mut().for_each(|slot| slot.in_answer = false);
+            }
+            // It was reached, so it is not deaf.
+            StatusSource::DirectReply => self.unacknowledged = 0,
+        }
+        self.record.address.clone_from(&heartbeat.address);
+        self.spot_notice_until = heartbeat.warning_s.map(|s| now + micros_from_secs(s));
+    }
+}
+
 impl Partition {
     /// Takes in a status of a worker; `false` if it is older than what is known.
     pub fn apply_heartbeat(
@@ -75,25 +96,12 @@
             self.empty_machine(&heartbeat.host);
         }
         let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return };
-        machine.incarnation = heartbeat.incarnation;
-        machine.sequence = heartbeat.sequence;
-        machine.last_heartbeat_at = now;
-        machine.failed_calls = 0;
-        if source == StatusSource::DirectReply {
-            // It was reached, so it is not deaf.
-            machine.unacknowledged = 0;
-        }
-        machine.record.address.clone_from(&heartbeat.address);
-        machine.spot_notice_until = heartbeat.warning_s.map(|s| now + micros_from_secs(s));
+        machine.note_status(heartbeat, source, now);
         if heartbeat.fencing_token >= term {
             machine.fenced = true;
             machine.verified = true;
             self.unfenced.remove(&heartbeat.host);
         }
-        if source == StatusSource::Heartbeat {
-            // A worker has one heartbeat under way at a time: earlier answers are spent.
-            machine.slots.values_mut().for_each(|s| s.in_answer = false);
-        }
         for task in &heartbeat.tasks {
             self.apply_task_status(config, run_times, &heartbeat.host, task, now);
         }
