--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -6,7 +6,7 @@
 mod ownership;
 mod user_requests;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 use quartzlever_wire::cloud::CloudReply;
 use quartzlever_wire::peers::PeerAnswer;
@@ -22,6 +22,7 @@
 use crate::jobs::user_requests::UserRequests;
 use crate::leadership::connectivity::StoreConnectivity;
 use crate::leadership::lease::Lease;
+use crate::leadership::partition_keys::PartitionKeys;
 use crate::leadership::reachability::Reachability;
 use crate::machines::ownership::Ownership;
 use crate::machines::presence::PresenceChecks;
@@ -42,7 +43,6 @@
     pub(crate) rng: SmallRng,
     /// Tells this process from earlier ones of the same node.
     pub(crate) process: u64,
-    pub(crate) started: Micros,
     pub(crate) now: Micros,
     /// Time of day minus steady time.
     pub(crate) wall_offset: Option<i64>,
@@ -61,18 +61,7 @@
     pub(crate) ownership: Ownership,
     pub(crate) lookups: Lookups,
     pub(crate) presence_checks: PresenceChecks,
-    /// Partitions whose keys are being changed; those whose change failed, and when the next may be made.
-    pub(crate) partitions_being_written: BTreeSet<String>,
-    pub(crate) partition_retry_at: BTreeMap<String, Micros>,
-    pub(crate) releasing: BTreeSet<String>,
-    /// Partitions that are being taken from a process that has not given them up.
-    pub(crate) evicting: BTreeSet<String>,
-    /// The next one is taken this way no sooner.
-    pub(crate) next_eviction_at: Micros,
-    /// Since when each absent partition has been missing.
-    pub(crate) absent_since: BTreeMap<String, Micros>,
-    /// Home nodes that ask for their partition: since when, and last asked.
-    pub(crate) handback_requests: BTreeMap<String, (Micros, Micros)>,
+    pub(crate) partition_keys: PartitionKeys,
     pub(crate) types: Option<Types>,
     pub(crate) cloud: crate::autoscaling::Cloud,
     pub(crate) terminal_jobs: TerminalJobs,
@@ -103,7 +92,6 @@
             stealing: Stealing::new(&config),
             rng: SmallRng::seed_from_u64(seed),
             process: seed,
-            started: now,
             now,
             wall_offset: None,
             outbox: Outbox::new(config.log_level, now),
@@ -119,13 +107,7 @@
             ownership: Ownership::default(),
             lookups: Lookups::default(),
             presence_checks: PresenceChecks::default(),
-            partitions_being_written: BTreeSet::new(),
-            partition_retry_at: BTreeMap::new(),
-            releasing: BTreeSet::new(),
-            evicting: BTreeSet::new(),
-            next_eviction_at: 0,
-            absent_since: BTreeMap::new(),
-            handback_requests: BTreeMap::new(),
+            partition_keys: PartitionKeys::new(&config.node, seed, now),
             types: None,
             cloud: crate::autoscaling::Cloud::default(),
             terminal_jobs: TerminalJobs::default(),
@@ -288,7 +270,7 @@
             PendingStoreCall::Grant { sent } => self.lease_granted(sent, &result),
             PendingStoreCall::Renew { sent, lease } => self.lease_renewed(sent, lease, &result),
             PendingStoreCall::Acquire { partition, lease } => {
-                self.acquired(&partition, lease, result)
+                self.acquired(&partition, lease, &result)
             }
             PendingStoreCall::Release { partition, mod_revision } => {
                 self.released(&partition, mod_revision, &result)
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -1,12 +1,21 @@
-//! Steps of leadership that concern more than one component: what the lease means for partitions.
+//! Steps of leadership that concern more than one component: what the lease, and the keys that are
+//! taken and given up, mean for the partitions that this process acts for.
+//!
+//! The state and the decisions are those of `leadership::lease`, `leadership::authority` and
+//! `leadership::partition_keys`.
 
-use quartzlever_wire::store::StoreReply;
+use quartzlever_wire::store::{PARTITION_PREFIX, StoreReply};
 use quartzlever_wire::{CallError, Micros};
 
 use crate::leadership::authority::Authority;
 use crate::leadership::lease::LeaseOutcome;
+use crate::leadership::partition_keys::{
+    AcquireOutcome, Circumstances, HeldKey, KeyDecision, ReleaseOutcome,
+};
 use crate::messages::LogLevel;
+use crate::partition::Partition;
 use crate::router::Core;
+use crate::store::watch::{WATCH_PAUSE, WATCH_SHARE};
 
 impl Core {
     /// Whether this process surely holds its lease.
@@ -65,4 +74,127 @@
             }
         }
     }
+
+    /// Stops acting for a partition, unless it was lost and taken again since that term.
+    pub(crate) fn lose_partition(&mut self, name: &str, term: u64) {
+        if self.partitions.get(name).is_some_and(|p| p.term == term) {
+            self.partitions.remove(name);
+            self.outbox.log(LogLevel::Info, || format!("part {name}: lost, term {term}"));
+        }
+    }
+
+    /// Takes, asks for and hands back partitions.
+    pub(crate) fn poll_leadership(&mut self) {
+        self.load_partitions();
+        if !self.cache.loaded() || !self.holds_lease() {
+            return;
+        }
+        // A process announces itself before it acquires a partition, on the same lease.
+        let lease = self.lease.id().filter(|_| self.has_announced());
+        let circumstances = Circumstances {
+            now: self.now,
+            config: &self.config,
+            is_cut_from_workers: self.reachability.lost(),
+            watch_delay: self.min_interval_for(WATCH_SHARE).saturating_sub(WATCH_PAUSE),
+        };
+        let (now, keys) = (self.now, &mut self.partition_keys);
+        let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
+        for name in &self.config.nodes {
+            let entry = self.cache.partitions.get(name);
+            let held = entry.map(|(leader, mod_revision)| HeldKey {
+                leader,
+                mod_revision: *mod_revision,
+                is_outdated: self.cluster.is_outdated_leader(leader, *mod_revision),
+            });
+            match keys.decide(name, held, &circumstances, &mut self.rng) {
+                KeyDecision::Keep => {}
+                KeyDecision::Acquire { mod_revision } => {
+                    keys.acquire(now, name, mod_revision, lease, budget, outbox);
+                }
+                KeyDecision::Evict { mod_revision } => {
+                    keys.evict(now, name, mod_revision, lease, budget, outbox);
+                }
+                KeyDecision::Release { mod_revision } => {
+                    self.partitions.remove(name);
+                    keys.release(now, name, mod_revision, budget, outbox);
+                }
+                KeyDecision::RequestHandback { leader } => {
+                    keys.request_handback(now, leader, outbox);
+                }
+            }
+        }
+    }
+
+    /// Stops acting for a partition and then gives up its key.
+    pub(crate) fn release(&mut self, name: &str, mod_revision: u64) {
+        self.partitions.remove(name);
+        let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
+        self.partition_keys.release(self.now, name, mod_revision, budget, outbox);
+    }
+
+    /// The store has answered the attempt to take a partition with a key on this lease.
+    pub(crate) fn acquired(
+        &mut self,
+        name: &str,
+        lease: u64,
+        result: &Result<StoreReply, CallError>,
+    ) {
+        match self.partition_keys.acquired(self.now, name, result) {
+            AcquireOutcome::Committed { term } => {
+                self.cache.newest_revision = self.cache.newest_revision.max(term);
+                if self.cache.is_ahead_of_cache(term) {
+                    let key = format!("{PARTITION_PREFIX}{name}");
+                    let record = self.partition_keys.own_record().clone();
+                    self.apply_partition_record(&key, Some(record), term);
+                }
+            }
+            AcquireOutcome::LeaseEnded => self.lease_ended(lease),
+            AcquireOutcome::Failed => {}
+        }
+    }
+
+    /// A partition's key was given up, or is another's already. The cache lags behind, and a
+    /// partition that it still shows as ours was released again and again: 700 changes in a row, in
+    /// which the limit of changes, and with it every submission, was lost.
+    pub(crate) fn released(
+        &mut self,
+        name: &str,
+        mod_revision: u64,
+        result: &Result<StoreReply, CallError>,
+    ) {
+        match self.partition_keys.released(self.now, name, result) {
+            ReleaseOutcome::GivenUp => {
+                if self.cache.partitions.get(name).is_some_and(|(_, s)| *s == mod_revision) {
+                    self.cache.partitions.remove(name);
+                }
+            }
+            ReleaseOutcome::Failed => {}
+        }
+    }
+
+    /// Starts acting as a partition's leader: reads its jobs and machines first.
+    pub(crate) fn begin_leadership(&mut self, name: &str, term: u64) {
+        if self.partition_keys.is_releasing(name)
+            || self.partitions.get(name).is_some_and(|p| p.term >= term)
+        {
+            return;
+        }
+        self.outbox.log(LogLevel::Info, || format!("part {name}: held, term {term}"));
+        let mut partition = Partition::new(name, term, self.types.clone(), self.now);
+        if self.partition_keys.take_eviction(name) {
+            partition.sole_leader_from = self.now + self.config.operator.lease_life;
+        }
+        self.partitions.insert(name.to_owned(), partition);
+    }
+
+    /// A home node asks for its partition: one that runs the first version after the cluster version
+    /// is raised asks in vain.
+    pub(crate) fn handback_requested(&mut self, partition: &str) {
+        if self.cluster.may_lead(partition) {
+            self.partition_keys.note_handback_request(self.now, partition);
+        }
+    }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -46,7 +46,6 @@
     /// When a peer last said that it is pressed, and when this node may next say so.
     peer_saturated_at: Option<Micros>,
     next_saturation_notice_at: Micros,
-    pub next_handback_request_at: Micros,
 }
 
 impl Stealing {
@@ -59,7 +58,6 @@
             waiting: false,
             peer_saturated_at: None,
             next_saturation_notice_at: 0,
-            next_handback_request_at: 0,
         }
     }
 }
@@ -414,7 +412,7 @@
                 PeerAnswer::Counts { ready, load }
             }
             PeerRequest::HandBack { partition } => {
-                self.handback_requests(&partition);
+                self.handback_requested(&partition);
                 PeerAnswer::Nothing
             }
             PeerRequest::MachinesSeen { partition, machines } => {
--- a/crates/quartzlever-core/src/store/listing/tests.rs
+++ b/crates/quartzlever-core/src/store/listing/tests.rs
@@ -72,7 +72,7 @@
         let mut core = core();
         core.cache.loaded = loaded;
         core.cache.revision = revision;
-        core.acquired("two", 1, Ok(StoreReply::Committed(30)));
+        core.acquired("two", 1, &Ok(StoreReply::Committed(30)));
         assert_eq!(core.partitions.contains_key("two"), held, "{revision} {loaded}");
     }
 }
@@ -84,7 +84,7 @@
     for (lease, kept) in [(1, true), (2, false)] {
         let mut core = core();
         core.lease = Lease::held(2, NOW + 1_000 * SECOND);
-        core.acquired("two", lease, Ok(StoreReply::NoLease));
+        core.acquired("two", lease, &Ok(StoreReply::NoLease));
         assert_eq!(core.lease.id().is_some(), kept, "{lease}");
         assert_eq!(core.partitions.contains_key("one"), kept, "{lease}");
     }
--- a/crates/quartzlever-core/src/upgrade/tests.rs
+++ b/crates/quartzlever-core/src/upgrade/tests.rs
@@ -169,15 +169,11 @@
         };
         assert_eq!(takes(&mut core, NOW), usize::from(taken), "{n}");
         assert_eq!(takes(&mut core, NOW + SECOND / 10), 0, "{n}: once");
-        core.acquired("two", 1, Ok(StoreReply::Committed(30)));
+        core.acquired("two", 1, &Ok(StoreReply::Committed(30)));
         let sole_leader_from = core.partitions["two"].sole_leader_from;
         let later = if taken { core.config.operator.lease_life } else { 0 };
         assert_eq!(sole_leader_from, core.now + later, "{n}: the old one may still answer workers");
-        core.handback_requests("two");
-        assert_eq!(
-            core.handback_requests.contains_key("two"),
-            !raised || announced.is_some(),
-            "{n}"
-        );
+        core.handback_requested("two");
+        assert_eq!(core.partition_keys.is_asked_for("two"), !raised || announced.is_some(), "{n}");
     }
 }
