--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -223,7 +223,7 @@
 
 impl Core {
     pub(super) fn scale_in(&mut self, name: &str) {
-        let (now, listening_since) = (self.now, self.reachability.listening_since);
+        let (now, listening_since) = (self.now, self.reachability.listening_since());
         let warm_capacity = self.warm_capacity();
         let Some(types) = self.types.clone() else { return };
         let Some(partition) = self.partitions.get_mut(name) else { return };
--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -1,4 +1,14 @@
-//! Holding partitions: the lease, taking a partition, losing it, handing it back.
+//! Which partitions this process leads, and until when it may act for them.
+//!
+//! - `lease`: the lease in the store on which the keys of partitions hang.
+//! - `connectivity`: whether the store is reached from here, and from the peers.
+//! - `authority`: until when this process may act: as long as its lease and its view are sure.
+//! - `partition_keys`: takeover, eviction, hand-back, and the changes of keys that are under way.
+//! - `reachability`: whether this node hears the workers of its partitions.
+//! - `awaited`: what a controller may be found to wait for.
+//!
+//! No component here holds a partition's queue or machines: what a lease or a key means for them are
+//! steps of the router.
 
 pub(crate) mod authority;
 pub(crate) mod awaited;
@@ -7,28 +17,5 @@
 pub(crate) mod partition_keys;
 pub(crate) mod reachability;
 
-use crate::router::Core;
-
-impl Core {
-    /// Partitions whose acquisition the cache has come to begin their work from it: what an earlier
-    /// leader wrote is in it, and it can write no more.
-    pub(crate) fn load_partitions(&mut self) {
-        if !self.cache.loaded {
-            return;
-        }
-        let (now, wall, revision) = (self.now, self.wall(), self.cache.revision);
-        for partition in self.partitions.values_mut().filter(|p| !p.loaded && p.term <= revision) {
-            for (record, mod_revision) in self.cache.active_jobs.values() {
-                partition.reconcile_job(&self.config, record.clone(), *mod_revision, now, wall);
-            }
-            let name = partition.name.clone();
-            for (host, record) in self.cache.machines_of(&name) {
-                partition.add_machine(host, record.clone(), false, now);
-            }
-            partition.loaded = true;
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -10,19 +10,26 @@
 //! watch finds it. Where machines or a zone failed nobody hears them, and the partition stays. The node asks for its
 //! partition again only after a direct call has reached one of its machines, and each time it has to
 //! give up a partition it waits twice as long before it does.
+//!
+//! [`Reachability`] counts and decides; it holds no partition itself. It may never let a partition go
+//! on the word of peers alone, nor before this process has listened for long enough to know.
 
 use std::collections::{BTreeMap, HashMap};
 
-use quartzlever_wire::peers::PeerRequest;
-use quartzlever_wire::store::{MACHINES_SEEN_PREFIX, MachinesSeenRecord, Row, StoreCall, Txn};
+use quartzlever_wire::store::{
+    MACHINES_SEEN_PREFIX, MachineRecord, MachinesSeenRecord, Row, StoreCall, Txn,
+};
 use quartzlever_wire::workers::WorkerCall;
 use quartzlever_wire::{Json, Micros, SECOND};
+use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom;
 
-use crate::calls::{PendingPeerCall, PendingStoreCall, PendingWorkerCall};
+use crate::calls::{PendingStoreCall, PendingWorkerCall};
+use crate::config::Config;
 use crate::messages::{CallPriority, LogLevel};
-use crate::router::Core;
+use crate::outbox::Outbox;
 use crate::store::parse;
+use crate::store::write_budget::WriteBudget;
 
 const CHECK_INTERVAL: Micros = SECOND;
 /// A peer's word counts as long.
@@ -36,7 +43,7 @@
 /// First and longest wait before a partition is asked for again, and how often its machines are tried.
 const FIRST_WAIT: Micros = 15 * SECOND;
 const LONGEST_WAIT: Micros = 600 * SECOND;
-const PROBE_EVERY: Micros = 2 * SECOND;
+const PROBE_INTERVAL: Micros = 2 * SECOND;
 /// How long others have to take a partition that was given up before this node takes it again: by
 /// then nobody else wants it.
 pub(crate) const PEERS_TAKE_OVER_WITHIN: Micros = 10 * SECOND;
@@ -45,192 +52,219 @@
 #[derive(Debug)]
 pub(crate) struct Reachability {
     /// Since when this process has worked through all that came, without standing still.
-    pub listening_since: Micros,
+    listening_since: Micros,
     /// Machines of others' partitions that came here, by partition, and when they last did.
     foreign_heartbeats: BTreeMap<String, HashMap<String, Micros>>,
-    /// How many machines of a partition held here a peer says it hears, and when it said so.
-    machines_seen: BTreeMap<String, (u32, Micros)>,
+    /// How many machines of a partition held here a peer says it hears.
+    machines_seen: BTreeMap<String, PeerCount>,
     /// This node does not hear workers; when it may ask for its partition again, if it does then.
-    lost: Option<Micros>,
+    cut_until: Option<Micros>,
     /// How long the last wait was, and until when it ran.
     wait: Micros,
     waited_until: Micros,
-    next_look: Micros,
-    next_probe: Micros,
+    next_check_at: Micros,
+    next_probe_at: Micros,
+}
+
+/// How many machines of a partition a peer hears, and when it said so.
+#[derive(Clone, Copy, Debug)]
+struct PeerCount {
+    machines: u32,
+    at: Micros,
+}
+
+/// How many machines of another's partition have come here lately.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct ForeignMachines {
+    pub partition: String,
+    pub machines: u32,
+}
+
+/// When the machines of a partition held here were last heard.
+#[derive(Debug)]
+pub(crate) struct OwnHeartbeats<'a, I> {
+    pub partition: &'a str,
+    pub acquired_at: Micros,
+    /// One time for each machine.
+    pub last_heartbeats: I,
 }
 
 impl Reachability {
+    /// Nothing is known; this process listens from now on.
     pub fn new(now: Micros) -> Self {
         Reachability {
             listening_since: now,
             foreign_heartbeats: BTreeMap::new(),
             machines_seen: BTreeMap::new(),
-            lost: None,
+            cut_until: None,
             wait: 0,
             waited_until: 0,
-            next_look: 0,
-            next_probe: 0,
+            next_check_at: 0,
+            next_probe_at: 0,
         }
     }
 
-    /// A partition was given up. A partition that goes to and fro does so ever more seldom; after a long
-    /// time without, the waits begin anew.
-    fn lose(&mut self, now: Micros) {
-        if self.lost.is_some_and(|until| now < until) {
-            // Another partition, for the same reason.
-            return;
-        }
-        let again = now < self.waited_until + LONGEST_WAIT && self.wait > 0;
-        self.wait = if again { (self.wait * 2).min(LONGEST_WAIT) } else { FIRST_WAIT };
-        self.waited_until = now + self.wait;
-        self.lost = Some(self.waited_until);
+    /// Since when this process has worked through all that came, without standing still.
+    pub fn listening_since(&self) -> Micros {
+        self.listening_since
     }
 
-    /// Whether this node gave up a partition because it heard none of its workers.
-    pub fn lost(&self) -> bool {
-        self.lost.is_some()
+    /// This process stood still or could not act: what was not heard until now shows nothing.
+    pub fn listen_anew(&mut self, now: Micros) {
+        self.listening_since = now;
+    }
+
+    /// Whether this node gave up a partition because it heard none of its workers, and has reached
+    /// none since.
+    pub fn is_cut_from_workers(&self) -> bool {
+        self.cut_until.is_some()
     }
-}
 
-impl Core {
     /// A machine of a partition that another node holds has come here.
-    pub(crate) fn note_foreign_heartbeat(&mut self, partition: &str, host: &str) {
-        let foreign_heartbeats =
-            self.reachability.foreign_heartbeats.entry(partition.to_owned()).or_default();
-        foreign_heartbeats.insert(host.to_owned(), self.now);
+    pub fn note_foreign_heartbeat(&mut self, now: Micros, partition: &str, host: &str) {
+        let foreign_heartbeats = self.foreign_heartbeats.entry(partition.to_owned()).or_default();
+        foreign_heartbeats.insert(host.to_owned(), now);
     }
 
     /// A peer says how many machines of a partition it hears.
-    pub(crate) fn note_machines_seen(&mut self, partition: String, machines: u32) {
-        let now = self.now;
-        let entry = self.reachability.machines_seen.entry(partition).or_insert((0, 0));
+    pub fn note_machines_seen(&mut self, now: Micros, partition: String, machines: u32) {
+        let count = self.machines_seen.entry(partition).or_insert(PeerCount { machines: 0, at: 0 });
         // Of several peers the one that hears most counts.
-        if entry.0 <= machines || now.saturating_sub(entry.1) > PEER_COUNT_LIFETIME {
-            *entry = (machines, now);
-        }
-    }
-
-    /// Tells leaders which of their machines come here, gives up partitions that a peer hears better,
-    /// and tries whether workers can be reached again.
-    pub(crate) fn poll_reachability(&mut self) {
-        let now = self.now;
-        if now < self.reachability.next_look {
-            return;
-        }
-        self.reachability.next_look = now + CHECK_INTERVAL;
-        self.notify_machines_seen();
-        if self.may_act() {
-            let unreachable_partitions: Vec<(String, u64)> = self
-                .partitions
-                .values()
-                .filter(|p| self.peer_sees_more_machines(&p.name))
-                .map(|p| (p.name.clone(), p.term))
-                .collect();
-            for (partition, term) in unreachable_partitions {
-                self.outbox.log(LogLevel::Info, || {
-                    format!("part {partition}: given up, peers hear its workers")
-                });
-                self.reachability.machines_seen.remove(&partition);
-                self.reachability.lose(now);
-                self.release(&partition, term);
-            }
-            self.probe();
+        if count.machines <= machines || now.saturating_sub(count.at) > PEER_COUNT_LIFETIME {
+            *count = PeerCount { machines, at: now };
         }
     }
 
-    /// The leader was not reached: it is told by way of the store.
-    pub(crate) fn store_machines_seen(&mut self, partition: &str, machines: u32) {
-        let Some(lease) = self.lease.id().filter(|_| self.may_act()) else { return };
-        // As urgent as a partition's own key, and no more often than it is told.
-        self.write_budget.spend(1);
-        let key = format!("{MACHINES_SEEN_PREFIX}{partition}/{}", self.config.node);
-        // It hangs on this node's lease, so that nothing is left of it in the end.
-        let value = Json::of(&MachinesSeenRecord { machines });
-        let txn = Txn::default().write_held(key, value, lease);
-        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
-    }
-
     /// What a peer has left at the store.
-    pub(crate) fn apply_machines_seen_row(&mut self, row: &Row) {
+    pub fn apply_machines_seen_row(&mut self, now: Micros, row: &Row) {
         let name =
             row.path.strip_prefix(MACHINES_SEEN_PREFIX).and_then(|rest| rest.rsplit_once('/'));
         if let (Some((partition, _)), Some(record)) = (name, parse::<MachinesSeenRecord>(row)) {
-            self.note_machines_seen(partition.to_owned(), record.machines);
+            self.note_machines_seen(now, partition.to_owned(), record.machines);
         }
     }
 
-    fn notify_machines_seen(&mut self) {
-        let (now, recent) = (self.now, self.config.workers.heartbeat_interval * 2);
-        let mut tell = Vec::new();
-        self.reachability.foreign_heartbeats.retain(|partition, hosts| {
+    /// Whether it is time for a look at all of this; the next one is due an interval later then.
+    pub fn begin_check(&mut self, now: Micros) -> bool {
+        let is_due = now >= self.next_check_at;
+        if is_due {
+            self.next_check_at = now + CHECK_INTERVAL;
+        }
+        is_due
+    }
+
+    /// What is to be told to the leaders of other partitions. Machines that have not come for two
+    /// intervals are forgotten.
+    pub fn foreign_machines(&mut self, now: Micros, config: &Config) -> Vec<ForeignMachines> {
+        let recent = config.workers.heartbeat_interval * 2;
+        let mut told = Vec::new();
+        self.foreign_heartbeats.retain(|partition, hosts| {
             hosts.retain(|_, at| now.saturating_sub(*at) < recent);
-            tell.push((partition.clone(), hosts.len()));
+            if hosts.len() >= MIN_MACHINES {
+                let machines = hosts.len() as u32;
+                told.push(ForeignMachines { partition: partition.clone(), machines });
+            }
             !hosts.is_empty()
         });
-        for (partition, machines) in tell.into_iter().filter(|t| t.1 >= MIN_MACHINES) {
-            if let Some(node) = self.other_leader_of(&partition).map(str::to_owned) {
-                let machines = machines as u32;
-                let request = PeerRequest::MachinesSeen { partition: partition.clone(), machines };
-                self.outbox.ask_peer(
-                    &node,
-                    request,
-                    PendingPeerCall::MachinesSeen { partition, machines },
-                );
-            }
-        }
+        told
+    }
+
+    /// Leaves word at the store for a leader that was not reached, on a key that hangs on this lease.
+    pub fn store_machines_seen(
+        config: &Config,
+        partition: &str,
+        machines: u32,
+        lease: u64,
+        write_budget: &mut WriteBudget,
+        outbox: &mut Outbox,
+    ) {
+        // As urgent as a partition's own key, and no more often than it is told.
+        write_budget.spend(1);
+        let key = format!("{MACHINES_SEEN_PREFIX}{partition}/{}", config.node);
+        // It hangs on this node's lease, so that nothing is left of it in the end.
+        let value = Json::of(&MachinesSeenRecord { machines });
+        let txn = Txn::default().write_held(key, value, lease);
+        outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 
-    fn peer_sees_more_machines(&self, name: &str) -> bool {
-        let (now, heartbeat_interval) = (self.now, self.config.workers.heartbeat_interval);
+    /// Whether a peer hears most machines of a partition held here while this node hears next to none.
+    pub fn peer_sees_more_machines(
+        &self,
+        now: Micros,
+        config: &Config,
+        own: OwnHeartbeats<'_, impl ExactSizeIterator<Item = Micros>>,
+    ) -> bool {
         let peer_count = self
-            .reachability
             .machines_seen
-            .get(name)
-            .filter(|t| now.saturating_sub(t.1) < PEER_COUNT_LIFETIME);
-        let (Some((peer, _)), Some(partition)) = (peer_count, self.partitions.get(name)) else {
-            return false;
-        };
-        let long = heartbeat_interval * 3 / 2;
+            .get(own.partition)
+            .filter(|count| now.saturating_sub(count.at) < PEER_COUNT_LIFETIME);
+        let Some(peer_count) = peer_count else { return false };
+        let long = config.workers.heartbeat_interval * 3 / 2;
+        let machines = own.last_heartbeats.len();
         // What waits unread here may be those very reports.
-        if now < self.reachability.listening_since.max(partition.acquired) + long
-            || partition.machines.len() < MIN_MACHINES
-        {
+        if now < self.listening_since.max(own.acquired_at) + long || machines < MIN_MACHINES {
             return false;
         }
-        let quiet = |at: Micros| now.saturating_sub(at) > long;
-        let recently_seen =
-            partition.machines.values().filter(|m| !quiet(m.last_heartbeat_at)).count();
-        let all = partition.machines.len() as f64;
-        (recently_seen as f64) < all * MAX_OWN_SEEN_SHARE
-            && f64::from(*peer) >= all * MIN_PEER_SEEN_SHARE
+        let is_quiet = |at: Micros| now.saturating_sub(at) > long;
+        let recently_seen = own.last_heartbeats.filter(|at| !is_quiet(*at)).count();
+        (recently_seen as f64) < machines as f64 * MAX_OWN_SEEN_SHARE
+            && f64::from(peer_count.machines) >= machines as f64 * MIN_PEER_SEEN_SHARE
+    }
+
+    /// A partition is given up because peers hear its workers.
+    pub fn give_up(&mut self, now: Micros, partition: &str, outbox: &mut Outbox) {
+        outbox
+            .log(LogLevel::Info, || format!("part {partition}: given up, peers hear its workers"));
+        self.machines_seen.remove(partition);
+        self.lengthen_wait(now);
     }
 
-    /// While workers were not heard, calls one of the home partition's machines now and then.
-    fn probe(&mut self) {
-        let now = self.now;
-        if self.reachability.lost.is_none_or(|until| now < until)
-            || now < self.reachability.next_probe
-        {
+    /// A partition that goes to and fro does so ever more seldom; after a long time without, the waits
+    /// begin anew.
+    fn lengthen_wait(&mut self, now: Micros) {
+        if self.cut_until.is_some_and(|until| now < until) {
+            // Another partition, for the same reason.
             return;
         }
-        self.reachability.next_probe = now + PROBE_EVERY;
-        let home = self.config.node.clone();
-        let blocks = self.cache.ownership_groups.values().flat_map(|(hosts, _)| hosts.iter());
-        let one = blocks.filter(|(_, r)| r.partition == home).choose(&mut self.rng);
-        let Some((machine, address)) = one.map(|(h, r)| (h.clone(), r.address.clone())) else {
+        let again = now < self.waited_until + LONGEST_WAIT && self.wait > 0;
+        self.wait = if again { (self.wait * 2).min(LONGEST_WAIT) } else { FIRST_WAIT };
+        self.waited_until = now + self.wait;
+        self.cut_until = Some(self.waited_until);
+    }
+
+    /// While workers were not heard, calls one of the home partition's machines now and then, but
+    /// not after `until`.
+    pub fn poll_probe<'a>(
+        &mut self,
+        now: Micros,
+        config: &Config,
+        machines: impl Iterator<Item = (&'a String, &'a MachineRecord)>,
+        until: Micros,
+        rng: &mut SmallRng,
+        outbox: &mut Outbox,
+    ) {
+        if self.cut_until.is_none_or(|until| now < until) || now < self.next_probe_at {
+            return;
+        }
+        self.next_probe_at = now + PROBE_INTERVAL;
+        let one = machines.filter(|(_, record)| record.partition == config.node).choose(rng);
+        let Some((machine, record)) = one else {
             // Nothing to try it on, and nothing to lose.
-            self.reachability.lost = None;
+            self.cut_until = None;
             return;
         };
-        let wait = PendingWorkerCall { machine, probe: true, ..PendingWorkerCall::default() };
-        let until = self.authority_expires_at();
-        self.outbox.call_worker(address, WorkerCall::Status, wait, until);
+        let pending = PendingWorkerCall {
+            machine: machine.clone(),
+            probe: true,
+            ..PendingWorkerCall::default()
+        };
+        outbox.call_worker(record.address.clone(), WorkerCall::Status, pending, until);
     }
 
-    /// A machine was reached again.
-    pub(crate) fn probed(&mut self, reached: bool) {
-        if reached && self.reachability.lost.take().is_some() {
-            self.outbox.log(LogLevel::Info, || "workers are reached again".into());
+    /// A machine has answered such a call, or has not.
+    pub fn probed(&mut self, is_reached: bool, outbox: &mut Outbox) {
+        if is_reached && self.cut_until.take().is_some() {
+            outbox.log(LogLevel::Info, || "workers are reached again".into());
         }
     }
 }
--- a/crates/quartzlever-core/src/leadership/reachability/tests.rs
+++ b/crates/quartzlever-core/src/leadership/reachability/tests.rs
@@ -1,5 +1,7 @@
 //! Who hears whose workers.
 
+use rand::SeedableRng;
+
 use super::*;
 use crate::testing::*;
 
@@ -16,195 +18,126 @@
         (&[100, 150, 1_000], 15),
     ];
     for (times, wait) in cases {
+        let mut outbox = Outbox::new(LogLevel::Error, 0);
         let mut reachability = Reachability::new(0);
         let mut last = 0;
         for at in *times {
             if at - last > 10 {
-                reachability.lost = None;
+                reachability.probed(true, &mut outbox);
             }
             last = *at;
-            reachability.lose(at * SECOND);
+            reachability.give_up(at * SECOND, "one", &mut outbox);
         }
         assert_eq!(reachability.wait, wait * SECOND, "{times:?}");
     }
 }
 
 #[test]
-fn a_part_goes_to_the_peer_that_hears_its_workers() {
-    // (seconds since the leader heard anything, how many machines it hears now, how many a peer
-    // says it hears, whether the leader stood still; whether it gives the partition up), of ten
-    for (name, quiet, hears, peer, behind, given_up) in [
-        ("cut from the workers alone", 4, 0, 9, false, true),
-        ("a few hear it still", 4, 1, 9, false, false),
-        ("a zone or the machines failed", 4, 0, 0, false, false),
-        ("few come to the peer", 4, 0, 4, false, false),
-        ("it stood still, its reports are unread", 4, 0, 9, true, false),
-        ("too early to say", 1, 0, 9, false, false),
-    ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
-        with_ten_machines(&mut core, NOW);
-        let now = NOW + quiet * SECOND;
-        let mut commands = vec![
-            Command::Tick { wall: NOW, behind },
-            Command::PeerRequest {
-                id: 1,
-                request: PeerRequest::MachinesSeen { partition: "one".into(), machines: peer },
-            },
-        ];
-        for n in 1..=hears {
-            let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
-            commands.push(Command::Heartbeat { id: 10 + n, heartbeat });
-        }
-        let gives = changes(&core.step(now, commands), "parts/one");
-        assert_eq!(gives.len(), usize::from(given_up), "{name}");
-        assert_eq!(core.partitions.contains_key("one"), !given_up, "{name}: no two are entitled");
+fn a_peers_word_counts_only_beside_what_is_heard_here() {
+    let config = core().config;
+    // (machines of the partition, how many of them are heard here, seconds since the partition was
+    // acquired, since this process listens, and since the peer's word; machines that the peer hears;
+    // whether it hears more), with an interval of a second
+    for (n, (all, heard, acquired, listening, said, peer, sees_more)) in [
+        (10, 0, 60, 60, 0, 10, true),
+        (10, 0, 60, 60, 0, 5, true),
+        (10, 0, 60, 60, 0, 4, false),
+        (10, 1, 60, 60, 0, 10, false),
+        (20, 1, 60, 60, 0, 10, true),
+        (10, 0, 1, 60, 0, 10, false),
+        (10, 0, 60, 1, 0, 10, false),
+        (10, 0, 2, 2, 0, 10, true),
+        (10, 0, 60, 60, 2, 10, true),
+        (10, 0, 60, 60, 3, 10, false),
+        (2, 0, 60, 60, 0, 2, false),
+        (3, 0, 60, 60, 0, 2, true),
+    ]
+    .into_iter()
+    .enumerate()
+    {
+        let mut reachability = Reachability::new(NOW - listening * SECOND);
+        reachability.note_machines_seen(NOW - said * SECOND, "one".into(), peer);
+        let own = |partition| OwnHeartbeats {
+            partition,
+            acquired_at: NOW - acquired * SECOND,
+            last_heartbeats: (0..all).map(|m| if m < heard { NOW } else { NOW - 9 * SECOND }),
+        };
+        let is_seen_better =
+            |partition| reachability.peer_sees_more_machines(NOW, &config, own(partition));
+        assert_eq!((is_seen_better("one"), is_seen_better("two")), (sees_more, false), "{n}");
     }
 }
 
 #[test]
-fn a_peer_tells_the_holder_whom_it_hears() {
-    // (machines of the peer's partition that come here, whether the leader is told)
-    for (machines, told) in [(2, None), (3, Some(3)), (7, Some(7))] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
-        let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
-        let hosts: MachineRecords =
-            names.iter().map(|n| (n.clone(), machine_record_of(n, "two"))).collect();
-        core.apply_group_change(&large_group_key("n-101"), hosts, 9);
-        let come = names.iter().take(machines).enumerate();
-        let heartbeats = come.map(|(n, name)| Command::Heartbeat {
-            id: n as u64,
-            heartbeat: idle_heartbeat(name, 3, 6),
-        });
-        let effects = core.step(NOW, heartbeats.collect());
-        let found = effects.iter().find_map(|e| match e {
-            Effect::Peer {
-                node,
-                request: PeerRequest::MachinesSeen { partition, machines },
-                ..
-            } => (node == "two" && partition == "two").then_some(*machines),
-            _ => None,
-        });
-        assert_eq!(found, told, "{machines}");
+fn of_several_peers_the_one_that_hears_most_counts_while_its_word_is_fresh() {
+    // (seconds of each peer's word and its machines; what counts in the end)
+    let cases: &[(&[(Micros, u32)], u32)] = &[
+        (&[(0, 4), (1, 2)], 4),
+        (&[(0, 2), (1, 4)], 4),
+        (&[(0, 4), (3, 2)], 4),
+        (&[(0, 4), (4, 2)], 2),
+    ];
+    for (words, machines) in cases {
+        let mut reachability = Reachability::new(NOW);
+        for (second, count) in *words {
+            reachability.note_machines_seen(NOW + second * SECOND, "one".into(), *count);
+        }
+        assert_eq!(reachability.machines_seen["one"].machines, *machines, "{words:?}");
     }
 }
 
 #[test]
-fn a_holder_that_no_peer_reaches_is_told_by_the_state_service() {
-    // (whether the leader is reached; whether word is left, and then heeded by a leader that
-    // hears nothing)
-    for (reached, left) in [(true, false), (false, true)] {
-        let mut peer = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
-        let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
-        let hosts: MachineRecords =
-            names.iter().map(|n| (n.clone(), machine_record_of(n, "two"))).collect();
-        peer.apply_group_change(&large_group_key("n-101"), hosts, 9);
-        let heartbeats = names.iter().enumerate().map(|(n, name)| Command::Heartbeat {
-            id: n as u64,
-            heartbeat: idle_heartbeat(name, 3, 6),
-        });
-        let effects = peer.step(NOW, heartbeats.collect());
-        let told = effects.iter().find_map(|e| match e {
-            Effect::Peer { call_id, request: PeerRequest::MachinesSeen { .. }, .. } => {
-                Some(*call_id)
-            }
-            _ => None,
-        });
-        let Some(call_id) = told else { panic!("nothing is told") };
-        let result = if reached { Ok(PeerAnswer::Nothing) } else { Err(CallError::Refused) };
-        let effects = peer.step(NOW, vec![Command::PeerReply { call_id, result }]);
-        let event = effects.iter().find_map(|e| match e {
-            Effect::Store { call: StoreCall::Txn(txn), .. } => match txn.changes.first() {
-                Some(Change::Write { write, v, lease_id: Some(_) })
-                    if write.starts_with(MACHINES_SEEN_PREFIX) =>
-                {
-                    Some(Event::Write { write: write.clone(), v: v.clone(), mod_revision: 30 })
-                }
-                _ => None,
-            },
-            _ => None,
-        });
-        assert_eq!(event.is_some(), left, "reached {reached}");
-        let Some(event) = event else { continue };
-        // The partition is called "two" there; the leader here is node one with partition "one".
-        let Event::Write { write, v, .. } = event else { continue };
-        let write = write.replacen("two", "one", 1);
-        let mut leader = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
-        with_ten_machines(&mut leader, NOW - 10 * SECOND);
-        leader.reachability.listening_since = NOW - 60 * SECOND;
-        if let Some(partition) = leader.partitions.get_mut("one") {
-            partition.acquired = NOW - 60 * SECOND;
+fn machines_that_do_not_come_any_more_are_not_told_of() {
+    let config = core().config;
+    let mut reachability = Reachability::new(NOW);
+    for (partition, hosts) in [("two", 4), ("three", 2)] {
+        for host in 0..hosts {
+            // The first comes a second before the others.
+            let at = if host == 0 { NOW - SECOND } else { NOW };
+            reachability.note_foreign_heartbeat(at, partition, &format!("n-{host}"));
         }
-        let watch = leader.step(NOW, Vec::new()).into_iter().find_map(|e| match e {
-            Effect::Store { call_id, call: StoreCall::Watch { .. }, .. } => Some(call_id),
-            _ => None,
-        });
-        let Some(call_id) = watch else { panic!("no watch is open") };
-        let log = vec![Event::Write { write, v, mod_revision: 30 }];
-        let result = Ok(StoreReply::Watched(WatchAnswer { revision: 30, log }));
-        let mut effects = leader.step(NOW, vec![Command::StoreReply { call_id, result }]);
-        effects.extend(leader.step(NOW + SECOND, Vec::new()));
-        assert_eq!(changes(&effects, "parts/one").len(), 1, "given up");
     }
+    let mut told = |after: Micros| reachability.foreign_machines(NOW + after, &config);
+    let of_two = |machines| vec![ForeignMachines { partition: "two".into(), machines }];
+    assert_eq!(told(SECOND - 1), of_two(4));
+    assert_eq!(told(SECOND), of_two(3));
+    assert!(told(2 * SECOND).is_empty());
+    assert!(reachability.foreign_heartbeats.is_empty(), "forgotten");
 }
 
 #[test]
-fn a_part_given_up_comes_home_once_workers_are_reached() {
-    // (seconds since it was given up, whether a call reaches a machine, whether another holds the
-    // partition; whether home asks for it, whether home takes it)
-    for (name, after, reaches, held, asks, takes) in [
-        ("soon after, nobody has it yet", 4, false, false, false, false),
-        ("nobody wants it", 14, false, false, false, true),
-        ("still cut", 40, false, true, false, false),
-        ("reached again", 40, true, true, true, false),
-        ("reached at once: not to and fro", 4, true, true, false, false),
-    ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
-        with_ten_machines(&mut core, NOW - 10 * SECOND);
-        core.reachability.listening_since = NOW - 60 * SECOND;
-        if let Some(partition) = core.partitions.get_mut("one") {
-            partition.acquired = NOW - 60 * SECOND;
-        }
-        core.apply_group_change(
-            &large_group_key("n-1"),
-            [("n-1".into(), machine_record_of("n-1", "one"))].into(),
-            9,
-        );
-        let request = PeerRequest::MachinesSeen { partition: "one".into(), machines: 10 };
-        let effects = core.step(NOW, vec![Command::PeerRequest { id: 1, request }]);
-        let call_ids = changes(&effects, "parts/one");
-        assert_eq!(call_ids.len(), 1, "{name}: given up");
-        let mut told = vec![Command::StoreReply {
-            call_id: call_ids[0],
-            result: Ok(StoreReply::Committed(20)),
-        }];
-        told.extend(commit_announcement(&effects));
-        let (mut asked, mut taken) = (false, false);
-        for step in 1..=after * 4 {
-            let now = NOW + step * SECOND / 4;
-            core.lease.expire_at(now + 10 * SECOND);
-            if step == 2 && held {
-                let record = PartitionRecord { node: "two".into(), process: 77 };
-                core.cache.partitions.insert("one".into(), (record, 21));
-            }
-            let effects = core.step(now, std::mem::take(&mut told));
-            told.extend(commit_announcement(&effects));
-            for effect in effects {
-                match effect {
-                    Effect::Worker { call_id, call: WorkerCall::Status, .. } => {
-                        let heartbeat = WorkerReply::Status(idle_heartbeat("n-1", 30 + step, 21));
-                        let result = if reaches { Ok(heartbeat) } else { Err(CallError::Unknown) };
-                        told.push(Command::WorkerReply { call_id, result });
-                    }
-                    Effect::Peer { request: PeerRequest::HandBack { partition }, .. } => {
-                        asked |= partition == "one";
-                    }
-                    Effect::Store { call: StoreCall::Txn(txn), .. } => {
-                        taken |= txn.conditions.iter().any(|c| c.path == "parts/one");
-                    }
-                    _ => {}
-                }
-            }
-        }
-        assert_eq!((asked, taken), (asks, takes), "{name}");
-    }
+fn machines_of_home_are_tried_after_the_wait() {
+    let config = core().config;
+    let machines: MachineRecords = [("n-1", "two"), ("n-2", "one")]
+        .map(|(name, partition)| (name.to_owned(), machine_record_of(name, partition)))
+        .into();
+    let mut rng = SmallRng::seed_from_u64(1);
+    let mut outbox = Outbox::new(LogLevel::Error, NOW);
+    let mut tried = |reachability: &mut Reachability, now, machines: &MachineRecords| {
+        let until = NOW + 99 * SECOND;
+        reachability.poll_probe(now, &config, machines.iter(), until, &mut rng, &mut outbox);
+        let address = |effect| match effect {
+            Effect::Worker { address, call: WorkerCall::Status, .. } => Some(address),
+            _ => None,
+        };
+        outbox.take_effects().into_iter().filter_map(address).collect::<Vec<_>>()
+    };
+    let mut quiet = Outbox::new(LogLevel::Error, NOW);
+    let mut reachability = Reachability::new(NOW);
+    assert!(tried(&mut reachability, NOW, &machines).is_empty(), "nothing was given up");
+    reachability.give_up(NOW, "one", &mut quiet);
+    let due = NOW + FIRST_WAIT;
+    assert!(tried(&mut reachability, due - 1, &machines).is_empty());
+    assert_eq!(tried(&mut reachability, due, &machines), ["n-2:9000"]);
+    assert!(tried(&mut reachability, due + 2 * SECOND - 1, &machines).is_empty());
+    reachability.probed(false, &mut quiet);
+    assert!(reachability.is_cut_from_workers());
+    assert_eq!(tried(&mut reachability, due + 2 * SECOND, &machines), ["n-2:9000"]);
+    reachability.probed(true, &mut quiet);
+    assert!(!reachability.is_cut_from_workers());
+    // Nothing to try it on.
+    reachability.give_up(due + 3 * SECOND, "one", &mut quiet);
+    assert!(reachability.is_cut_from_workers());
+    assert!(tried(&mut reachability, due + 60 * SECOND, &MachineRecords::new()).is_empty());
+    assert!(!reachability.is_cut_from_workers());
 }
--- a/crates/quartzlever-core/src/lib.rs
+++ b/crates/quartzlever-core/src/lib.rs
@@ -6,7 +6,8 @@
 //!
 //! - `outbox`, `calls`: everything that leaves, and the calls that wait for a reply.
 //! - `router`: hands each command to the component that owns the state, and collects the effects.
-//! - `leadership`: the lease, which partitions this process leads, takeover and hand-back, reachability.
+//! - `leadership`: the lease, the authority to act, the keys of partitions (takeover, eviction, hand-back),
+//!   and who reaches the store and the workers.
 //! - `store`: the cache of the replicated records, how it is filled, reads by revision, the write budget.
 //! - [`jobs`]: submissions, lookups, cancellations, and the record of each job.
 //! - [`machines`]: which partition owns which machine, heartbeats, worker commands, reconciliation.
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -1,9 +1,11 @@
 //! The one owner of all state of a process.
 
+mod awaited;
 mod heartbeats;
 mod job_records;
 mod leadership;
 mod ownership;
+mod reachability;
 mod user_requests;
 
 use std::collections::BTreeMap;
@@ -208,7 +210,7 @@
             }
             Command::Tick { wall, behind } => {
                 if behind {
-                    self.reachability.listening_since = self.now;
+                    self.reachability.listen_anew(self.now);
                 }
                 self.wall_offset = Some(wall as i64 - self.now as i64);
             }
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -64,7 +64,7 @@
             LeaseOutcome::Regained => {
                 // The store may have been away, and its leases with their full time again: nobody is
                 // called silent for what was not answered meanwhile.
-                self.reachability.listening_since = self.now;
+                self.reachability.listen_anew(self.now);
             }
             LeaseOutcome::Ended => {
                 // The lease is gone, and with it the announcement and every partition.
@@ -94,7 +94,7 @@
         let circumstances = Circumstances {
             now: self.now,
             config: &self.config,
-            is_cut_from_workers: self.reachability.lost(),
+            is_cut_from_workers: self.reachability.is_cut_from_workers(),
             watch_delay: self.min_interval_for(WATCH_SHARE).saturating_sub(WATCH_PAUSE),
         };
         let (now, keys) = (self.now, &mut self.partition_keys);
@@ -187,6 +187,25 @@
         self.partitions.insert(name.to_owned(), partition);
     }
 
+    /// Partitions whose acquisition the cache has come to begin their work from it: what an earlier
+    /// leader wrote is in it, and it can write no more.
+    fn load_partitions(&mut self) {
+        if !self.cache.loaded {
+            return;
+        }
+        let (now, wall, revision) = (self.now, self.wall(), self.cache.revision);
+        for partition in self.partitions.values_mut().filter(|p| !p.loaded && p.term <= revision) {
+            for (record, mod_revision) in self.cache.active_jobs.values() {
+                partition.reconcile_job(&self.config, record.clone(), *mod_revision, now, wall);
+            }
+            let name = partition.name.clone();
+            for (host, record) in self.cache.machines_of(&name) {
+                partition.add_machine(host, record.clone(), false, now);
+            }
+            partition.loaded = true;
+        }
+    }
+
     /// A home node asks for its partition: one that runs the first version after the cluster version
     /// is raised asks in vain.
     pub(crate) fn handback_requested(&mut self, partition: &str) {
--- /dev/null
+++ b/crates/quartzlever-core/src/router/reachability.rs
@@ -0,0 +1,90 @@
+//! Steps of reachability that concern more than one component: telling leaders which of their
+//! machines come here, and giving up partitions whose workers a peer hears.
+//!
+//! The counts and the decisions are those of `leadership::reachability`.
+
+use quartzlever_wire::peers::PeerRequest;
+use quartzlever_wire::store::Row;
+
+use crate::calls::PendingPeerCall;
+use crate::leadership::reachability::{ForeignMachines, OwnHeartbeats, Reachability};
+use crate::partition::Partition;
+use crate::router::Core;
+
+impl Core {
+    /// Tells leaders which of their machines come here, gives up partitions that a peer hears better,
+    /// and tries whether workers can be reached again.
+    pub(crate) fn poll_reachability(&mut self) {
+        if !self.reachability.begin_check(self.now) {
+            return;
+        }
+        self.notify_machines_seen();
+        if self.may_act() {
+            self.give_up_unreachable_partitions();
+            let until = self.authority_expires_at();
+            let groups = self.cache.ownership_groups.values();
+            self.reachability.poll_probe(
+                self.now,
+                &self.config,
+                groups.flat_map(|(hosts, _)| hosts.iter()),
+                until,
+                &mut self.rng,
+                &mut self.outbox,
+            );
+        }
+    }
+
+    fn notify_machines_seen(&mut self) {
+        for told in self.reachability.foreign_machines(self.now, &self.config) {
+            let ForeignMachines { partition, machines } = told;
+            if let Some(node) = self.other_leader_of(&partition).map(str::to_owned) {
+                let request = PeerRequest::MachinesSeen { partition: partition.clone(), machines };
+                let pending = PendingPeerCall::MachinesSeen { partition, machines };
+                self.outbox.ask_peer(&node, request, pending);
+            }
+        }
+    }
+
+    fn give_up_unreachable_partitions(&mut self) {
+        let is_unreachable = |partition: &&Partition| {
+            let own = OwnHeartbeats {
+                partition: &partition.name,
+                acquired_at: partition.acquired,
+                last_heartbeats: partition.machines.values().map(|m| m.last_heartbeat_at),
+            };
+            self.reachability.peer_sees_more_machines(self.now, &self.config, own)
+        };
+        let unreachable = self.partitions.values().filter(is_unreachable);
+        let unreachable: Vec<(String, u64)> =
+            unreachable.map(|partition| (partition.name.clone(), partition.term)).collect();
+        for (name, term) in unreachable {
+            self.reachability.give_up(self.now, &name, &mut self.outbox);
+            self.release(&name, term);
+        }
+    }
+
+    /// The leader was not reached: it is told by way of the store.
+    pub(crate) fn store_machines_seen(&mut self, partition: &str, machines: u32) {
+        let Some(lease) = self.lease.id().filter(|_| self.may_act()) else { return };
+        let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
+        Reachability::store_machines_seen(&self.config, partition, machines, lease, budget, outbox);
+    }
+
+    /// What a peer has left at the store.
+    pub(crate) fn apply_machines_seen_row(&mut self, row: &Row) {
+        self.reachability.apply_machines_seen_row(self.now, row);
+    }
+
+    /// A machine of a partition that another node holds has come here.
+    pub(crate) fn note_foreign_heartbeat(&mut self, partition: &str, host: &str) {
+        self.reachability.note_foreign_heartbeat(self.now, partition, host);
+    }
+
+    /// A call to try whether workers are reached was answered, or was not.
+    pub(crate) fn probed(&mut self, is_reached: bool) {
+        self.reachability.probed(is_reached, &mut self.outbox);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -416,7 +416,7 @@
                 PeerAnswer::Nothing
             }
             PeerRequest::MachinesSeen { partition, machines } => {
-                self.note_machines_seen(partition, machines);
+                self.reachability.note_machines_seen(self.now, partition, machines);
                 PeerAnswer::Nothing
             }
             // The program's own matter: its log takes them.
