--- a/crates/quartzlever-testkit/src/cloud.rs
+++ b/crates/quartzlever-testkit/src/cloud.rs
@@ -1,26 +1,32 @@
-//! The cloud: rents without end, remembers the names of requests.
+//! The fake cloud: machines of one type, up as soon as they are rented.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzlever_wire::cloud::{
     Catalogue, CloudCall, CloudReply, Instance, InstancePage, InstancePhase, MachineType,
+    ScaleOutRequest,
 };
 
-/// A cloud of one machine type in any number of zones.
+/// A fake cloud of one machine type in any number of zones. It remembers the names of requests.
 #[derive(Debug)]
 pub struct Cloud {
+    /// What it answers when asked for the catalogue.
     pub catalogue: Catalogue,
+    /// The machines of each request by its name.
     scale_outs: BTreeMap<String, Vec<String>>,
+    /// Rented machines by name.
     pub machines: BTreeMap<String, Instance>,
     /// Names that were returned.
     pub gone: BTreeSet<String>,
     count: u32,
+    /// The most machines that it rents at once.
     pub most: usize,
-    /// The most machines that it lets on short notice; their price is in the catalogue all the same.
+    /// The most spot machines that it rents at once; their price is in the catalogue all the same.
     pub most_spot: usize,
 }
 
 impl Cloud {
+    /// A cloud of machines with so many processors, of which it rents so many at once.
     pub fn new(cpus: f64, zones: &[&str], most: usize) -> Self {
         let machine_type = MachineType {
             name: "m".into(),
@@ -45,41 +51,11 @@
         }
     }
 
+    /// Carries out one call. A list is one page.
     pub fn call(&mut self, call: &CloudCall) -> CloudReply {
         match call {
             CloudCall::Catalogue => CloudReply::Catalogue(self.catalogue.clone()),
-            CloudCall::ScaleOut(request) => {
-                if let Some(hosts) = self.scale_outs.get(&request.name) {
-                    return CloudReply::ScaledOut(hosts.clone());
-                }
-                let mut room = self.most.saturating_sub(self.machines.len());
-                if request.spot {
-                    let spot = self.machines.values().filter(|m| m.spot).count();
-                    room = room.min(self.most_spot.saturating_sub(spot));
-                }
-                let count = (request.count as usize).min(room);
-                if count == 0 {
-                    return CloudReply::NoCapacity;
-                }
-                let mut hosts = Vec::new();
-                for _ in 0..count {
-                    self.count += 1;
-                    let name = format!("n-{:06}", self.count);
-                    let instance = Instance {
-                        name: name.clone(),
-                        address: format!("{name}:9000"),
-                        machine_type: request.machine_type.clone(),
-                        zone: request.zone.clone(),
-                        spot: request.spot,
-                        phase: InstancePhase::Running,
-                        held_s: 1.0,
-                    };
-                    self.machines.insert(name.clone(), instance);
-                    hosts.push(name);
-                }
-                self.scale_outs.insert(request.name.clone(), hosts.clone());
-                CloudReply::ScaledOut(hosts)
-            }
+            CloudCall::ScaleOut(request) => self.scale_out(request),
             CloudCall::Return(hosts) => {
                 for host in hosts {
                     self.machines.remove(host);
@@ -93,4 +69,39 @@
             }),
         }
     }
+
+    fn scale_out(&mut self, request: &ScaleOutRequest) -> CloudReply {
+        if let Some(hosts) = self.scale_outs.get(&request.name) {
+            return CloudReply::ScaledOut(hosts.clone());
+        }
+        let mut room = self.most.saturating_sub(self.machines.len());
+        if request.spot {
+            let spot = self.machines.values().filter(|m| m.spot).count();
+            room = room.min(self.most_spot.saturating_sub(spot));
+        }
+        let count = (request.count as usize).min(room);
+        if count == 0 {
+            return CloudReply::NoCapacity;
+        }
+        let hosts: Vec<String> = (0..count).map(|_| self.rent(request)).collect();
+        self.scale_outs.insert(request.name.clone(), hosts.clone());
+        CloudReply::ScaledOut(hosts)
+    }
+
+    /// Adds one machine and gives its name.
+    fn rent(&mut self, request: &ScaleOutRequest) -> String {
+        self.count += 1;
+        let name = format!("n-{:06}", self.count);
+        let instance = Instance {
+            name: name.clone(),
+            address: format!("{name}:9000"),
+            machine_type: request.machine_type.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            phase: InstancePhase::Running,
+            held_s: 1.0,
+        };
+        self.machines.insert(name.clone(), instance);
+        name
+    }
 }
--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A few workers on loopback ports, all under one lock, with a [`RuleChecker`] that is shown the
+//! A few fake workers on loopback ports, all under one lock, with a [`RuleChecker`] that is shown the
 //! whole fleet after each change. For thousands of workers see [`crate::worker_fleet`].
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,10 +26,13 @@
 /// How the workers of a fleet behave.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
+    /// Time between heartbeats of a worker.
     pub heartbeat_interval: Duration,
     /// Every second machine carries out calls to its own address only after this time.
     pub slow_calls: Duration,
+    /// How long a worker runs its tasks without an answer to its heartbeats.
     pub lease: Micros,
+    /// How long a task runs.
     pub run_time: Micros,
 }
 
--- a/crates/quartzlever-testkit/src/http.rs
+++ b/crates/quartzlever-testkit/src/http.rs
@@ -10,15 +10,19 @@
 use quartzlever_wire::cloud::{CloudCall, CloudReply, HostNames, Instance, ScaleOutRequest};
 use quartzlever_wire::store::{GrantAnswer, GrantRequest, StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Micros, SECOND};
+use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 use tiny_http::{Header, Method, Request, Response, Server};
 
 use crate::{Cloud, Store};
 
+/// The fakes' time of day: microseconds since the start of the test, and a second more, so that no time
+/// is 0.
 pub(crate) fn micros(start: Instant) -> Micros {
     SECOND + start.elapsed().as_micros() as Micros
 }
 
+/// Answers a request with a JSON body.
 pub(crate) fn respond(request: Request, status: u16, body: &Value) {
     let mut response = Response::from_string(body.to_string()).with_status_code(status);
     if let Ok(header) = Header::from_bytes("Content-Type", "application/json") {
@@ -28,6 +32,7 @@
     let _ = request.respond(response);
 }
 
+/// The body of a request; empty if it cannot be read.
 pub(crate) fn body_of(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     if request.as_reader().read_to_end(&mut body).is_err() {
@@ -68,98 +73,112 @@
 const STORE_THREADS: usize = 24;
 const CLOUD_THREADS: usize = 4;
 
-/// Serves a store.
+/// Serves a fake store at a new loopback port.
 pub fn serve_store(store: Arc<Mutex<Store>>, start: Instant) -> io::Result<SocketAddr> {
-    listen(STORE_THREADS, move |mut request| {
-        let body = body_of(&mut request);
-        let url = request.url().to_owned();
-        let path = url.split('?').next().unwrap_or("").to_owned();
-        let call = match (request.method(), path.as_str()) {
-            (Method::Get, "/keys") => StoreCall::List {
-                prefix: query(&url, "under").unwrap_or_default(),
-                from: query(&url, "from"),
-            },
-            (Method::Get, "/watch") => StoreCall::Watch {
-                from: query(&url, "from").and_then(|f| f.parse().ok()).unwrap_or(0),
-                hold_ms: query(&url, "hold_ms").and_then(|f| f.parse().ok()).unwrap_or(0),
-            },
-            (Method::Get, path) => StoreCall::Get(path.trim_start_matches("/keys/").to_owned()),
-            (Method::Post, "/multi") => match serde_json::from_slice::<Txn>(&body) {
-                Ok(txn) => StoreCall::Txn(txn),
-                Err(e) => return respond(request, 400, &json!({ "error": e.to_string() })),
-            },
-            (Method::Post, "/holds") => match serde_json::from_slice::<GrantRequest>(&body) {
-                Ok(hold) => StoreCall::Grant { life_ms: hold.life_ms },
-                Err(e) => return respond(request, 400, &json!({ "error": e.to_string() })),
-            },
-            (Method::Post, path) => {
-                let id = path.trim_start_matches("/holds/").trim_end_matches("/renew");
-                StoreCall::Renew { lease: id.parse().unwrap_or(0) }
+    listen(STORE_THREADS, move |mut request| match store_call(&mut request) {
+        Ok(call) => {
+            if let Some((status, value)) = answer_store_call(&store, start, &call) {
+                respond(request, status, &value);
             }
-            _ => return respond(request, 400, &json!({ "error": "no such call" })),
-        };
-        let end = match &call {
-            StoreCall::Watch { hold_ms, .. } => Instant::now() + Duration::from_millis(*hold_ms),
-            _ => Instant::now(),
-        };
-        loop {
-            let Ok(mut guard) = store.lock() else { return };
-            let result = guard.call(micros(start), &call);
-            if let Ok(StoreReply::Watched(answer)) = &result
-                && (guard.watches_held || (answer.log.is_empty() && Instant::now() < end))
-            {
-                drop(guard);
-                thread::sleep(Duration::from_millis(10));
-                continue;
-            }
-            let (status, value) = match result {
-                Ok(StoreReply::Row(Some(row))) => (200, json!(row)),
-                Ok(StoreReply::Row(None)) => (404, json!(guard.txn_answer(None))),
-                Ok(StoreReply::Revision(revision)) => (404, json!({ "epoch": revision })),
-                Ok(StoreReply::Rows(rows)) => (200, json!(rows)),
-                Ok(StoreReply::Committed(_)) => (200, json!(guard.txn_answer(None))),
-                Ok(StoreReply::Conflict(failed)) => (409, json!(guard.txn_answer(Some(failed)))),
-                Ok(StoreReply::NoLease) if path == "/multi" => {
-                    (400, json!({ "error": "no such lease" }))
-                }
-                Ok(StoreReply::NoLease) => (404, json!({})),
-                Ok(StoreReply::Granted(lease_id)) => (200, json!(GrantAnswer { lease_id })),
-                Ok(StoreReply::Renewed) => (200, json!({})),
-                Ok(StoreReply::Watched(answer)) => (200, json!(answer)),
-                Ok(StoreReply::TooOld) => (410, json!({})),
-                Ok(StoreReply::TooLarge) => (400, json!({ "error": "too large" })),
-                Err(CallError::TooOften) => (429, json!({ "error": "too often" })),
-                Err(_) => (503, json!({ "error": "trouble" })),
-            };
-            drop(guard);
-            return respond(request, status, &value);
         }
+        Err(error) => respond(request, 400, &json!({ "error": error })),
+    })
+}
+
+/// The call that a request to the store stands for, or what is wrong with it.
+fn store_call(request: &mut Request) -> Result<StoreCall, String> {
+    let body = body_of(request);
+    let url = request.url();
+    let path = url.split('?').next().unwrap_or("");
+    let number = |name| query(url, name).and_then(|text| text.parse().ok()).unwrap_or(0);
+    Ok(match (request.method(), path) {
+        (Method::Get, "/keys") => StoreCall::List {
+            prefix: query(url, "under").unwrap_or_default(),
+            from: query(url, "from"),
+        },
+        (Method::Get, "/watch") => {
+            StoreCall::Watch { from: number("from"), hold_ms: number("hold_ms") }
+        }
+        (Method::Get, path) => StoreCall::Get(path.trim_start_matches("/keys/").to_owned()),
+        (Method::Post, "/multi") => StoreCall::Txn(parsed::<Txn>(&body)?),
+        (Method::Post, "/holds") => {
+            StoreCall::Grant { life_ms: parsed::<GrantRequest>(&body)?.life_ms }
+        }
+        (Method::Post, path) => {
+            let id = path.trim_start_matches("/holds/").trim_end_matches("/renew");
+            StoreCall::Renew { lease: id.parse().unwrap_or(0) }
+        }
+        _ => return Err("no such call".to_owned()),
     })
 }
 
-/// Serves a cloud; `gone` is told of each returned machine, `rented` of each new one.
+fn parsed<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
+    serde_json::from_slice(body).map_err(|error| error.to_string())
+}
+
+/// Carries out a call, a watch as soon as there is something or its time is over. No answer comes
+/// from a store whose user has panicked.
+fn answer_store_call(
+    store: &Mutex<Store>,
+    start: Instant,
+    call: &StoreCall,
+) -> Option<(u16, Value)> {
+    let end = match call {
+        StoreCall::Watch { hold_ms, .. } => Instant::now() + Duration::from_millis(*hold_ms),
+        _ => Instant::now(),
+    };
+    loop {
+        let mut guard = store.lock().ok()?;
+        let result = guard.call(micros(start), call);
+        if let Ok(StoreReply::Watched(answer)) = &result
+            && (guard.watches_held || (answer.log.is_empty() && Instant::now() < end))
+        {
+            drop(guard);
+            thread::sleep(Duration::from_millis(10));
+            continue;
+        }
+        return Some(store_answer(&guard, call, result));
+    }
+}
+
+/// Status and body of an answer of the store.
+fn store_answer(
+    store: &Store,
+    call: &StoreCall,
+    result: Result<StoreReply, CallError>,
+) -> (u16, Value) {
+    match result {
+        Ok(StoreReply::Row(Some(row))) => (200, json!(row)),
+        Ok(StoreReply::Row(None)) => (404, json!(store.txn_answer(None))),
+        Ok(StoreReply::Revision(revision)) => (404, json!({ "epoch": revision })),
+        Ok(StoreReply::Rows(rows)) => (200, json!(rows)),
+        Ok(StoreReply::Committed(_)) => (200, json!(store.txn_answer(None))),
+        Ok(StoreReply::Conflict(failed)) => (409, json!(store.txn_answer(Some(failed)))),
+        Ok(StoreReply::NoLease) if matches!(call, StoreCall::Txn(_)) => {
+            (400, json!({ "error": "no such lease" }))
+        }
+        Ok(StoreReply::NoLease) => (404, json!({})),
+        Ok(StoreReply::Granted(lease_id)) => (200, json!(GrantAnswer { lease_id })),
+        Ok(StoreReply::Renewed) => (200, json!({})),
+        Ok(StoreReply::Watched(answer)) => (200, json!(answer)),
+        Ok(StoreReply::TooOld) => (410, json!({})),
+        Ok(StoreReply::TooLarge) => (400, json!({ "error": "too large" })),
+        Err(CallError::TooOften) => (429, json!({ "error": "too often" })),
+        Err(_) => (503, json!({ "error": "trouble" })),
+    }
+}
+
+/// Serves a fake cloud at a new loopback port; `gone` is told of each returned machine, `rented` of
+/// each new one.
 pub fn serve_rentals(
     cloud: Arc<Mutex<Cloud>>,
     gone: impl Fn(&str) + Send + Sync + 'static,
     rented: impl Fn(Instance) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
     listen(CLOUD_THREADS, move |mut request| {
-        let body = body_of(&mut request);
-        let url = request.url().to_owned();
-        let path = url.split('?').next().unwrap_or("").to_owned();
-        let call = match path.as_str() {
-            "/catalog" => CloudCall::Catalogue,
-            "/rentals" if *request.method() == Method::Post => {
-                match serde_json::from_slice::<ScaleOutRequest>(&body) {
-                    Ok(request) => CloudCall::ScaleOut(request),
-                    Err(e) => return respond(request, 400, &json!({ "error": e.to_string() })),
-                }
-            }
-            "/rentals" => CloudCall::List { from: query(&url, "from") },
-            _ => match serde_json::from_slice::<HostNames>(&body) {
-                Ok(names) => CloudCall::Return(names.hosts),
-                Err(e) => return respond(request, 400, &json!({ "error": e.to_string() })),
-            },
+        let call = match cloud_call(&mut request) {
+            Ok(call) => call,
+            Err(error) => return respond(request, 400, &json!({ "error": error })),
         };
         let Ok(mut guard) = cloud.lock() else { return };
         let before: BTreeSet<String> = guard.machines.keys().cloned().collect();
@@ -168,18 +187,35 @@
             guard.machines.values().filter(|m| !before.contains(&m.name)).cloned().collect();
         drop(guard);
         new.into_iter().for_each(&rented);
-        let (status, value) = match reply {
-            CloudReply::Catalogue(catalogue) => (200, json!(catalogue)),
-            CloudReply::ScaledOut(hosts) => (200, json!(HostNames { hosts })),
-            CloudReply::NoCapacity => (503, json!({ "error": "no capacity" })),
-            CloudReply::ScaledIn => {
-                if let CloudCall::Return(hosts) = &call {
-                    hosts.iter().for_each(|host| gone(host));
-                }
-                (200, json!({}))
-            }
-            CloudReply::Listed(instances) => (200, json!(instances)),
-        };
+        if let (CloudReply::ScaledIn, CloudCall::Return(hosts)) = (&reply, &call) {
+            hosts.iter().for_each(|host| gone(host));
+        }
+        let (status, value) = cloud_answer(reply);
         respond(request, status, &value);
     })
 }
+
+/// The call that a request to the cloud stands for, or what is wrong with it.
+fn cloud_call(request: &mut Request) -> Result<CloudCall, String> {
+    let body = body_of(request);
+    let url = request.url();
+    Ok(match url.split('?').next().unwrap_or("") {
+        "/catalog" => CloudCall::Catalogue,
+        "/rentals" if *request.method() == Method::Post => {
+            CloudCall::ScaleOut(parsed::<ScaleOutRequest>(&body)?)
+        }
+        "/rentals" => CloudCall::List { from: query(url, "from") },
+        _ => CloudCall::Return(parsed::<HostNames>(&body)?.hosts),
+    })
+}
+
+/// Status and body of an answer of the cloud.
+fn cloud_answer(reply: CloudReply) -> (u16, Value) {
+    match reply {
+        CloudReply::Catalogue(catalogue) => (200, json!(catalogue)),
+        CloudReply::ScaledOut(hosts) => (200, json!(HostNames { hosts })),
+        CloudReply::NoCapacity => (503, json!({ "error": "no capacity" })),
+        CloudReply::ScaledIn => (200, json!({})),
+        CloudReply::Listed(instances) => (200, json!(instances)),
+    }
+}
--- a/crates/quartzlever-testkit/src/lib.rs
+++ b/crates/quartzlever-testkit/src/lib.rs
@@ -1,10 +1,19 @@
 //! Fakes for what surrounds a controller, for tests only.
 //!
-//! [`Store`], [`Cloud`] and [`Worker`] are pure: the caller says what time it is. [`http`] puts
-//! them on loopback ports for tests of the real program, [`fleet`] runs the workers and shows the
-//! [`rules`] checker what they do, [`worker_fleet`] is a fleet of thousands of workers, and [`program`]
-//! starts the program itself, or the version in [`production`], with the settings of a [`site`]; [`users`]
-//! ask it.
+//! | module | what it is for |
+//! | --- | --- |
+//! | [`Store`], [`Cloud`], [`Worker`] | the fakes themselves, without I/O: the caller says what time it is |
+//! | [`http`] | serves a fake store and a fake cloud on loopback ports, for tests of the real program |
+//! | [`fleet`] | a few fake workers that report over HTTP and are shown to the rule checker |
+//! | [`worker_fleet`] | thousands of fake workers, to measure what the real program costs |
+//! | [`rules`] | checks the rules of the protocol from what happens outside the controllers |
+//! | [`users`] | users that submit, look up and cancel jobs |
+//! | [`jobs`] | jobs for tests |
+//! | [`site`] | settings files of several controllers |
+//! | [`program`] | the real program as a child process |
+//! | [`production`] | builds the version in production, to run beside the present one |
+
+#![deny(missing_docs)]
 
 mod cloud;
 pub mod fleet;
--- a/crates/quartzlever-testkit/src/production.rs
+++ b/crates/quartzlever-testkit/src/production.rs
@@ -8,19 +8,39 @@
 /// Why the version in production could not be built.
 #[derive(Debug, thiserror::Error)]
 pub enum BuildError {
+    /// The settings name no commit.
     #[error("deploy/service.toml names no commit as `production`")]
     NotNamed,
+    /// The repository does not have the commit.
     #[error(
         "this clone lacks the commit {0} that deploy/service.toml names as `production`: \
          fetch the whole history (`git fetch --unshallow`) and run the test again"
     )]
     NoSuchCommit(String),
+    /// A command has failed.
     #[error("{step} failed: {output}")]
-    Step { step: &'static str, output: String },
+    Step {
+        /// The command.
+        step: &'static str,
+        /// What it wrote to its error output.
+        output: String,
+    },
+    /// A command could not be started, or a file not be made.
     #[error("cannot start {step}: {error}")]
-    Start { step: &'static str, error: io::Error },
+    Start {
+        /// The command.
+        step: &'static str,
+        /// Why.
+        error: io::Error,
+    },
+    /// The settings could not be read.
     #[error("cannot read {path}: {error}")]
-    Read { path: PathBuf, error: io::Error },
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        error: io::Error,
+    },
 }
 
 /// Builds the commit that `deploy/service.toml` names, below `target`, and gives the program. What
--- a/crates/quartzlever-testkit/src/program.rs
+++ b/crates/quartzlever-testkit/src/program.rs
@@ -10,6 +10,7 @@
 #[derive(Debug)]
 pub struct Node {
     child: Child,
+    /// Where it serves users and workers.
     pub address: SocketAddr,
 }
 
--- a/crates/quartzlever-testkit/src/rules.rs
+++ b/crates/quartzlever-testkit/src/rules.rs
@@ -11,26 +11,37 @@
 /// What a user asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asked {
+    /// To run a job.
     Submit,
+    /// What has become of a job.
     Lookup,
+    /// To cancel a job.
     Cancel,
 }
 
 /// The most that all tasks of a team may use at once; 0 means no limit.
 #[derive(Clone, Debug, Default)]
 pub struct TeamLimit {
+    /// The team.
     pub team: String,
+    /// Processors.
     pub cpus: f64,
+    /// Graphics processors.
     pub gpus: f64,
 }
 
 /// A machine with the tasks that are on it.
 #[derive(Clone, Debug)]
 pub struct MachineTasks {
+    /// Name of the machine.
     pub host: String,
+    /// Name of its type.
     pub machine_type: String,
+    /// Name of its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// The tasks.
     pub tasks: Vec<TaskId>,
 }
 
@@ -49,6 +60,7 @@
 pub struct RuleChecker {
     cancel: Micros,
     limits: Vec<TeamLimit>,
+    /// Jobs that users have submitted, by id.
     pub specs: BTreeMap<String, JobSpec>,
     told: BTreeMap<String, Told>,
     completed: BTreeMap<String, BTreeSet<u32>>,
@@ -61,10 +73,12 @@
     pub broken: Vec<String>,
     /// Starts after a confirmed cancellation, still within the time for its tasks to be gone.
     pub starts_after_cancel: usize,
+    /// Jobs that users were told are cancelled.
     pub cancellations: usize,
 }
 
 impl RuleChecker {
+    /// A checker for the given quotas; tasks of a cancelled job must be gone after `cancel`.
     pub fn new(cancel: Micros, limits: Vec<TeamLimit>) -> Self {
         RuleChecker {
             cancel,
@@ -106,43 +120,11 @@
     ) {
         let told = self.told.entry(job.to_owned()).or_default();
         let known_before = told.accepted.is_some_and(|at| at < sent);
-        let over = told.over.clone();
-        let cancel_asked = told.cancel_asked;
         if matches!(status, 200 | 201 | 404) {
             told.answered = now;
         }
         match status {
-            200 | 201 => {
-                if told.accepted.is_none() {
-                    told.accepted = Some(now);
-                }
-                let fresh_end = matches!(phase, "done" | "aborted") && over.is_none();
-                if fresh_end {
-                    told.over = Some((phase.to_owned(), now));
-                }
-                if !self.specs.contains_key(job) {
-                    self.breaks("invented", now, job);
-                }
-                if fresh_end && phase == "aborted" {
-                    self.cancellations += 1;
-                    if !cancel_asked {
-                        self.breaks("went_back", now, &format!("{job} cancelled by nobody"));
-                    }
-                }
-                if fresh_end && phase == "done" {
-                    let tasks = self.specs.get(job).map_or(0, |s| s.tasks);
-                    let done = self.completed.get(job).map_or(0, |c| c.len() as u32);
-                    if done < tasks || self.specs.get(job).is_some_and(JobSpec::is_service) {
-                        self.breaks("not_done", now, &format!("{job}: {done} of {tasks}"));
-                    }
-                }
-                if let Some((end, at)) = over
-                    && phase != end
-                    && (sent > at || matches!(phase, "done" | "aborted"))
-                {
-                    self.breaks("went_back", now, &format!("{job}: {end}, then {phase}"));
-                }
-            }
+            200 | 201 => self.told_phase(now, sent, job, phase),
             404 if known_before => self.breaks("forgotten", now, &format!("{job}: 404")),
             400 | 422 if known_before && asked == Asked::Submit => {
                 self.breaks("forgotten", now, &format!("{job}: {status} to its repetition"));
@@ -151,6 +133,42 @@
         }
     }
 
+    /// A user was told a job's phase in answer to a question sent at `sent`.
+    fn told_phase(&mut self, now: Micros, sent: Micros, job: &str, phase: &str) {
+        let is_final = matches!(phase, "done" | "aborted");
+        let told = self.told.entry(job.to_owned()).or_default();
+        told.accepted.get_or_insert(now);
+        let (over, cancel_asked) = (told.over.clone(), told.cancel_asked);
+        if is_final && over.is_none() {
+            told.over = Some((phase.to_owned(), now));
+        }
+        if !self.specs.contains_key(job) {
+            self.breaks("invented", now, job);
+        }
+        match over {
+            None if phase == "aborted" => {
+                self.cancellations += 1;
+                if !cancel_asked {
+                    self.breaks("went_back", now, &format!("{job} cancelled by nobody"));
+                }
+            }
+            None if phase == "done" => self.told_done(now, job),
+            Some((end, at)) if phase != end && (sent > at || is_final) => {
+                self.breaks("went_back", now, &format!("{job}: {end}, then {phase}"));
+            }
+            _ => {}
+        }
+    }
+
+    /// A user was told for the first time that a job is done.
+    fn told_done(&mut self, now: Micros, job: &str) {
+        let tasks = self.specs.get(job).map_or(0, |s| s.tasks);
+        let done = self.completed.get(job).map_or(0, |c| c.len() as u32);
+        if done < tasks || self.specs.get(job).is_some_and(JobSpec::is_service) {
+            self.breaks("not_done", now, &format!("{job}: {done} of {tasks}"));
+        }
+    }
+
     /// Each machine as it is now.
     pub fn machines(&mut self, now: Micros, machines: &[MachineTasks]) {
         let mut on: BTreeMap<&TaskId, &str> = BTreeMap::new();
@@ -292,6 +310,7 @@
         self.told.iter().filter(open).filter_map(|(job, _)| self.specs.get(job))
     }
 
+    /// Whether any user has asked to cancel a job.
     pub fn asked_to_cancel(&self, job: &str) -> bool {
         self.told.get(job).is_some_and(|t| t.cancel_asked)
     }
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -15,12 +15,14 @@
 const PATIENCE: Duration = Duration::from_secs(2);
 const RETRY: Duration = Duration::from_millis(500);
 /// Far longer than any takeover; a test that waits for so long has found a fault.
-pub const DEADLINE: Duration = Duration::from_secs(120);
+const DEADLINE: Duration = Duration::from_secs(120);
 
 /// What a user was told.
 #[derive(Clone, Debug)]
 pub struct Told {
+    /// Status of the answer; 0 without one.
     pub status: u16,
+    /// Phase of the job; empty if the answer names none.
     pub phase: String,
 }
 
@@ -31,19 +33,23 @@
 }
 
 impl Users {
+    /// Users who tell the checker of this fleet what they ask.
     pub fn new(fleet: Arc<Fleet>) -> Users {
         Users { fleet }
     }
 
+    /// Submits a job.
     pub fn submit(&self, controller: SocketAddr, spec: &JobSpec) -> Told {
         let body = serde_json::to_string(spec).expect("a job is JSON");
         self.ask(controller, Asked::Submit, &spec.id, Some(spec), Some(&body))
     }
 
+    /// Asks what has become of a job.
     pub fn look_up(&self, controller: SocketAddr, job: &str) -> Told {
         self.ask(controller, Asked::Lookup, job, None, None)
     }
 
+    /// Cancels a job.
     pub fn cancel(&self, controller: SocketAddr, job: &str) -> Told {
         self.ask(controller, Asked::Cancel, job, None, Some(""))
     }
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: sessions, tokens, its lease, and tasks that take a fixed time.
+//! The fake worker: incarnations, fencing tokens, its lease, and tasks that take a fixed time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,17 +15,20 @@
     exited: Option<Cause>,
 }
 
-/// A worker of one machine.
+/// A fake worker of one machine. It does nothing until the caller lets time pass; faults are set by the
+/// public fields.
 #[derive(Debug)]
 pub struct Worker {
+    /// The machine, as the cloud lists it.
     pub instance: Instance,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
     lease: Micros,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered heartbeat was sent, or the incarnation began.
     renewed: Micros,
     attempts: BTreeMap<(TaskId, u64), Attempt>,
+    /// How long a task runs.
     pub run_time: Micros,
     /// Jobs whose tasks run until they are stopped.
     pub endless: BTreeSet<String>,
@@ -46,6 +49,7 @@
 }
 
 impl Worker {
+    /// A worker without tasks, whose lease begins now.
     pub fn new(instance: Instance, lease: Micros, run_time: Micros, now: Micros) -> Self {
         Worker {
             instance,
@@ -67,6 +71,7 @@
         }
     }
 
+    /// The present incarnation: one more than the number of leases that have run out.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -77,7 +82,7 @@
         on.map(|((task, _), _)| task.clone()).collect()
     }
 
-    /// Lets time pass: ends tasks, and the session when the lease has run out.
+    /// Lets time pass: ends tasks, and the incarnation when the lease has run out.
     pub fn pass(&mut self, now: Micros) {
         if now.saturating_sub(self.renewed) > self.lease {
             self.attempts.clear();
@@ -141,7 +146,7 @@
             })
     }
 
-    /// The 200 to a heartbeat that was sent at `sent` in session `incarnation`.
+    /// Receives the 200 to a heartbeat that was sent at `sent` in this incarnation.
     pub fn answered(
         &mut self,
         commands: &WorkerCommands,
@@ -162,7 +167,7 @@
         self.execute(&commands.commands, now);
     }
 
-    /// A direct command.
+    /// Receives commands at its own address.
     pub fn command(&mut self, commands: &WorkerCommands, now: Micros) -> WorkerReply {
         if commands.fencing_token < self.fencing_token
             || commands.incarnation != Some(self.incarnation)
@@ -174,22 +179,24 @@
         WorkerReply::Status(self.heartbeat())
     }
 
+    /// Starts an attempt, unless it is known already or another of the task runs.
+    fn run(&mut self, task: &TaskId, attempt: u64, now: Micros) {
+        let key = (task.clone(), attempt);
+        if self.attempts.contains_key(&key) {
+            return;
+        }
+        let busy = self.attempts.iter().any(|((t, _), a)| t == task && a.exited.is_none());
+        let exited = busy.then_some(Cause::Busy);
+        if exited.is_none() {
+            self.started.push((task.clone(), now));
+        }
+        self.attempts.insert(key, Attempt { started: now, exited });
+    }
+
     fn execute(&mut self, commands: &[WorkerCommand], now: Micros) {
-        for order in commands {
-            match order {
-                WorkerCommand::Run { task, attempt } => {
-                    let key = (task.clone(), *attempt);
-                    if self.attempts.contains_key(&key) {
-                        continue;
-                    }
-                    let twin =
-                        self.attempts.iter().any(|((t, _), a)| t == task && a.exited.is_none());
-                    let exited = twin.then_some(Cause::Busy);
-                    if exited.is_none() {
-                        self.started.push((task.clone(), now));
-                    }
-                    self.attempts.insert(key, Attempt { started: now, exited });
-                }
+        for command in commands {
+            match command {
+                WorkerCommand::Run { task, attempt } => self.run(task, *attempt, now),
                 WorkerCommand::Kill { task, attempt, .. } => {
                     if let Some(a) = self.attempts.get_mut(&(task.clone(), *attempt)) {
                         a.exited = a.exited.or(Some(Cause::Halted));
--- a/crates/quartzlever-testkit/src/worker_fleet.rs
+++ b/crates/quartzlever-testkit/src/worker_fleet.rs
@@ -1,4 +1,4 @@
-//! Thousands of workers, to see what the real program costs beside them.
+//! Thousands of fake workers, to measure what the real program costs beside them.
 //!
 //! Each worker has a loopback address of its own, all served by one listener, and one small thread
 //! that heartbeats over one connection as the protocol says.
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use quartzlever_wire::cloud::Instance;
-use quartzlever_wire::workers::{TaskId, WorkerCommands, WorkerReply};
+use quartzlever_wire::workers::{Heartbeat, TaskId, WorkerCommands, WorkerReply};
 use quartzlever_wire::{Micros, SECOND};
 
 use crate::Worker;
@@ -24,25 +24,29 @@
 const TURNED_AWAY: Duration = Duration::from_secs(1);
 const PATIENCE: Duration = Duration::from_secs(4);
 
-/// How the workers of a crowd behave.
+/// How the workers of a fleet behave.
 #[derive(Clone, Copy, Debug)]
 pub struct Habits {
+    /// Time between heartbeats of a worker.
     pub heartbeat_interval: Micros,
+    /// How long a worker runs its tasks without an answer to its heartbeats.
     pub lease: Micros,
+    /// How long a task runs.
     pub run_time: Micros,
 }
 
 type Member = Arc<Mutex<Worker>>;
 
-/// A crowd of workers; new ones join with [`WorkerFleet::rented`].
+/// A fleet of fake workers; new ones join with [`WorkerFleet::rented`].
 pub struct WorkerFleet {
     members: Mutex<BTreeMap<u32, Member>>,
     port: u16,
     start: Instant,
     habits: Habits,
     controller: Mutex<Option<SocketAddr>>,
-    /// Heartbeats that were answered, and those that were not.
+    /// How many heartbeats were answered.
     pub answered: AtomicU64,
+    /// How many heartbeats were turned away or not answered.
     pub unanswered: AtomicU64,
 }
 
@@ -57,10 +61,10 @@
 }
 
 impl WorkerFleet {
-    /// Starts a crowd without members.
+    /// Starts a fleet without workers.
     pub fn start(habits: Habits, start: Instant) -> io::Result<Arc<WorkerFleet>> {
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
-        let crowd = Arc::new(WorkerFleet {
+        let fleet = Arc::new(WorkerFleet {
             members: Mutex::new(BTreeMap::new()),
             port: listener.local_addr()?.port(),
             start,
@@ -69,14 +73,14 @@
             answered: AtomicU64::new(0),
             unanswered: AtomicU64::new(0),
         });
-        let served = crowd.clone();
+        let served = fleet.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let crowd = served.clone();
-                thread::spawn(move || crowd.commanded(stream));
+                let fleet = served.clone();
+                thread::spawn(move || fleet.commanded(stream));
             }
         });
-        Ok(crowd)
+        Ok(fleet)
     }
 
     fn now(&self) -> Micros {
@@ -99,10 +103,10 @@
         if let Ok(mut members) = self.members.lock() {
             members.insert(number, member.clone());
         }
-        let crowd = self.clone();
+        let fleet = self.clone();
         let life = move || {
-            while crowd.member(number).is_some() {
-                crowd.report_for_long(&member);
+            while fleet.member(number).is_some() {
+                fleet.report_for_long(&member);
             }
         };
         let _ = thread::Builder::new().stack_size(STACK).spawn(life);
@@ -168,53 +172,67 @@
     }
 
     fn report_to_one(&self, member: &Mutex<Worker>, controller: SocketAddr) -> io::Result<()> {
-        let gone = || io::Error::from(io::ErrorKind::Other);
         let stream = TcpStream::connect_timeout(&controller, PATIENCE)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(PATIENCE))?;
         let mut stream = BufReader::with_capacity(512, stream);
         loop {
-            let sent = self.now();
-            let heartbeat = {
-                let mut worker = member.lock().map_err(|_| gone())?;
-                worker.pass(sent);
-                worker.heartbeat()
-            };
-            let body = serde_json::to_vec(&heartbeat)?;
-            let length = body.len();
-            let head = format!("POST /hello HTTP/1.1\r\nHost: c\r\nContent-Length: {length}\r\n");
-            let mut message = format!("{head}Content-Type: application/json\r\n\r\n").into_bytes();
-            message.extend_from_slice(&body);
-            stream.get_mut().write_all(&message)?;
-            let (first, body, close) = read_message(&mut stream)?;
-            if !first.contains(" 200 ") {
-                return Err(gone());
+            let (heartbeat, sent, close) = self.exchange(member, &mut stream)?;
+            if !self.wait_until_due(member, &heartbeat, sent)? || close {
+                return Ok(());
             }
-            self.answered.fetch_add(1, Ordering::Relaxed);
-            let commands: WorkerCommands = serde_json::from_slice(&body)?;
+        }
+    }
+
+    /// Sends one heartbeat and takes in the answer. Gives the heartbeat, when it was sent, and
+    /// whether the connection ends.
+    fn exchange(
+        &self,
+        member: &Mutex<Worker>,
+        stream: &mut BufReader<TcpStream>,
+    ) -> io::Result<(Heartbeat, Micros, bool)> {
+        let sent = self.now();
+        let heartbeat = {
             let mut worker = member.lock().map_err(|_| gone())?;
-            worker.answered(&commands, sent, heartbeat.incarnation, self.now());
-            drop(worker);
-            // Until the next heartbeat is due, or something has changed.
-            let number = number(&heartbeat.host);
-            let spread = SECOND * u64::from(number % 50) / 50;
-            let next = sent
-                + self.habits.heartbeat_interval * 3 / 4
-                + spread * self.habits.heartbeat_interval / 2 / SECOND;
-            loop {
-                thread::sleep(CHANGE);
-                if self.member(number).is_none() {
-                    return Ok(());
-                }
-                let mut worker = member.lock().map_err(|_| gone())?;
-                let now = self.now();
-                worker.pass(now);
-                if now >= next || !worker.told(&heartbeat) {
-                    break;
-                }
+            worker.pass(sent);
+            worker.heartbeat()
+        };
+        let head = "POST /hello HTTP/1.1\r\nHost: c\r\n";
+        send_message(stream, head, "Content-Type: application/json\r\n", &heartbeat)?;
+        let (first, body, close) = read_message(stream)?;
+        if !first.contains(" 200 ") {
+            return Err(gone());
+        }
+        self.answered.fetch_add(1, Ordering::Relaxed);
+        let commands: WorkerCommands = serde_json::from_slice(&body)?;
+        let mut worker = member.lock().map_err(|_| gone())?;
+        worker.answered(&commands, sent, heartbeat.incarnation, self.now());
+        drop(worker);
+        Ok((heartbeat, sent, close))
+    }
+
+    /// Waits until the next heartbeat is due or something has changed; `false` if the machine is gone.
+    fn wait_until_due(
+        &self,
+        member: &Mutex<Worker>,
+        heartbeat: &Heartbeat,
+        sent: Micros,
+    ) -> io::Result<bool> {
+        let number = number(&heartbeat.host);
+        let spread = SECOND * u64::from(number % 50) / 50;
+        let next = sent
+            + self.habits.heartbeat_interval * 3 / 4
+            + spread * self.habits.heartbeat_interval / 2 / SECOND;
+        loop {
+            thread::sleep(CHANGE);
+            if self.member(number).is_none() {
+                return Ok(false);
             }
-            if close {
-                return Ok(());
+            let mut worker = member.lock().map_err(|_| gone())?;
+            let now = self.now();
+            worker.pass(now);
+            if now >= next || !worker.told(heartbeat) {
+                return Ok(true);
             }
         }
     }
@@ -227,32 +245,48 @@
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::with_capacity(512, stream);
         while let Ok((first, body, _)) = read_message(&mut stream) {
-            let Some(member) = self.member(number) else { return };
-            let Ok(mut worker) = member.lock() else { return };
-            let now = self.now();
-            worker.pass(now);
-            let reply = if first.starts_with("GET") {
-                WorkerReply::Status(worker.heartbeat())
-            } else {
-                match serde_json::from_slice::<WorkerCommands>(&body) {
-                    Ok(commands) => worker.command(&commands, now),
-                    Err(_) => return,
-                }
-            };
-            drop(worker);
-            let (status, heartbeat) = match reply {
-                WorkerReply::Status(heartbeat) => ("200 OK", heartbeat),
-                WorkerReply::Refused(heartbeat) => ("409 Conflict", heartbeat),
+            let (head, heartbeat) = match self.carry_out(number, &first, &body) {
+                Some(WorkerReply::Status(heartbeat)) => ("HTTP/1.1 200 OK\r\n", heartbeat),
+                Some(WorkerReply::Refused(heartbeat)) => ("HTTP/1.1 409 Conflict\r\n", heartbeat),
+                None => return,
             };
-            let Ok(body) = serde_json::to_vec(&heartbeat) else { return };
-            let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
-            let mut message = head.into_bytes();
-            message.extend_from_slice(&body);
-            if stream.get_mut().write_all(&message).is_err() {
+            if send_message(&mut stream, head, "", &heartbeat).is_err() {
                 return;
             }
         }
     }
+
+    /// A worker's reply to a call; none if it is gone or the call cannot be read.
+    fn carry_out(&self, number: u32, first: &str, body: &[u8]) -> Option<WorkerReply> {
+        let member = self.member(number)?;
+        let mut worker = member.lock().ok()?;
+        let now = self.now();
+        worker.pass(now);
+        if first.starts_with("GET") {
+            return Some(WorkerReply::Status(worker.heartbeat()));
+        }
+        let commands = serde_json::from_slice::<WorkerCommands>(body).ok()?;
+        Some(worker.command(&commands, now))
+    }
+}
+
+fn gone() -> io::Error {
+    io::ErrorKind::Other.into()
+}
+
+/// Writes a message: its first lines, the length of its body, further lines, and a heartbeat as the
+/// body.
+fn send_message(
+    stream: &mut BufReader<TcpStream>,
+    head: &str,
+    more: &str,
+    heartbeat: &Heartbeat,
+) -> io::Result<()> {
+    let body = serde_json::to_vec(heartbeat)?;
+    let length = body.len();
+    let mut message = format!("{head}Content-Length: {length}\r\n{more}\r\n").into_bytes();
+    message.extend_from_slice(&body);
+    stream.get_mut().write_all(&message)
 }
 
 /// The first line of a message, its body, and whether the connection ends with it.
