--- a/crates/quartzlever-testkit/src/lib.rs
+++ b/crates/quartzlever-testkit/src/lib.rs
@@ -8,6 +8,7 @@
 //! | [`worker_fleet`] | thousands of fake workers, to measure what the real program costs |
 //! | [`rules`] | checks the rules of the protocol from what happens outside the controllers |
 //! | [`users`] | users that submit, look up and cancel jobs |
+//! | [`watchers`] | threads that watch a test of several controllers |
 //! | [`jobs`] | jobs for tests |
 //! | [`site`] | settings files of several controllers |
 //! | [`program`] | the real program as a child process |
@@ -25,6 +26,7 @@
 pub mod site;
 mod store;
 pub mod users;
+pub mod watchers;
 mod worker;
 pub mod worker_fleet;
 
--- a/crates/quartzlever-testkit/src/program.rs
+++ b/crates/quartzlever-testkit/src/program.rs
@@ -5,6 +5,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::thread;
+use std::time::Duration;
 
 /// A running controller; ended with this value.
 #[derive(Debug)]
@@ -41,6 +42,12 @@
         Ok(Node { child, address })
     }
 
+    /// Whether a controller at this address says that it is ready.
+    pub fn is_ready(address: SocketAddr) -> bool {
+        let url = format!("http://{address}/ready");
+        ureq::get(&url).timeout(Duration::from_secs(1)).call().is_ok()
+    }
+
     /// The number of its process.
     pub fn process(&self) -> u32 {
         self.child.id()
--- a/crates/quartzlever-testkit/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -5,8 +5,9 @@
 use quartzlever_wire::pages::PAGES;
 use quartzlever_wire::store::{
     ACTIVE_JOB_PREFIX, CLUSTER_VERSION_KEY, Change, Event, MACHINE_PREFIX, Row, Rows, StoreCall,
-    StoreReply, Txn, TxnAnswer, WatchAnswer,
+    StoreReply, TerminalJobRecord, Txn, TxnAnswer, WatchAnswer,
 };
+use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Json, Micros};
 
 /// A key's value as the store keeps it.
@@ -74,6 +75,12 @@
         self.keys.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
+    /// Whether the key is the record of a job that is done.
+    pub fn is_done_job(&self, key: &str) -> bool {
+        let record = self.get(key).and_then(|(value, _)| value.parse::<TerminalJobRecord>());
+        record.is_some_and(|record| record.phase == JobPhase::Done)
+    }
+
     /// The count of all changes.
     pub fn revision(&self) -> u64 {
         self.revision
--- a/crates/quartzlever/tests/recovery/testbed.rs
+++ b/crates/quartzlever/tests/recovery/testbed.rs
@@ -3,9 +3,7 @@
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
 use quartzlever_testkit::fleet::{Behaviour, Fleet};
@@ -14,19 +12,14 @@
 use quartzlever_testkit::rules::RuleChecker;
 use quartzlever_testkit::site::Site;
 use quartzlever_testkit::users::{Users, until};
+use quartzlever_testkit::watchers::Watchers;
 use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
-use quartzlever_wire::store::TerminalJobRecord;
-use quartzlever_wire::users::JobPhase;
 
 const NODES: [&str; 3] = ["one", "two", "three"];
 const ZONES: [&str; 3] = ["a", "b", "a"];
 const MACHINES: usize = 8;
 const LIMITS: &str = "value_kb = 16.0\ntxn_ops = 24";
-const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-const POLL: Duration = Duration::from_millis(200);
-/// No question about a job may stay without an answer for longer.
-const KNOWN_WITHIN: u64 = 75 * SECOND;
 
 struct Controller {
     address: SocketAddr,
@@ -44,8 +37,7 @@
     pub fleet: Arc<Fleet>,
     users: Users,
     controllers: Vec<Controller>,
-    ended: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<()>>,
+    watchers: Watchers,
     kept: Vec<String>,
     cancelled: Vec<String>,
     next_job: u32,
@@ -97,10 +89,9 @@
             name: name.to_owned(),
             store,
             users: Users::new(fleet.clone()),
+            watchers: Watchers::new(fleet.clone()),
             fleet,
             controllers: site.addresses().into_iter().enumerate().map(controller).collect(),
-            ended: Arc::default(),
-            threads: Vec::new(),
             kept: Vec::new(),
             cancelled: Vec::new(),
             next_job: 0,
@@ -112,31 +103,13 @@
     }
 
     fn watch(&mut self) {
-        let (store, fleet, ended) = (self.store.clone(), self.fleet.clone(), self.ended.clone());
-        self.threads.push(thread::spawn(move || {
-            while !ended.load(Ordering::Relaxed) {
-                let done = done_jobs(&store.lock().unwrap_or_else(PoisonError::into_inner));
-                fleet.rules(|rules, now| done.iter().for_each(|job| rules.job_done(now, job)));
-                thread::sleep(CHECK_INTERVAL);
-            }
-        }));
-        let (users, fleet, ended) = (self.users.clone(), self.fleet.clone(), self.ended.clone());
-        let addresses: Vec<SocketAddr> = self.controllers.iter().map(|c| c.address).collect();
-        self.threads.push(thread::spawn(move || {
-            for turn in 0.. {
-                for job in fleet.rules(|rules, _| rules.accepted()) {
-                    if ended.load(Ordering::Relaxed) {
-                        return;
-                    }
-                    users.look_up(addresses[turn % addresses.len()], &job);
-                }
-                fleet.rules(|rules, now| rules.unanswered(now, now.saturating_sub(KNOWN_WITHIN)));
-                thread::sleep(POLL);
-                if ended.load(Ordering::Relaxed) {
-                    return;
-                }
-            }
-        }));
+        let store = self.store.clone();
+        self.watchers.look(move |fleet| {
+            let done = done_jobs(&store.lock().unwrap_or_else(PoisonError::into_inner));
+            fleet.rules(|rules, now| done.iter().for_each(|job| rules.job_done(now, job)));
+        });
+        let addresses = self.controllers.iter().map(|c| c.address).collect();
+        self.watchers.poll_jobs(self.users.clone(), addresses);
     }
 
     pub fn start_nodes(&mut self, nodes: &[usize]) {
@@ -178,8 +151,7 @@
     pub fn await_ready(&self) {
         for controller in self.controllers.iter().filter(|c| c.process.is_some()) {
             let url = format!("http://{}/ready", controller.address);
-            let ready = || ureq::get(&url).timeout(Duration::from_secs(1)).call().is_ok();
-            self.wait(&url, ready, |ready| *ready);
+            self.wait(&url, || Node::is_ready(controller.address), |ready| *ready);
         }
     }
 
@@ -308,24 +280,15 @@
         let lacking: Vec<_> =
             self.kept.iter().chain(&self.cancelled).filter(|job| !over(job)).collect();
         assert!(lacking.is_empty(), "{}: not in the store: {lacking:?}", self.name);
-        self.ended.store(true, Ordering::Relaxed);
-        for thread in self.threads.drain(..) {
-            thread.join().expect("a watching thread");
-        }
-        let broken = self.fleet.rules(|rules, _| rules.broken.clone());
-        assert!(broken.is_empty(), "{}: {broken:#?}", self.name);
+        self.watchers.finish(&self.name);
     }
 }
 
 /// Jobs that are done by the store's records, of whatever generation.
 fn done_jobs(store: &Store) -> Vec<String> {
-    let is_done = |key: &str| {
-        let record = store.get(key).and_then(|(value, _)| value.parse::<TerminalJobRecord>());
-        record.is_some_and(|record| record.phase == JobPhase::Done)
-    };
     let jobs = store.keys("").into_iter().filter_map(|key| {
         let job = key.strip_prefix("over/").or_else(|| Some(key.split_once("/over/")?.1))?;
-        is_done(&key).then(|| job.to_owned())
+        store.is_done_job(&key).then(|| job.to_owned())
     });
     jobs.collect()
 }
--- a/crates/quartzlever/tests/rolling_upgrade/testbed.rs
+++ b/crates/quartzlever/tests/rolling_upgrade/testbed.rs
@@ -4,7 +4,6 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
-use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
 use quartzlever_testkit::fleet::{Behaviour, Fleet};
@@ -13,12 +12,13 @@
 use quartzlever_testkit::rules::RuleChecker;
 use quartzlever_testkit::site::Site;
 use quartzlever_testkit::users::{Users, until};
+use quartzlever_testkit::watchers::Watchers;
 use quartzlever_testkit::{Cloud, Store, http, production};
 use quartzlever_wire::SECOND;
 use quartzlever_wire::store::{
-    CLUSTER_VERSION_KEY, PARTITION_PREFIX, PartitionRecord, TERMINAL_JOB_PREFIX, TerminalJobRecord,
+    CLUSTER_VERSION_KEY, PARTITION_PREFIX, PartitionRecord, TERMINAL_JOB_PREFIX,
 };
-use quartzlever_wire::users::{JobPhase, JobSpec};
+use quartzlever_wire::users::JobSpec;
 
 /// Controllers, and so partitions, by name.
 pub const PARTITIONS: [&str; 3] = ["one", "two", "three"];
@@ -26,11 +26,6 @@
 const MACHINES: usize = 9;
 /// Limits to come, which the upgrade has to keep to.
 const LIMITS: &str = "value_kb = 16.0\ntxn_ops = 24\n[params.state.next]\nvalue_kb = 1.0";
-/// How often the workers and the store are looked at.
-const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-const POLL: Duration = Duration::from_millis(200);
-/// No question about a job may stay without an answer for longer.
-const KNOWN_WITHIN: u64 = 75 * SECOND;
 const SERVICE: u32 = 900;
 const REPLICAS: u32 = 3;
 
@@ -84,8 +79,7 @@
     operator: PathBuf,
     /// A process of the version in production may be up, and the upgrade is not done.
     upgrading: Arc<AtomicBool>,
-    ended: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<()>>,
+    watchers: Watchers,
     arrays: Vec<String>,
     next_job: u32,
     service_runs: bool,
@@ -122,12 +116,11 @@
             name,
             store,
             users: Users::new(fleet.clone()),
+            watchers: Watchers::new(fleet.clone()),
             fleet,
             controllers: controllers.collect(),
             operator: site.write("operator.yaml", OPERATOR).expect("an operator's file"),
             upgrading: Arc::new(AtomicBool::new(true)),
-            ended: Arc::default(),
-            threads: Vec::new(),
             arrays: Vec::new(),
             next_job: 0,
             service_runs: false,
@@ -141,35 +134,16 @@
 
     /// Lets time pass for the workers, checks the forms in the store, and polls all jobs.
     fn watch(&mut self) {
-        let (store, fleet) = (self.store.clone(), self.fleet.clone());
-        let (upgrading, ended) = (self.upgrading.clone(), self.ended.clone());
-        self.threads.push(thread::spawn(move || {
-            while !ended.load(Ordering::Relaxed) {
-                let (unknown, done) = look_at_store(&store, upgrading.load(Ordering::Relaxed));
-                fleet.rules(|rules, now| {
-                    done.iter().for_each(|job| rules.job_done(now, job));
-                    rules.broken.extend(unknown.map(|key| format!("new_form: {key}")));
-                });
-                thread::sleep(CHECK_INTERVAL);
-            }
-        }));
-        let (users, fleet, ended) = (self.users.clone(), self.fleet.clone(), self.ended.clone());
-        let addresses: Vec<SocketAddr> = self.controllers.iter().map(|c| c.address).collect();
-        self.threads.push(thread::spawn(move || {
-            for turn in 0.. {
-                for job in fleet.rules(|rules, _| rules.accepted()) {
-                    if ended.load(Ordering::Relaxed) {
-                        return;
-                    }
-                    users.look_up(addresses[turn % addresses.len()], &job);
-                }
-                fleet.rules(|rules, now| rules.unanswered(now, now.saturating_sub(KNOWN_WITHIN)));
-                thread::sleep(POLL);
-                if ended.load(Ordering::Relaxed) {
-                    return;
-                }
-            }
-        }));
+        let (store, upgrading) = (self.store.clone(), self.upgrading.clone());
+        self.watchers.look(move |fleet| {
+            let (unknown, done) = look_at_store(&store, upgrading.load(Ordering::Relaxed));
+            fleet.rules(|rules, now| {
+                done.iter().for_each(|job| rules.job_done(now, job));
+                rules.broken.extend(unknown.map(|key| format!("new_form: {key}")));
+            });
+        });
+        let addresses = self.controllers.iter().map(|c| c.address).collect();
+        self.watchers.poll_jobs(self.users.clone(), addresses);
     }
 
     /// Starts processes at nodes that have none and waits until they are ready.
@@ -191,9 +165,9 @@
             controller.process = Some(process.expect("the program starts"));
         }
         for n in nodes {
-            let url = format!("http://{}/ready", self.controllers[*n].address);
-            let ready = || ureq::get(&url).timeout(Duration::from_secs(1)).call().is_ok();
-            until(&format!("{}: node {n} is ready", self.name), ready, |ready| *ready);
+            let address = self.controllers[*n].address;
+            let what = format!("{}: node {n} is ready", self.name);
+            until(&what, || Node::is_ready(address), |ready| *ready);
         }
     }
 
@@ -353,12 +327,7 @@
         let what = format!("{}: the service is cancelled", self.name);
         until(&what, || self.users.cancel(first, &id), |told| told.phase == "aborted");
         self.expect_replicas(0);
-        self.ended.store(true, Ordering::Relaxed);
-        for thread in self.threads.drain(..) {
-            thread.join().expect("a watching thread");
-        }
-        let broken = self.fleet.rules(|rules, _| rules.broken.clone());
-        assert!(broken.is_empty(), "{}: {broken:#?}", self.name);
+        self.watchers.finish(self.name);
     }
 }
 
@@ -367,11 +336,7 @@
 fn look_at_store(store: &Mutex<Store>, upgrading: bool) -> (Option<String>, Vec<String>) {
     let store = store.lock().unwrap_or_else(PoisonError::into_inner);
     let unknown = upgrading.then(|| store.key_unknown_to_first_version()).flatten();
-    let is_done = |key: &String| {
-        let record = store.get(key).and_then(|(value, _)| value.parse::<TerminalJobRecord>());
-        record.is_some_and(|record| record.phase == JobPhase::Done)
-    };
-    let done = store.keys(TERMINAL_JOB_PREFIX).into_iter().filter(is_done);
+    let done = store.keys(TERMINAL_JOB_PREFIX).into_iter().filter(|key| store.is_done_job(key));
     let jobs = done.map(|key| key[TERMINAL_JOB_PREFIX.len()..].to_owned()).collect();
     (unknown.map(str::to_owned), jobs)
 }
