--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -179,8 +179,16 @@
     pub action: JobWriteAction,
     /// The newly finished tasks that it records.
     pub recorded: Ranges,
-    /// The pages that it writes, with all that is finished of each.
-    pub pages: Vec<(u32, Ranges)>,
+    /// The pages that it writes.
+    pub pages: Vec<PageWrite>,
+}
+
+/// A page of finished tasks as it is written.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct PageWrite {
+    pub number: u32,
+    /// All that has finished of it.
+    pub finished: Ranges,
 }
 
 /// What a transaction does with the record of a job.
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -15,7 +15,7 @@
 use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, Txn};
 use quartzlever_wire::{Json, Micros, Ranges, SECOND};
 
-use crate::calls::PendingStoreCall;
+use crate::calls::{PageWrite, PendingStoreCall};
 use crate::jobs::records::active_job_key;
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
@@ -53,8 +53,8 @@
 pub(crate) struct ProgressWrite {
     /// The record as it will be stored; none if only pages are written since it does not fit yet.
     pub record: Option<ActiveJobRecord>,
-    /// Pages that are written, with all finished tasks of each.
-    pub pages: Vec<(u32, Ranges)>,
+    /// Pages that are written.
+    pub pages: Vec<PageWrite>,
     /// The newly finished tasks that are recorded by this.
     pub recorded: Ranges,
 }
@@ -227,21 +227,21 @@
     }
 
     /// Pages with what they hold already and what comes to it.
-    fn with_content(&self, job: &str, numbers: &[u32], more: &Ranges) -> Vec<(u32, Ranges)> {
+    fn with_content(&self, job: &str, numbers: &[u32], more: &Ranges) -> Vec<PageWrite> {
         let known = self.jobs.get(job);
         let content = |number: &u32| {
             let mut finished = tasks_of_page(more, *number);
             if let Some(page) = known.and_then(|pages| pages.get(number)) {
                 finished.add(&page.finished);
             }
-            (*number, finished)
+            PageWrite { number: *number, finished }
         };
         numbers.iter().map(content).collect()
     }
 
     /// Adds the writes of pages to a transaction, on condition of what is known of them.
-    pub fn add_to(&self, mut txn: Txn, job: &str, pages: &[(u32, Ranges)]) -> Txn {
-        for (number, finished) in pages {
+    pub fn add_to(&self, mut txn: Txn, job: &str, pages: &[PageWrite]) -> Txn {
+        for PageWrite { number, finished } in pages {
             let key = page_key(job, *number);
             let value = Json::of(&PageRecord::new(*number, finished));
             txn = txn.when(key.clone(), self.mod_revision(job, *number)).write(key, value);
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -4,7 +4,7 @@
 use quartzlever_wire::pages::{PAGE_TASKS, PageRecord, page_key, page_of_key};
 use quartzlever_wire::store::{PARTITION_PREFIX, Txn};
 
-use super::{Pages, ProgressWrite, WriteLimits};
+use super::{PageWrite, Pages, ProgressWrite, WriteLimits};
 use crate::jobs::records::{PlannedWrite, progress_of_job};
 use crate::testing::*;
 
@@ -79,11 +79,12 @@
         let txn = Txn::default()
             .when(format!("{PARTITION_PREFIX}one"), self.term)
             .when(ACTIVE_JOB_PREFIX, self.mod_revision);
-        Some(progress_of_job(txn, ID, progress, &self.pages))
+        let planned = progress_of_job(txn, ID, progress, &self.pages);
+        Some((planned.txn.clone(), planned))
     }
 
     fn committed(&mut self, write: PlannedWrite, mod_revision: u64) {
-        for (number, finished) in write.pages {
+        for PageWrite { number, finished } in write.pages {
             self.record.finished.add(&finished);
             self.pages.insert(ID, number, finished, mod_revision);
         }
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -7,6 +7,9 @@
 //!
 //! Nothing here calls anything: the methods change the job and say what follows from that.
 
+mod moves;
+mod record_writes;
+
 use std::collections::BTreeMap;
 
 use quartzlever_wire::pages::tasks_of_page;
@@ -17,19 +20,24 @@
 use crate::machines::failures::{JobFailures, MAX_TRIAL_TASKS};
 use crate::machines::resources::Resources;
 
+pub use record_writes::RecordStep;
+
 /// A machine that a job failed on is tried again after this time where nothing of the job runs.
 const FORGIVEN_AFTER: Micros = 20 * SECOND;
 
 /// Where a task may be.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
+    /// The machine that it was given to.
     pub machine: String,
+    /// The number of the attempt.
     pub attempt: u64,
 }
 
 /// A job with tasks in this partition.
 #[derive(Clone, Debug)]
 pub struct PartitionJob {
+    /// The record as it was last taken in or written.
     pub record: ActiveJobRecord,
     mod_revision: u64,
     /// May be placed at once.
@@ -51,11 +59,13 @@
     needs_write: bool,
     /// When the submission was made, by the steady clock.
     pub since: Micros,
+    /// When it should be done, by the steady clock.
     pub due: Option<Micros>,
     /// Attempts that failed here.
     pub failures: JobFailures,
     /// Tasks of the job that were done here.
     pub succeeded: u32,
+    /// After failures nothing of it is started before this time.
     pub no_start_before: Micros,
     /// Tasks that were stopped for others once; they are not stopped again.
     pub preempted: Ranges,
@@ -63,15 +73,15 @@
     pub can_wait_for_heartbeat: bool,
 }
 
-/// The partition that takes in a record, as far as that decides what becomes of the tasks.
+/// The partition that holds the job, as far as that decides what becomes of its tasks.
 #[derive(Clone, Copy, Debug)]
-pub struct RecordHolder<'a> {
+pub struct Holder<'a> {
+    /// The name of the partition.
     pub partition: &'a str,
+    /// The term under which it is held.
     pub term: u64,
     /// Whether every machine is known to hold nothing that an earlier leader started unseen.
     pub recovery_complete: bool,
-    /// Whether the job's team may use only so much.
-    pub team_limited: bool,
 }
 
 /// What follows from a record that was taken in.
@@ -83,19 +93,6 @@
     pub nothing_left_here: bool,
 }
 
-/// What is to be done about the record of a job.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RecordStep {
-    /// Nothing now.
-    Wait,
-    /// This partition has nothing to do with the job any more.
-    Forget,
-    /// What has finished, or that the job has begun, is to be written.
-    WriteProgress,
-    /// All tasks have finished: the job is to be ended.
-    WriteEnd,
-}
-
 impl PartitionJob {
     /// A job that has just come to be known, without any task yet.
     pub fn new(record: ActiveJobRecord, now: Micros, wall: Micros) -> Self {
@@ -129,12 +126,14 @@
         ends_here(record, partition) || !record.owned_by(partition).is_empty()
     }
 
-    /// Takes in the record as the store has it, if it is newer than the known one.
+    /// Takes in the record as the store has it, if it is newer than the known one. `team_limited` says
+    /// whether the job's team may use only so much.
     pub fn take_record(
         &mut self,
         record: ActiveJobRecord,
         mod_revision: u64,
-        holder: RecordHolder<'_>,
+        holder: Holder<'_>,
+        team_limited: bool,
     ) -> RecordTaken {
         let mut taken = RecordTaken::default();
         if mod_revision <= self.mod_revision {
@@ -151,7 +150,7 @@
         let new = owned.minus(&self.known());
         let at_once = if holder.recovery_complete {
             new.clone()
-        } else if holder.team_limited {
+        } else if team_limited {
             // The team's limit counts what an earlier leader may have started.
             Ranges::default()
         } else {
@@ -181,173 +180,49 @@
         self.finished.subtract(&new);
     }
 
-    /// Notes that a task of this partition is done; it counts once the record says so.
-    pub fn finish(&mut self, index: u32, now: Micros) {
-        self.succeeded += 1;
-        self.finished.insert(index);
-        if self.all_finished() {
-            self.write_not_before = now;
-        }
-    }
-
-    /// The modification revision of the record.
-    pub fn mod_revision(&self) -> u64 {
-        self.mod_revision
-    }
-
-    /// What is to be done about the record now.
-    pub fn next_record_step(&self, partition: &str, now: Micros) -> RecordStep {
-        if self.writing || now < self.write_not_before {
-            return RecordStep::Wait;
-        }
-        if !self.idle() || self.needs_write {
-            return match self.write_outcome_unknown || self.needs_write || !self.finished.is_empty()
-            {
-                false => RecordStep::Wait,
-                true if self.all_finished() => RecordStep::WriteEnd,
-                true => RecordStep::WriteProgress,
-            };
-        }
-        match self.may_end_here(partition) {
-            true if self.all_finished() => RecordStep::WriteEnd,
-            false if self.record.owned_by(partition).is_empty() => RecordStep::Forget,
-            _ => RecordStep::Wait,
-        }
-    }
-
-    /// The record is not written again before this time.
-    pub fn write_not_before(&self) -> Micros {
-        self.write_not_before
-    }
-
-    /// Nothing of the progress can be written now; it is tried again at this time.
-    pub fn postpone_write(&mut self, until: Micros) {
-        self.write_not_before = until;
-    }
-
-    /// A write of the record begins; the next one not before this time.
-    pub fn begin_write(&mut self, next: Micros) {
-        self.writing = true;
-        self.needs_write = false;
-        self.write_not_before = next;
-    }
-
-    /// The record is read again, and not written meanwhile.
-    pub fn begin_reread(&mut self) {
-        self.writing = true;
-    }
-
-    /// The write, or the read, has been answered.
-    pub fn end_write(&mut self) {
-        self.writing = false;
-    }
-
-    /// The record is to be written again, not before this time.
-    pub fn retry_write(&mut self, not_before: Micros) {
-        self.needs_write = true;
-        self.write_not_before = not_before;
-    }
-
-    /// Has the record say that the job has begun. No progress is ever written of a service, so that
-    /// others would call it queued.
-    pub fn record_start(&mut self) {
-        self.needs_write |= !self.record.started;
-    }
-
-    /// The record is in force with newly finished tasks. Whether tasks returned to the queue.
-    pub fn progress_written(&mut self, recorded: &Ranges, mod_revision: u64) -> bool {
-        self.finished.subtract(recorded);
-        if mod_revision > self.mod_revision {
-            self.mod_revision = mod_revision;
-            self.record.finished.add(recorded);
-            self.record.started = true;
+    /// Puts a task whose attempt is surely on no machine back into the queue, if it is still the
+    /// partition's and not finished. Whether it came back.
+    pub fn requeue(&mut self, index: u32, attempt: u64, holder: Holder<'_>) -> bool {
+        if self.assignments.get(&index).is_none_or(|p| p.attempt != attempt) {
+            return false;
         }
-        // Ours came into force at that modification revision, so the doubtful one never will.
-        self.settle_unknown_outcome()
-    }
-
-    /// An earlier write of unknown outcome can no longer come into force: what it was to move returns
-    /// to the queue. `false` if there was none.
-    fn settle_unknown_outcome(&mut self) -> bool {
-        if !std::mem::take(&mut self.write_outcome_unknown) {
+        self.assignments.remove(&index);
+        let owned = self.record.owned_by(holder.partition);
+        if !owned.contains(index) || self.finished.contains(index) {
             return false;
         }
-        let cut = std::mem::take(&mut self.moving);
-        self.ready.add(&cut);
+        // Seen to have ended here, but before the barrier opens another machine could still
+        // hold an attempt of an earlier leader.
+        let fresh = self.record.entered_under(holder.partition, holder.term).contains(index);
+        if holder.recovery_complete || fresh {
+            self.ready.insert(index);
+        } else {
+            self.awaiting_recovery.insert(index);
+        }
         true
     }
 
-    /// Whether no write of the record is under way or of unknown outcome.
-    pub fn is_record_settled(&self) -> bool {
-        !self.writing && !self.write_outcome_unknown
-    }
-
-    /// Whether an earlier write may still come into force.
-    pub fn is_write_outcome_unknown(&self) -> bool {
-        self.write_outcome_unknown
-    }
-
-    /// Whether a task is cut off for a thief.
-    pub fn is_moving(&self, index: u32) -> bool {
-        self.moving.contains(index)
-    }
-
-    /// How many tasks are cut off for a thief.
-    #[cfg(test)]
-    pub fn moving_count(&self) -> u32 {
-        self.moving.len()
+    /// No machine holds anything that an earlier leader started: what waited for that is ready.
+    pub fn complete_recovery(&mut self) {
+        let held = std::mem::take(&mut self.awaiting_recovery);
+        self.ready.add(&held);
     }
 
-    /// Tasks that were cut from the ready ones are being moved to another partition.
-    pub fn begin_move(&mut self, cut: &Ranges) {
-        self.moving.add(cut);
-        self.writing = true;
-    }
-
-    /// The move of these tasks is in force, with this record, which learns what has finished meanwhile.
-    pub fn move_committed(
-        &mut self,
-        cut: &Ranges,
-        record: &mut ActiveJobRecord,
-        mod_revision: u64,
-    ) {
-        self.writing = false;
-        self.moving.subtract(cut);
-        if mod_revision > self.mod_revision {
-            // A page may have told of finished tasks meanwhile.
-            record.finished.add(&self.record.finished);
-            self.mod_revision = mod_revision;
-            self.record = record.clone();
+    /// Notes that a task of this partition is done; it counts once the record says so.
+    pub fn finish(&mut self, index: u32, now: Micros) {
+        self.succeeded += 1;
+        self.finished.insert(index);
+        if self.all_finished() {
+            self.write_not_before = now;
         }
     }
 
-    /// The move can no longer come into force: what is still owned returns to the queue.
-    pub fn move_conflicted(&mut self, cut: &Ranges, partition: &str) {
-        self.writing = false;
-        self.moving.subtract(cut);
-        let owned = self.record.owned_by(partition);
-        self.ready.add(&cut.intersect(&owned));
-    }
-
-    /// The move was not carried out: its tasks return to the queue.
-    pub fn move_undone(&mut self, cut: &Ranges) {
-        self.writing = false;
-        self.moving.subtract(cut);
-        self.ready.add(cut);
-    }
-
-    /// The move may still come into force, minutes late. Its tasks stay cut until another write at the
-    /// same modification revision, or a newer record, has settled the matter.
-    pub fn move_outcome_unknown(&mut self, write_not_before: Micros) {
-        self.writing = false;
-        self.write_outcome_unknown = true;
-        self.retry_write(write_not_before);
-    }
-
+    /// What was submitted.
     pub fn spec(&self) -> &JobSpec {
         &self.record.job
     }
 
+    /// What a task takes of a machine.
     pub fn need(&self) -> Resources {
         Resources::required_by(&self.record.job)
     }
--- a/crates/quartzlever-core/src/jobs/partition_job/tests.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/tests.rs
@@ -3,8 +3,7 @@
 use super::*;
 use crate::testing::{NOW, record};
 
-const HOLDER: RecordHolder<'_> =
-    RecordHolder { partition: "one", term: 5, recovery_complete: true, team_limited: false };
+const HOLDER: Holder<'_> = Holder { partition: "one", term: 5, recovery_complete: true };
 
 fn ranges(text: &str) -> Ranges {
     text.parse().unwrap_or_default()
@@ -15,7 +14,7 @@
     let other = Ranges::first(4).minus(&ranges(mine)).to_string();
     let record = record(mine, &other);
     let mut job = PartitionJob::new(record.clone(), NOW, NOW);
-    job.take_record(record, 10, HOLDER);
+    job.take_record(record, 10, HOLDER, false);
     job
 }
 
@@ -31,8 +30,8 @@
     ] {
         let record = record("0-3", "");
         let mut job = PartitionJob::new(record.clone(), NOW, NOW);
-        let holder = RecordHolder { partition: "one", term, recovery_complete, team_limited };
-        let taken = job.take_record(record, 10, holder);
+        let holder = Holder { partition: "one", term, recovery_complete };
+        let taken = job.take_record(record, 10, holder, team_limited);
         let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
         let name = format!("{recovery_complete} {team_limited} {term}");
         assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
@@ -44,9 +43,9 @@
 #[test]
 fn an_older_record_changes_nothing() {
     let mut job = job("0-1");
-    assert_eq!(job.take_record(record("0-3", ""), 10, HOLDER), RecordTaken::default());
+    assert_eq!(job.take_record(record("0-3", ""), 10, HOLDER, false), RecordTaken::default());
     assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-1".into(), 10));
-    let taken = job.take_record(record("", "0-3"), 11, HOLDER);
+    let taken = job.take_record(record("", "0-3"), 11, HOLDER, false);
     assert!(taken.nothing_left_here && job.ready.is_empty());
 }
 
@@ -85,13 +84,13 @@
     let mut job = doubtful();
     assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteProgress);
     job.begin_write(NOW + 1);
-    let taken = job.take_record(record("0-3", ""), 11, HOLDER);
+    let taken = job.take_record(record("0-3", ""), 11, HOLDER, false);
     assert_eq!((taken.placement_wanted, job.ready.to_string()), (false, "0-1".into()));
     job.end_write();
     assert!(job.progress_written(&Ranges::default(), 12));
     assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-3".into(), 12));
     let mut job = doubtful();
-    let taken = job.take_record(record("0-2", "3"), 11, HOLDER);
+    let taken = job.take_record(record("0-2", "3"), 11, HOLDER, false);
     assert_eq!((taken.placement_wanted, job.ready.to_string()), (true, "0-2".into()));
     assert!(job.is_record_settled());
 }
@@ -130,7 +129,7 @@
         if !paged {
             record = crate::testing::record("", "0-3");
         }
-        job.take_record(record, 11, HOLDER);
+        job.take_record(record, 11, HOLDER, false);
         assert_eq!(job.next_record_step("one", NOW), step, "{paged} {finished}");
     }
 }
@@ -147,3 +146,38 @@
     assert!(job.finished.is_empty() && !job.is_moving(3));
     assert_eq!(job.record.finished.to_string(), "0-1,3");
 }
+
+/// Before the barrier opens another machine could still hold an attempt of an earlier leader.
+#[test]
+fn a_task_returns_to_the_queue_unless_it_is_finished_or_anothers() {
+    // (number of the attempt that ended, whether the task is finished, recovery complete, term;
+    // whether the task comes back, ready, awaiting recovery)
+    for (ended, finished, recovery_complete, term, comes_back, ready, awaiting) in [
+        (7, false, true, 5, true, "0-3", ""),
+        (7, false, false, 5, true, "0-3", ""),
+        (7, false, false, 9, true, "1-3", "0"),
+        (7, true, true, 5, false, "1-3", ""),
+        (6, false, true, 5, false, "1-3", ""),
+    ] {
+        let mut job = job("0-3");
+        job.ready.remove(0);
+        job.assignments.insert(0, Assignment { machine: "n-1".into(), attempt: 7 });
+        if finished {
+            job.finish(0, NOW);
+        }
+        let holder = Holder { partition: "one", term, recovery_complete };
+        let name = format!("{ended} {finished} {recovery_complete} {term}");
+        assert_eq!(job.requeue(0, ended, holder), comes_back, "{name}");
+        assert_eq!(job.assignments.is_empty(), ended == 7, "{name}");
+        let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
+        assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
+        job.complete_recovery();
+        assert_eq!(job.ready.to_string(), if comes_back { "0-3" } else { "1-3" }, "{name}");
+    }
+    let mut job = job("0-3");
+    job.ready.remove(0);
+    job.assignments.insert(0, Assignment { machine: "n-1".into(), attempt: 7 });
+    job.take_record(record("1-3", "0"), 11, HOLDER, false);
+    assert!(!job.requeue(0, 7, HOLDER), "another partition's by now");
+    assert_eq!(job.ready.to_string(), "1-3");
+}
--- a/crates/quartzlever-core/src/jobs/records.rs
+++ b/crates/quartzlever-core/src/jobs/records.rs
@@ -12,7 +12,7 @@
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Json, Micros, Ranges};
 
-use crate::calls::JobWriteAction;
+use crate::calls::{JobWriteAction, PageWrite};
 use crate::jobs::pages::{Pages, ProgressWrite, WriteLimits};
 use crate::jobs::partition_job::{PartitionJob, RecordStep};
 use crate::store::write_budget::WriteKind;
@@ -105,11 +105,15 @@
     }
 }
 
-/// What a planned transaction will have done.
+/// A planned transaction, and what it will have done.
+#[derive(Debug)]
 pub(crate) struct PlannedWrite {
+    pub txn: Txn,
     pub action: JobWriteAction,
+    /// The newly finished tasks that it records.
     pub recorded: Ranges,
-    pub pages: Vec<(u32, Ranges)>,
+    /// The pages that it writes.
+    pub pages: Vec<PageWrite>,
 }
 
 /// Plans the write of a job that is due: its end, or as much of its progress as fits. `leader` is a
@@ -121,7 +125,7 @@
     pages: &Pages,
     paging: bool,
     room: WriteLimits,
-) -> Option<(Txn, PlannedWrite)> {
+) -> Option<PlannedWrite> {
     let id = &job.spec().id;
     let base = leader.when(active_job_key(id), job.mod_revision());
     if job.all_finished() {
@@ -135,13 +139,13 @@
     progress.map(|progress| progress_of_job(base, id, progress, pages))
 }
 
-fn end_of_job(txn: Txn, job: &PartitionJob) -> (Txn, PlannedWrite) {
+fn end_of_job(txn: Txn, job: &PartitionJob) -> PlannedWrite {
     let spec = job.spec();
     let over = TerminalJobRecord { phase: JobPhase::Done, done: spec.tasks };
     let txn =
         txn.delete(active_job_key(&spec.id)).write(terminal_job_key(&spec.id), Json::of(&over));
     let recorded = job.finished.clone();
-    (txn, PlannedWrite { action: JobWriteAction::End, recorded, pages: Vec::new() })
+    PlannedWrite { txn, action: JobWriteAction::End, recorded, pages: Vec::new() }
 }
 
 /// Makes a transaction record the progress of a job.
@@ -150,14 +154,14 @@
     id: &str,
     progress: ProgressWrite,
     known: &Pages,
-) -> (Txn, PlannedWrite) {
+) -> PlannedWrite {
     let ProgressWrite { record, pages, recorded } = progress;
     let txn = known.add_to(txn, id, &pages);
     let (txn, action) = match record {
         Some(record) => (txn.write(active_job_key(id), Json::of(&record)), JobWriteAction::Record),
         None => (txn, JobWriteAction::PagesOnly),
     };
-    (txn, PlannedWrite { action, recorded, pages })
+    PlannedWrite { txn, action, recorded, pages }
 }
 
 /// While a controller may be of the first version, a record keeps what fits: too many gaps are not
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -59,8 +59,7 @@
         self.unfenced.clear();
         self.placement_wanted = true;
         for job in self.jobs.values_mut() {
-            let held = std::mem::take(&mut job.awaiting_recovery);
-            job.ready.add(&held);
+            job.complete_recovery();
         }
         true
     }
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -15,7 +15,7 @@
 
 use crate::autoscaling::Fleet;
 use crate::config::Config;
-use crate::jobs::partition_job::{PartitionJob, RecordHolder};
+use crate::jobs::partition_job::{Holder, PartitionJob};
 use crate::machines::attempt::{AttemptKey, Slot};
 use crate::machines::machine::Machine;
 use crate::machines::resources::Resources;
@@ -140,18 +140,18 @@
         if !self.jobs.contains_key(&record.job.id) && !PartitionJob::concerns(&record, &self.name) {
             return;
         }
-        let holder = RecordHolder {
+        let holder = Holder {
             partition: &self.name,
             term: self.term,
             recovery_complete: self.recovery_complete,
-            team_limited: config.limited(&record.job.team),
         };
+        let team_limited = config.limited(&record.job.team);
         let id = record.job.id.clone();
         let job = self
             .jobs
             .entry(id)
             .or_insert_with(|| Box::new(PartitionJob::new(record.clone(), now, wall)));
-        let taken = job.take_record(record, mod_revision, holder);
+        let taken = job.take_record(record, mod_revision, holder, team_limited);
         self.placement_wanted |= taken.placement_wanted;
         if taken.nothing_left_here {
             let id = job.spec().id.clone();
@@ -208,24 +208,13 @@
 
     /// Puts a task that is surely on no machine back into the queue.
     pub fn requeue(&mut self, task: &TaskId, attempt: u64) {
-        let barrier = self.recovery_complete;
+        let holder = Holder {
+            partition: &self.name,
+            term: self.term,
+            recovery_complete: self.recovery_complete,
+        };
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        if job.assignments.get(&task.index).is_none_or(|p| p.attempt != attempt) {
-            return;
-        }
-        job.assignments.remove(&task.index);
-        let owned = job.record.owned_by(&self.name);
-        if owned.contains(task.index) && !job.finished.contains(task.index) {
-            // Seen to have ended here, but before the barrier opens another machine could still
-            // hold an attempt of an earlier leader.
-            let fresh = job.record.entered_under(&self.name, self.term).contains(task.index);
-            if barrier || fresh {
-                job.ready.insert(task.index);
-            } else {
-                job.awaiting_recovery.insert(task.index);
-            }
-            self.placement_wanted = true;
-        }
+        self.placement_wanted |= job.requeue(task.index, attempt, holder);
     }
 
     /// Takes up the machine types, or newer ones.
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -9,7 +9,7 @@
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Micros, Ranges, SECOND};
 
-use crate::calls::{JobWrite, JobWriteAction, PendingStoreCall};
+use crate::calls::{JobWrite, JobWriteAction, PageWrite, PendingStoreCall};
 use crate::jobs::pages::{PageRow, WriteLimits, affordable_pages};
 use crate::jobs::records::{
     self, DueWrite, PlannedWrite, WriteOutcome, active_job_key, terminal_job_key,
@@ -138,12 +138,11 @@
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let (term, leader) = (partition.term, partition.txn());
         let Some(job) = partition.jobs.get_mut(id) else { return };
-        let Some((txn, planned)) = records::plan_write(leader, job, &self.pages, paging, room)
-        else {
+        let Some(planned) = records::plan_write(leader, job, &self.pages, paging, room) else {
             return job.postpone_write(now + 2 * pause);
         };
         job.begin_write(now + pause);
-        let PlannedWrite { action, recorded, pages } = planned;
+        let PlannedWrite { txn, action, recorded, pages } = planned;
         self.write_budget.spend(pages.len());
         let write = JobWrite {
             partition: name.to_owned(),
@@ -167,7 +166,7 @@
             if action != JobWriteAction::PagesOnly {
                 self.mod_revisions.saw(&id, mod_revision);
             }
-            for (number, finished) in pages {
+            for PageWrite { number, finished } in pages {
                 self.record_page(&id, number, finished, mod_revision);
             }
         }
