--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -43,7 +43,7 @@
     /// May be placed at once.
     pub ready: Ranges,
     /// May have been started by an earlier leader; waits for the recovery barrier.
-    pub awaiting_recovery: Ranges,
+    awaiting_recovery: Ranges,
     /// Cut off for a thief, the move not committed yet.
     moving: Ranges,
     /// On a machine, or possibly so.
@@ -208,8 +208,33 @@
         self.ready.add(&held);
     }
 
-    /// Notes that a task of this partition is done; it counts once the record says so.
-    pub fn finish(&mut self, index: u32, now: Micros) {
+    /// Gives a ready task to a machine.
+    pub fn assign(&mut self, index: u32, machine: &str, attempt: u64) {
+        self.ready.remove(index);
+        self.assignments.insert(index, Assignment { machine: machine.to_owned(), attempt });
+    }
+
+    /// Takes up an attempt that a machine reports and nobody here knows of, if its task is the
+    /// partition's, and neither finished nor on a machine nor moving. Whether it was taken up.
+    pub fn adopt(&mut self, index: u32, machine: &str, attempt: u64, partition: &str) -> bool {
+        let free = self.record.owned_by(partition).contains(index)
+            && !self.assignments.contains_key(&index)
+            && !self.finished.contains(index)
+            && !self.moving.contains(index);
+        if free {
+            self.awaiting_recovery.remove(index);
+            self.assign(index, machine, attempt);
+        }
+        free
+    }
+
+    /// Notes that a task is done; if it is the partition's, it counts once the record says so.
+    pub fn finish(&mut self, index: u32, partition: &str, now: Micros) {
+        self.ready.remove(index);
+        self.awaiting_recovery.remove(index);
+        if !self.record.owned_by(partition).contains(index) {
+            return;
+        }
         self.succeeded += 1;
         self.finished.insert(index);
         if self.all_finished() {
--- a/crates/quartzlever-core/src/jobs/partition_job/moves.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/moves.rs
@@ -10,6 +10,7 @@
 
 impl PartitionJob {
     /// Whether a task is cut off for a thief.
+    #[cfg(test)]
     pub fn is_moving(&self, index: u32) -> bool {
         self.moving.contains(index)
     }
--- a/crates/quartzlever-core/src/jobs/partition_job/tests.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/tests.rs
@@ -107,7 +107,7 @@
     assert_eq!(job.next_record_step("one", NOW + 5), RecordStep::Wait, "nothing new");
     for index in 0..4 {
         job.ready.remove(index);
-        job.finish(index, NOW);
+        job.finish(index, "one", NOW);
     }
     assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteEnd, "the end waits for nothing");
     job.postpone_write(NOW + 9);
@@ -140,7 +140,7 @@
     let cut = job.ready.cut_last(1);
     job.begin_move(&cut);
     job.ready.remove(0);
-    job.finish(0, NOW);
+    job.finish(0, "one", NOW);
     job.take_page(0, &ranges("0-1,3"));
     assert_eq!(job.ready.to_string(), "2");
     assert!(job.finished.is_empty() && !job.is_moving(3));
@@ -163,7 +163,7 @@
         job.ready.remove(0);
         job.assignments.insert(0, Assignment { machine: "n-1".into(), attempt: 7 });
         if finished {
-            job.finish(0, NOW);
+            job.finish(0, "one", NOW);
         }
         let holder = Holder { partition: "one", term, recovery_complete };
         let name = format!("{ended} {finished} {recovery_complete} {term}");
@@ -181,3 +181,39 @@
     assert!(!job.requeue(0, 7, HOLDER), "another partition's by now");
     assert_eq!(job.ready.to_string(), "1-3");
 }
+
+/// A machine that a new leader hears of for the first time may run any task, or an old one again.
+#[test]
+fn a_reported_attempt_is_taken_up_only_if_its_task_is_free() {
+    let mut job = job("0-3");
+    let cut = job.ready.cut_last(1);
+    job.begin_move(&cut);
+    job.finish(0, "one", NOW);
+    job.assign(1, "n-1", 7);
+    for (index, partition, taken_up) in [
+        (0, "one", false),
+        (1, "one", false),
+        (2, "two", false),
+        (3, "one", false),
+        (2, "one", true),
+        (2, "one", false),
+    ] {
+        assert_eq!(job.adopt(index, "n-2", 8, partition), taken_up, "{index} {partition}");
+    }
+    assert!(job.ready.is_empty() && job.is_moving(3));
+    let machines: Vec<&str> = job.assignments.values().map(|p| p.machine.as_str()).collect();
+    assert_eq!(machines, ["n-1", "n-2"]);
+}
+
+/// Another partition's task that ends here is theirs to record.
+#[test]
+fn only_own_tasks_count_as_finished() {
+    let mut job = job("0-1");
+    job.finish(2, "one", NOW);
+    assert!(job.finished.is_empty() && job.succeeded == 0);
+    job.finish(1, "one", NOW);
+    assert_eq!(
+        (job.finished.to_string(), job.succeeded, job.ready.to_string()),
+        ("1".into(), 1, "0".into())
+    );
+}
--- a/crates/quartzlever-core/src/jobs/records/tests.rs
+++ b/crates/quartzlever-core/src/jobs/records/tests.rs
@@ -58,7 +58,7 @@
         let mut job = partition_job(id, "0-3");
         for index in 0..finished {
             job.ready.remove(index);
-            job.finish(index, NOW);
+            job.finish(index, "one", NOW);
         }
         job.postpone_write(since);
         job
@@ -97,7 +97,7 @@
         let mut job = partition_job("req-1", "0-3");
         for index in 0..finished {
             job.ready.remove(index);
-            job.finish(index, NOW);
+            job.finish(index, "one", NOW);
         }
         let leader = Txn::default().when("parts/one", 5);
         let planned = plan_write(leader, &job, &Pages::default(), paging, room);
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -9,7 +9,6 @@
 use quartzlever_wire::{Micros, micros_from_secs};
 
 use crate::config::Config;
-use crate::jobs::partition_job::Assignment;
 use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
 use crate::machines::attempt_outcomes::EndedAttempt;
 use crate::machines::machine::Machine;
@@ -220,16 +219,9 @@
             slot.describe(&job.record.job);
             self.attempted.entry(seen.task.job.clone()).or_default().insert(host.to_owned());
             let index = seen.task.index;
-            let ours = job.record.owned_by(&self.name).contains(index);
-            let free =
-                ours && !job.assignments.contains_key(&index) && !job.finished.contains(index);
             let allowed = config.team(&job.record.job.team).is_some();
-            if free && !exited && allowed && !job.is_moving(index) {
+            if !exited && allowed && job.adopt(index, host, seen.attempt, &self.name) {
                 slot.wanted = true;
-                job.ready.remove(index);
-                job.awaiting_recovery.remove(index);
-                job.assignments
-                    .insert(index, Assignment { machine: host.to_owned(), attempt: seen.attempt });
             }
         }
         if let Some(machine) = self.machines.get_mut(host) {
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -188,8 +188,7 @@
     /// Notes that a task is done; it counts once the record says so.
     pub fn finish(&mut self, id: &str, index: u32, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.ready.remove(index);
-        job.awaiting_recovery.remove(index);
+        job.finish(index, &self.name, now);
         if let Some(place) = job.assignments.get(&index).cloned()
             && let Some(machine) = self.machines.get_mut(&place.machine)
             && let Some(slot) = machine.slots.get_mut(&AttemptKey {
@@ -201,9 +200,6 @@
             slot.wanted = slot.exited();
             self.urgent.insert(place.machine);
         }
-        if job.record.owned_by(&self.name).contains(index) {
-            job.finish(index, now);
-        }
     }
 
     /// Puts a task that is surely on no machine back into the queue.
--- a/crates/quartzlever-core/src/scheduling/placement.rs
+++ b/crates/quartzlever-core/src/scheduling/placement.rs
@@ -8,7 +8,7 @@
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
 use crate::config::{Config, ServiceLevelObjective};
-use crate::jobs::partition_job::{Assignment, PartitionJob};
+use crate::jobs::partition_job::PartitionJob;
 use crate::machines::attempt::{AttemptKey, Slot};
 use crate::machines::machine::PendingPreemption;
 use crate::machines::resources::Resources;
@@ -611,8 +611,7 @@
         else {
             return;
         };
-        job.ready.remove(index);
-        job.assignments.insert(index, Assignment { machine: host.to_owned(), attempt });
+        job.assign(index, host, attempt);
         let key = AttemptKey { task: TaskId { job: id.to_owned(), index }, attempt };
         let slot = Slot {
             can_wait_for_heartbeat: job.can_wait_for_heartbeat,
