--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -11,6 +11,7 @@
 use super::{MAX_MACHINES_PER_SCALE_IN, Offer, RETRY};
 use crate::calls::PendingCloudCall;
 use crate::config::Config;
+use crate::events::{LogEvent, ReturnedMachine};
 use crate::machines::machine::Machine;
 use crate::messages::LogLevel;
 use crate::partition::Partition;
@@ -71,12 +72,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ScaleInReason::Silent => "silent",
-            ScaleInReason::NotGone => "not gone",
-            ScaleInReason::IgnoresCommands => "deaf",
+            ScaleInReason::NotGone => "not_gone",
+            ScaleInReason::IgnoresCommands => "ignores_commands",
             ScaleInReason::Taken => "taken",
             ScaleInReason::Failed => "failed",
-            ScaleInReason::FailsTasks => "fails",
-            ScaleInReason::Slow => "crawls",
+            ScaleInReason::FailsTasks => "fails_tasks",
+            ScaleInReason::Slow => "slow",
             ScaleInReason::Idle => "idle",
         })
     }
@@ -250,15 +251,24 @@
         let late = partition.autoscaling.pending_instances.late_count_change(&types, now);
         let reasons = partition.begin_scale_in(&hosts);
         let partition = Some((name.to_owned(), partition.term));
-        if let Some((late, all)) = late {
-            self.outbox.log(LogLevel::Info, || {
-                format!("part {name}: {late} of {all} machines on their way are late")
+        if let Some((late, awaited)) = late {
+            self.outbox.log(LogLevel::Info, || LogEvent::MachinesLate {
+                partition: name.to_owned(),
+                late,
+                awaited,
             });
         }
         if hosts.is_empty() {
             return;
         }
-        self.outbox.log(LogLevel::Info, || format!("part {name}: returns {}", reasons.join(", ")));
+        self.outbox.log(LogLevel::Info, || {
+            let each = |(machine, reason): (&String, _)| ReturnedMachine {
+                machine: machine.clone(),
+                reason,
+            };
+            let machines = hosts.iter().zip(reasons).map(each).collect();
+            LogEvent::MachinesReturned { partition: name.to_owned(), machines }
+        });
         self.call_cloud(
             CloudCall::Return(hosts.clone()),
             PendingCloudCall::Return { partition, hosts },
@@ -353,17 +363,15 @@
         machines.map(|m| m.name.clone()).collect()
     }
 
-    /// Marks machines as being returned; gives each with its reason, for the log.
-    fn begin_scale_in(&mut self, hosts: &[String]) -> Vec<String> {
+    /// Marks machines as being returned; gives the reason of each for the log, none if it never came up.
+    fn begin_scale_in(&mut self, hosts: &[String]) -> Vec<Option<ScaleInReason>> {
         let mut reasons = Vec::new();
         for host in hosts {
             let machine = self.machines.get_mut(host);
-            let reason = machine.and_then(|machine| {
+            reasons.push(machine.and_then(|machine| {
                 machine.scaling_in = true;
                 machine.scale_in_reason
-            });
-            let reason = reason.map_or("never came up".to_owned(), |reason| reason.to_string());
-            reasons.push(format!("{host} ({reason})"));
+            }));
             self.refresh(host);
         }
         reasons
--- a/crates/quartzlever-core/src/autoscaling/scale_out.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_out.rs
@@ -11,6 +11,7 @@
 use super::{Offer, PendingInstance, PendingScaleOut, RETRY};
 use crate::calls::{PendingCloudCall, PendingPeerCall};
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::jobs::partition_job::PartitionJob;
 use crate::machines::machine::{Machine, Resources};
 use crate::messages::LogLevel;
@@ -286,9 +287,12 @@
         }
         let term = partition.term;
         for request in calls {
-            self.outbox.log(LogLevel::Info, || {
-                let ScaleOutRequest { machine_type, zone, spot, count, .. } = &request;
-                format!("part {name}: asks for {count} {machine_type} in {zone}, spot {spot}")
+            self.outbox.log(LogLevel::Info, || LogEvent::MachinesRequested {
+                partition: name.to_owned(),
+                machine_type: request.machine_type.clone(),
+                zone: request.zone.clone(),
+                spot: request.spot,
+                count: request.count,
             });
             let work = PendingCloudCall::ScaleOutRequest {
                 partition: name.to_owned(),
@@ -345,12 +349,15 @@
                 }
             }
             Ok(CloudReply::NoCapacity) => {
-                let what =
-                    format!("{} in {}, spot {}", request.machine_type, request.zone, request.spot);
+                self.outbox.log(LogLevel::Info, || LogEvent::NoCapacity {
+                    partition: name.to_owned(),
+                    machine_type: request.machine_type.clone(),
+                    zone: request.zone.clone(),
+                    spot: request.spot,
+                });
                 partition.autoscaling.scale_outs.remove(&request.name);
                 let offer = (request.machine_type, request.zone, request.spot);
                 partition.autoscaling.refused.insert(offer, now + REFUSAL_REMEMBERED_FOR);
-                self.outbox.log(LogLevel::Info, || format!("part {name}: no capacity for {what}"));
             }
             _ => {
                 if let Some(open) = partition.autoscaling.scale_outs.get_mut(&request.name) {
--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -12,6 +12,7 @@
 use rand::Rng;
 
 use crate::calls::{PendingPeerCall, PendingStoreCall};
+use crate::events::LogEvent;
 use crate::leadership::reachability::PEERS_TAKE_OVER_WITHIN;
 use crate::messages::{CallPriority, LogLevel};
 use crate::partition::Partition;
@@ -32,7 +33,10 @@
     pub(crate) fn lose_partition(&mut self, name: &str, term: u64) {
         if self.partitions.get(name).is_some_and(|p| p.term == term) {
             self.partitions.remove(name);
-            self.outbox.log(LogLevel::Info, || format!("part {name}: lost, term {term}"));
+            self.outbox.log(LogLevel::Info, || LogEvent::PartitionLost {
+                partition: name.to_owned(),
+                term,
+            });
         }
     }
 
@@ -165,7 +169,10 @@
         {
             return;
         }
-        self.outbox.log(LogLevel::Info, || format!("part {name}: held, term {term}"));
+        self.outbox.log(LogLevel::Info, || LogEvent::PartitionAcquired {
+            partition: name.to_owned(),
+            term,
+        });
         let mut partition = Partition::new(name, term, self.types.clone(), self.now);
         if self.evicting.remove(name) {
             partition.sole_leader_from = self.now + self.config.operator.lease_life;
@@ -231,7 +238,10 @@
         if !self.may_change_partition(name) {
             return;
         }
-        self.outbox.log(LogLevel::Info, || format!("part {name}: handed back"));
+        self.outbox.log(LogLevel::Info, || LogEvent::PartitionHandedBack {
+            partition: name.to_owned(),
+            term: mod_revision,
+        });
         let key = format!("{PARTITION_PREFIX}{name}");
         let txn = Txn::default().when(key.clone(), mod_revision).delete(key);
         self.write_budget.spend(1);
--- a/crates/quartzlever-core/src/leadership/connectivity.rs
+++ b/crates/quartzlever-core/src/leadership/connectivity.rs
@@ -9,6 +9,7 @@
 
 use crate::calls::PendingPeerCall;
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::messages::LogLevel;
 use crate::outbox::Outbox;
 
@@ -53,13 +54,11 @@
 
     /// The store has answered.
     pub fn store_replied(&mut self, now: Micros, outbox: &mut Outbox) {
-        let silent = now.saturating_sub(self.last_reply_at) / SECOND;
+        let duration = now.saturating_sub(self.last_reply_at);
         self.last_reply_at = now;
         self.isolated_at = None;
         if std::mem::take(&mut self.outage_logged) {
-            outbox.log(LogLevel::Info, || {
-                format!("the state service answers again, after {silent} s without an answer")
-            });
+            outbox.log(LogLevel::Info, || LogEvent::StoreReachable { duration });
         }
     }
 
@@ -67,9 +66,7 @@
     pub fn peer_reaches_store(&mut self, now: Micros, outbox: &mut Outbox) {
         // A late answer says nothing of the present.
         if self.outage_logged && self.isolated_at.replace(now).is_none() {
-            outbox.log(LogLevel::Info, || {
-                "the state service answers others and not this controller".into()
-            });
+            outbox.log(LogLevel::Info, || LogEvent::IsolatedFromStore);
         }
     }
 
@@ -80,10 +77,8 @@
         }
         self.peers_asked_at = now;
         if !std::mem::replace(&mut self.outage_logged, true) {
-            outbox.log(LogLevel::Info, || {
-                let silent = UNREACHABLE_AFTER / SECOND;
-                format!("the state service has not answered for {silent} s")
-            });
+            let duration = UNREACHABLE_AFTER;
+            outbox.log(LogLevel::Info, || LogEvent::StoreUnreachable { duration });
         }
         for node in config.nodes.iter().filter(|node| **node != config.node) {
             let request = PeerRequest::StoreConnectivity;
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -20,6 +20,7 @@
 use rand::seq::IteratorRandom;
 
 use crate::calls::{PendingPeerCall, PendingStoreCall, PendingWorkerCall};
+use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
 use crate::store::parse;
@@ -127,8 +128,9 @@
                 .map(|p| (p.name.clone(), p.term))
                 .collect();
             for (partition, term) in unreachable_partitions {
-                self.outbox.log(LogLevel::Info, || {
-                    format!("part {partition}: given up, peers hear its workers")
+                self.outbox.log(LogLevel::Info, || LogEvent::WorkersUnreachable {
+                    partition: partition.clone(),
+                    term,
                 });
                 self.reachability.machines_seen.remove(&partition);
                 self.reachability.lose(now);
@@ -230,7 +232,7 @@
     /// A machine was reached again.
     pub(crate) fn probed(&mut self, reached: bool) {
         if reached && self.reachability.lost.take().is_some() {
-            self.outbox.log(LogLevel::Info, || "workers are reached again".into());
+            self.outbox.log(LogLevel::Info, || LogEvent::WorkersReachable);
         }
     }
 }
--- a/crates/quartzlever-core/src/leadership/tests.rs
+++ b/crates/quartzlever-core/src/leadership/tests.rs
@@ -45,7 +45,9 @@
         let v = Json::of(&"no record");
         let log = vec![Event::Write { write: key.into(), v, mod_revision }];
         core.watched(1, NOW, Ok(StoreReply::Watched(WatchAnswer { revision: 12, log })));
-        let noted = core.outbox.take_effects().iter().any(|e| matches!(e, Effect::Log { .. }));
+        let noted = core.outbox.take_effects().iter().any(
+            |e| matches!(e, Effect::Log(LogEvent::UnreadableRecord { key: named }) if named == key),
+        );
         assert_eq!(noted, read, "{key} {mod_revision}");
         assert_eq!(core.cache.revision, 12, "{key} {mod_revision}");
         assert!(core.cache.active_jobs.contains_key("req-1"), "a job stays known");
@@ -110,9 +112,9 @@
         assert!(config.watch_hold() < config.view_bound() / 2, "{lease} {cancel}");
         let mut told = Core::new(config, 1, NOW);
         let effects = told.step(NOW, Vec::new());
-        let named = effects
-            .iter()
-            .any(|e| matches!(e, Effect::Log { text, .. } if text.contains("workers.cancel_s")));
+        let (cancel, lease) = (cancel * SECOND, lease * SECOND);
+        let event = LogEvent::CancelTooShortForLease { cancel, lease };
+        let named = effects.iter().any(|e| matches!(e, Effect::Log(told) if *told == event));
         assert_eq!(named, !meets, "{lease} {cancel}");
     }
 }
--- a/crates/quartzlever-core/src/lib.rs
+++ b/crates/quartzlever-core/src/lib.rs
@@ -4,6 +4,7 @@
 //! [`Command`]s and returns [`Effect`]s; every reply to an effect comes back as a command.
 //! The same commands at the same times give the same effects.
 //!
+//! - [`events`]: what the log tells an operator.
 //! - `outbox`, `calls`: everything that leaves, and the calls that wait for a reply.
 //! - `router`: hands each command to the component that owns the state, and collects the effects.
 //! - `leadership`: the lease, which partitions this process leads, takeover and hand-back, reachability.
@@ -19,6 +20,7 @@
 pub mod autoscaling;
 mod calls;
 mod config;
+pub mod events;
 pub mod jobs;
 mod leadership;
 pub mod machines;
@@ -34,6 +36,7 @@
 mod upgrade;
 
 pub use config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
+pub use events::LogEvent;
 pub use leadership::awaited::Awaited;
 pub use messages::{Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId};
 pub use router::Core;
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -9,6 +9,7 @@
 
 use crate::calls::PendingWorkerCall;
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::jobs::partition_job::{Assignment, PartitionJob, yields};
 use crate::machines::failures::MachineFailures;
 use crate::machines::machine::{DirectCommand, Machine, Resources, Slot, SlotKey};
@@ -633,7 +634,7 @@
             class: slot.class.clone(),
             expect: slot.expect,
         };
-        self.attempt_ended(run_times, &ended, now);
+        self.attempt_ended(config, run_times, &ended, now);
     }
 
     /// An attempt is reported to run.
@@ -644,14 +645,16 @@
         if slot.running_since.is_none() {
             slot.running_since = Some(now);
             if config.log_level >= LogLevel::Debug {
-                let placed = (now - slot.since) / 1000;
-                let since = self.jobs.get(&task.job).map_or(0, |j| (now - j.since) / 1000);
-                let line = format!(
-                    "{task} of {} runs on {host}, {placed} ms after its placement, {since} ms \
-                     after its submission",
-                    slot.class
-                );
-                self.log_events.push((LogLevel::Debug, line));
+                let submitted = self.jobs.get(&task.job).map_or(now, |job| job.since);
+                self.log_events.push(LogEvent::TaskRunning {
+                    partition: self.name.clone(),
+                    job: task.job.clone(),
+                    task: task.index,
+                    machine: host.to_owned(),
+                    class: slot.class.clone(),
+                    since_placement: now - slot.since,
+                    since_submission: now - submitted,
+                });
             }
         }
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| j.service()) {
@@ -665,7 +668,13 @@
         }
     }
 
-    fn attempt_ended(&mut self, run_times: &mut RunTimes, ended: &EndedAttempt, now: Micros) {
+    fn attempt_ended(
+        &mut self,
+        config: &Config,
+        run_times: &mut RunTimes,
+        ended: &EndedAttempt,
+        now: Micros,
+    ) {
         let seen = ended.seen;
         let job = self.jobs.get_mut(&seen.task.job);
         if let Some(job) = job.filter(|job| job.service())
@@ -678,7 +687,9 @@
         match seen.cause {
             Some(Cause::Done) => return self.task_done(run_times, ended, now),
             Some(Cause::Halted) => {}
-            Some(Cause::Error) | Some(Cause::Other) | None => self.attempt_failed(ended, now),
+            Some(Cause::Error) | Some(Cause::Other) | None => {
+                self.attempt_failed(config, ended, now)
+            }
             Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
                 if let Some(job) = self.jobs.get_mut(&seen.task.job) {
                     job.no_start_before = now + SECOND;
@@ -713,7 +724,7 @@
         }
     }
 
-    fn attempt_failed(&mut self, ended: &EndedAttempt, now: Micros) {
+    fn attempt_failed(&mut self, config: &Config, ended: &EndedAttempt, now: Micros) {
         let id = &ended.seen.task.job;
         let Some(job) = self.jobs.get_mut(id) else { return };
         let was_mistaken = job.fails_everywhere();
@@ -723,11 +734,10 @@
             // A mistaken job fails everywhere: it must not hammer the machines.
             job.no_start_before = now + job.failures.pause();
         }
-        if job.fails_everywhere() && !was_mistaken {
-            let line = format!(
-                "{id} fails on every machine that it is tried on; it is tried with a task at a time"
-            );
-            self.log_events.push((LogLevel::Info, line));
+        let is_news = job.fails_everywhere() && !was_mistaken;
+        if is_news && config.log_level >= LogLevel::Info {
+            let (partition, job) = (self.name.clone(), id.clone());
+            self.log_events.push(LogEvent::JobFailsEverywhere { partition, job });
         }
         if let Some(machine) = self.machines.get_mut(ended.host) {
             machine.failures.note(id, runs_well, several, now);
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -23,6 +23,7 @@
 use serde::Serialize;
 
 use crate::calls::PendingStoreCall;
+use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel, RequestId};
 use crate::router::Core;
 use crate::store::write_budget::WriteKind;
@@ -510,8 +511,7 @@
     /// known before has been claimed since.
     pub(crate) fn apply_group_row(&mut self, row: &Row, is_change: bool) {
         let Some(hosts) = machine_records_in(&row.path, &row.v) else {
-            let path = row.path.clone();
-            return self.outbox.log(LogLevel::Error, || format!("unreadable record: {path}"));
+            return self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
         };
         if is_change {
             self.apply_group_change(&row.path, hosts, row.mod_revision);
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -8,6 +8,8 @@
 use quartzlever_wire::{CallError, Micros};
 use serde::Serialize;
 
+use crate::events::LogEvent;
+
 /// Names a request from outside that waits for its answer.
 pub type RequestId = u64;
 
@@ -135,11 +137,8 @@
         retry_after_s: Option<u32>,
         until: Option<Micros>,
     },
-    /// A line for the log.
-    Log {
-        log_level: LogLevel,
-        text: String,
-    },
+    /// An event for the log.
+    Log(LogEvent),
     AnswerPeer {
         id: RequestId,
         answer: PeerAnswer,
--- a/crates/quartzlever-core/src/outbox.rs
+++ b/crates/quartzlever-core/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Everything that leaves the core: calls with what their replies belong to, answers, and lines for the log.
+//! Everything that leaves the core: calls with what their replies belong to, answers, and events for the log.
 //!
 //! No other component makes effects. The outbox decides nothing.
 
@@ -13,6 +13,7 @@
 use crate::calls::{
     PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall, TransactionSize,
 };
+use crate::events::{LogEvent, RejectionCount};
 use crate::messages::{Answer, CallId, CallPriority, Effect, LogLevel, RequestId};
 
 /// How often the log says what was rejected.
@@ -37,7 +38,7 @@
 }
 
 impl Outbox {
-    /// An empty outbox; events beyond `log_level` are not even formatted.
+    /// An empty outbox; events beyond `log_level` are not even made.
     pub fn new(log_level: LogLevel, now: Micros) -> Self {
         Outbox {
             effects: Vec::new(),
@@ -152,11 +153,10 @@
         self.next_rejection_log_at = now + REJECTION_LOG_INTERVAL;
         let rejected = std::mem::take(&mut self.rejected);
         if !rejected.is_empty() {
-            let each: Vec<String> = rejected
-                .iter()
-                .map(|((status, reason), count)| format!("{status} {reason} ({count})"))
-                .collect();
-            self.log(LogLevel::Info, || format!("turned away lately: {}", each.join(", ")));
+            self.log(LogLevel::Info, || {
+                let each = |((status, reason), count)| RejectionCount { status, reason, count };
+                LogEvent::RequestsRejected { counts: rejected.into_iter().map(each).collect() }
+            });
         }
     }
 
@@ -166,10 +166,12 @@
         self.log_level = log_level;
     }
 
-    /// Leaves a line in the log, if its level is on.
-    pub fn log(&mut self, log_level: LogLevel, text: impl FnOnce() -> String) {
+    /// Leaves an event in the log, if its level is on; it is made only then. `log_level` is the event's own.
+    pub fn log(&mut self, log_level: LogLevel, event: impl FnOnce() -> LogEvent) {
         if log_level <= self.log_level {
-            self.effects.push(Effect::Log { log_level, text: text() });
+            let event = event();
+            debug_assert_eq!(event.level(), log_level, "{event:?}");
+            self.effects.push(Effect::Log(event));
         }
     }
 
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -15,9 +15,9 @@
 
 use crate::autoscaling::Fleet;
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::jobs::partition_job::{PartitionJob, RecordHolder};
 use crate::machines::machine::{Machine, Resources, Slot, SlotKey};
-use crate::messages::LogLevel;
 use crate::scheduling::free_capacity_index::FreeCapacityIndex;
 
 /// Records by name, each in a place of its own: looking one up reads little memory, and where three
@@ -46,8 +46,8 @@
     pub recovery_complete: bool,
     attempts: u64,
     pub autoscaling: Fleet,
-    /// Lines for the log, taken up with the next decisions.
-    pub log_events: Vec<(LogLevel, String)>,
+    /// Events for the log, taken up with the next decisions.
+    pub log_events: Vec<LogEvent>,
     pub types: Option<Types>,
     /// Machines that have, or had, attempts of a job: the end of each job was looked for on every
     /// machine, a fourth of all work with 2,000 of them.
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -15,7 +15,8 @@
 use rand::rngs::SmallRng;
 
 use crate::calls::{PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall};
-use crate::config::Config;
+use crate::config::{Config, WorkerTimes};
+use crate::events::LogEvent;
 use crate::jobs::pages::Pages;
 use crate::jobs::user_requests::UserRequests;
 use crate::leadership::connectivity::StoreConnectivity;
@@ -142,11 +143,8 @@
             config,
         };
         if !core.config.leases_meet_cancel() {
-            core.outbox.log(LogLevel::Error, || {
-                "workers.cancel_s is too short for workers.lease_s: what cannot be reached is not \
-                 gone in time by its lease alone"
-                    .into()
-            });
+            let WorkerTimes { cancel, lease, .. } = core.config.workers;
+            core.outbox.log(LogLevel::Error, || LogEvent::CancelTooShortForLease { cancel, lease });
         }
         core
     }
@@ -363,8 +361,11 @@
         if let Some(partition) = self.partitions.get_mut(name)
             && partition.try_complete_recovery()
         {
-            let after = (self.now - partition.acquired) / 1000;
-            self.outbox.log(LogLevel::Info, || format!("part {name}: recovered after {after} ms"));
+            let duration = self.now - partition.acquired;
+            self.outbox.log(LogLevel::Info, || LogEvent::RecoveryCompleted {
+                partition: name.to_owned(),
+                duration,
+            });
         }
     }
 
@@ -383,9 +384,9 @@
                 }
             }
             self.complete_recovery(name);
-            let lines = self.partitions.get_mut(name).map(|p| std::mem::take(&mut p.log_events));
-            for (log_level, line) in lines.into_iter().flatten() {
-                self.outbox.log(log_level, || format!("part {name}: {line}"));
+            let events = self.partitions.get_mut(name).map(|p| std::mem::take(&mut p.log_events));
+            for event in events.into_iter().flatten() {
+                self.outbox.log(event.level(), || event);
             }
             if self.may_act() {
                 self.place(name);
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -10,6 +10,7 @@
 use quartzlever_wire::{CallError, Micros, Ranges, SECOND};
 
 use crate::calls::{JobWrite, JobWriteAction, PendingStoreCall};
+use crate::events::LogEvent;
 use crate::jobs::pages::{PageRow, WriteLimits, affordable_pages};
 use crate::jobs::records::{
     self, DueWrite, PlannedWrite, WriteOutcome, active_job_key, terminal_job_key,
@@ -64,7 +65,7 @@
         match PageRow::read(row) {
             PageRow::NoPage => {}
             PageRow::Unreadable => {
-                self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+                self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
             }
             PageRow::Page { job, number, finished } => {
                 self.record_page(job, number, finished, row.mod_revision);
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -3,6 +3,7 @@
 use quartzlever_wire::store::StoreReply;
 use quartzlever_wire::{CallError, Micros};
 
+use crate::events::LogEvent;
 use crate::leadership::authority::Authority;
 use crate::leadership::lease::LeaseOutcome;
 use crate::messages::LogLevel;
@@ -60,7 +61,8 @@
             LeaseOutcome::Ended => {
                 // The lease is gone, and with it the announcement and every partition.
                 self.cluster.forget_node(&self.config.node);
-                self.outbox.log(LogLevel::Info, || "lease lost, and all parts with it".into());
+                let partitions = self.partitions.len();
+                self.outbox.log(LogLevel::Info, || LogEvent::LeaseLost { partitions });
                 self.partitions.clear();
             }
         }
--- a/crates/quartzlever-core/src/router/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -50,15 +50,15 @@
     }
 }
 
-/// Lines for the log among effects.
-fn lines(effects: &[Effect]) -> Vec<&str> {
-    fn line(effect: &Effect) -> Option<&str> {
+/// Events for the log among effects.
+fn events(effects: &[Effect]) -> Vec<&LogEvent> {
+    fn event(effect: &Effect) -> Option<&LogEvent> {
         match effect {
-            Effect::Log { text, .. } => Some(text),
+            Effect::Log(event) => Some(event),
             _ => None,
         }
     }
-    effects.iter().filter_map(line).collect()
+    effects.iter().filter_map(event).collect()
 }
 
 /// The log tells once that the store is out of reach, whether it is for others as well, and once that it is
@@ -70,9 +70,9 @@
     core.outbox.set_log_level(LogLevel::Info);
     core.cache.loaded = true;
     core.store_connectivity = StoreConnectivity::new(NOW);
-    assert!(lines(&core.step(NOW + 3 * SECOND, Vec::new())).is_empty());
+    assert!(events(&core.step(NOW + 3 * SECOND, Vec::new())).is_empty());
     let effects = core.step(NOW + 5 * SECOND, Vec::new());
-    assert_eq!(lines(&effects), ["the state service has not answered for 4 s"]);
+    assert_eq!(events(&effects), [&LogEvent::StoreUnreachable { duration: 4 * SECOND }]);
     let call_id = effects.iter().find_map(|effect| match effect {
         Effect::Peer { call_id, request: PeerRequest::StoreConnectivity, .. } => Some(*call_id),
         _ => None,
@@ -82,9 +82,9 @@
         vec![Command::PeerReply { call_id, result }]
     };
     let effects = core.step(NOW + 5 * SECOND, reached(call_id.expect("a peer is asked")));
-    assert_eq!(lines(&effects), ["the state service answers others and not this controller"]);
+    assert_eq!(events(&effects), [&LogEvent::IsolatedFromStore]);
     let effects = core.step(NOW + 7 * SECOND, Vec::new());
-    assert!(lines(&effects).is_empty(), "once");
+    assert!(events(&effects).is_empty(), "once");
     let late = effects.iter().find_map(|effect| match effect {
         Effect::Peer { call_id, request: PeerRequest::StoreConnectivity, .. } => Some(*call_id),
         _ => None,
@@ -92,8 +92,8 @@
     let call_id = ignored_store_call(&mut core);
     let answer = Command::StoreReply { call_id, result: Ok(StoreReply::Renewed) };
     let effects = core.step(NOW + 9 * SECOND, vec![answer]);
-    let back = "the state service answers again, after 9 s without an answer";
-    assert!(lines(&effects).contains(&back), "{:?}", lines(&effects));
+    let back = LogEvent::StoreReachable { duration: 9 * SECOND };
+    assert!(events(&effects).contains(&&back), "{:?}", events(&effects));
     core.step(NOW + 9 * SECOND, reached(late.expect("a peer is asked again")));
     assert!(!core.store_connectivity.is_isolated(core.now), "a late word");
 }
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -10,6 +10,7 @@
 use quartzlever_wire::users::{JobPhase, JobSpec, JobView};
 
 use crate::calls::{PendingPeerCall, PendingStoreCall, Purpose};
+use crate::events::LogEvent;
 use crate::jobs::cancellation::{self, CancelOutcome, cancelled};
 use crate::jobs::feasibility::feasibility;
 use crate::jobs::lookups;
@@ -152,7 +153,7 @@
     fn answer_active_job(&mut self, purpose: Purpose, row: &Row) {
         let record = parse::<ActiveJobRecord>(row);
         if record.is_none() {
-            self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+            self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
         }
         match purpose {
             Purpose::Submit { id, job, .. } => {
@@ -186,7 +187,7 @@
             Ok(StoreReply::Row(Some(row))) => {
                 let over = parse::<TerminalJobRecord>(&row);
                 if over.is_none() {
-                    self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+                    self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
                 }
                 over
             }
--- a/crates/quartzlever-core/src/router/user_requests/tests.rs
+++ b/crates/quartzlever-core/src/router/user_requests/tests.rs
@@ -126,7 +126,10 @@
                         batch.push(Command::StoreReply { call_id, result: Ok(reply) });
                     }
                     Effect::Answer { id: 9, status, .. } => answer = Some(status),
-                    Effect::Log { text, .. } => logged |= text.contains("unreadable record"),
+                    Effect::Log(LogEvent::UnreadableRecord { key }) => {
+                        let record = if over { "over" } else { "live" };
+                        logged |= key == format!("{record}/{}", job());
+                    }
                     _ => {}
                 }
             }
--- a/crates/quartzlever-core/src/scheduling/placement.rs
+++ b/crates/quartzlever-core/src/scheduling/placement.rs
@@ -8,6 +8,7 @@
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
 use crate::config::{Config, ServiceLevelObjective};
+use crate::events::LogEvent;
 use crate::jobs::partition_job::{Assignment, PartitionJob};
 use crate::machines::machine::{PendingPreemption, Resources, Slot, SlotKey};
 use crate::messages::LogLevel;
@@ -339,8 +340,12 @@
             // Only what should start by now has others look for room elsewhere.
             partition.saturated |= stopped.lacking > 0 && victims == Victims::Any;
             for (machine, count) in stopped.on {
-                let text = format!("part {name}: stops {count} on {machine} for {id}");
-                self.outbox.log(LogLevel::Info, || text);
+                self.outbox.log(LogLevel::Info, || LogEvent::TasksPreempted {
+                    partition: name.to_owned(),
+                    machine,
+                    job: id.clone(),
+                    count,
+                });
             }
         }
     }
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -11,6 +11,7 @@
 
 use crate::calls::{Move, PendingPeerCall, PendingStoreCall};
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::jobs::partition_job::PartitionJob;
 use crate::jobs::records::active_job_key;
 use crate::machines::machine::{Resources, Slot};
@@ -600,8 +601,10 @@
             self.reconcile_job(record, mod_revision);
             jobs.push((id, mod_revision, text));
         }
-        let count = jobs.len();
-        self.outbox.log(LogLevel::Info, || format!("part {name}: tasks of {count} jobs stolen"));
+        self.outbox.log(LogLevel::Info, || LogEvent::TasksStolen {
+            partition: name.to_owned(),
+            jobs: jobs.len(),
+        });
         match request {
             Some(id) => {
                 let answer = PeerAnswer::Stolen { jobs };
--- a/crates/quartzlever-core/src/store/limits.rs
+++ b/crates/quartzlever-core/src/store/limits.rs
@@ -9,6 +9,7 @@
 
 use crate::calls::TransactionSize;
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::messages::LogLevel;
 use crate::outbox::Outbox;
 use crate::store::write_budget::WriteBudget;
@@ -66,16 +67,17 @@
                 let is_lower = self.lower(size);
                 // Once for each limit that is learned.
                 outbox.log(if is_lower { LogLevel::Error } else { LogLevel::Debug }, || {
-                    let TransactionSize { value, ops } = size;
-                    let StoreLimits { value_bytes, txn_ops, .. } = *self;
-                    format!(
-                        "the state service takes no transaction of {ops} changes with a value of \
-                         {value} bytes: from now on {txn_ops} and {value_bytes}"
-                    )
+                    LogEvent::TransactionTooLarge {
+                        changes: size.ops,
+                        value_bytes: size.value,
+                        changes_limit: self.txn_ops,
+                        value_bytes_limit: self.value_bytes,
+                        lowered: is_lower,
+                    }
                 });
             }
             Err(CallError::TooOften) if write_budget.throttle(now) => {
-                outbox.log(LogLevel::Error, || "the state service allows fewer changes".into());
+                outbox.log(LogLevel::Error, || LogEvent::StoreThrottled);
             }
             _ => {}
         }
--- a/crates/quartzlever-core/src/store/limits/tests.rs
+++ b/crates/quartzlever-core/src/store/limits/tests.rs
@@ -1,12 +1,22 @@
 //! What is learned from refused transactions.
 
 use super::*;
+use crate::messages::Effect;
 use crate::testing::{NOW, config};
 
 fn limits(value_bytes: usize, txn_ops: usize) -> StoreLimits {
     StoreLimits::new(&Config { value_bytes, txn_ops, ..config() })
 }
 
+/// The effects, all of which are events for the log.
+fn events(effects: Vec<Effect>) -> Vec<LogEvent> {
+    let event = |effect| match effect {
+        Effect::Log(event) => event,
+        other => panic!("{other:?}"),
+    };
+    effects.into_iter().map(event).collect()
+}
+
 /// Each refusal shows that both the largest value and the number of changes may be too high; neither
 /// sinks below what the end of a job takes.
 #[test]
@@ -28,8 +38,15 @@
         assert_eq!(limits.learned_value_bytes(), learned, "{size:?}");
         assert_eq!(limits.txn_ops(), txn_ops, "{size:?}");
         // A second refusal of the same size is no news.
-        let lines = usize::from(value_bytes < 8_000 || txn_ops < 40);
-        assert_eq!(outbox.take_effects().len(), lines, "{size:?}");
+        let event = LogEvent::TransactionTooLarge {
+            changes: ops,
+            value_bytes: value,
+            changes_limit: txn_ops,
+            value_bytes_limit: value_bytes,
+            lowered: true,
+        };
+        let expected = (value_bytes < 8_000 || txn_ops < 40).then_some(event);
+        assert_eq!(events(outbox.take_effects()), Vec::from_iter(expected), "{size:?}");
         limits.learn(NOW, size, &Ok(StoreReply::TooLarge), &mut write_budget, &mut outbox);
         assert!(outbox.take_effects().is_empty(), "{size:?}");
     }
@@ -53,7 +70,8 @@
         let known = (limits.value_bytes(), limits.txn_ops(), limits.learned_value_bytes());
         assert_eq!(known, (8_000, 40, usize::MAX), "{result:?}");
         // A transaction that came too often makes all changes slower instead.
-        let is_throttled = !outbox.take_effects().is_empty();
-        assert_eq!(is_throttled, matches!(result, Err(CallError::TooOften)), "{result:?}");
+        let is_throttled = matches!(result, Err(CallError::TooOften));
+        let expected = is_throttled.then_some(LogEvent::StoreThrottled);
+        assert_eq!(events(outbox.take_effects()), Vec::from_iter(expected), "{result:?}");
     }
 }
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -9,6 +9,7 @@
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::{PendingStoreCall, Section};
+use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
 use crate::store::cache::Cache;
@@ -128,15 +129,16 @@
         let is_lost = |name: &str, term: u64| {
             term <= revision && keys.get(name).is_none_or(|(_, mod_revision)| *mod_revision != term)
         };
-        let lost: Vec<String> = self
+        let lost: Vec<(String, u64)> = self
             .partitions
             .values()
             .filter(|partition| is_lost(&partition.name, partition.term))
-            .map(|partition| partition.name.clone())
+            .map(|partition| (partition.name.clone(), partition.term))
             .collect();
-        for name in lost {
-            self.partitions.remove(&name);
-            self.outbox.log(LogLevel::Info, || format!("part {name}: lost unnoticed"));
+        for (partition, term) in lost {
+            self.partitions.remove(&partition);
+            self.outbox
+                .log(LogLevel::Info, || LogEvent::PartitionLostUnnoticed { partition, term });
         }
     }
 
--- a/crates/quartzlever-core/src/store/watch.rs
+++ b/crates/quartzlever-core/src/store/watch.rs
@@ -9,6 +9,7 @@
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::PendingStoreCall;
+use crate::events::LogEvent;
 use crate::machines::ownership::is_machine_key;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
@@ -181,7 +182,7 @@
                 if let Some(id) = row.path.strip_prefix(ACTIVE_JOB_PREFIX) {
                     self.cache.unreadable_jobs.insert(id.to_owned());
                 }
-                self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+                self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
             }
         }
     }
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -3,6 +3,7 @@
 pub(crate) use crate::autoscaling::PendingInstance;
 pub(crate) use crate::calls::{JobWrite, JobWriteAction, Move, PendingStoreCall, Section};
 pub(crate) use crate::config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
+pub(crate) use crate::events::LogEvent;
 pub(crate) use crate::leadership::lease::Lease;
 pub(crate) use crate::messages::{
     Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId,
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -13,6 +13,7 @@
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
 use crate::calls::{ClusterWrite, PendingStoreCall};
+use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
 use crate::store::parse;
@@ -251,25 +252,19 @@
         if row.path == CLUSTER_VERSION_KEY {
             match parse::<ClusterRecord>(row) {
                 Some(record) => self.cluster_raised(record.version),
-                None => self
-                    .outbox
-                    .log(LogLevel::Error, || format!("unreadable record: {CLUSTER_VERSION_KEY}")),
+                None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path)),
             }
         } else if row.path == GROUP_SIZE_KEY {
             match parse::<GroupSizeRecord>(row) {
                 Some(record) if record.size > 0 => {
                     self.cluster.group_size = Some((record.size, row.mod_revision));
                 }
-                _ => self
-                    .outbox
-                    .log(LogLevel::Error, || format!("unreadable record: {GROUP_SIZE_KEY}")),
+                _ => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path)),
             }
         } else if let Some(node) = row.path.strip_prefix(NODE_VERSION_PREFIX) {
             match parse::<NodeRecord>(row) {
                 Some(record) => self.cluster.insert_node(node, record, row.mod_revision),
-                None => {
-                    self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path))
-                }
+                None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path)),
             }
         }
     }
@@ -294,9 +289,7 @@
             if self.cluster.upgrading {
                 self.cluster.services_expected_until = self.now + SERVICES_EXPECTED;
             }
-            self.outbox.log(LogLevel::Info, || {
-                format!("cluster version {version}: all controllers know it")
-            });
+            self.outbox.log(LogLevel::Info, || LogEvent::ClusterVersionRaised { version });
         }
     }
 }
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -398,7 +398,7 @@
                 self.answers.insert(id, (status, body));
             }
             Effect::Terminate { why } => self.ended = Some(why),
-            Effect::Log { .. } | Effect::RateShare(_) => {}
+            Effect::Log(_) | Effect::RateShare(_) => {}
         }
     }
 }
--- a/crates/quartzlever-core/tests/simulation/sim/digest.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/digest.rs
@@ -52,7 +52,7 @@
             return;
         }
         for effect in effects {
-            if matches!(effect, Effect::Log { .. }) {
+            if matches!(effect, Effect::Log(_)) {
                 continue;
             }
             self.effects += 1;
@@ -141,7 +141,7 @@
                 self.optional_number(retry_after_s.map(u64::from));
                 self.optional_number(*until);
             }
-            Effect::Log { .. } => {}
+            Effect::Log(_) => {}
             Effect::AnswerPeer { id, answer } => {
                 self.number(2);
                 self.number(*id);
@@ -257,8 +257,7 @@
 fn a_digest_tells_order_content_and_time_apart_and_passes_over_notes() {
     let share = |share: f64| Effect::RateShare(share);
     let end = |why: &str| Effect::Terminate { why: why.to_owned() };
-    let note =
-        || Effect::Log { log_level: quartzlever_core::LogLevel::Info, text: "a line".into() };
+    let note = || Effect::Log(quartzlever_core::LogEvent::WorkersReachable);
     let digest = |node: usize, now: Micros, effects: &[Effect]| {
         let hash = Fnv::default();
         // Nothing is written: the folder is taken away again before the drop.
--- a/crates/quartzlever-wire/src/lib.rs
+++ b/crates/quartzlever-wire/src/lib.rs
@@ -5,11 +5,14 @@
 //! incarnation, term, lease); the names on the wire and in the store are given by serde
 //! attributes, and keys by the constants in [`store`] and [`pages`].
 //!
+//! [`fields`] is the form of log lines, in which all crates write theirs.
+//!
 //! Fields that end in `_s` are seconds, those in `_ms` milliseconds and those in `_gb` gigabytes.
 
 #![deny(missing_docs)]
 
 pub mod cloud;
+pub mod fields;
 pub mod json;
 pub mod pages;
 pub mod peers;
--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -3,7 +3,7 @@
 //! Modules use each other in one direction only. From the lowest to the highest, each uses only those
 //! before it:
 //!
-//! 1. `clock`, `exit_status`, `random`, `thread_pool`: nothing of this program but `clock`.
+//! 1. `clock`, `exit_status`, `log`, `random`, `thread_pool`: nothing of this program but `clock`.
 //! 2. `settings`: what the program is told at its start.
 //! 3. `responder`: sockets and answers; `inbox`: the queues to the core's thread.
 //! 4. `server`: connections of users and workers.
@@ -14,6 +14,7 @@
 mod clock;
 mod exit_status;
 mod inbox;
+mod log;
 mod node;
 mod random;
 mod recovery;
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::time::Duration;
 
-use quartzlever_core::{Command, Core, Effect, LogLevel};
+use quartzlever_core::{Command, Core, Effect};
 use quartzlever_wire::Micros;
 
 use super::executors::Executors;
@@ -14,6 +14,7 @@
 use crate::clock::{Clock, wall};
 use crate::exit_status::UNKNOWN_VERSION;
 use crate::inbox::{InboxReceiver, Item, Reply, Waiter};
+use crate::log::log_event;
 use crate::responder::Status;
 use crate::server::Port;
 
@@ -175,11 +176,7 @@
                 executors.peers.submit(call_id, node, request)
             }
             Effect::RateShare(share) => executors.set_share(share),
-            Effect::Log { log_level, text } => match log_level {
-                LogLevel::Error => tracing::error!("{text}"),
-                LogLevel::Info => tracing::info!("{text}"),
-                LogLevel::Debug => tracing::debug!("{text}"),
-            },
+            Effect::Log(event) => log_event(event.level(), event.name(), &event),
         }
     }
 }
