--- a/crates/quartzlever-recovery/src/access.rs
+++ b/crates/quartzlever-recovery/src/access.rs
@@ -6,6 +6,8 @@
 use quartzlever_wire::store::{StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros};
 
+use crate::events::RebuildEvent;
+
 /// Store, clocks, log and random numbers of the process that runs a rebuild.
 pub trait StoreAccess {
     /// Makes one call to the store.
@@ -19,8 +21,8 @@
     fn wall(&mut self) -> Micros;
     /// Blocks for this many microseconds.
     fn pause(&mut self, span: Micros);
-    /// Writes one line to the operator's log.
-    fn note(&mut self, line: String);
+    /// Writes an event to the operator's log.
+    fn log(&mut self, event: RebuildEvent);
     /// A random number that no other attempt has drawn.
     fn draw(&mut self) -> u64;
 }
--- a/crates/quartzlever-recovery/src/lib.rs
+++ b/crates/quartzlever-recovery/src/lib.rs
@@ -9,6 +9,7 @@
 //! - [`generation`]: translation between the keys and revisions of a generation and those of the store.
 //! - [`guard`]: calls to the store whose answers are checked for a loss of data.
 //! - [`detection`]: what counts as a loss.
+//! - [`events`]: what a rebuild tells the log.
 //! - [`plan`]: which records a rebuild writes.
 //! - [`rebuild`]: the steps from the start of a process to an intact store.
 
@@ -16,6 +17,7 @@
 
 mod access;
 pub mod detection;
+pub mod events;
 pub mod format;
 pub mod generation;
 pub mod guard;
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -6,6 +6,7 @@
 use std::collections::BTreeMap;
 
 use quartzlever_wire::Json;
+use quartzlever_wire::fields::Fields;
 use quartzlever_wire::pages::{PAGES, page_of_key};
 use quartzlever_wire::store::{
     ACTIVE_JOB_PREFIX, Change, MACHINE_PREFIX, MACHINES_SEEN_PREFIX, NODE_VERSION_PREFIX,
@@ -158,6 +159,19 @@
     }
 }
 
+impl Summary {
+    /// Adds the counts to the fields of an event.
+    pub(crate) fn add_to<'a, 'b>(&self, fields: Fields<'a, 'b>) -> Fields<'a, 'b> {
+        fields
+            .field("active_jobs", self.active_jobs)
+            .field("ended_jobs", self.ended_jobs)
+            .field("machines", self.machines)
+            .field("restored", self.restored)
+            .field("only_in_store", self.only_in_store)
+            .field("superseded", self.superseded)
+    }
+}
+
 impl std::fmt::Display for Summary {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let Summary { active_jobs, ended_jobs, machines, restored, only_in_store, superseded } =
--- a/crates/quartzlever-recovery/src/rebuild/acceptance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/acceptance.rs
@@ -12,6 +12,7 @@
 use super::session::Session;
 use crate::access::StoreAccess;
 use crate::detection::{Loss, missing_records};
+use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
 use crate::identity::{IDENTITY, Observed, UNVERIFIED};
@@ -65,7 +66,7 @@
 ) -> Attempt<Progress> {
     let Reading { generation, mut picture, observed } = reading;
     if add_inherited(&mut picture, history, &generation, &observed) == TerminalJobs::Incomplete {
-        session.note_progress("waits until the others have written all final states".into());
+        session.log_progress(RebuildEvent::FinalStatesAwaited);
         return Ok(Progress::LookAgain);
     }
     if history.is_none() && *vouching == Vouching::NotRequested {
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -12,6 +12,7 @@
 use super::outcome::{Attempt, Interruption};
 use super::session::Session;
 use crate::access::StoreAccess;
+use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
 use crate::identity::{ABSENT, Observed};
@@ -39,12 +40,11 @@
         match session.access().call(&generation.to_store(call))? {
             StoreReply::Committed(_) => {}
             StoreReply::Conflict(_) => return Err(Interruption::Overtaken),
-            _ => session.access().note(format!("the state service takes no {call:?}")),
+            _ => session.access().log(RebuildEvent::ContributionRefused { call: call.clone() }),
         }
     }
     if !calls.is_empty() {
-        let count = calls.len();
-        session.access().note(format!("{count} jobs were known to this controller alone"));
+        session.access().log(RebuildEvent::JobsContributed { count: calls.len() });
         return Ok(Contribution::HandedIn);
     }
     remove_absence(session, observed)?;
--- a/crates/quartzlever-recovery/src/rebuild/election.rs
+++ b/crates/quartzlever-recovery/src/rebuild/election.rs
@@ -5,8 +5,6 @@
 //! records, and the lock decides where they disagree. Invariant: a candidate wins only while it holds the
 //! lock, with every informed candidate's last changes in the store.
 
-use std::fmt;
-
 use quartzlever_wire::store::Txn;
 use quartzlever_wire::{Json, Micros};
 
@@ -17,6 +15,7 @@
 use super::settings::RebuildSettings;
 use crate::access::StoreAccess;
 use crate::detection::Loss;
+use crate::events::RebuildEvent;
 use crate::history::History;
 use crate::identity::{CANDIDATES, Candidate, LOCK, Lock, Observed};
 use crate::picture::KeyChange;
@@ -30,15 +29,6 @@
     Lost(Loss),
 }
 
-impl fmt::Display for Cause {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Cause::FirstStart => out.write_str("the first start"),
-            Cause::Lost(loss) => loss.fmt(out),
-        }
-    }
-}
-
 /// The result of one step of a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Election {
@@ -118,21 +108,23 @@
             }
             Stage::Locking => lock(session, lease)?,
             Stage::Winning { lock_stamp } => return Ok(Election::Won { lock_stamp }),
-            Stage::Gathering { absent } => session.note_progress(format!(
-                "{cause}: waits for what the other controllers know: {}",
-                absent.join(", ")
-            )),
+            Stage::Gathering { absent } => {
+                let loss = match cause {
+                    Cause::FirstStart => None,
+                    Cause::Lost(loss) => Some(loss.clone()),
+                };
+                session
+                    .log_progress(RebuildEvent::ControllersAwaited { loss, controllers: absent });
+            }
             Stage::Following { best } => {
-                session.note_progress(format!("{best} has the latest records and rebuilds"));
+                session.log_progress(RebuildEvent::RebuildLeftTo { controller: best });
             }
             Stage::LockedOut { leader } => {
-                session
-                    .note_progress(format!("waits for the end of {leader}'s attempt to rebuild"));
+                session.log_progress(RebuildEvent::RebuildLockAwaited { controller: leader })
+            }
+            Stage::AwaitingExtras { from } => {
+                session.log_progress(RebuildEvent::LastChangesAwaited { controllers: from })
             }
-            Stage::AwaitingExtras { from } => session.note_progress(format!(
-                "waits for the last changes that {} knows",
-                from.join(", ")
-            )),
         }
         Ok(Election::Undecided)
     }
--- a/crates/quartzlever-recovery/src/rebuild/session.rs
+++ b/crates/quartzlever-recovery/src/rebuild/session.rs
@@ -1,4 +1,4 @@
-//! A process's session with the store while it waits for an intact one: lease, commits and progress notes.
+//! A process's session with the store while it waits for an intact one: lease, commits and progress events.
 //!
 //! The session decides nothing about the records. Invariant: whatever it writes in many changes is written
 //! no faster than the settings allow.
@@ -9,11 +9,12 @@
 use super::outcome::{Attempt, Interruption};
 use super::settings::RebuildSettings;
 use crate::access::StoreAccess;
+use crate::events::RebuildEvent;
 
 /// Time between two looks at the store.
 pub(super) const POLL_INTERVAL: Micros = SECOND / 2;
-/// Time after which a note that has not changed is written again.
-const NOTE_REPEAT_INTERVAL: Micros = 10 * SECOND;
+/// Time after which an event that has not changed is written again.
+const EVENT_REPEAT_INTERVAL: Micros = 10 * SECOND;
 /// A lease is renewed when this partition of its life is over.
 const RENEWALS_PER_LIFE: Micros = 3;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
@@ -32,10 +33,10 @@
     renewed: Micros,
 }
 
-/// The last progress note, and when it was written.
+/// The last event of progress, and when it was written.
 #[derive(Debug)]
-struct ProgressNote {
-    line: String,
+struct ProgressEvent {
+    event: RebuildEvent,
     written: Micros,
 }
 
@@ -44,12 +45,12 @@
     access: &'a mut A,
     settings: &'a RebuildSettings,
     lease: Option<HeldLease>,
-    last_note: Option<ProgressNote>,
+    last_progress: Option<ProgressEvent>,
 }
 
 impl<'a, A: StoreAccess> Session<'a, A> {
     pub(super) fn new(access: &'a mut A, settings: &'a RebuildSettings) -> Self {
-        Session { access, settings, lease: None, last_note: None }
+        Session { access, settings, lease: None, last_progress: None }
     }
 
     pub(super) fn access(&mut self) -> &mut A {
@@ -124,10 +125,7 @@
     pub(super) fn wait_out_worker_leases(&mut self) -> Attempt<()> {
         let leases = self.settings.lease_life + self.settings.worker_lease;
         let span = leases + leases * CLOCK_DRIFT / DRIFT_SCALE + LEASE_MARGIN;
-        let seconds = span / SECOND;
-        self.access.note(format!(
-            "the log may lack what was done last: waits {seconds} s until no task is on any machine"
-        ));
+        self.access.log(RebuildEvent::WorkerLeasesAwaited { duration: span });
         let end = self.access.now() + span;
         while self.access.now() < end {
             self.ensure_lease()?;
@@ -136,14 +134,15 @@
         Ok(())
     }
 
-    /// Notes what is going on, once, and again after [`NOTE_REPEAT_INTERVAL`].
-    pub(super) fn note_progress(&mut self, line: String) {
+    /// Logs what is going on, once, and again after [`EVENT_REPEAT_INTERVAL`].
+    pub(super) fn log_progress(&mut self, event: RebuildEvent) {
         let now = self.access.now();
-        let is_recent =
-            |note: &ProgressNote| note.line == line && now < note.written + NOTE_REPEAT_INTERVAL;
-        if !self.last_note.as_ref().is_some_and(is_recent) {
-            self.access.note(line.clone());
-            self.last_note = Some(ProgressNote { line, written: now });
+        let is_recent = |last: &ProgressEvent| {
+            last.event == event && now < last.written + EVENT_REPEAT_INTERVAL
+        };
+        if !self.last_progress.as_ref().is_some_and(is_recent) {
+            self.access.log(event.clone());
+            self.last_progress = Some(ProgressEvent { event, written: now });
         }
     }
 }
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -28,6 +28,7 @@
 use super::writer::Writer;
 use crate::access::StoreAccess;
 use crate::detection::{Feasibility, Loss, judge};
+use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
 use crate::identity::{IDENTITY, Identity, Observed, Phase};
@@ -84,7 +85,7 @@
     fn run(&mut self) -> Result<Opened, RebuildError> {
         loop {
             match observe(self.session.access()) {
-                Err(_) => self.session.note_progress("the state service does not answer".into()),
+                Err(_) => self.session.log_progress(RebuildEvent::StoreAwaited),
                 Ok(observed) => {
                     let state = self.state(&observed)?;
                     match self.advance(state, &observed) {
@@ -144,8 +145,10 @@
 
     /// Gives up a generation that lacks records: from then on no change of it comes into force.
     fn give_up(&mut self, generation: &Generation, loss: &Loss) -> Attempt<Progress> {
-        let note = format!("data was lost: {loss}; the records are given up");
-        self.session.access().note(note);
+        self.session.access().log(RebuildEvent::GenerationGivenUp {
+            generation: generation.identity.generation,
+            loss: loss.clone(),
+        });
         let identity = Identity { phase: Phase::Rebuilding, ..generation.identity.clone() };
         let txn = Txn::default().when(IDENTITY, generation.mod_revision);
         self.session.commit(txn.write(IDENTITY, Json::of(&identity)))?;
--- a/crates/quartzlever-recovery/src/rebuild/writer.rs
+++ b/crates/quartzlever-recovery/src/rebuild/writer.rs
@@ -4,8 +4,8 @@
 //! fence), so nothing of a writer that has lost the lock comes into force; the identity itself is written
 //! last.
 
+use quartzlever_wire::Json;
 use quartzlever_wire::store::{Change, Condition, Txn};
-use quartzlever_wire::{Json, Micros};
 
 use super::batches::{batches, in_namespace};
 use super::extras;
@@ -13,6 +13,7 @@
 use super::session::Session;
 use super::successor::{next_identity, read_survivors};
 use crate::access::StoreAccess;
+use crate::events::RebuildEvent;
 use crate::history::History;
 use crate::identity::{
     ABSENT, AbsentNode, IDENTITY, INHERITING, Identity, Inheriting, LOCK, Observed, Phase,
@@ -20,8 +21,6 @@
 use crate::picture::Picture;
 use crate::plan::{Survivors, plan};
 
-const MICROS_PER_MILLISECOND: Micros = 1_000;
-
 /// The leader of the lock.
 pub(super) struct Writer<'s, 'a, A> {
     session: &'s mut Session<'a, A>,
@@ -62,9 +61,9 @@
         let known_to = extras::common_revision(self.observed);
         self.write_records(plan.changes(&survivors, &picture, known_to), &next)?;
         self.commit_generation(&next, &picture, &survivors, known_to)?;
-        let ms = (self.session.access().now() - begin) / MICROS_PER_MILLISECOND;
+        let duration = self.session.access().now() - begin;
         let (generation, summary) = (next.generation, plan.summary);
-        self.note(format!("generation {generation} rebuilt in {ms} ms: {summary}"));
+        self.log(RebuildEvent::GenerationRebuilt { generation, duration, summary });
         Ok(())
     }
 
@@ -88,7 +87,7 @@
         let txn = self.fenced(Vec::new());
         self.session.commit(txn.write(IDENTITY, Json::of(&identity)).delete(LOCK))?;
         let Identity { cluster, generation, .. } = identity;
-        self.note(format!("cluster {cluster}: generation {generation} begins"));
+        self.log(RebuildEvent::GenerationFounded { cluster, generation });
         Ok(())
     }
 
@@ -102,7 +101,7 @@
 
     /// Writes the records in transactions that the store takes, no faster than it allows.
     fn write_records(&mut self, changes: Vec<Change>, next: &Identity) -> Attempt<()> {
-        let all = changes.len();
+        let total = changes.len();
         let mut written = 0;
         for batch in batches(changes, self.session.settings().txn_ops) {
             self.session.ensure_lease()?;
@@ -110,8 +109,7 @@
             let changes = batch.into_iter().map(|change| in_namespace(change, next)).collect();
             self.session.commit_batch(self.fenced(changes))?;
             let generation = next.generation;
-            self.session
-                .note_progress(format!("rebuilds generation {generation}: {written} of {all}"));
+            self.session.log_progress(RebuildEvent::RebuildProgress { generation, written, total });
         }
         Ok(())
     }
@@ -140,7 +138,7 @@
         Txn { conditions: self.fence.clone(), changes }
     }
 
-    fn note(&mut self, line: String) {
-        self.session.access().note(line);
+    fn log(&mut self, event: RebuildEvent) {
+        self.session.access().log(event);
     }
 }
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -195,7 +195,7 @@
         let found = in_store.iter().any(|key| key.ends_with(&format!("/over/{job}")));
         assert_eq!(found, there, "{job}: {in_store:?}");
     }
-    assert_eq!(values(&opened.picture), expected, "{:#?}", world.borrow().notes);
+    assert_eq!(values(&opened.picture), expected, "{:#?}", world.borrow().events);
 }
 
 /// A controller that has lost the lock makes nothing the next generation, at whatever step it was.
--- a/crates/quartzlever-recovery/tests/rebuilding/world.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/world.rs
@@ -6,6 +6,7 @@
 use std::rc::Rc;
 
 use quartzlever_recovery::StoreAccess;
+use quartzlever_recovery::events::RebuildEvent;
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::History;
 use quartzlever_recovery::identity::{IDENTITY, Identity, Phase};
@@ -25,13 +26,13 @@
     pub store: Store,
     pub now: Micros,
     draws: u64,
-    pub notes: Vec<String>,
+    pub events: Vec<RebuildEvent>,
 }
 
 pub type Shared = Rc<RefCell<World>>;
 
 pub fn world() -> Shared {
-    let world = World { store: Store::default(), now: START, draws: 0, notes: Vec::new() };
+    let world = World { store: Store::default(), now: START, draws: 0, events: Vec::new() };
     Rc::new(RefCell::new(world))
 }
 
@@ -78,7 +79,7 @@
 
     fn pause(&mut self, span: Micros) {
         self.pauses += 1;
-        assert!(self.pauses < 5_000, "{:#?}", self.world.borrow().notes);
+        assert!(self.pauses < 5_000, "{:#?}", self.world.borrow().events);
         let mut world = self.world.borrow_mut();
         world.now += span;
         if let Some((_, injects)) = self.later.filter(|(after, _)| *after == self.pauses) {
@@ -86,8 +87,8 @@
         }
     }
 
-    fn note(&mut self, line: String) {
-        self.world.borrow_mut().notes.push(line);
+    fn log(&mut self, event: RebuildEvent) {
+        self.world.borrow_mut().events.push(event);
     }
 
     fn draw(&mut self) -> u64 {
--- a/crates/quartzlever-testkit/src/program.rs
+++ b/crates/quartzlever-testkit/src/program.rs
@@ -31,7 +31,9 @@
         let mut lines = BufReader::new(log).lines();
         let address = loop {
             let line = lines.next().ok_or(io::ErrorKind::UnexpectedEof)??;
-            if let Some((_, address)) = line.split_once("serves ") {
+            // Programs of earlier versions, which a rolling upgrade starts, say `serves`.
+            let served = line.split_once("api_served ").and_then(|(_, f)| f.split_once("address="));
+            if let Some((_, address)) = served.or_else(|| line.split_once("serves ")) {
                 break address.trim().parse().map_err(io::Error::other)?;
             }
         };
--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -31,6 +31,7 @@
 use quartzlever_core::LogLevel;
 
 use exit_status::BAD_SETTINGS;
+use log::ProgramEvent;
 use recovery::commands::{self, CommandError};
 use recovery::{Directory, Recovery};
 use settings::Settings;
@@ -171,7 +172,7 @@
     match node::run(settings, recovery, seed) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!("cannot run: {error}");
+            ProgramEvent::CannotRun { reason: &error }.log();
             ExitCode::FAILURE
         }
     }
--- a/crates/quartzlever/src/node.rs
+++ b/crates/quartzlever/src/node.rs
@@ -17,6 +17,7 @@
 
 use crate::clock::Clock;
 use crate::inbox::Inbox;
+use crate::log::ProgramEvent;
 use crate::recovery::{OwnLog, Recovery, StoreService};
 use crate::server::{Bounds, Port};
 use crate::settings::Settings;
@@ -31,7 +32,7 @@
     peer_server::serve(settings.internal, inbox.clone(), log.clone())?;
     let bounds = Bounds::of(settings.limits);
     let port = Port::take(settings.api, bounds, inbox.clone(), clock)?;
-    tracing::info!("{} serves {}", settings.core.node, port.address()?);
+    ProgramEvent::ApiServed { node: &settings.core.node, address: port.address()? }.log();
     let (store, port) = match recovery {
         None => (StoreService::DirectCommand(StoreClient::new(&settings.state)), Some(port)),
         Some(recovery) => {
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -14,7 +14,7 @@
 use crate::clock::{Clock, wall};
 use crate::exit_status::UNKNOWN_VERSION;
 use crate::inbox::{InboxReceiver, Item, Reply, Waiter};
-use crate::log::log_event;
+use crate::log::{ProgramEvent, log_event};
 use crate::responder::Status;
 use crate::server::Port;
 
@@ -128,7 +128,7 @@
     fn note_stall(&mut self, now: Micros) {
         let stall = now - self.last_taken;
         if stall > STALL_LOGGED {
-            tracing::info!("stood still for {:.1} s", stall as f64 / 1e6);
+            ProgramEvent::ProcessStalled { duration: Duration::from_micros(stall) }.log();
         }
         self.behind |= stall > STALLED || self.incoming.priority.len() > PRIORITY_BATCH;
     }
@@ -161,7 +161,7 @@
                 }
             }
             Effect::Terminate { why } => {
-                tracing::error!("{why}");
+                ProgramEvent::ProcessEnded { reason: &why }.log();
                 std::process::exit(i32::from(UNKNOWN_VERSION));
             }
             Effect::AnswerPeer { id, answer } => pending.answer_peer(id, answer),
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -25,6 +25,7 @@
 use quartzlever_recovery::rebuild::{self, Local, RebuildSettings};
 
 use crate::clock::Clock;
+use crate::log::ProgramEvent;
 use crate::random::random_number;
 use crate::settings::{RecoverySettings, Settings};
 use journal::Journal;
@@ -73,7 +74,7 @@
     let Recovery { settings: own, directory } = recovery;
     let (loaded, marked) = load(&directory.directory)?;
     for complaint in &loaded.complaints {
-        tracing::error!("recovery: {complaint}");
+        ProgramEvent::RecoveryFileUnusable { reason: complaint }.log();
     }
     let witness = loaded.history.as_ref().map_or(0, |history| history.witness);
     let client = StoreClient::new(&settings.state);
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -20,6 +20,7 @@
 use quartzlever_recovery::picture::{Picture, Record, Update};
 
 use crate::clock::wall;
+use crate::log::ProgramEvent;
 use crate::recovery::directory::{Directory, LogFile, OwnDirectory, WriteError};
 use crate::settings::RecoverySettings;
 
@@ -124,7 +125,8 @@
             return;
         }
         if !self.unprotected.swap(true, Ordering::SeqCst) {
-            tracing::error!("log: the disk takes too long; the service goes on unprotected");
+            let reason = "the disk takes too long".to_owned();
+            ProgramEvent::RecoveryLogUnprotected { reason }.log();
             unmark_in_time(&self.directory);
         }
     }
@@ -173,7 +175,7 @@
     });
     let result = spawned.map(|_| removed.recv_timeout(PATIENCE));
     if !matches!(result, Ok(Ok(Ok(())))) {
-        tracing::error!("log: its mark could not be removed");
+        ProgramEvent::RecoveryMarkNotRemoved.log();
     }
 }
 
@@ -209,11 +211,7 @@
             return;
         }
         self.reported = Instant::now();
-        let WriteTimes { count, median, p99, longest } = self.summary();
-        tracing::info!(
-            "log: {count} writes since the start, half of them within {median} us, 99% within \
-             {p99} us, the longest {longest} us"
-        );
+        ProgramEvent::RecoveryLogWrites { times: self.summary() }.log();
     }
 }
 
@@ -359,7 +357,7 @@
                 self.log = Some(log);
                 self.mark_due = true;
                 if self.unprotected.swap(false, Ordering::SeqCst) {
-                    tracing::info!("log: written again; the service is protected");
+                    ProgramEvent::RecoveryLogProtected.log();
                 }
             }
             Err(error) => self.fails(&error),
@@ -378,7 +376,7 @@
         self.log = None;
         self.retry_at = Instant::now() + RETRY;
         if !self.unprotected.swap(true, Ordering::SeqCst) {
-            tracing::error!("log: {error}; the service goes on unprotected");
+            ProgramEvent::RecoveryLogUnprotected { reason: error.to_string() }.log();
         }
         unmark_in_time(&self.own.directory);
     }
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -19,6 +19,7 @@
 use quartzlever_wire::{CallError, Json};
 
 use crate::clock::Clock;
+use crate::log::ProgramEvent;
 use crate::recovery::state::{ClientAccess, GuardedStore, reset_cache};
 use crate::settings::RecoverySettings;
 
@@ -178,7 +179,7 @@
             .when(INHERITING, inheriting.mod_revision)
             .delete(INHERITING);
         self.state.client.call(&StoreCall::Txn(txn))?;
-        tracing::info!("recovery: all final states are written");
+        ProgramEvent::FinalStatesWritten.log();
         Ok(())
     }
 
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -11,8 +11,10 @@
 use std::time::Duration;
 
 use quartzlever_clients::StoreClient;
+use quartzlever_core::LogLevel;
 use quartzlever_recovery::StoreAccess;
 use quartzlever_recovery::detection::Loss;
+use quartzlever_recovery::events::RebuildEvent;
 use quartzlever_recovery::guard::{Guard, GuardError};
 use quartzlever_recovery::picture::{Record, Update};
 use quartzlever_recovery::rebuild::list_generation;
@@ -20,6 +22,7 @@
 use quartzlever_wire::{CallError, Json, Micros};
 
 use crate::clock::{Clock, wall};
+use crate::log::{ProgramEvent, log_event};
 use crate::random::random_number;
 use crate::recovery::journal::Journal;
 use crate::recovery::replication::Replication;
@@ -167,11 +170,9 @@
             thread::park();
         }
     }
-    tracing::error!(
-        "the state service has lost data: {loss}; nothing is done before it is rebuilt"
-    );
+    ProgramEvent::StoreDataLost { loss }.log();
     let error = Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
-    tracing::error!("cannot begin anew: {error}");
+    ProgramEvent::CannotRestart { reason: error.to_string() }.log();
     std::process::exit(CANNOT_BEGIN_ANEW);
 }
 
@@ -198,8 +199,8 @@
         thread::sleep(Duration::from_micros(span));
     }
 
-    fn note(&mut self, line: String) {
-        tracing::info!("recovery: {line}");
+    fn log(&mut self, event: RebuildEvent) {
+        log_event(LogLevel::Info, event.name(), &event);
     }
 
     fn draw(&mut self) -> u64 {
