--- a/crates/quartzlever-core/src/leadership/partition_keys.rs
+++ b/crates/quartzlever-core/src/leadership/partition_keys.rs
@@ -16,6 +16,7 @@
 
 use crate::calls::{PendingPeerCall, PendingStoreCall};
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::leadership::reachability::PEERS_TAKE_OVER_WITHIN;
 use crate::messages::{CallPriority, LogLevel};
 use crate::outbox::Outbox;
@@ -307,7 +308,10 @@
         if !self.try_begin_write(now, name) {
             return;
         }
-        outbox.log(LogLevel::Info, || format!("part {name}: handed back"));
+        outbox.log(LogLevel::Info, || LogEvent::PartitionHandedBack {
+            partition: name.to_owned(),
+            term: mod_revision,
+        });
         let key = format!("{PARTITION_PREFIX}{name}");
         let txn = Txn::default().when(key.clone(), mod_revision).delete(key);
         write_budget.spend(1);
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -26,6 +26,7 @@
 
 use crate::calls::{PendingStoreCall, PendingWorkerCall};
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel};
 use crate::outbox::Outbox;
 use crate::store::parse;
@@ -212,9 +213,11 @@
     }
 
     /// A partition is given up because peers hear its workers.
-    pub fn give_up(&mut self, now: Micros, partition: &str, outbox: &mut Outbox) {
-        outbox
-            .log(LogLevel::Info, || format!("part {partition}: given up, peers hear its workers"));
+    pub fn give_up(&mut self, now: Micros, partition: &str, term: u64, outbox: &mut Outbox) {
+        outbox.log(LogLevel::Info, || LogEvent::WorkersUnreachable {
+            partition: partition.to_owned(),
+            term,
+        });
         self.machines_seen.remove(partition);
         self.lengthen_wait(now);
     }
@@ -264,7 +267,7 @@
     /// A machine has answered such a call, or has not.
     pub fn probed(&mut self, is_reached: bool, outbox: &mut Outbox) {
         if is_reached && self.cut_until.take().is_some() {
-            outbox.log(LogLevel::Info, || "workers are reached again".into());
+            outbox.log(LogLevel::Info, || LogEvent::WorkersReachable);
         }
     }
 }
--- a/crates/quartzlever-core/src/leadership/reachability/tests.rs
+++ b/crates/quartzlever-core/src/leadership/reachability/tests.rs
@@ -26,7 +26,7 @@
                 reachability.probed(true, &mut outbox);
             }
             last = *at;
-            reachability.give_up(at * SECOND, "one", &mut outbox);
+            reachability.give_up(at * SECOND, "one", 5, &mut outbox);
         }
         assert_eq!(reachability.wait, wait * SECOND, "{times:?}");
     }
@@ -125,7 +125,7 @@
     let mut quiet = Outbox::new(LogLevel::Error, NOW);
     let mut reachability = Reachability::new(NOW);
     assert!(tried(&mut reachability, NOW, &machines).is_empty(), "nothing was given up");
-    reachability.give_up(NOW, "one", &mut quiet);
+    reachability.give_up(NOW, "one", 5, &mut quiet);
     let due = NOW + FIRST_WAIT;
     assert!(tried(&mut reachability, due - 1, &machines).is_empty());
     assert_eq!(tried(&mut reachability, due, &machines), ["n-2:9000"]);
@@ -136,7 +136,7 @@
     reachability.probed(true, &mut quiet);
     assert!(!reachability.is_cut_from_workers());
     // Nothing to try it on.
-    reachability.give_up(due + 3 * SECOND, "one", &mut quiet);
+    reachability.give_up(due + 3 * SECOND, "one", 5, &mut quiet);
     assert!(reachability.is_cut_from_workers());
     assert!(tried(&mut reachability, due + 60 * SECOND, &MachineRecords::new()).is_empty());
     assert!(!reachability.is_cut_from_workers());
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -7,6 +7,7 @@
 use quartzlever_wire::{Micros, SECOND};
 
 use crate::config::Config;
+use crate::events::LogEvent;
 use crate::jobs::partition_job::PartitionJob;
 use crate::machines::attempt::AttemptKey;
 use crate::machines::failures::MachineFailures;
@@ -58,14 +59,16 @@
         if slot.running_since.is_none() {
             slot.running_since = Some(now);
             if config.log_level >= LogLevel::Debug {
-                let placed = (now - slot.since) / 1000;
-                let since = self.jobs.get(&task.job).map_or(0, |j| (now - j.since) / 1000);
-                let line = format!(
-                    "{task} of {} runs on {host}, {placed} ms after its placement, {since} ms \
-                     after its submission",
-                    slot.class
-                );
-                self.log_events.push((LogLevel::Debug, line));
+                let submitted = self.jobs.get(&task.job).map_or(now, |job| job.since);
+                self.log_events.push(LogEvent::TaskRunning {
+                    partition: self.name.clone(),
+                    job: task.job.clone(),
+                    task: task.index,
+                    machine: host.to_owned(),
+                    class: slot.class.clone(),
+                    since_placement: now - slot.since,
+                    since_submission: now - submitted,
+                });
             }
         }
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| j.service()) {
@@ -82,6 +85,7 @@
     /// An attempt has ended: takes account of it, and puts its task back into the queue unless it is done.
     pub(super) fn attempt_ended(
         &mut self,
+        config: &Config,
         run_times: &mut RunTimes,
         ended: &EndedAttempt,
         now: Micros,
@@ -98,7 +102,9 @@
         match seen.cause {
             Some(Cause::Done) => return self.task_done(run_times, ended, now),
             Some(Cause::Halted) => {}
-            Some(Cause::Error) | Some(Cause::Other) | None => self.attempt_failed(ended, now),
+            Some(Cause::Error) | Some(Cause::Other) | None => {
+                self.attempt_failed(config, ended, now)
+            }
             Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
                 if let Some(job) = self.jobs.get_mut(&seen.task.job) {
                     job.no_start_before = now + SECOND;
@@ -133,7 +139,7 @@
         }
     }
 
-    fn attempt_failed(&mut self, ended: &EndedAttempt, now: Micros) {
+    fn attempt_failed(&mut self, config: &Config, ended: &EndedAttempt, now: Micros) {
         let id = &ended.seen.task.job;
         let Some(job) = self.jobs.get_mut(id) else { return };
         let was_mistaken = job.fails_everywhere();
@@ -143,11 +149,10 @@
             // A mistaken job fails everywhere: it must not hammer the machines.
             job.no_start_before = now + job.failures.pause();
         }
-        if job.fails_everywhere() && !was_mistaken {
-            let line = format!(
-                "{id} fails on every machine that it is tried on; it is tried with a task at a time"
-            );
-            self.log_events.push((LogLevel::Info, line));
+        let has_turned = job.fails_everywhere() && !was_mistaken;
+        if has_turned && config.log_level >= LogLevel::Info {
+            let (partition, job) = (self.name.clone(), id.clone());
+            self.log_events.push(LogEvent::JobFailsEverywhere { partition, job });
         }
         if let Some(machine) = self.machines.get_mut(ended.host) {
             machine.failures.note(id, runs_well, several, now);
--- a/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
@@ -37,6 +37,7 @@
         (Service, Some(Cause::NoRoom), 0, true, true, false),
     ] {
         let (mut core, attempt) = with_attempt(shape);
+        let config = core.config.clone();
         let partition = core.partitions.get_mut("one").expect("it is held");
         let now = NOW + 40 * SECOND;
         let seen = TaskStatus {
@@ -54,7 +55,7 @@
             class: spec(1).class,
             expect: 5 * SECOND,
         };
-        partition.attempt_ended(&mut RunTimes::default(), &ended, now);
+        partition.attempt_ended(&config, &mut RunTimes::default(), &ended, now);
         let case = format!("{shape:?} {cause:?} {ran}");
         let job = &partition.jobs["req-1"];
         assert!(job.assignments.is_empty(), "{case}: it is nowhere any more");
@@ -70,6 +71,7 @@
 fn the_end_of_an_earlier_attempt_leaves_the_present_one() {
     for cause in [Some(Cause::Halted), Some(Cause::Error), Some(Cause::NoRoom)] {
         let (mut core, attempt) = with_attempt(Shape::Batch);
+        let config = core.config.clone();
         let partition = core.partitions.get_mut("one").expect("it is held");
         let seen = TaskStatus {
             task: TaskId { job: "req-1".into(), index: 0 },
@@ -81,7 +83,7 @@
         let (class, expect) = (spec(1).class, 5 * SECOND);
         let ended =
             EndedAttempt { host: "n-1", seen: &seen, placed: NOW, ran: None, class, expect };
-        partition.attempt_ended(&mut RunTimes::default(), &ended, NOW + SECOND);
+        partition.attempt_ended(&config, &mut RunTimes::default(), &ended, NOW + SECOND);
         let job = &partition.jobs["req-1"];
         assert_eq!(job.assignments[&0].attempt, attempt, "{cause:?}");
         assert!(!job.ready.contains(0), "{cause:?}");
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -200,7 +200,7 @@
             class: slot.class.clone(),
             expect: slot.expect,
         };
-        self.attempt_ended(run_times, &ended, now);
+        self.attempt_ended(config, run_times, &ended, now);
     }
 
     /// An attempt that this leader has not started: adopted if the task is ours and nowhere
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -7,6 +7,7 @@
 use quartzlever_wire::store::{PARTITION_PREFIX, StoreReply};
 use quartzlever_wire::{CallError, Micros};
 
+use crate::events::LogEvent;
 use crate::leadership::authority::Authority;
 use crate::leadership::lease::LeaseOutcome;
 use crate::leadership::partition_keys::{
@@ -69,7 +70,8 @@
             LeaseOutcome::Ended => {
                 // The lease is gone, and with it the announcement and every partition.
                 self.cluster.forget_node(&self.config.node);
-                self.outbox.log(LogLevel::Info, || "lease lost, and all parts with it".into());
+                let partitions = self.partitions.len();
+                self.outbox.log(LogLevel::Info, || LogEvent::LeaseLost { partitions });
                 self.partitions.clear();
             }
         }
@@ -79,7 +81,10 @@
     pub(crate) fn lose_partition(&mut self, name: &str, term: u64) {
         if self.partitions.get(name).is_some_and(|p| p.term == term) {
             self.partitions.remove(name);
-            self.outbox.log(LogLevel::Info, || format!("part {name}: lost, term {term}"));
+            self.outbox.log(LogLevel::Info, || LogEvent::PartitionLost {
+                partition: name.to_owned(),
+                term,
+            });
         }
     }
 
@@ -179,7 +184,10 @@
         {
             return;
         }
-        self.outbox.log(LogLevel::Info, || format!("part {name}: held, term {term}"));
+        self.outbox.log(LogLevel::Info, || LogEvent::PartitionAcquired {
+            partition: name.to_owned(),
+            term,
+        });
         let mut partition = Partition::new(name, term, self.types.clone(), self.now);
         if self.partition_keys.take_eviction(name) {
             partition.sole_leader_from = self.now + self.config.operator.lease_life;
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -85,9 +85,9 @@
         assert!(config.watch_hold() < config.view_bound() / 2, "{lease} {cancel}");
         let mut told = Core::new(config, 1, NOW);
         let effects = told.step(NOW, Vec::new());
-        let named = effects
-            .iter()
-            .any(|e| matches!(e, Effect::Log { text, .. } if text.contains("workers.cancel_s")));
+        let (cancel, lease) = (cancel * SECOND, lease * SECOND);
+        let event = LogEvent::CancelTooShortForLease { cancel, lease };
+        let named = effects.iter().any(|e| matches!(e, Effect::Log(told) if *told == event));
         assert_eq!(named, !meets, "{lease} {cancel}");
     }
 }
--- a/crates/quartzlever-core/src/router/reachability.rs
+++ b/crates/quartzlever-core/src/router/reachability.rs
@@ -58,7 +58,7 @@
         let unreachable: Vec<(String, u64)> =
             unreachable.map(|partition| (partition.name.clone(), partition.term)).collect();
         for (name, term) in unreachable {
-            self.reachability.give_up(self.now, &name, &mut self.outbox);
+            self.reachability.give_up(self.now, &name, term, &mut self.outbox);
             self.release(&name, term);
         }
     }
