--- a/crates/quartzlever-core/src/autoscaling/pending_instances.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances.rs
@@ -8,7 +8,7 @@
 use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
-use super::Offer;
+use super::MachineOffer;
 
 /// After so many usual boots a machine for services is asked for anew: a moment without a replica is dearer than
 /// a machine.
@@ -28,18 +28,13 @@
 /// A rented machine that has not reported yet.
 #[derive(Clone, Debug)]
 pub struct PendingInstance {
-    pub machine_type: String,
-    pub zone: String,
-    pub spot: bool,
+    /// What was asked for to get it.
+    pub offer: MachineOffer,
+    /// When it was asked for.
     pub since: Micros,
 }
 
 impl PendingInstance {
-    /// What was asked for to get it.
-    pub fn offer(&self) -> Offer {
-        (self.machine_type.clone(), self.zone.clone(), self.spot)
-    }
-
     /// Whether a service waits for it no longer.
     pub fn is_too_late_for_services(
         &self,
@@ -67,7 +62,7 @@
         now: Micros,
     ) -> bool {
         let boot = types
-            .get(&self.machine_type)
+            .get(&self.offer.machine_type)
             .map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.ready_s);
         now.saturating_sub(self.since) > micros_from_secs(boots * boot) + more
     }
@@ -78,7 +73,7 @@
 pub struct PendingInstances {
     expected: BTreeMap<String, PendingInstance>,
     /// When the last machine of each kind came that was not late, by when it was asked for.
-    in_time: BTreeMap<Offer, Micros>,
+    in_time: BTreeMap<MachineOffer, Micros>,
     /// Late machines that the log was told of.
     logged_late: usize,
 }
@@ -103,7 +98,7 @@
     ) {
         let Some(expected) = self.forget(host) else { return };
         if types.is_some_and(|types| !expected.is_late(types, now)) {
-            let since = self.in_time.entry(expected.offer()).or_default();
+            let since = self.in_time.entry(expected.offer).or_default();
             *since = expected.since.max(*since);
         }
     }
@@ -125,16 +120,20 @@
 
     /// The kinds of which several machines are late and none has come in time since they were asked for: more of
     /// them would be late too, so others are tried.
-    pub fn late_offers(&self, types: &BTreeMap<String, MachineType>, now: Micros) -> Vec<Offer> {
-        let mut late: BTreeMap<Offer, usize> = BTreeMap::new();
+    pub fn late_offers(
+        &self,
+        types: &BTreeMap<String, MachineType>,
+        now: Micros,
+    ) -> Vec<MachineOffer> {
+        let mut late: BTreeMap<&MachineOffer, usize> = BTreeMap::new();
         for expected in self.expected.values().filter(|e| e.is_late(types, now)) {
-            let offer = expected.offer();
-            if self.in_time.get(&offer).is_none_or(|since| *since < expected.since) {
+            let offer = &expected.offer;
+            if self.in_time.get(offer).is_none_or(|since| *since < expected.since) {
                 *late.entry(offer).or_default() += 1;
             }
         }
         let many = late.into_iter().filter(|(_, count)| *count >= LATE_TOGETHER);
-        many.map(|(offer, _)| offer).collect()
+        many.map(|(offer, _)| offer.clone()).collect()
     }
 
     /// Takes out the machines that are to be returned, so many at the most.
@@ -159,8 +158,8 @@
         now: Micros,
     ) -> Option<(usize, usize)> {
         let late = self.expected.values().filter(|e| e.is_late(types, now)).count();
-        let is_ahead_of_cache = (late > 0) != (self.logged_late > 0) || late > 2 * self.logged_late;
-        if !is_ahead_of_cache {
+        let is_news = (late > 0) != (self.logged_late > 0) || late > 2 * self.logged_late;
+        if !is_news {
             return None;
         }
         self.logged_late = late;
--- a/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
@@ -3,7 +3,7 @@
 use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::{Micros, SECOND};
 
-use super::{PendingInstance, PendingInstances};
+use super::{MachineOffer, PendingInstance, PendingInstances};
 
 const NOW: Micros = 1_000 * SECOND;
 
@@ -24,7 +24,7 @@
 }
 
 fn rented(since: Micros) -> PendingInstance {
-    PendingInstance { machine_type: "m".into(), zone: "a".into(), spot: true, since }
+    PendingInstance { offer: MachineOffer::new("m", "a", true), since }
 }
 
 /// (seconds since it was rented; a service waits for it no longer, it is late, it is returned)
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -412,14 +412,10 @@
         let types = core.types.clone().expect("known");
         let boot = quartzlever_wire::micros_from_secs(types["m"].ready_s * boots);
         let partition = core.partitions.get_mut("one").expect("it is held");
-        let expected = PendingInstance {
-            machine_type: "m".into(),
-            zone: "a".into(),
-            spot: false,
-            since: NOW - boot,
-        };
+        let expected =
+            PendingInstance { offer: MachineOffer::new("m", "a", false), since: NOW - boot };
         partition.autoscaling.pending_instances.expect("n-7", expected);
-        let offer = ("m".to_owned(), "a".to_owned(), false);
+        let offer = MachineOffer::new("m", "a", false);
         assert_eq!(partition.has_warm_capacity(&types, &offer, NOW), counted, "{boots} boots");
     }
 }
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -62,12 +62,8 @@
                 partition.autoscaling.terminated.put("n-9", NOW);
             }
             if pending {
-                let machine = PendingInstance {
-                    machine_type: "m".into(),
-                    zone: "a".into(),
-                    spot: true,
-                    since: NOW,
-                };
+                let machine =
+                    PendingInstance { offer: MachineOffer::new("m", "a", true), since: NOW };
                 partition.autoscaling.pending_instances.expect("n-9", machine);
             }
         }
--- a/crates/quartzlever-core/src/router/heartbeats.rs
+++ b/crates/quartzlever-core/src/router/heartbeats.rs
@@ -19,7 +19,7 @@
 
     /// A worker reports.
     pub(crate) fn handle_heartbeat(&mut self, id: RequestId, heartbeat: Heartbeat) {
-        let rented_for = |host: &str| self.cloud.launch_hints.get(host);
+        let rented_for = |host: &str| self.cloud.launched_for(host);
         match self.ownership_view().route(&heartbeat.host, rented_for) {
             HeartbeatRoute::Own { partition } => {
                 self.handle_own_heartbeat(id, &partition, &heartbeat);
--- a/crates/quartzlever-core/src/router/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -17,12 +17,7 @@
         core.cache.loaded = true;
         core.lease.renew_at(NOW + 900 * SECOND);
         if let Some(partition) = core.partitions.get_mut("one").filter(|_| expected) {
-            let machine = PendingInstance {
-                machine_type: "m".into(),
-                zone: "a".into(),
-                spot: true,
-                since: NOW,
-            };
+            let machine = PendingInstance { offer: MachineOffer::new("m", "a", true), since: NOW };
             partition.autoscaling.pending_instances.expect("n-9", machine);
         }
         let first = Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-9", 1, 1, 0, &[]) };
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -1,6 +1,6 @@
 //! What tests of single modules share: a controller with one partition and one machine, jobs, and reports.
 
-pub(crate) use crate::autoscaling::PendingInstance;
+pub(crate) use crate::autoscaling::{MachineOffer, PendingInstance};
 pub(crate) use crate::calls::{JobWrite, JobWriteAction, Move, PendingStoreCall, Section};
 pub(crate) use crate::config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
 pub(crate) use crate::leadership::lease::Lease;
