--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -17,7 +17,7 @@
 use crate::machines::machine::Machine;
 use crate::machines::resources::Resources;
 use crate::partition::Partition;
-use crate::scheduling::placement::{ZoneCapacity, urgency, zone_capacity};
+use crate::scheduling::{ZoneCapacity, urgency, zone_capacity};
 
 /// A queue that is gone within this time brings no machines, not even cheap ones.
 const EAGER: Micros = 15 * SECOND;
--- a/crates/quartzlever-core/src/autoscaling/offer.rs
+++ b/crates/quartzlever-core/src/autoscaling/offer.rs
@@ -9,7 +9,7 @@
 use quartzlever_wire::users::JobSpec;
 
 use crate::machines::resources::Resources;
-use crate::scheduling::placement::offer_allowed;
+use crate::scheduling::offer_allowed;
 
 /// An offer counts as cheap up to this many times the lowest price for the job.
 pub(super) const CHEAP: f64 = 1.5;
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -17,7 +17,7 @@
 use crate::config::Config;
 use crate::jobs::partition_job::PartitionJob;
 use crate::machines::resources::Resources;
-use crate::scheduling::placement::RunTimes;
+use crate::scheduling::RunTimes;
 
 /// Most machines are up after so many usual boots.
 const USUAL_BOOTS: f64 = 1.2;
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -12,7 +12,7 @@
 use crate::machines::failures::MachineFailures;
 use crate::messages::LogLevel;
 use crate::partition::Partition;
-use crate::scheduling::placement::RunTimes;
+use crate::scheduling::RunTimes;
 
 /// A replica that has run for so long works, whatever ended it.
 const REPLICA_HEALTHY_AFTER: Micros = 30 * SECOND;
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -18,7 +18,7 @@
 use crate::messages::CallId;
 use crate::outbox::Outbox;
 use crate::partition::Partition;
-use crate::scheduling::placement::RunTimes;
+use crate::scheduling::RunTimes;
 
 /// Wait after a direct call that brought nothing.
 const CALL_RETRY: Micros = 3 * SECOND;
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -4,7 +4,6 @@
 
 use quartzlever_wire::Micros;
 use quartzlever_wire::store::MachineRecord;
-use quartzlever_wire::users::Priority;
 use quartzlever_wire::workers::{Heartbeat, TaskPhase, TaskStatus};
 
 use crate::autoscaling::ScaleInReason;
@@ -16,13 +15,6 @@
 /// So many heartbeats in a row without a sign of what answers said show a machine that hears nothing.
 const UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
 
-/// Room that is being made on a machine for work of a rank: work of lower rank stays out of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PendingPreemption {
-    pub priority: Priority,
-    pub until: Micros,
-}
-
 /// A claimed machine of a partition.
 #[derive(Clone, Debug)]
 pub struct Machine {
@@ -61,8 +53,6 @@
     pub scale_in_reason: Option<ScaleInReason>,
     /// Tasks that failed here since the last one that was done.
     pub failures: MachineFailures,
-    /// Room that is being made here by stopping others.
-    pub pending_preemption: Option<PendingPreemption>,
     /// Run times of its last tasks against what their class usually takes, in thousandths.
     pub pace: Vec<u32>,
 }
@@ -92,7 +82,6 @@
             scaling_in: false,
             scale_in_reason: None,
             failures: MachineFailures::default(),
-            pending_preemption: None,
             pace: Vec::new(),
         }
     }
@@ -178,11 +167,6 @@
         self.usable() && now.saturating_sub(self.last_heartbeat_at) < quiet
     }
 
-    /// Whether room is being made here for more urgent work than of this rank.
-    pub fn reserves_capacity_from(&self, priority: Priority, now: Micros) -> bool {
-        self.pending_preemption.is_some_and(|room| now < room.until && priority > room.priority)
-    }
-
     /// What is free, counting everything that may be on the machine as taken.
     pub fn free_of(&self, total: Resources) -> Resources {
         let mut free = total;
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -83,6 +83,7 @@
         self.urgent.remove(name);
         self.unfenced.remove(name);
         self.free_capacity_index.remove(name);
+        self.reservations.machine_removed(name);
         self.machines.swap_remove(name).is_some()
     }
 
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -13,7 +13,7 @@
 use crate::machines::attempt_outcomes::EndedAttempt;
 use crate::machines::machine::Machine;
 use crate::partition::Partition;
-use crate::scheduling::placement::RunTimes;
+use crate::scheduling::RunTimes;
 
 /// How a worker's status came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -20,6 +20,7 @@
 use crate::machines::machine::Machine;
 use crate::machines::resources::Resources;
 use crate::messages::LogLevel;
+use crate::scheduling::Reservations;
 use crate::scheduling::free_capacity_index::FreeCapacityIndex;
 
 /// Records by name, each in a place of its own: looking one up reads little memory, and where three
@@ -70,10 +71,8 @@
     pub short: Vec<String>,
     /// The fewest processors that a task of these takes.
     pub unplaced_min_cpus: f64,
-    /// A machine kept for the first task of a job that has waited too long to begin.
-    pub reservation: Option<(String, String)>,
-    /// Machines on which room is being made.
-    pub pending_preemption: BTreeSet<String>,
+    /// What is kept free, and for whom.
+    pub reservations: Reservations,
     /// Tasks should start now, and no room can be made for them here.
     pub saturated: bool,
 }
@@ -103,8 +102,7 @@
             next_preemption_at: 0,
             short: Vec::new(),
             unplaced_min_cpus: f64::INFINITY,
-            reservation: None,
-            pending_preemption: BTreeSet::new(),
+            reservations: Reservations::default(),
             saturated: false,
         }
     }
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -31,7 +31,7 @@
 use crate::messages::{Answer, CallId, Command, Effect, LogLevel, RequestId};
 use crate::outbox::Outbox;
 use crate::partition::{Partition, Types};
-use crate::scheduling::placement::RunTimes;
+use crate::scheduling::RunTimes;
 use crate::stealing::Stealing;
 use crate::store::cache::{Cache, LatestRevisions, TerminalJobs};
 use crate::store::limits::StoreLimits;
--- a/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
+++ b/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
@@ -6,7 +6,7 @@
 use quartzlever_wire::store::MachineRecord;
 use quartzlever_wire::users::JobSpec;
 
-use crate::scheduling::placement::offer_allowed;
+use super::offer_allowed;
 
 /// Machines of one type, zone and kind, by their free processors.
 #[derive(Debug)]
--- /dev/null
+++ b/crates/quartzlever-core/src/scheduling/queue_order/tests.rs
@@ -0,0 +1,64 @@
+//! Which job goes first, as tables.
+
+use crate::testing::*;
+
+#[test]
+fn nothing_waits_for_ever() {
+    // (seconds since a standard job came, whether it has begun, rank of a fresh one; who is first)
+    for (age, begun, priority, first) in [
+        (10, false, Priority::Urgent, "req-2"),
+        (10, false, Priority::Prod, "req-2"),
+        (160, false, Priority::Urgent, "req-1"),
+        (160, false, Priority::Prod, "req-1"),
+        (160, true, Priority::Urgent, "req-2"),
+        (250, true, Priority::Prod, "req-2"),
+    ] {
+        let mut core = core();
+        core.wall_offset = Some(0);
+        let mut old = spec(4);
+        old.due_s = Some(20.0);
+        reconcile_test_job(&mut core, &old, 10, NOW - age * SECOND);
+        let mut fresh = spec(2);
+        (fresh.id, fresh.priority) = ("req-2".into(), priority);
+        reconcile_test_job(&mut core, &fresh, 11, NOW);
+        let job = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1"));
+        if let Some(job) = job.filter(|_| begun) {
+            job.finished.insert(0);
+            job.ready.remove(0);
+        }
+        let order = core.partitions["one"].queue_order(&core.config, &core.run_times, NOW);
+        assert_eq!(order.first().map(String::as_str), Some(first), "{age} {begun} {priority:?}");
+    }
+}
+
+/// Idle-time work that saves its progress waits for idle time, whatever its age, as long as it has begun. When guests of
+/// four minutes queued with urgent work and were not stopped any more, they filled the machines, and jobs with
+/// deadlines waited until they were as old.
+#[test]
+fn old_idle_time_work_does_not_go_before_deadlines() {
+    use quartzlever_wire::SECOND;
+    // (rank of the old job, its checkpoints, seconds since it came, it has begun; who is first)
+    for (priority, checkpoint_s, age, begun, first) in [
+        (Priority::BestEffort, 30.0, 250, true, "req-2"),
+        (Priority::BestEffort, 30.0, 590, true, "req-2"),
+        (Priority::BestEffort, 30.0, 610, true, "req-1"),
+        (Priority::BestEffort, 30.0, 160, false, "req-1"),
+        (Priority::BestEffort, 0.0, 250, true, "req-1"),
+        (Priority::Standard, 30.0, 250, true, "req-1"),
+    ] {
+        let mut core = core();
+        core.wall_offset = Some(0);
+        let old = JobSpec { priority, checkpoint_s, ..spec(4) };
+        reconcile_test_job(&mut core, &old, 10, NOW - age * SECOND);
+        let fresh = JobSpec { id: "req-2".into(), due_s: Some(60.0), ..spec(2) };
+        reconcile_test_job(&mut core, &fresh, 11, NOW);
+        let job = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1"));
+        if let Some(job) = job.filter(|_| begun) {
+            job.finished.insert(0);
+            job.ready.remove(0);
+        }
+        let order = core.partitions["one"].queue_order(&core.config, &core.run_times, NOW);
+        let found = order.first().map(String::as_str);
+        assert_eq!(found, Some(first), "{priority:?} {checkpoint_s} {age} {begun}");
+    }
+}
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -18,7 +18,7 @@
 use crate::messages::{CallPriority, LogLevel, RequestId};
 use crate::partition::Partition;
 use crate::router::Core;
-use crate::scheduling::placement::offer_allowed;
+use crate::scheduling::offer_allowed;
 use crate::store::write_budget::WriteKind;
 
 /// One round of asking for counts.
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -10,7 +10,7 @@
 };
 pub(crate) use crate::partition::Partition;
 pub(crate) use crate::router::Core;
-pub(crate) use crate::scheduling::placement::RunTimes;
+pub(crate) use crate::scheduling::RunTimes;
 pub(crate) use quartzlever_wire::cloud::{CloudCall, MachineType};
 pub(crate) use quartzlever_wire::peers::{
     FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity,
