--- a/crates/quartzlever-core/src/lib.rs
+++ b/crates/quartzlever-core/src/lib.rs
@@ -12,6 +12,7 @@
 //! - [`jobs`]: submissions, lookups, cancellations, and the record of each job.
 //! - [`machines`]: which partition owns which machine, heartbeats, worker commands, reconciliation.
 //! - `partition`: the queue and the machines of one controller name.
+//! - `peers`: requests of other controllers, handed to the components that answer them.
 //! - [`scheduling`]: which task goes where.
 //! - [`stealing`]: the adaptive work stealing between partitions.
 //! - [`autoscaling`]: scaling out, scaling in, and suspicion of machines.
@@ -26,6 +27,7 @@
 mod messages;
 mod outbox;
 mod partition;
+mod peers;
 mod router;
 pub mod scheduling;
 pub mod stealing;
--- /dev/null
+++ b/crates/quartzlever-core/src/peers.rs
@@ -0,0 +1,74 @@
+//! Requests of other controllers, and their answers: each is handed to the component that it is for.
+
+use quartzlever_wire::CallError;
+use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
+use quartzlever_wire::store::TerminalJobRecord;
+use quartzlever_wire::users::JobPhase;
+
+use crate::calls::PendingPeerCall;
+use crate::messages::RequestId;
+use crate::router::Core;
+
+impl Core {
+    /// A peer asks or tells something.
+    pub(crate) fn peer_request(&mut self, id: RequestId, request: PeerRequest) {
+        let answer = match request {
+            PeerRequest::Saturated => {
+                self.stealing.peer_saturated(&self.config, self.now);
+                PeerAnswer::Nothing
+            }
+            PeerRequest::StoreConnectivity => PeerAnswer::StoreConnectivity {
+                reached: self.store_connectivity.is_reached(self.now),
+            },
+            PeerRequest::Counts { priority } => self.answer_counts(priority),
+            PeerRequest::HandBack { partition } => {
+                self.handback_requested(&partition);
+                PeerAnswer::Nothing
+            }
+            PeerRequest::MachinesSeen { partition, machines } => {
+                self.reachability.note_machines_seen(self.now, partition, machines);
+                PeerAnswer::Nothing
+            }
+            // The program's own matter: its log takes them.
+            PeerRequest::Logged(_) => PeerAnswer::Nothing,
+            PeerRequest::Cancelled { job, done } => {
+                self.job_terminated(&job, TerminalJobRecord { phase: JobPhase::Cancelled, done });
+                PeerAnswer::Nothing
+            }
+            PeerRequest::ScaledOut { partition, hosts } => {
+                for host in hosts {
+                    self.cloud.note_launch(host, &partition, self.now);
+                }
+                PeerAnswer::Nothing
+            }
+            // Answered when the move is in force, or cannot be.
+            PeerRequest::Steal { partition, term, priority, thief, load } => {
+                return self.steal_requested(id, partition, term, priority, thief, load);
+            }
+        };
+        self.outbox.answer_peer(id, answer);
+    }
+
+    /// A peer has answered, or cannot be reached.
+    pub(crate) fn peer_replied(
+        &mut self,
+        pending: PendingPeerCall,
+        result: Result<PeerAnswer, CallError>,
+    ) {
+        match pending {
+            PendingPeerCall::Notification => {}
+            PendingPeerCall::MachinesSeen { partition, machines } => {
+                if result.is_err() {
+                    self.store_machines_seen(&partition, machines);
+                }
+            }
+            PendingPeerCall::StoreConnectivity => {
+                if let Ok(PeerAnswer::StoreConnectivity { reached: true }) = result {
+                    self.store_connectivity.peer_reaches_store(self.now, &mut self.outbox);
+                }
+            }
+            PendingPeerCall::Count { round, node } => self.counts_replied(round, node, result),
+            PendingPeerCall::Steal { partition } => self.steal_replied(&partition, result),
+        }
+    }
+}
