--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -1,6 +1,6 @@
 //! What tests of single modules share: a controller with one partition and one machine, jobs, and reports.
 
-pub(crate) use crate::autoscaling::PendingInstance;
+pub(crate) use crate::autoscaling::{MachineOffer, PendingInstance};
 pub(crate) use crate::calls::{JobWrite, JobWriteAction, Move, PendingStoreCall, Section};
 pub(crate) use crate::config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
 pub(crate) use crate::events::LogEvent;
@@ -11,7 +11,7 @@
 };
 pub(crate) use crate::partition::Partition;
 pub(crate) use crate::router::Core;
-pub(crate) use crate::scheduling::placement::RunTimes;
+pub(crate) use crate::scheduling::RunTimes;
 pub(crate) use quartzlever_wire::cloud::{CloudCall, MachineType};
 pub(crate) use quartzlever_wire::peers::{
     FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity,
