--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -13,6 +13,7 @@
 use crate::calls::PendingWorkerCall;
 use crate::config::Config;
 use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
+use crate::machines::call_queue::CallLimits;
 use crate::machines::machine::Machine;
 use crate::machines::reconciliation::StatusSource;
 use crate::messages::CallId;
@@ -76,7 +77,7 @@
     }
 
     /// Whether a direct call may be made now.
-    fn callable(&self, now: Micros) -> bool {
+    pub(super) fn callable(&self, now: Micros) -> bool {
         self.call.is_none() && !self.scaling_in && now >= self.no_call_before
     }
 
@@ -136,32 +137,16 @@
         if !self.active() {
             return;
         }
-        let machines = &self.machines;
-        self.urgent.retain(|host| {
-            machines
-                .get(host)
-                .is_some_and(|m| m.fenced && m.incarnation > 0 && m.has_urgent_commands())
-        });
-        for machine in self.machines_to_call(config, outbox.worker_calls_in_flight(), now) {
+        let limits = CallLimits {
+            urgent: MAX_WORKER_CALLS,
+            fencing: self.max_fencing_calls(config, now),
+            in_flight: outbox.worker_calls_in_flight(),
+        };
+        for machine in self.call_queue.due(&self.machines, limits, now) {
             self.call_worker(&machine, now, until, outbox);
         }
     }
 
-    /// The machines that are called now, as far as the calls under way leave room.
-    fn machines_to_call(&self, config: &Config, in_flight: usize, now: Micros) -> Vec<String> {
-        let callable = |host: &&String| self.machines.get(*host).is_some_and(|m| m.callable(now));
-        let fencing_calls = self.max_fencing_calls(config, now);
-        self.urgent
-            .iter()
-            .filter(callable)
-            .take(MAX_WORKER_CALLS.saturating_sub(in_flight))
-            .chain(
-                self.unfenced.iter().filter(callable).take(fencing_calls.saturating_sub(in_flight)),
-            )
-            .cloned()
-            .collect()
-    }
-
     /// Heartbeats that come by themselves fence most machines; calls are for the rest. A call is
     /// dearer than a heartbeat, so a processor that is short of time for both waits for reports.
     fn max_fencing_calls(&self, config: &Config, now: Micros) -> usize {
@@ -247,7 +232,7 @@
         let Some(machine) = self.machines.get_mut(&call.machine) else {
             return DirectCallOutcome::NothingLearned;
         };
-        self.urgent.insert(call.machine.clone());
+        self.call_queue.add_urgent(call.machine.clone());
         let known = !matches!(result, Err(CallError::Unknown));
         machine.settle_direct_call(call_id, &call.runs, known);
         match result {
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -26,7 +26,7 @@
             machine.verified = true;
         }
         if !machine.fenced {
-            self.unfenced.insert(name.to_owned());
+            self.call_queue.add_unfenced(name);
         }
         self.refresh(name);
     }
@@ -56,7 +56,7 @@
             return false;
         }
         self.recovery_complete = true;
-        self.unfenced.clear();
+        self.call_queue.all_verified();
         self.placement_wanted = true;
         for job in self.jobs.values_mut() {
             job.complete_recovery();
@@ -80,8 +80,7 @@
     /// Removes a machine that is surely empty for good.
     pub fn remove_machine(&mut self, name: &str) -> bool {
         self.empty_machine(name);
-        self.urgent.remove(name);
-        self.unfenced.remove(name);
+        self.call_queue.forget(name);
         self.free_capacity_index.remove(name);
         self.machines.swap_remove(name).is_some()
     }
@@ -91,7 +90,7 @@
     pub fn refresh(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.has_urgent_commands() {
-            self.urgent.insert(name.to_owned());
+            self.call_queue.add_urgent(name);
         }
         let machine_type = self.types.as_ref().and_then(|t| t.get(&machine.record.machine_type));
         match machine_type.filter(|_| machine.usable()) {
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -99,7 +99,7 @@
         if heartbeat.fencing_token >= term {
             machine.fenced = true;
             machine.verified = true;
-            self.unfenced.remove(&heartbeat.host);
+            self.call_queue.fenced(&heartbeat.host);
         }
         for task in &heartbeat.tasks {
             self.apply_task_status(config, run_times, &heartbeat.host, task, now);
@@ -130,7 +130,7 @@
             {
                 slot.wanted = false;
                 slot.leeway_s = job.save_s;
-                self.urgent.insert(heartbeat.host.clone());
+                self.call_queue.add_urgent(heartbeat.host.clone());
             }
         }
     }
--- a/crates/quartzlever-core/src/machines/reconciliation/tests.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation/tests.rs
@@ -1,5 +1,6 @@
 //! What statuses of workers and their silence prove, as tables.
 
+use crate::machines::call_queue::CallQueue;
 use crate::testing::*;
 
 /// What a heartbeat that tells nothing new brings is what the long way would have brought.
@@ -51,7 +52,7 @@
                 StatusSource::Heartbeat,
                 NOW,
             );
-            partition.urgent.clear();
+            partition.call_queue = CallQueue::default();
             partition.placement_wanted = false;
             let last = told(3, after);
             (core, config, run_times, last)
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -17,6 +17,7 @@
 use crate::config::Config;
 use crate::jobs::partition_job::{Holder, PartitionJob};
 use crate::machines::attempt::{AttemptKey, Slot};
+use crate::machines::call_queue::CallQueue;
 use crate::machines::machine::Machine;
 use crate::machines::resources::Resources;
 use crate::messages::LogLevel;
@@ -56,10 +57,8 @@
     pub attempted: HashMap<String, BTreeSet<String>>,
     /// Free room of the machines that may get tasks.
     pub free_capacity_index: FreeCapacityIndex,
-    /// Machines that may have something to be told at once.
-    pub urgent: BTreeSet<String>,
-    /// Machines that no report has proven yet, while the barrier is closed.
-    pub unfenced: BTreeSet<String>,
+    /// Machines that are to be called.
+    pub call_queue: CallQueue,
     /// The whole queue is to be placed; not before `next_placement_at`.
     pub placement_wanted: bool,
     pub next_placement_at: Micros,
@@ -95,8 +94,7 @@
             types,
             attempted: HashMap::new(),
             free_capacity_index: FreeCapacityIndex::default(),
-            urgent: BTreeSet::new(),
-            unfenced: BTreeSet::new(),
+            call_queue: CallQueue::default(),
             placement_wanted: true,
             next_placement_at: 0,
             placement_due_at: None,
@@ -179,7 +177,7 @@
                     slot.accounted = true;
                 } else {
                     slot.job_terminal_since.get_or_insert(since);
-                    self.urgent.insert(name.clone());
+                    self.call_queue.add_urgent(name.clone());
                 }
             }
         }
@@ -198,7 +196,7 @@
         {
             // Another attempt, if that is what it is, has no use any more.
             slot.wanted = slot.exited();
-            self.urgent.insert(place.machine);
+            self.call_queue.add_urgent(place.machine);
         }
     }
 
--- a/crates/quartzlever-core/src/scheduling/placement.rs
+++ b/crates/quartzlever-core/src/scheduling/placement.rs
@@ -620,14 +620,14 @@
         machine.slots.insert(key, slot);
         self.attempted.entry(id.to_owned()).or_default().insert(host.to_owned());
         machine.idle_since = None;
-        self.urgent.insert(host.to_owned());
+        self.call_queue.add_urgent(host);
     }
 
     /// Marks an attempt as unwanted.
     pub fn stop(&mut self, host: &str, key: &AttemptKey, leeway_s: f64) {
         if let Some(machine) = self.machines.get_mut(host) {
             machine.stop(key, leeway_s);
-            self.urgent.insert(host.to_owned());
+            self.call_queue.add_urgent(host);
         }
     }
 
