--- a/crates/quartzlever-core/src/machines/commands/tests.rs
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -1,5 +1,8 @@
 //! Commands in answers and direct calls, as tables.
 
+use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
+use crate::machines::machine::Machine;
+use crate::outbox::Outbox;
 use crate::testing::*;
 
 #[test]
@@ -31,9 +34,10 @@
         assert_eq!(partition.commands_for("n-1", answer).len(), 1);
         if given_up {
             let Some(machine) = partition.machines.get_mut("n-1") else { unreachable!() };
-            machine.slots.values_mut().for_each(|s| {
-                s.direct_command = crate::machines::attempt::DirectCommand::OutcomeUnknown
-            });
+            machine
+                .slots
+                .values_mut()
+                .for_each(|s| s.direct_command = DirectCommand::OutcomeUnknown);
         }
         let ended = [(attempt, TaskPhase::Exited, Some(Cause::Halted))];
         partition.apply_heartbeat(
@@ -209,3 +213,70 @@
     assert_eq!(kills, 10);
     assert!(commands.len() > 10 && commands.len() < 260, "{}", commands.len());
 }
+
+/// While a task saves, a kill with a leeway says nothing new; one without ends the saving.
+#[test]
+fn a_kill_is_withheld_while_a_task_saves() {
+    // (the phase that was reported, whether the attempt is wanted, the seconds that it may take to save; what the
+    // machine is told)
+    let kill = |leeway_s| Some(WorkerCommand::Kill { task: task(), attempt: 7, leeway_s });
+    let run = Some(WorkerCommand::Run { task: task(), attempt: 7 });
+    for (phase, wanted, leeway_s, told) in [
+        (Some(TaskPhase::Running), false, 0.0, kill(0.0)),
+        (Some(TaskPhase::Running), false, 5.0, kill(5.0)),
+        (Some(TaskPhase::Pulling), false, 5.0, kill(5.0)),
+        (Some(TaskPhase::Saving), false, 5.0, None),
+        (Some(TaskPhase::Saving), false, 0.0, kill(0.0)),
+        (Some(TaskPhase::Exited), false, 0.0, None),
+        // Never reported: it leaves the table once a heartbeat proves that it is not there.
+        (None, false, 0.0, None),
+        (Some(TaskPhase::Running), true, 0.0, None),
+        (None, true, 0.0, run),
+    ] {
+        let mut machine = Machine::new("n-1", machine_record_of("n-1", "one"), NOW);
+        let slot = Slot { phase, wanted, leeway_s, ..Slot::new(&spec(1), NOW) };
+        machine.slots.insert(AttemptKey { task: task(), attempt: 7 }, slot);
+        let commands = machine.commands(|_, _| true);
+        assert_eq!(commands, Vec::from_iter(told), "{phase:?} {wanted} {leeway_s}");
+    }
+}
+
+fn task() -> TaskId {
+    TaskId { job: "req-1".into(), index: 0 }
+}
+
+/// (how the call ended; what is known of its `run`, whether the machine is called again at once)
+#[test]
+fn a_call_of_unknown_outcome_may_still_start_its_attempts() {
+    use DirectCommand::{OutcomeUnknown, Settled};
+    let status = |host: &str, token| heartbeat_from(host, 1, 3, token, &[]);
+    for (name, result, known, callable) in [
+        ("accepted", Ok(WorkerReply::Status(status("n-1", 5))), Settled, true),
+        ("refused", Ok(WorkerReply::Refused(status("n-1", 5))), Settled, true),
+        ("another machine", Ok(WorkerReply::Status(status("n-8", 5))), Settled, false),
+        ("a later term", Ok(WorkerReply::Refused(status("n-1", 6))), Settled, false),
+        ("surely not arrived", Err(CallError::Refused), Settled, false),
+        ("unknown", Err(CallError::Unknown), OutcomeUnknown, false),
+    ] {
+        let mut core = core();
+        core.reconcile_job(record("0-3", ""), 10);
+        ready_machine(&mut core);
+        let config = core.config.clone();
+        let partition = core.partitions.get_mut("one").expect("it is held");
+        partition.start("req-1", 0, "n-1", NOW);
+        let mut outbox = Outbox::new(LogLevel::Info, NOW);
+        partition.call_workers(&config, NOW, NOW + 1, &mut outbox);
+        let effects = outbox.take_effects();
+        let [Effect::Worker { call_id, until, .. }] = &effects[..] else { panic!("{effects:?}") };
+        assert_eq!(*until, NOW + 1, "{name}: not after the authority ends");
+        let call = outbox.take_worker_call(*call_id).expect("it is under way");
+        let command = |partition: &Partition| {
+            partition.machines["n-1"].slots.values().next().map(|slot| slot.direct_command)
+        };
+        assert_eq!(command(partition), Some(DirectCommand::InFlight), "{name}");
+        let run_times = &mut RunTimes::default();
+        partition.worker_replied(&config, run_times, *call_id, &call, result, NOW);
+        assert_eq!(command(partition), Some(known), "{name}");
+        assert_eq!(partition.machines["n-1"].callable(NOW), callable, "{name}");
+    }
+}
