--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -1,28 +1,38 @@
 //! The one owner of all state of a process.
 
+mod awaited;
+mod heartbeats;
+mod job_records;
 mod leadership;
+mod ownership;
+mod reachability;
+mod user_requests;
 
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 
 use quartzlever_wire::cloud::CloudReply;
 use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::StoreReply;
-use quartzlever_wire::workers::{Heartbeat, WorkerReply};
+use quartzlever_wire::workers::WorkerReply;
 use quartzlever_wire::{CallError, Micros, SECOND};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 use crate::calls::{PendingCloudCall, PendingPeerCall, PendingStoreCall, PendingWorkerCall};
-use crate::config::Config;
+use crate::config::{Config, WorkerTimes};
+use crate::events::LogEvent;
 use crate::jobs::pages::Pages;
+use crate::jobs::user_requests::UserRequests;
 use crate::leadership::connectivity::StoreConnectivity;
 use crate::leadership::lease::Lease;
+use crate::leadership::partition_keys::PartitionKeys;
 use crate::leadership::reachability::Reachability;
-use crate::machines::ownership::PendingGroupChange;
+use crate::machines::ownership::Ownership;
+use crate::machines::presence::PresenceChecks;
 use crate::messages::{Answer, CallId, Command, Effect, LogLevel, RequestId};
 use crate::outbox::Outbox;
 use crate::partition::{Partition, Types};
-use crate::scheduling::placement::RunTimes;
+use crate::scheduling::RunTimes;
 use crate::stealing::Stealing;
 use crate::store::cache::{Cache, LatestRevisions, TerminalJobs};
 use crate::store::limits::StoreLimits;
@@ -36,7 +46,6 @@
     pub(crate) rng: SmallRng,
     /// Tells this process from earlier ones of the same node.
     pub(crate) process: u64,
-    pub(crate) started: Micros,
     pub(crate) now: Micros,
     /// Time of day minus steady time.
     pub(crate) wall_offset: Option<i64>,
@@ -52,30 +61,15 @@
     pub(crate) limits: StoreLimits,
     pub(crate) reachability: Reachability,
     pub(crate) write_budget: WriteBudget,
-    pub(crate) group_changes: BTreeMap<String, PendingGroupChange>,
-    /// A block is being split; when the next one may be.
-    pub(crate) splitting: bool,
-    pub(crate) next_split_at: Micros,
+    pub(crate) ownership: Ownership,
     pub(crate) lookups: Lookups,
-    /// Heartbeats of machines that nobody knew, while the machines are asked.
-    pub(crate) awaiting_presence_check: HashMap<String, (RequestId, Heartbeat)>,
-    /// Partitions whose keys are being changed; those whose change failed, and when the next may be made.
-    pub(crate) partitions_being_written: BTreeSet<String>,
-    pub(crate) partition_retry_at: BTreeMap<String, Micros>,
-    pub(crate) releasing: BTreeSet<String>,
-    /// Partitions that are being taken from a process that has not given them up.
-    pub(crate) evicting: BTreeSet<String>,
-    /// The next one is taken this way no sooner.
-    pub(crate) next_eviction_at: Micros,
-    /// Since when each absent partition has been missing.
-    pub(crate) absent_since: BTreeMap<String, Micros>,
-    /// Home nodes that ask for their partition: since when, and last asked.
-    pub(crate) handback_requests: BTreeMap<String, (Micros, Micros)>,
+    pub(crate) presence_checks: PresenceChecks,
+    pub(crate) partition_keys: PartitionKeys,
     pub(crate) types: Option<Types>,
     pub(crate) cloud: crate::autoscaling::Cloud,
     pub(crate) terminal_jobs: TerminalJobs,
     pub(crate) mod_revisions: LatestRevisions,
-    pub(crate) user_calls_in_flight: usize,
+    user_requests: UserRequests,
     pub(crate) stealing: Stealing,
     pub(crate) run_times: RunTimes,
     /// This node's part of the limits of the store and the cloud.
@@ -101,7 +95,6 @@
             stealing: Stealing::new(&config),
             rng: SmallRng::seed_from_u64(seed),
             process: seed,
-            started: now,
             now,
             wall_offset: None,
             outbox: Outbox::new(config.log_level, now),
@@ -114,23 +107,15 @@
             limits: StoreLimits::new(&config),
             reachability: Reachability::new(now),
             write_budget: WriteBudget::new(now),
-            group_changes: BTreeMap::new(),
-            splitting: false,
-            next_split_at: 0,
+            ownership: Ownership::default(),
             lookups: Lookups::default(),
-            awaiting_presence_check: HashMap::new(),
-            partitions_being_written: BTreeSet::new(),
-            partition_retry_at: BTreeMap::new(),
-            releasing: BTreeSet::new(),
-            evicting: BTreeSet::new(),
-            next_eviction_at: 0,
-            absent_since: BTreeMap::new(),
-            handback_requests: BTreeMap::new(),
+            presence_checks: PresenceChecks::default(),
+            partition_keys: PartitionKeys::new(&config.node, seed, now),
             types: None,
             cloud: crate::autoscaling::Cloud::default(),
             terminal_jobs: TerminalJobs::default(),
             mod_revisions: LatestRevisions::default(),
-            user_calls_in_flight: 0,
+            user_requests: UserRequests::default(),
             run_times: RunTimes::default(),
             share: 0.0,
             next_machine_check_at: 0,
@@ -139,11 +124,8 @@
             config,
         };
         if !core.config.leases_meet_cancel() {
-            core.outbox.log(LogLevel::Error, || {
-                "workers.cancel_s is too short for workers.lease_s: what cannot be reached is not \
-                 gone in time by its lease alone"
-                    .into()
-            });
+            let WorkerTimes { cancel, lease, .. } = core.config.workers;
+            core.outbox.log(LogLevel::Error, || LogEvent::CancelTooShortForLease { cancel, lease });
         }
         core
     }
@@ -226,7 +208,7 @@
             }
             Command::Tick { wall, behind } => {
                 if behind {
-                    self.reachability.listening_since = self.now;
+                    self.reachability.listen_anew(self.now);
                 }
                 self.wall_offset = Some(wall as i64 - self.now as i64);
             }
@@ -288,7 +270,7 @@
             PendingStoreCall::Grant { sent } => self.lease_granted(sent, &result),
             PendingStoreCall::Renew { sent, lease } => self.lease_renewed(sent, lease, &result),
             PendingStoreCall::Acquire { partition, lease } => {
-                self.acquired(&partition, lease, result)
+                self.acquired(&partition, lease, &result)
             }
             PendingStoreCall::Release { partition, mod_revision } => {
                 self.released(&partition, mod_revision, &result)
@@ -309,9 +291,9 @@
             PendingStoreCall::ReadTerminalJob { purpose } => {
                 self.terminal_job_read(purpose, result)
             }
-            PendingStoreCall::Accept { id, record } => self.accept_answered(id, *record, result),
+            PendingStoreCall::Accept { id, record } => self.accept_answered(id, *record, &result),
             PendingStoreCall::Cancel { id, job, done, tries } => {
-                self.cancel_answered(id, job, done, tries, result);
+                self.cancel_answered(id, job, done, tries, &result);
             }
             PendingStoreCall::JobWrite(write) => self.job_written(*write, result),
             PendingStoreCall::Reread { partition, term, job } => {
@@ -323,9 +305,7 @@
             PendingStoreCall::StealWrite { partition, term, request, moved } => {
                 self.steal_written(&partition, term, request, moved, result);
             }
-            PendingStoreCall::WriteGroup { key, hosts, added, dropped, partitions } => {
-                self.group_written(&key, hosts, &added, &dropped, &partitions, result);
-            }
+            PendingStoreCall::WriteGroup(write) => self.group_written(write, &result),
             PendingStoreCall::ReadGroup { key } => self.group_read(&key, result),
         }
     }
@@ -360,8 +340,11 @@
         if let Some(partition) = self.partitions.get_mut(name)
             && partition.try_complete_recovery()
         {
-            let after = (self.now - partition.acquired) / 1000;
-            self.outbox.log(LogLevel::Info, || format!("part {name}: recovered after {after} ms"));
+            let duration = self.now - partition.acquired;
+            self.outbox.log(LogLevel::Info, || LogEvent::RecoveryCompleted {
+                partition: name.to_owned(),
+                duration,
+            });
         }
     }
 
@@ -374,15 +357,12 @@
         }
         for name in &names {
             if look {
-                self.expire_silent_machines(name);
-                if self.may_act() {
-                    self.probe_late_service_machines(name);
-                }
+                self.check_machines(name);
             }
             self.complete_recovery(name);
-            let lines = self.partitions.get_mut(name).map(|p| std::mem::take(&mut p.log_events));
-            for (log_level, line) in lines.into_iter().flatten() {
-                self.outbox.log(log_level, || format!("part {name}: {line}"));
+            let events = self.partitions.get_mut(name).map(|p| std::mem::take(&mut p.log_events));
+            for event in events.into_iter().flatten() {
+                self.outbox.log(event.level(), || event);
             }
             if self.may_act() {
                 self.place(name);
@@ -397,7 +377,6 @@
         if self.now >= self.next_group_write_at {
             self.next_group_write_at = self.now + GROUP_WRITE_INTERVAL;
             self.write_groups();
-            self.split_groups();
         }
         self.poll_autoscaling();
         self.notify_saturated();
--- a/crates/quartzlever-core/src/store/watch.rs
+++ b/crates/quartzlever-core/src/store/watch.rs
@@ -9,6 +9,7 @@
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::PendingStoreCall;
+use crate::events::LogEvent;
 use crate::machines::ownership::is_machine_key;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
@@ -136,7 +137,7 @@
                         self.partitions.remove(name);
                     }
                 } else if delete.starts_with(PAGES) {
-                    self.page_deleted(&delete, mod_revision);
+                    self.pages.remove(&delete, mod_revision);
                 } else if delete.starts_with(CLUSTER_PREFIX) {
                     self.cluster_deleted(&delete, mod_revision);
                 } else if is_machine_key(&delete) {
@@ -181,7 +182,7 @@
                 if let Some(id) = row.path.strip_prefix(ACTIVE_JOB_PREFIX) {
                     self.cache.unreadable_jobs.insert(id.to_owned());
                 }
-                self.outbox.log(LogLevel::Error, || format!("unreadable record: {}", row.path));
+                self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
             }
         }
     }
