--- a/crates/quartzlever/benches/resource_usage.rs
+++ b/crates/quartzlever/benches/resource_usage.rs
@@ -1,6 +1,6 @@
 //! Where the real program's processor time and memory go, beside fakes for everything else.
 //!
-//! `cargo bench -p quartzlever --bench account -- [MACHINES [PARTITION_PREFIX [SECONDS]]]`
+//! `cargo bench -p quartzlever --bench resource_usage -- [MACHINES [PARTITIONS [SECONDS]]]`
 //!
 //! One controller holds one partition, or the partitions of all three names; so many machines are rented for
 //! its queue and report every six seconds and at each change. Three spans are measured: the start
