--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -239,7 +239,7 @@
     fn is_stray(&self, instance: &Instance) -> bool {
         let name = &instance.name;
         if self.partitions.values().any(|p| p.machines.contains_key(name))
-            || self.cache.group_of_machine.contains_key(name)
+            || self.cache.is_claimed(name)
         {
             return false;
         }
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -18,6 +18,7 @@
 use crate::jobs::partition_job::PartitionJob;
 use crate::machines::resources::Resources;
 use crate::scheduling::RunTimes;
+use crate::store::cache::Versioned;
 
 /// Most machines are up after so many usual boots.
 const USUAL_BOOTS: f64 = 1.2;
@@ -38,7 +39,7 @@
     pub run_times: &'a RunTimes,
     pub types: &'a BTreeMap<String, MachineType>,
     /// All claimed machines, whichever partition they belong to.
-    pub claimed: &'a BTreeMap<String, (MachineRecords, u64)>,
+    pub claimed: &'a BTreeMap<String, Versioned<MachineRecords>>,
     pub now: Micros,
 }
 
@@ -73,7 +74,7 @@
 
     /// Whether any partition has a cheap machine that can run the job.
     fn has_cheap_machine_for(&self, spec: &JobSpec) -> bool {
-        let mut records = self.claimed.values().flat_map(|(hosts, _)| hosts.values());
+        let mut records = self.claimed.values().flat_map(|group| group.record.values());
         records.any(|record| suits_cheaply(self.types, spec, record))
     }
 
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -3,8 +3,6 @@
 //! Each request has a name that is used for nothing else, before or after, so it can be repeated
 //! until it is answered without being served twice.
 
-use std::collections::HashMap;
-
 use quartzlever_wire::cloud::{CloudCall, CloudReply, ScaleOutRequest};
 use quartzlever_wire::peers::PeerRequest;
 use quartzlever_wire::{CallError, Micros, SECOND};
@@ -18,6 +16,7 @@
 use crate::messages::LogLevel;
 use crate::partition::Partition;
 use crate::router::Core;
+use crate::store::cache::Cache;
 
 /// How long a refused kind of machine is not asked for again.
 pub(super) const REFUSAL_REMEMBERED_FOR: Micros = 10 * SECOND;
@@ -39,7 +38,7 @@
             config: &self.config,
             run_times: &self.run_times,
             types,
-            claimed: &self.cache.ownership_groups,
+            claimed: self.cache.groups(),
             now,
         };
         let mut wanted = partition.plan_scale_out(&market);
@@ -76,13 +75,13 @@
         result: Result<CloudReply, CallError>,
     ) {
         let now = self.now;
-        let known = &self.cache.group_of_machine;
+        let cache = &self.cache;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.term == term) else {
             return;
         };
         match result {
             Ok(CloudReply::ScaledOut(hosts)) => {
-                partition.scaled_out(known, &request, &hosts, now);
+                partition.scaled_out(cache, &request, &hosts, now);
                 self.announce_launch(name, &hosts);
             }
             Ok(CloudReply::NoCapacity) => {
@@ -144,7 +143,7 @@
     /// Machines were rented: they are awaited, unless they have come up already or are gone again.
     fn scaled_out(
         &mut self,
-        known: &HashMap<String, String>,
+        cache: &Cache,
         request: &ScaleOutRequest,
         hosts: &[String],
         now: Micros,
@@ -156,7 +155,7 @@
             fleet.refuse(offer.clone(), now + REFUSAL_REMEMBERED_FOR);
         }
         for host in hosts {
-            if !known.contains_key(host) && !fleet.terminated.contains(host) {
+            if !cache.is_claimed(host) && !fleet.terminated.contains(host) {
                 fleet
                     .pending_instances
                     .expect(host, PendingInstance { offer: offer.clone(), since });
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -395,7 +395,7 @@
         }
         core.lease.expire_at(NOW + 900 * SECOND);
         let now = NOW + after * SECOND;
-        core.cache.view_as_of = now;
+        core.cache.set_view_as_of(now);
         let batch = vec![Command::Tick { wall: now, behind: false }];
         assert_eq!(rented(core.step(now, batch)), asked, "case {n}");
     }
@@ -526,7 +526,7 @@
         reconcile_test_job(&mut core, &spec, 11, NOW);
         if case.elsewhere {
             let hosts = MachineRecords::from([("n-9".to_owned(), machine_record_of("n-9", "two"))]);
-            core.cache.ownership_groups.insert(large_group_key("n-9"), (hosts, 3));
+            core.cache.record_group(&large_group_key("n-9"), hosts, 3);
         }
         let now = NOW + case.age_s * SECOND + SECOND;
         let partition = core.partitions.get_mut("one").expect("it is held");
@@ -540,7 +540,7 @@
             (machine.last_heartbeat_at, machine.last_answered_at) = (now, now);
             machine.fenced = case.fenced;
         }
-        core.cache.view_as_of = now;
+        core.cache.set_view_as_of(now);
         let scale_outs = rented(core.step(now, vec![Command::Tick { wall: now, behind: false }]));
         let ordinary: u32 =
             scale_outs.iter().filter(|request| !request.1).map(|request| request.2).sum();
--- a/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
+++ b/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
@@ -23,7 +23,7 @@
     /// zone had no such machine.
     pub(super) fn warm_capacity(&self) -> Vec<MachineOffer> {
         let has_service =
-            || self.cache.active_jobs.values().any(|(record, _)| record.job.is_service());
+            || self.cache.active_jobs().values().any(|known| known.record.job.is_service());
         let services =
             self.cluster.expects_services(self.now) || (self.cluster.services() && has_service());
         let Some(types) = self.types.as_ref().filter(|_| services) else { return Vec::new() };
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -278,7 +278,7 @@
         [("its own are done", 0..2, false), ("it has just taken over", 0..2, true)]
     {
         let mut core = core();
-        core.cache.loaded = true;
+        core.cache.set_loaded(true);
         core.wall_offset = Some(0);
         let mut record = record("0-1", "2-3");
         record.paged = true;
@@ -322,9 +322,7 @@
     for (active, first, removed) in [(false, true, 2), (true, true, 0), (false, false, 0)] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         if !first {
-            core.cache
-                .partitions
-                .insert("a".into(), (PartitionRecord { node: "a".into(), process: 1 }, 4));
+            core.cache.record_partition("a", PartitionRecord { node: "a".into(), process: 1 }, 4);
         }
         core.apply_page_row(&page_event(0, &Ranges::of(0..3), 8));
         core.apply_page_row(&page_event(1, &Ranges::of(PAGE_TASKS..PAGE_TASKS + 3), 9));
--- a/crates/quartzlever-core/src/jobs/submission.rs
+++ b/crates/quartzlever-core/src/jobs/submission.rs
@@ -71,8 +71,7 @@
     pub fn choose(&self, spec: &JobSpec, rng: &mut SmallRng) -> Option<Entry> {
         if self.config.limited(&spec.team) {
             let partition = self.config.partition_of_team(&spec.team);
-            let term =
-                self.cache.partitions.get(partition).map_or(0, |(_, mod_revision)| *mod_revision);
+            let term = self.cache.partition(partition).map_or(0, |held| held.mod_revision);
             return Some(Entry { partition: partition.to_owned(), term });
         }
         if let Some(LedPartition { name, term }) = self.own {
@@ -83,13 +82,9 @@
         }
         // A node without a partition, such as one that is back and waits for its own, accepts into
         // another's: the write has that partition's term as its condition, and the watch tells the leader.
-        let held: Vec<(&String, &u64)> = self
-            .cache
-            .partitions
-            .iter()
-            .map(|(name, (_, mod_revision))| (name, mod_revision))
-            .collect();
-        held.choose(rng).map(|(name, term)| Entry { partition: (*name).clone(), term: **term })
+        let held: Vec<_> = self.cache.partitions().iter().collect();
+        held.choose(rng)
+            .map(|(name, held)| Entry { partition: (*name).clone(), term: held.mod_revision })
     }
 
     /// A partition of another node that a new job enters instead of this one, which has more tasks than
@@ -98,14 +93,14 @@
     /// had two thirds of them and went under, with the others at a quarter of their share.
     fn less_loaded(&self, own: &str) -> Option<Entry> {
         let others = || {
-            self.cache.partitions.iter().filter(|(name, (record, _))| {
-                *name != own && record.node == **name && !(self.leads)(name)
+            self.cache.partitions().iter().filter(|(name, held)| {
+                *name != own && held.record.node == **name && !(self.leads)(name)
             })
         };
         others().next()?;
         let mut tasks: BTreeMap<&str, usize> = BTreeMap::new();
-        for (record, _) in self.cache.active_jobs.values() {
-            for share in &record.shares {
+        for known in self.cache.active_jobs().values() {
+            for share in &known.record.shares {
                 // What is finished counts until the job is over: nothing hangs on it.
                 *tasks.entry(share.partition.as_str()).or_default() += share.tasks.len() as usize;
             }
@@ -114,8 +109,8 @@
         if of(own) <= self.config.machine_capacity {
             return None;
         }
-        let (name, (_, term)) = others().min_by_key(|(name, _)| of(name))?;
-        (of(name) < of(own) / 2).then(|| Entry { partition: name.clone(), term: *term })
+        let (name, held) = others().min_by_key(|(name, _)| of(name))?;
+        (of(name) < of(own) / 2).then(|| Entry { partition: name.clone(), term: held.mod_revision })
     }
 }
 
--- a/crates/quartzlever-core/src/jobs/submission/tests.rs
+++ b/crates/quartzlever-core/src/jobs/submission/tests.rs
@@ -10,7 +10,7 @@
     let mut cache = Cache::default();
     for (name, node, term) in partitions {
         let record = PartitionRecord { node: (*node).into(), process: 77 };
-        cache.partitions.insert((*name).into(), (record, *term));
+        cache.record_partition(name, record, *term);
     }
     cache
 }
@@ -64,7 +64,7 @@
         let mut cache = cache(&[("one", "one", 5), ("two", node, 6)]);
         for (number, count, partition) in [(1, tasks, "one"), (2, other, "two")] {
             let record = record_of(number, count, partition);
-            cache.active_jobs.insert(record.job.id.clone(), (record, 10));
+            cache.record_active_job(record, 10);
         }
         let config = Config { machine_capacity: 100, ..config() };
         let found = choose(&cache, &config, own, &spec(4)).map(|(name, _)| name);
--- a/crates/quartzlever-core/src/leadership/tests.rs
+++ b/crates/quartzlever-core/src/leadership/tests.rs
@@ -17,8 +17,8 @@
         core.outbox.set_log_level(LogLevel::Error);
         core.reconcile_job(record_of(1, 4, "one"), 10);
         core.job_terminated("req-3", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
-        core.cache.revision = 8;
-        core.cache.watch = 1;
+        core.cache.set_revision(8);
+        core.watch.set_number(1);
         let v = Json::of(&"no record");
         let log = vec![Event::Write { write: key.into(), v, mod_revision }];
         core.watched(1, NOW, Ok(StoreReply::Watched(WatchAnswer { revision: 12, log })));
@@ -26,7 +26,7 @@
             |e| matches!(e, Effect::Log(LogEvent::UnreadableRecord { key: named }) if named == key),
         );
         assert_eq!(noted, read, "{key} {mod_revision}");
-        assert_eq!(core.cache.revision, 12, "{key} {mod_revision}");
-        assert!(core.cache.active_jobs.contains_key("req-1"), "a job stays known");
+        assert_eq!(core.cache.revision(), 12, "{key} {mod_revision}");
+        assert!(core.cache.active_job("req-1").is_some(), "a job stays known");
     }
 }
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -77,8 +77,8 @@
 
     /// Another node that leads a partition, as far as is known here.
     pub fn other_leader_of(&self, partition: &str) -> Option<&'a str> {
-        let (record, _) = self.cache.partitions.get(partition)?;
-        (record.node != self.node).then_some(record.node.as_str())
+        let node = self.cache.partition(partition)?.record.node.as_str();
+        (node != self.node).then_some(node)
     }
 
     /// For whom an unclaimed machine is to be claimed: the partition that rented it, else this node's own.
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -32,7 +32,7 @@
         let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
         let hosts = [("n-7".into(), machine_record_of("n-7", "two"))].into();
         core.apply_group_change(&large_group_key("n-7"), hosts, 9);
-        core.cache.loaded = loaded;
+        core.cache.set_loaded(loaded);
         let rented_for = rented_for.map(str::to_owned);
         let found = view(&core).route(host, |_| rented_for.as_ref());
         assert_eq!(found, route, "{host} {rented_for:?} {loaded} {leader}");
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -19,7 +19,7 @@
 
 use std::collections::BTreeMap;
 
-use quartzlever_wire::store::{MACHINE_PREFIX, PARTITION_PREFIX, StoreCall, StoreReply};
+use quartzlever_wire::store::{PARTITION_PREFIX, StoreCall, StoreReply};
 use quartzlever_wire::workers::Heartbeat;
 use quartzlever_wire::{CallError, Micros, SECOND};
 
@@ -147,7 +147,7 @@
         cache: &Cache,
         layout: &GroupLayout,
     ) {
-        let known = cache.group_of_machine.get(host).cloned();
+        let known = cache.group_of_machine(host).cloned();
         let key = known.unwrap_or_else(|| layout.key_of(host));
         self.changes.entry(key).or_default().drops.insert(host.to_owned(), owner);
     }
@@ -179,10 +179,11 @@
     /// Sends what waits for a change of this group, but belongs to another one by now, there.
     fn reroute(&mut self, key: &str, context: &GroupContext) {
         let Some(change) = self.changes.get(key) else { return };
-        let groups = &context.cache.group_of_machine;
+        let cache = context.cache;
         let claims: Vec<String> =
             change.claims.keys().filter(|h| context.layout.key_of(h) != key).cloned().collect();
-        let elsewhere = |host: &&String| groups.get(*host).is_some_and(|group| group != key);
+        let elsewhere =
+            |host: &&String| cache.group_of_machine(host).is_some_and(|group| group != key);
         let drops: Vec<String> = change.drops.keys().filter(elsewhere).cloned().collect();
         for host in claims {
             let right = context.layout.key_of(&host);
@@ -191,7 +192,7 @@
             }
         }
         for host in drops {
-            let Some(right) = groups.get(&host).cloned() else { continue };
+            let Some(right) = cache.group_of_machine(&host).cloned() else { continue };
             if let Some(owner) = self.changes.get_mut(key).and_then(|c| c.drops.remove(&host)) {
                 self.changes.entry(right).or_default().drops.insert(host, owner);
             }
@@ -331,10 +332,5 @@
     outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
 }
 
-/// Whether a key is one of machines.
-pub(crate) fn is_machine_key(key: &str) -> bool {
-    key.starts_with(MACHINE_PREFIX)
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/quartzlever-core/src/machines/ownership/group_update.rs
+++ b/crates/quartzlever-core/src/machines/ownership/group_update.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use super::{GroupContext, OwnershipClaim, PendingGroupChange};
-use crate::store::cache::Cache;
+use crate::store::cache::{Cache, Versioned};
 
 /// What a group's value takes beside its machines, at the most; and a machine's name beside its
 /// letters: quotes, a colon and a comma.
@@ -32,8 +32,8 @@
     /// A group as it is to be: without the machines that were returned, and with those that wait for
     /// their claim, as far as they fit.
     pub fn plan(key: &str, pending: &PendingGroupChange, context: &GroupContext) -> Self {
-        let (hosts, mod_revision) =
-            context.cache.ownership_groups.get(key).cloned().unwrap_or_default();
+        let Versioned { record: hosts, mod_revision } =
+            context.cache.group(key).cloned().unwrap_or_default();
         let mut update = GroupUpdate {
             hosts,
             mod_revision,
@@ -59,7 +59,7 @@
         // anew for each was most of the work of a start.
         let mut room = context.layout.value_limit.saturating_sub(self.value_length());
         for (host, claim) in claims {
-            let is_claimed = context.cache.group_of_machine.contains_key(host);
+            let is_claimed = context.cache.is_claimed(host);
             if self.hosts.contains_key(host) || is_claimed {
                 continue;
             }
@@ -111,7 +111,7 @@
 }
 
 fn known_revision(cache: &Cache, key: &str) -> u64 {
-    cache.ownership_groups.get(key).map_or(0, |(_, mod_revision)| *mod_revision)
+    cache.group(key).map_or(0, |group| group.mod_revision)
 }
 
 /// How long a value is as JSON.
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -15,6 +15,7 @@
 use crate::calls::PendingStoreCall;
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
+use crate::store::cache::Versioned;
 use crate::store::write_budget::{WriteBudget, WriteKind};
 
 /// Shortest time between two looks for a group to split.
@@ -90,9 +91,9 @@
         let busy = |key: &String| self.changes.get(key).is_some_and(|change| change.writing);
         context
             .cache
-            .ownership_groups
+            .groups()
             .iter()
-            .filter(|(key, (hosts, _))| large(key, hosts) && ours(hosts))
+            .filter(|(key, group)| large(key, &group.record) && ours(&group.record))
             .map(|(key, _)| key)
             .find(|key| !busy(key))
             .cloned()
@@ -101,8 +102,8 @@
 
 /// The next step of splitting this group.
 fn plan_split(key: &str, context: &GroupContext) -> Option<GroupSplit> {
-    let known = |key: &str| context.cache.ownership_groups.get(key);
-    let (hosts, mod_revision) = known(key)?;
+    let known = |key: &str| context.cache.group(key);
+    let Versioned { record: hosts, mod_revision } = known(key)?;
     let mut groups: BTreeMap<String, MachineRecords> = BTreeMap::new();
     for (host, record) in hosts {
         let group = groups.entry(context.layout.key_of(host)).or_default();
@@ -110,7 +111,7 @@
     }
     // What an earlier step has copied need not be written again.
     groups.retain(|key, group| {
-        known(key).is_none_or(|(there, _)| !group.iter().all(|(h, r)| there.get(h) == Some(r)))
+        known(key).is_none_or(|there| !group.iter().all(|(h, r)| there.record.get(h) == Some(r)))
     });
     let most = context.layout.max_changes;
     let whole = groups.len() < most;
@@ -118,7 +119,7 @@
         Txn::default().when(key, *mod_revision).when(GROUP_SIZE_KEY, context.layout.size_revision);
     let mut small = Vec::new();
     for (key, mut group) in groups.into_iter().take(if whole { most } else { most.max(1) }) {
-        let (there, mod_revision) = known(&key).cloned().unwrap_or_default();
+        let Versioned { record: there, mod_revision } = known(&key).cloned().unwrap_or_default();
         group.extend(there);
         txn = txn
             .when(&key, mod_revision)
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -4,8 +4,10 @@
 mod heartbeats;
 mod job_records;
 mod leadership;
+mod lookups;
 mod ownership;
 mod reachability;
+mod store_changes;
 mod user_requests;
 
 use std::collections::BTreeMap;
@@ -34,9 +36,12 @@
 use crate::partition::{Partition, Types};
 use crate::scheduling::RunTimes;
 use crate::stealing::Stealing;
-use crate::store::cache::{Cache, LatestRevisions, TerminalJobs};
+use crate::store::cache::Cache;
 use crate::store::limits::StoreLimits;
+use crate::store::listing::Listing;
 use crate::store::lookups::Lookups;
+use crate::store::recent_jobs::{LatestRevisions, TerminalJobs};
+use crate::store::watch::Watch;
 use crate::store::write_budget::WriteBudget;
 use crate::upgrade::Cluster;
 
@@ -53,6 +58,8 @@
     pub(crate) outbox: Outbox,
     pub(crate) lease: Lease,
     pub(crate) cache: Cache,
+    pub(crate) listing: Listing,
+    pub(crate) watch: Watch,
     pub(crate) partitions: BTreeMap<String, Partition>,
     pub(crate) store_connectivity: StoreConnectivity,
     pub(crate) cluster: Cluster,
@@ -62,7 +69,7 @@
     pub(crate) reachability: Reachability,
     pub(crate) write_budget: WriteBudget,
     pub(crate) ownership: Ownership,
-    pub(crate) lookups: Lookups,
+    lookups: Lookups,
     pub(crate) presence_checks: PresenceChecks,
     pub(crate) partition_keys: PartitionKeys,
     pub(crate) types: Option<Types>,
@@ -100,6 +107,8 @@
             outbox: Outbox::new(config.log_level, now),
             lease: Lease::default(),
             cache: Cache::default(),
+            listing: Listing::default(),
+            watch: Watch::default(),
             partitions: BTreeMap::new(),
             store_connectivity: StoreConnectivity::new(now),
             cluster: Cluster::default(),
@@ -285,7 +294,7 @@
                 self.group_split(&key, small, whole, &result);
             }
             PendingStoreCall::Watch { number, sent } => self.watched(number, sent, result),
-            PendingStoreCall::Revision { asked, sent } => self.fenced(asked, sent, result),
+            PendingStoreCall::Revision { asked, sent } => self.revision_read(asked, sent, result),
             PendingStoreCall::KeptCatalogue => self.catalogue_read(result),
             PendingStoreCall::ReadActiveJob { purpose } => self.active_job_read(purpose, result),
             PendingStoreCall::ReadTerminalJob { purpose } => {
--- a/crates/quartzlever-core/src/router/awaited.rs
+++ b/crates/quartzlever-core/src/router/awaited.rs
@@ -29,8 +29,8 @@
 
     /// Partitions whose keys name this process although it does not act for them.
     fn unattended(&self) -> impl Iterator<Item = Awaited> {
-        let ours = self.cache.partitions.iter().filter(|(name, (record, _))| {
-            record == self.partition_keys.own_record() && !self.partitions.contains_key(*name)
+        let ours = self.cache.partitions().iter().filter(|(name, held)| {
+            held.record == *self.partition_keys.own_record() && !self.partitions.contains_key(*name)
         });
         ours.map(|(name, _)| Awaited::Unattended { partition: name.clone() })
     }
--- a/crates/quartzlever-core/src/router/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -14,7 +14,7 @@
         ("another lives at its address", false, Some(alive("n-8")), false),
     ] {
         let mut core = core();
-        core.cache.loaded = true;
+        core.cache.set_loaded(true);
         core.lease.renew_at(NOW + 900 * SECOND);
         if let Some(partition) = core.partitions.get_mut("one").filter(|_| expected) {
             let machine = PendingInstance { offer: MachineOffer::new("m", "a", true), since: NOW };
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -32,7 +32,7 @@
         {
             return;
         }
-        let known = self.cache.active_jobs.get(&record.job.id).map(|(known, _)| known);
+        let known = self.cache.active_job(&record.job.id).map(|known| &known.record);
         self.pages.join_finished(&mut record, known);
         let id = &record.job.id;
         let (now, wall) = (self.now, self.wall());
@@ -43,18 +43,15 @@
                 partition.reconcile_job(&self.config, record.clone(), mod_revision, now, wall);
             }
         }
-        self.cache.unreadable_jobs.remove(id);
-        if self.cache.active_jobs.get(id).is_none_or(|(_, s)| *s <= mod_revision) {
-            self.cache.active_jobs.insert(id.clone(), (record, mod_revision));
-        }
+        self.cache.record_active_job(record, mod_revision);
     }
 
     /// A job is done or cancelled for good.
     pub(crate) fn job_terminated(&mut self, id: &str, over: TerminalJobRecord) {
         self.terminal_jobs.put(id, over);
-        self.cache.active_jobs.remove(id);
+        self.cache.active_job_ended(id);
         // It ended after the view was read that this process had until now.
-        let since = self.cache.view_as_of.min(self.now);
+        let since = self.cache.view_as_of().min(self.now);
         for partition in self.partitions.values_mut() {
             partition.drop_job(id, since);
         }
@@ -75,9 +72,7 @@
 
     /// A page is in force at a modification revision.
     fn record_page(&mut self, job: &str, number: u32, finished: Ranges, mod_revision: u64) {
-        if let Some((record, _)) = self.cache.active_jobs.get_mut(job) {
-            record.finished.add(&finished);
-        }
+        self.cache.add_finished(job, &finished);
         for partition in self.partitions.values_mut().filter(|partition| partition.loaded) {
             if let Some(job) = partition.jobs.get_mut(job) {
                 job.take_page(number, &finished);
@@ -91,7 +86,7 @@
         if !self.pages.may_remove(self.now) || !self.may_act() {
             return;
         }
-        let Some((first, _)) = self.cache.partitions.first_key_value() else { return };
+        let Some((first, _)) = self.cache.partitions().first_key_value() else { return };
         let Some(partition) = self.partitions.get(first).filter(|partition| partition.active())
         else {
             return;
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -4,7 +4,7 @@
 //! The state and the decisions are those of `leadership::lease`, `leadership::authority` and
 //! `leadership::partition_keys`.
 
-use quartzlever_wire::store::{PARTITION_PREFIX, StoreReply};
+use quartzlever_wire::store::StoreReply;
 use quartzlever_wire::{CallError, Micros};
 
 use crate::events::LogEvent;
@@ -16,6 +16,7 @@
 use crate::messages::LogLevel;
 use crate::partition::Partition;
 use crate::router::Core;
+use crate::store::cache::Versioned;
 use crate::store::watch::{WATCH_PAUSE, WATCH_SHARE};
 
 impl Core {
@@ -25,7 +26,7 @@
     }
 
     fn authority(&self) -> Authority {
-        Authority::new(&self.lease, self.cache.view_as_of, &self.config)
+        Authority::new(&self.lease, self.cache.view_as_of(), &self.config)
     }
 
     /// Until when this process may act for its partitions.
@@ -105,8 +106,8 @@
         let (now, keys) = (self.now, &mut self.partition_keys);
         let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
         for name in &self.config.nodes {
-            let entry = self.cache.partitions.get(name);
-            let held = entry.map(|(leader, mod_revision)| HeldKey {
+            let entry = self.cache.partition(name);
+            let held = entry.map(|Versioned { record: leader, mod_revision }| HeldKey {
                 leader,
                 mod_revision: *mod_revision,
                 is_outdated: self.cluster.is_outdated_leader(leader, *mod_revision),
@@ -146,11 +147,10 @@
     ) {
         match self.partition_keys.acquired(self.now, name, result) {
             AcquireOutcome::Committed { term } => {
-                self.cache.newest_revision = self.cache.newest_revision.max(term);
+                self.cache.saw_revision(term);
                 if self.cache.is_ahead_of_cache(term) {
-                    let key = format!("{PARTITION_PREFIX}{name}");
                     let record = self.partition_keys.own_record().clone();
-                    self.apply_partition_record(&key, Some(record), term);
+                    self.apply_partition_record(name, record, term);
                 }
             }
             AcquireOutcome::LeaseEnded => self.lease_ended(lease),
@@ -169,9 +169,7 @@
     ) {
         match self.partition_keys.released(self.now, name, result) {
             ReleaseOutcome::GivenUp => {
-                if self.cache.partitions.get(name).is_some_and(|(_, s)| *s == mod_revision) {
-                    self.cache.partitions.remove(name);
-                }
+                self.cache.partition_given_up(name, mod_revision);
             }
             ReleaseOutcome::Failed => {}
         }
@@ -198,12 +196,12 @@
     /// Partitions whose acquisition the cache has come to begin their work from it: what an earlier
     /// leader wrote is in it, and it can write no more.
     fn load_partitions(&mut self) {
-        if !self.cache.loaded {
+        if !self.cache.loaded() {
             return;
         }
-        let (now, wall, revision) = (self.now, self.wall(), self.cache.revision);
+        let (now, wall, revision) = (self.now, self.wall(), self.cache.revision());
         for partition in self.partitions.values_mut().filter(|p| !p.loaded && p.term <= revision) {
-            for (record, mod_revision) in self.cache.active_jobs.values() {
+            for Versioned { record, mod_revision } in self.cache.active_jobs().values() {
                 partition.reconcile_job(&self.config, record.clone(), *mod_revision, now, wall);
             }
             let name = partition.name.clone();
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -33,7 +33,7 @@
 fn a_holder_acts_only_on_a_fresh_view() {
     let watched = |revision| Ok(StoreReply::Watched(WatchAnswer { revision, log: Vec::new() }));
     let mut core = core();
-    core.cache.loaded = true;
+    core.cache.set_loaded(true);
     core.config.workers.cancel = 40 * SECOND;
     // 40 s less a lease of 10 s and a margin of 3 s, with drift.
     let bound = core.config.view_bound();
@@ -47,7 +47,7 @@
     core.watched(1, NOW + 5 * SECOND, watched(12));
     assert!(at(&mut core, 5 * SECOND + bound - 1) && !at(&mut core, 5 * SECOND + bound));
     // A read of the revision counts from its sending, but only once the cache has come to it.
-    core.fenced(Vec::new(), NOW + 9 * SECOND, Ok(StoreReply::Revision(14)));
+    core.revision_read(Vec::new(), NOW + 9 * SECOND, Ok(StoreReply::Revision(14)));
     assert!(!at(&mut core, 5 * SECOND + bound));
     core.watched(2, NOW + 6 * SECOND, watched(13));
     assert!(!at(&mut core, 6 * SECOND + bound));
@@ -58,7 +58,7 @@
     core.now = NOW + 20 * SECOND;
     core.lease_renewed(NOW + 19 * SECOND, 1, &Ok(StoreReply::Renewed));
     assert!(core.holds_lease() && !core.may_act(), "the view is from before the renewal");
-    core.fenced(Vec::new(), NOW + 19 * SECOND, Ok(StoreReply::Revision(14)));
+    core.revision_read(Vec::new(), NOW + 19 * SECOND, Ok(StoreReply::Revision(14)));
     assert!(core.may_act());
 }
 
--- a/crates/quartzlever-core/src/router/ownership.rs
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -19,7 +19,7 @@
             size: self.cluster.agreed_group_size(),
             revision: self.cluster.group_size_revision(),
         };
-        GroupLayout::new(&agreement, &self.config, &self.limits, self.cache.revision)
+        GroupLayout::new(&agreement, &self.config, &self.limits, self.cache.revision())
     }
 
     /// How many machines share a key that is written now.
--- a/crates/quartzlever-core/src/router/ownership/tests.rs
+++ b/crates/quartzlever-core/src/router/ownership/tests.rs
@@ -23,7 +23,7 @@
         ("unknown, and it was not", Err(CallError::Unknown), Some(block(&["n-8"])), 3),
     ] {
         let mut core = core();
-        core.cache.loaded = true;
+        core.cache.set_loaded(true);
         core.lease.renew_at(NOW + 900 * SECOND);
         core.request_ownership(
             1,
@@ -125,8 +125,8 @@
         (Some((32, 20)), 30, Some("hosts/n-~16~14")),
     ] {
         let mut core = core();
-        core.cache.loaded = true;
-        core.cache.revision = revision;
+        core.cache.set_loaded(true);
+        core.cache.set_revision(revision);
         core.config.value_bytes = 2048;
         core.lease.renew_at(NOW + 900 * SECOND);
         core.apply_cluster_row(&raised_version(10));
--- a/crates/quartzlever-core/src/router/reachability.rs
+++ b/crates/quartzlever-core/src/router/reachability.rs
@@ -22,11 +22,11 @@
         if self.may_act() {
             self.give_up_unreachable_partitions();
             let until = self.authority_expires_at();
-            let groups = self.cache.ownership_groups.values();
+            let groups = self.cache.groups().values();
             self.reachability.poll_probe(
                 self.now,
                 &self.config,
-                groups.flat_map(|(hosts, _)| hosts.iter()),
+                groups.flat_map(|group| group.record.iter()),
                 until,
                 &mut self.rng,
                 &mut self.outbox,
--- a/crates/quartzlever-core/src/router/reachability/tests.rs
+++ b/crates/quartzlever-core/src/router/reachability/tests.rs
@@ -159,7 +159,7 @@
             core.lease.expire_at(now + 10 * SECOND);
             if step == 2 && held {
                 let record = PartitionRecord { node: "two".into(), process: 77 };
-                core.cache.partitions.insert("one".into(), (record, 21));
+                core.cache.record_partition("one", record, 21);
             }
             let effects = core.step(now, std::mem::take(&mut told));
             told.extend(commit_announcement(&effects));
--- a/crates/quartzlever-core/src/router/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -25,7 +25,7 @@
         ("peers out of reach as well", 6, None, true, 200),
     ] {
         let mut core = core();
-        core.cache.loaded = true;
+        core.cache.set_loaded(true);
         core.wall_offset = Some(0);
         core.store_connectivity = StoreConnectivity::new(NOW);
         let now = NOW + quiet * SECOND;
@@ -68,7 +68,7 @@
     use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
     let mut core = core();
     core.outbox.set_log_level(LogLevel::Info);
-    core.cache.loaded = true;
+    core.cache.set_loaded(true);
     core.store_connectivity = StoreConnectivity::new(NOW);
     assert!(events(&core.step(NOW + 3 * SECOND, Vec::new())).is_empty());
     let effects = core.step(NOW + 5 * SECOND, Vec::new());
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -245,8 +245,8 @@
     /// Tells the leaders of a job that was just cancelled, so that its tasks end sooner where the
     /// watch is late. Nothing rests on it.
     fn notify_cancelled(&mut self, job: &str, done: u32) {
-        let Some((record, _)) = self.cache.active_jobs.get(job) else { return };
-        let leaders = cancellation::other_leaders(record, |name| self.other_leader_of(name));
+        let Some(known) = self.cache.active_job(job) else { return };
+        let leaders = cancellation::other_leaders(&known.record, |name| self.other_leader_of(name));
         for node in leaders.into_iter().map(str::to_owned).collect::<Vec<_>>() {
             let request = PeerRequest::Cancelled { job: job.to_owned(), done };
             self.outbox.ask_peer(&node, request, PendingPeerCall::Notification);
--- a/crates/quartzlever-core/src/router/user_requests/tests.rs
+++ b/crates/quartzlever-core/src/router/user_requests/tests.rs
@@ -97,7 +97,7 @@
         (true, 2, 503),
     ] {
         let mut core = core();
-        core.cache.loaded = true;
+        core.cache.set_loaded(true);
         let (what, make) = asks[ask];
         let (mut batch, mut answer, mut logged) = (vec![make(9)], None, false);
         for step in 0..12 {
--- a/crates/quartzlever-core/src/store/cache/tests.rs
+++ b/crates/quartzlever-core/src/store/cache/tests.rs
@@ -1,26 +1,108 @@
+//! What the cache takes for news.
+
 use super::*;
+use crate::testing::{NOW, machine_record_of, record};
 
-/// The modification revision of a job that changes again and again was forgotten once enough other jobs had come after
-/// its first record, and a late record of it was taken for news then.
-#[test]
-fn a_job_that_keeps_changing_is_remembered_however_many_came_after_it() {
-    let mut mod_revisions = LatestRevisions::default();
-    for round in 0..3 {
-        assert!(mod_revisions.saw("req-old", 10 + round), "round {round}");
-        for job in 0..LEAST_REMEMBERED as u64 - 1 {
-            assert!(mod_revisions.saw(&format!("req-{round}-{job}"), 100 + job));
-        }
+/// States that tests begin with.
+impl Cache {
+    pub(crate) fn set_loaded(&mut self, loaded: bool) {
+        self.loaded = loaded;
+    }
+
+    pub(crate) fn set_revision(&mut self, revision: u64) {
+        self.revision = revision;
+    }
+
+    pub(crate) fn set_view_as_of(&mut self, as_of: Micros) {
+        self.view = View::default();
+        self.view.listed(as_of);
     }
-    assert!(!mod_revisions.saw("req-old", 11), "a later record is known");
-    assert!(mod_revisions.saw("req-old", 12), "the same record is no late one");
+}
+
+fn leader(node: &str) -> PartitionRecord {
+    PartitionRecord { node: node.into(), process: 1 }
+}
+
+fn machines(names: &[&str]) -> MachineRecords {
+    names.iter().map(|name| ((*name).to_owned(), machine_record_of(name, "one"))).collect()
 }
 
 #[test]
-fn what_is_remembered_stays_within_its_bound() {
-    let mut mod_revisions = LatestRevisions::default();
-    for job in 0..5 * LEAST_REMEMBERED as u64 {
-        mod_revisions.saw(&format!("req-{job}"), job);
-    }
-    let kept = mod_revisions.0.recent.len() + mod_revisions.0.older.len();
-    assert!((LEAST_REMEMBERED..=2 * LEAST_REMEMBERED).contains(&kept), "{kept}");
+fn an_older_record_of_a_partition_never_takes_the_place_of_a_later_one() {
+    let mut cache = Cache::default();
+    assert!(cache.record_partition("one", leader("one"), 5));
+    assert!(!cache.record_partition("one", leader("two"), 4));
+    assert!(cache.record_partition("one", leader("one"), 5));
+    assert!(cache.record_partition("two", leader("one"), 6));
+    assert_eq!(cache.leaders(), 1);
+    // A removal counts for what was there before it, an end of one's own for that record alone.
+    cache.partition_deleted("one", 4);
+    cache.partition_given_up("one", 6);
+    assert_eq!(cache.partition("one").map(|held| held.mod_revision), Some(5));
+    cache.partition_given_up("one", 5);
+    cache.partition_deleted("two", 7);
+    assert!(cache.partitions().is_empty());
+}
+
+#[test]
+fn an_older_record_of_a_job_never_takes_the_place_of_a_later_one() {
+    let mut cache = Cache::default();
+    cache.record_unreadable_job("req-1");
+    assert!(cache.is_active_job("req-1") && cache.active_job("req-1").is_none());
+    cache.record_active_job(record("0-3", ""), 10);
+    cache.record_active_job(record("", "0-3"), 9);
+    cache.add_finished("req-1", &"1".parse().unwrap_or_default());
+    let known = cache.active_job("req-1").map(|known| (known.mod_revision, &known.record));
+    assert!(known.is_some_and(|(mod_revision, record)| {
+        mod_revision == 10 && record.shares[0].tasks.len() == 4 && record.finished.len() == 1
+    }));
+    assert!(cache.is_active_job_known("req-1", 10) && !cache.is_active_job_known("req-1", 11));
+    cache.active_job_deleted("req-1", 9);
+    assert!(cache.is_active_job("req-1"));
+    cache.active_job_deleted("req-1", 11);
+    assert!(!cache.is_active_job("req-1"));
+}
+
+#[test]
+fn a_block_tells_what_is_new_in_it_and_an_older_one_nothing() {
+    let mut cache = Cache::default();
+    let new = |found: Option<MachineRecords>| {
+        found.map(|found| found.into_keys().collect::<Vec<_>>().join(" "))
+    };
+    assert_eq!(
+        new(cache.record_group("hosts/a", machines(&["a-1", "a-2"]), 5)),
+        Some("a-1 a-2".into())
+    );
+    assert_eq!(new(cache.record_group("hosts/a", machines(&["a-9"]), 5)), None);
+    assert!(cache.is_group_known("hosts/a", 5) && !cache.is_group_known("hosts/a", 6));
+    assert_eq!(
+        new(cache.record_group("hosts/a", machines(&["a-2", "a-3"]), 6)),
+        Some("a-3".into())
+    );
+    assert!(!cache.is_claimed("a-1") && cache.is_claimed("a-3"));
+    assert_eq!(cache.machines_of("one").count(), 2);
+    assert_eq!(cache.group_of_machine("a-2").map(String::as_str), Some("hosts/a"));
+    // A block without a machine is none; a read that found no key counts in any case.
+    assert_eq!(new(cache.record_group("hosts/a", MachineRecords::new(), 0)), Some(String::new()));
+    assert!(cache.groups().is_empty() && cache.machine_record("a-2").is_none());
+}
+
+#[test]
+fn the_view_is_as_fresh_as_the_reads_that_a_loaded_cache_has_caught_up_with() {
+    let mut cache = Cache::default();
+    cache.reset(10);
+    cache.read_revision(10, NOW + 3);
+    assert_eq!(cache.view_as_of(), 0, "records are missing");
+    cache.listing_complete(NOW);
+    assert_eq!(cache.view_as_of(), NOW + 3);
+    cache.read_revision(12, NOW + 4);
+    assert!(cache.is_behind() && cache.view_as_of() == NOW + 3);
+    assert!(cache.is_ahead_of_cache(12) && !cache.is_ahead_of_cache(10));
+    cache.advance(12);
+    cache.read_revision(11, NOW + 1);
+    assert!(!cache.is_behind() && cache.view_as_of() == NOW + 4);
+    cache.advance(9);
+    assert_eq!(cache.revision(), 12);
+    cache.outdated();
+    assert!(!cache.is_ahead_of_cache(13), "the listing shows it");
 }
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -1,177 +1,123 @@
 //! Reading all records of the store: at the start, and again when the watch has fallen so far
 //! behind that the store no longer knows what it missed.
 //!
-//! One listing is under way at a time, section by section and page by page; a page that belongs to an
-//! earlier listing is ignored. Later pages may tell of changes after the first one, and the watch, which
-//! begins at the revision of the first page, tells of these again.
+//! Owns how far that has come. One listing is under way at a time, section by section and page by page; a
+//! page that belongs to an earlier listing is ignored. Later pages may tell of changes after the first one,
+//! and the watch, which begins at the revision of the first page, tells of these again.
 
 use quartzlever_wire::store::{Row, Rows, StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::{PendingStoreCall, Section};
-use crate::events::LogEvent;
-use crate::messages::{CallPriority, LogLevel};
-use crate::router::Core;
-use crate::store::cache::Cache;
-use crate::store::parse;
+use crate::messages::CallPriority;
+use crate::outbox::Outbox;
 
 /// After a page that was not read.
 const RETRY: Micros = SECOND / 2;
 
+/// The listings of this process.
+#[derive(Debug, Default)]
+pub(crate) struct Listing {
+    under_way: Option<UnderWay>,
+    begun: u64,
+    retry_at: Micros,
+}
+
 /// The listing under way.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Listing {
+struct UnderWay {
     number: u64,
     sent: Micros,
     /// The section of the last page that has come.
     section: Option<Section>,
 }
 
-impl Cache {
-    fn clear(&mut self) {
-        self.partitions.clear();
-        self.ownership_groups.clear();
-        self.group_of_machine.clear();
-        self.active_jobs.clear();
-        self.unreadable_jobs.clear();
-    }
+/// A page that has come.
+#[derive(Debug)]
+pub(crate) struct ListedPage {
+    pub rows: Vec<Row>,
+    /// The revision at which the listing begins, if this is its first page.
+    pub begins_at: Option<u64>,
+    /// Whether it is the first page of its section.
+    pub begins_section: bool,
+    pub next: NextPage,
+}
+
+/// What follows on a page.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum NextPage {
+    /// More of the same section, from that key on.
+    From(String),
+    /// Another section.
+    Section(Section),
+    /// Nothing: the listing, which was begun at that moment, is complete.
+    Complete { sent: Micros },
 }
 
-impl Core {
+impl Listing {
     /// Begins to list all records, unless that is being done.
-    pub(crate) fn begin_listing(&mut self) {
-        let now = self.now;
-        if self.cache.listing.is_some() || now < self.cache.retry_at {
+    pub fn begin(&mut self, now: Micros, outbox: &mut Outbox) {
+        if self.under_way.is_some() || now < self.retry_at {
             return;
         }
-        self.cache.listings_begun += 1;
-        let number = self.cache.listings_begun;
-        self.cache.listing = Some(Listing { number, sent: now, section: None });
-        self.list(number, Section::Partitions, None);
-    }
-
-    fn list(&mut self, listing: u64, section: Section, from: Option<String>) {
-        let call = StoreCall::List { prefix: section.prefix().into(), from };
-        self.outbox.call_store(
-            CallPriority::Lease,
-            call,
-            PendingStoreCall::List { listing, section },
-        );
+        self.begun += 1;
+        self.under_way = Some(UnderWay { number: self.begun, sent: now, section: None });
+        list(self.begun, Section::Partitions, None, outbox);
     }
 
-    /// A page of the records was read, or not.
-    pub(crate) fn page_listed(
+    /// A page was read, or not; `None` if there is nothing to take in.
+    pub fn page_listed(
         &mut self,
+        now: Micros,
         number: u64,
         section: Section,
         result: Result<StoreReply, CallError>,
-    ) {
-        let Some(listing) = self.cache.listing.filter(|listing| listing.number == number) else {
-            return;
-        };
+    ) -> Option<ListedPage> {
+        let listing = self.under_way.filter(|listing| listing.number == number)?;
         let Ok(StoreReply::Rows(rows)) = result else {
-            self.cache.listing = None;
-            self.cache.retry_at = self.now + RETRY;
-            return;
+            self.under_way = None;
+            self.retry_at = now + RETRY;
+            return None;
         };
-        if listing.section.is_none() {
-            self.reset_cache(&rows);
-        }
-        if section == Section::Cluster && listing.section != Some(section) {
-            self.cluster.forget_nodes();
-        }
-        self.cache.listing = Some(Listing { section: Some(section), ..listing });
-        for row in &rows.rows {
-            self.apply_row(section, row);
-        }
-        if let Some(from) = next_page(&rows) {
-            self.list(number, section, Some(from));
-        } else if let Some(next) = section.next() {
-            self.list(number, next, None);
-        } else {
-            self.listing_complete(listing);
-        }
-    }
-
-    /// The first page has come: the watch will begin at its revision.
-    fn reset_cache(&mut self, rows: &Rows) {
-        self.cache.clear();
-        self.pages.clear();
-        self.cache.revision = rows.revision;
-    }
-
-    fn apply_row(&mut self, section: Section, row: &Row) {
-        match section {
-            Section::Partitions => {
-                self.apply_partition_record(&row.path, parse(row), row.mod_revision)
-            }
-            Section::Machines => self.apply_group_row(row, false),
-            Section::Jobs => self.apply_job_record(row),
-            Section::Pages => self.apply_page_row(row),
-            Section::Cluster => self.apply_cluster_row(row),
-        }
-    }
-
-    fn listing_complete(&mut self, listing: Listing) {
-        self.look_for_upgrade();
-        self.cache.listing = None;
-        self.cache.loaded = true;
-        self.close_gap();
-        self.cache.view_as_of = self.cache.view_as_of.max(listing.sent);
-        self.cache.catch_up();
-    }
-
-    /// Partitions that are held here although their keys were gone when the listing began, or
-    /// another's: that was among the changes that were missed.
-    fn drop_lost_partitions(&mut self) {
-        let revision = self.cache.revision;
-        let keys = &self.cache.partitions;
-        let is_lost = |name: &str, term: u64| {
-            term <= revision && keys.get(name).is_none_or(|(_, mod_revision)| *mod_revision != term)
+        self.under_way = Some(UnderWay { section: Some(section), ..listing });
+        let next = match (next_page(&rows), section.next()) {
+            (Some(from), _) => NextPage::From(from),
+            (None, Some(next)) => NextPage::Section(next),
+            (None, None) => NextPage::Complete { sent: listing.sent },
         };
-        let lost: Vec<(String, u64)> = self
-            .partitions
-            .values()
-            .filter(|partition| is_lost(&partition.name, partition.term))
-            .map(|partition| (partition.name.clone(), partition.term))
-            .collect();
-        for (partition, term) in lost {
-            self.partitions.remove(&partition);
-            self.outbox
-                .log(LogLevel::Info, || LogEvent::PartitionLostUnnoticed { partition, term });
-        }
+        Some(ListedPage {
+            begins_at: listing.section.is_none().then_some(rows.revision),
+            begins_section: listing.section != Some(section),
+            rows: rows.rows,
+            next,
+        })
     }
 
-    /// The cache was made anew: partitions that were held before may have missed changes.
-    fn close_gap(&mut self) {
-        let now = self.now;
-        self.drop_lost_partitions();
-        // What was there at the revision at which the listing began, and is not listed, is over:
-        // its tasks end here and now, since the view counts as fresh from here on. Which end it
-        // came to is read when somebody asks.
-        let revision = self.cache.revision;
-        for partition in self.partitions.values_mut().filter(|p| p.active()) {
-            let over: Vec<String> = partition
-                .jobs
-                .iter()
-                .filter(|(id, job)| job.mod_revision() <= revision && !self.cache.is_active_job(id))
-                .map(|(id, _)| id.clone())
-                .collect();
-            for id in over {
-                partition.drop_job(&id, now);
-            }
-            let name = partition.name.clone();
-            for (host, record) in self.cache.machines_of(&name) {
-                if !partition.machines.contains_key(host)
-                    && !partition.autoscaling.terminated.contains(host)
-                {
-                    partition.add_machine(host, record.clone(), false, now);
-                }
+    /// Asks for what follows on a page of this section; gives when the listing was begun if that is
+    /// nothing.
+    pub fn proceed(
+        &mut self,
+        section: Section,
+        next: NextPage,
+        outbox: &mut Outbox,
+    ) -> Option<Micros> {
+        match next {
+            NextPage::From(from) => list(self.begun, section, Some(from), outbox),
+            NextPage::Section(next) => list(self.begun, next, None, outbox),
+            NextPage::Complete { sent } => {
+                self.under_way = None;
+                return Some(sent);
             }
         }
+        None
     }
 }
 
+fn list(listing: u64, section: Section, from: Option<String>, outbox: &mut Outbox) {
+    let call = StoreCall::List { prefix: section.prefix().into(), from };
+    outbox.call_store(CallPriority::Lease, call, PendingStoreCall::List { listing, section });
+}
+
 fn next_page(rows: &Rows) -> Option<String> {
     if rows.has_next { rows.rows.last().map(|row| row.path.clone()) } else { None }
 }
--- a/crates/quartzlever-core/src/store/write_budget/tests.rs
+++ b/crates/quartzlever-core/src/store/write_budget/tests.rs
@@ -16,7 +16,7 @@
         (10.0, 3, WriteKind::Move, 24, false),
     ] {
         let mut write_budget = WriteBudget::new(0);
-        write_budget.pass(100 * SECOND, rate / SAFE, 1);
+        write_budget.pass(100 * SECOND, rate / USABLE_SHARE, 1);
         write_budget.spend(spent);
         assert_eq!(
             write_budget.try_spend(write_kind, count),
@@ -79,3 +79,40 @@
         );
     }
 }
+
+/// Changes that are refused for coming too often come more slowly, and back to the limit by and by. What is
+/// refused within a second counts once.
+#[test]
+fn refused_changes_come_more_slowly_for_a_time() {
+    // (refusals, one each so many tenths of a second; changes that half a second brings after them,
+    // and after minutes)
+    for (refusals, apart, soon, later) in
+        [(0, 10, 13, 13), (1, 10, 10, 13), (5, 0, 10, 13), (2, 10, 8, 13), (50, 10, 1, 13)]
+    {
+        let mut write_budget = WriteBudget::new(0);
+        let mut now = 100 * SECOND;
+        write_budget.pass(now, 30.0, 1);
+        let mut news = 0;
+        for _ in 0..refusals {
+            now += apart * SECOND / 10;
+            write_budget.pass(now, 30.0, 1);
+            news += u32::from(write_budget.throttle(now));
+        }
+        let counted = if apart < 10 { 1 } else { refusals };
+        assert_eq!(news, counted, "{refusals} refusals");
+        for (wait, changes) in [(0, soon), (400 * SECOND, later)] {
+            now += wait;
+            write_budget.pass(now, 30.0, 1);
+            // Whatever is there is taken, and nothing is owed.
+            while write_budget.try_spend(WriteKind::Finish, 1) {}
+            let before = write_budget.has(WriteKind::Finish, 1);
+            write_budget.pass(now + SECOND / 2, 30.0, 1);
+            now += SECOND / 2;
+            let mut left = 0;
+            while write_budget.try_spend(WriteKind::Finish, 1) {
+                left += 1;
+            }
+            assert!(!before && left == changes, "{refusals} refusals, {wait}: {left}");
+        }
+    }
+}
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -91,7 +91,7 @@
     };
     core.types = Some(Arc::new(BTreeMap::from([("m".into(), machine_type)])));
     core.lease = Lease::held(1, NOW + 1_000 * SECOND);
-    core.cache.view_as_of = NOW;
+    core.cache.set_view_as_of(NOW);
     let mut partition = Partition::new("one", 5, core.types.clone(), NOW);
     (partition.loaded, partition.recovery_complete) = (true, true);
     let host = MachineRecord {
@@ -203,13 +203,13 @@
 /// A core with a copy of the records, in which these nodes hold partitions.
 pub(crate) fn with_cache(partitions: &[(&str, &str, u64)]) -> Core {
     let mut core = core();
-    core.cache.loaded = true;
+    core.cache.set_loaded(true);
     core.wall_offset = Some(0);
     core.lease.renew_at(NOW + 900 * SECOND);
     for (partition, node, mod_revision) in partitions {
         let process = if *node == core.config.node { core.process } else { 77 };
         let record = PartitionRecord { node: (*node).into(), process };
-        core.cache.partitions.insert((*partition).into(), (record, *mod_revision));
+        core.cache.record_partition(partition, record, *mod_revision);
     }
     core
 }
@@ -314,11 +314,11 @@
 pub(crate) fn with_leaders(machine_capacity: usize) -> Core {
     let mut core = core();
     core.config.machine_capacity = machine_capacity;
-    core.cache.loaded = true;
+    core.cache.set_loaded(true);
     core.wall_offset = Some(0);
     for (partition, mod_revision, process) in [("one", 5, core.process), ("two", 6, 77)] {
         let record = PartitionRecord { node: partition.into(), process };
-        core.cache.partitions.insert(partition.into(), (record, mod_revision));
+        core.cache.record_partition(partition, record, mod_revision);
     }
     core
 }
@@ -395,8 +395,8 @@
 
 /// Has all records listed anew: these rows, at this revision.
 pub(crate) fn list_records(core: &mut Core, rows: &[Row], revision: u64) {
-    core.begin_listing();
-    let number = core.cache.listings_begun;
+    core.listing.begin(core.now, &mut core.outbox);
+    let number = core.listing.latest();
     for section in Section::ALL {
         let of = |row: &&Row| row.path.starts_with(section.prefix());
         let rows = rows.iter().filter(of).cloned().collect();
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -16,6 +16,7 @@
 use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
+use crate::store::cache::Versioned;
 use crate::store::parse;
 
 /// The version of this program. Version 1 tells nothing of itself.
@@ -193,8 +194,8 @@
                 return None;
             }
             txn = txn.when(format!("{NODE_VERSION_PREFIX}{node}"), *mod_revision);
-            let partition = self.cache.partitions.get(node);
-            if let Some((leader, _)) = partition {
+            let partition = self.cache.partition(node);
+            if let Some(Versioned { record: leader, .. }) = partition {
                 let (announced, _) = self.cluster.nodes.get(&leader.node)?;
                 if announced.process != leader.process {
                     return None;
@@ -202,7 +203,7 @@
             }
             txn = txn.when(
                 format!("{PARTITION_PREFIX}{node}"),
-                partition.map_or(0, |(_, mod_revision)| *mod_revision),
+                partition.map_or(0, |held| held.mod_revision),
             );
         }
         Some(txn.write(CLUSTER_VERSION_KEY, Json::of(&ClusterRecord { version: VERSION })))
@@ -243,7 +244,7 @@
 
     /// The records were read, and with them the cluster version and who holds partitions.
     pub(crate) fn look_for_upgrade(&mut self) {
-        let leaders = self.cache.partitions.values().map(|(leader, _)| leader);
+        let leaders = self.cache.partitions().values().map(|held| &held.record);
         self.cluster.records_read(self.now, leaders);
     }
 
--- a/crates/quartzlever-core/src/upgrade/tests.rs
+++ b/crates/quartzlever-core/src/upgrade/tests.rs
@@ -12,7 +12,7 @@
 
 fn held(core: &mut Core, partition: &str, node: &str, process: u64, mod_revision: u64) {
     let record = PartitionRecord { node: node.into(), process };
-    core.cache.partitions.insert(partition.into(), (record, mod_revision));
+    core.cache.record_partition(partition, record, mod_revision);
 }
 
 fn transactions(core: &mut Core, now: Micros) -> Vec<quartzlever_wire::store::Txn> {
@@ -42,7 +42,7 @@
     .enumerate()
     {
         let mut core = core();
-        core.cache.loaded = true;
+        core.cache.set_loaded(true);
         let process = (core.process, process);
         held(&mut core, "one", "one", process.0, 5);
         if let Some((node, process)) = leader {
@@ -99,7 +99,7 @@
 #[test]
 fn versions_that_do_not_fit_are_told() {
     let mut core = core();
-    core.cache.loaded = true;
+    core.cache.set_loaded(true);
     core.config.version = 1;
     assert!(transactions(&mut core, NOW).is_empty());
     let v = Json::of(&ClusterRecord { version: VERSION + 1 });
@@ -120,7 +120,7 @@
 #[test]
 fn a_process_announces_itself_before_it_acquires_a_partition() {
     let mut core = core();
-    core.cache.loaded = true;
+    core.cache.set_loaded(true);
     core.partitions.clear();
     let acquires = |effects: &[Effect]| format!("{effects:?}").contains("parts/one");
     let first = core.step(NOW, Vec::new());
@@ -152,7 +152,7 @@
     .enumerate()
     {
         let mut core = core();
-        core.cache.loaded = true;
+        core.cache.set_loaded(true);
         let own = core.process;
         held(&mut core, "one", "one", own, 5);
         announce(&mut core, "one", VERSION, own, 4);
