--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -72,12 +72,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ScaleInReason::Silent => "silent",
-            ScaleInReason::NotGone => "not gone",
-            ScaleInReason::IgnoresCommands => "deaf",
+            ScaleInReason::NotGone => "not_gone",
+            ScaleInReason::IgnoresCommands => "ignores_commands",
             ScaleInReason::Taken => "taken",
             ScaleInReason::Failed => "failed",
-            ScaleInReason::FailsTasks => "fails",
-            ScaleInReason::Slow => "crawls",
+            ScaleInReason::FailsTasks => "fails_tasks",
+            ScaleInReason::Slow => "slow",
             ScaleInReason::Idle => "idle",
         })
     }
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -7,7 +7,7 @@
 //! anything wrong. Every page is written on condition of the record's modification revision, so none can appear
 //! after the job is done or cancelled; what is left of such jobs is removed later.
 //!
-//! [`Pages`] owns what is known of all pages, plans how progress is recorded, and removes leftovers.
+//! `Pages` owns what is known of all pages, plans how progress is recorded, and removes leftovers.
 
 use std::collections::BTreeMap;
 
