--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -16,6 +16,3 @@
 pub(crate) mod lease;
 pub(crate) mod partition_keys;
 pub(crate) mod reachability;
-
-#[cfg(test)]
-mod tests;
--- a/crates/quartzlever-core/src/leadership/reachability/tests.rs
+++ b/crates/quartzlever-core/src/leadership/reachability/tests.rs
@@ -6,7 +6,7 @@
 use crate::testing::*;
 
 #[test]
-fn a_part_goes_to_and_fro_ever_more_seldom() {
+fn a_partition_goes_to_and_fro_ever_more_seldom() {
     // (seconds at which partitions are given up, with workers reached between them if they are more
     // than 10 s apart; seconds of the last wait)
     let cases: &[(&[Micros], Micros)] = &[
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -3,7 +3,7 @@
 use crate::testing::*;
 
 #[test]
-fn a_part_is_given_back_once() {
+fn a_partition_is_handed_back_once() {
     // (what the release brings, how many more releases follow within a second)
     for (name, brings, more) in [
         ("given up", Ok(StoreReply::Committed(20)), 0),
@@ -30,7 +30,7 @@
 /// The sending of a read counts, once the cache has come as far; a lease that is surely alive is not
 /// enough, nor is a fresh view from before the lease was renewed after a time without.
 #[test]
-fn a_holder_acts_only_on_a_fresh_view() {
+fn a_leader_acts_only_on_a_fresh_view() {
     let watched = |revision| Ok(StoreReply::Watched(WatchAnswer { revision, log: Vec::new() }));
     let mut core = core();
     core.cache.set_loaded(true);
--- a/crates/quartzlever-core/src/router/reachability/tests.rs
+++ b/crates/quartzlever-core/src/router/reachability/tests.rs
@@ -5,7 +5,7 @@
 use crate::testing::*;
 
 #[test]
-fn a_part_goes_to_the_peer_that_hears_its_workers() {
+fn a_partition_goes_to_the_peer_that_hears_its_workers() {
     // (seconds since the leader heard anything, how many machines it hears now, how many a peer
     // says it hears, whether the leader stood still; whether it gives the partition up), of ten
     for (name, quiet, hears, peer, behind, given_up) in [
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_peer_tells_the_holder_whom_it_hears() {
+fn a_peer_tells_the_leader_whom_it_hears() {
     // (machines of the peer's partition that come here, whether the leader is told)
     for (machines, told) in [(2, None), (3, Some(3)), (7, Some(7))] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_holder_that_no_peer_reaches_is_told_by_the_state_service() {
+fn a_leader_that_no_peer_reaches_is_told_by_the_store() {
     // (whether the leader is reached; whether word is left, and then heeded by a leader that
     // hears nothing)
     for (reached, left) in [(true, false), (false, true)] {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_part_given_up_comes_home_once_workers_are_reached() {
+fn a_partition_given_up_comes_home_once_workers_are_reached() {
     // (seconds since it was given up, whether a call reaches a machine, whether another holds the
     // partition; whether home asks for it, whether home takes it)
     for (name, after, reaches, held, asks, takes) in [
