--- a/crates/quartzlever-clients/src/http.rs
+++ b/crates/quartzlever-clients/src/http.rs
@@ -41,6 +41,7 @@
 }
 
 impl HttpClient {
+    /// A client with connections of its own, under this policy.
     pub fn new(policy: CallPolicy) -> HttpClient {
         let agent = ureq::AgentBuilder::new()
             .timeout_connect(policy.connect)
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -37,6 +37,7 @@
 pub(super) struct Market<'a> {
     pub config: &'a Config,
     pub run_times: &'a RunTimes,
+    /// Machine types by name.
     pub types: &'a BTreeMap<String, MachineType>,
     /// All claimed machines, whichever partition they belong to.
     pub claimed: &'a BTreeMap<String, Versioned<MachineRecords>>,
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -127,6 +127,7 @@
 }
 
 impl<'a> ScaleInRules<'a> {
+    /// The rules for a partition as it stands now.
     pub fn new(
         config: &'a Config,
         types: &'a BTreeMap<String, MachineType>,
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -146,10 +146,12 @@
 const WITHOUT_PART: f64 = 0.5;
 
 impl Config {
+    /// The team of this name; `None` if the settings do not know it.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|t| t.name == name)
     }
 
+    /// Whether a team of this name has a limit.
     pub fn limited(&self, team: &str) -> bool {
         self.team(team).is_some_and(Team::limited)
     }
--- a/crates/quartzlever-core/src/events.rs
+++ b/crates/quartzlever-core/src/events.rs
@@ -11,10 +11,20 @@
 use quartzlever_wire::fields::Fields;
 
 use crate::autoscaling::ScaleInReason;
-use crate::messages::LogLevel;
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
+/// How much an event matters, the weightiest first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum LogLevel {
+    /// Something that a person has to look at.
+    Error,
+    /// What is needed to follow what happens.
+    Info,
+    /// Single tasks, and what was already told.
+    Debug,
+}
+
 /// One event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
--- a/crates/quartzlever-core/src/jobs/cancellation.rs
+++ b/crates/quartzlever-core/src/jobs/cancellation.rs
@@ -8,7 +8,8 @@
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Json};
 
-use crate::jobs::records::{active_job_key, terminal_job_key};
+use crate::jobs::records::terminal_job_key;
+use crate::store::active_job_key;
 
 /// A record that changes each time between its read and the cancellation is read so often again.
 const MAX_CANCEL_ATTEMPTS: u32 = 6;
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -16,9 +16,9 @@
 use quartzlever_wire::{Json, Micros, Ranges, SECOND};
 
 use crate::calls::{PageWrite, PendingStoreCall};
-use crate::jobs::records::active_job_key;
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
+use crate::store::active_job_key;
 use crate::store::parse;
 use crate::store::write_budget::{WriteBudget, WriteKind};
 
--- a/crates/quartzlever-core/src/jobs/records.rs
+++ b/crates/quartzlever-core/src/jobs/records.rs
@@ -6,8 +6,7 @@
 //! a record that listed it, and a task counts as recorded only by what a committed transaction says.
 
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, ActiveJobRecord, PARTITION_PREFIX, StoreReply, TERMINAL_JOB_PREFIX,
-    TerminalJobRecord, Txn,
+    ActiveJobRecord, PARTITION_PREFIX, StoreReply, TERMINAL_JOB_PREFIX, TerminalJobRecord, Txn,
 };
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Json, Micros, Ranges};
@@ -15,13 +14,9 @@
 use crate::calls::{JobWriteAction, PageWrite};
 use crate::jobs::pages::{Pages, ProgressWrite, WriteLimits};
 use crate::jobs::partition_job::{PartitionJob, RecordStep};
+use crate::store::active_job_key;
 use crate::store::write_budget::WriteKind;
 
-/// The key of a job that is neither done nor cancelled.
-pub fn active_job_key(id: &str) -> String {
-    format!("{ACTIVE_JOB_PREFIX}{id}")
-}
-
 /// The key of the final state of a job.
 pub fn terminal_job_key(id: &str) -> String {
     format!("{TERMINAL_JOB_PREFIX}{id}")
--- a/crates/quartzlever-core/src/jobs/submission.rs
+++ b/crates/quartzlever-core/src/jobs/submission.rs
@@ -19,7 +19,8 @@
 
 use crate::config::Config;
 use crate::jobs::feasibility::Feasibility;
-use crate::jobs::records::{active_job_key, terminal_job_key};
+use crate::jobs::records::terminal_job_key;
+use crate::store::active_job_key;
 use crate::store::cache::Cache;
 
 /// Why a job is not accepted, unless it is known already.
--- a/crates/quartzlever-core/src/jobs/user_requests.rs
+++ b/crates/quartzlever-core/src/jobs/user_requests.rs
@@ -7,9 +7,9 @@
 use quartzlever_wire::store::StoreCall;
 
 use crate::calls::{PendingStoreCall, Purpose};
-use crate::jobs::records::active_job_key;
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
+use crate::store::active_job_key;
 use crate::store::write_budget::WriteBudget;
 
 /// Users' requests under way beyond which new ones are shed at once.
--- a/crates/quartzlever-core/src/lib.rs
+++ b/crates/quartzlever-core/src/lib.rs
@@ -34,6 +34,7 @@
 pub mod scheduling;
 pub mod stealing;
 mod store;
+mod table;
 #[cfg(test)]
 mod testing;
 mod upgrade;
--- a/crates/quartzlever-core/src/machines/call_queue.rs
+++ b/crates/quartzlever-core/src/machines/call_queue.rs
@@ -8,7 +8,7 @@
 use quartzlever_wire::Micros;
 
 use crate::machines::machine::Machine;
-use crate::partition::Table;
+use crate::table::Table;
 
 /// Machines that are to be called.
 #[derive(Debug, Default)]
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -58,6 +58,7 @@
 }
 
 impl Machine {
+    /// A machine that was just claimed or read from its record: neither fenced nor verified.
     pub fn new(name: &str, record: MachineRecord, now: Micros) -> Self {
         Machine {
             name: name.to_owned(),
@@ -182,6 +183,7 @@
         self.slots.values().any(|s| waits(s) && s.image == image)
     }
 
+    /// Whether an attempt may be running here.
     pub fn busy(&self) -> bool {
         self.slots.values().any(|s| !s.exited())
     }
--- a/crates/quartzlever-core/src/machines/resources.rs
+++ b/crates/quartzlever-core/src/machines/resources.rs
@@ -12,14 +12,17 @@
 }
 
 impl Resources {
+    /// What one task of a job needs.
     pub fn required_by(spec: &JobSpec) -> Self {
         Resources { cpus: spec.cpus, gpus: spec.gpus, ram_gb: spec.ram_gb }
     }
 
+    /// What an empty machine of a type has.
     pub fn capacity_of(machine_type: &MachineType) -> Self {
         Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram_gb }
     }
 
+    /// Whether `need` fits into these resources, up to rounding.
     pub fn fits(&self, need: &Resources) -> bool {
         const SLACK: f64 = 1e-9;
         self.cpus + SLACK >= need.cpus
@@ -27,12 +30,14 @@
             && self.ram_gb + SLACK >= need.ram_gb
     }
 
+    /// Takes what a task needs away.
     pub fn take(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.ram_gb -= need.ram_gb;
     }
 
+    /// Gives back what a task needed.
     pub fn give(&mut self, need: &Resources) {
         self.cpus += need.cpus;
         self.gpus += need.gpus;
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -9,6 +9,7 @@
 use serde::Serialize;
 
 use crate::events::LogEvent;
+pub use crate::events::LogLevel;
 
 /// Names a request from outside that waits for its answer.
 pub type RequestId = u64;
@@ -96,14 +97,6 @@
     User,
 }
 
-/// How much a note in the log matters.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LogLevel {
-    Error,
-    Info,
-    Debug,
-}
-
 /// The body of an answer to an HTTP request; it becomes text once, where it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -2,11 +2,9 @@
 //! present leader knows of both.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::hash::{BuildHasherDefault, DefaultHasher};
 use std::ops::Bound;
 use std::sync::Arc;
 
-use indexmap::IndexMap;
 use quartzlever_wire::Micros;
 use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::store::{ActiveJobRecord, PARTITION_PREFIX, Txn};
@@ -23,11 +21,7 @@
 use crate::machines::resources::Resources;
 use crate::scheduling::Reservations;
 use crate::scheduling::free_capacity_index::FreeCapacityIndex;
-
-/// Records by name, each in a place of its own: looking one up reads little memory, and where three
-/// controllers share a core, most of what a heartbeat cost was waiting for memory. The order is that
-/// of insertions and removals, so the same commands give the same effects.
-pub type Table<T> = IndexMap<String, Box<T>, BuildHasherDefault<DefaultHasher>>;
+pub use crate::table::Table;
 
 /// Machine types by name, shared by all partitions of a process.
 pub type Types = Arc<BTreeMap<String, MachineType>>;
@@ -52,6 +46,7 @@
     pub autoscaling: Fleet,
     /// Events for the log, taken up with the next decisions.
     pub log_events: Vec<LogEvent>,
+    /// Machine types by name; `None` until the catalogue is known.
     pub types: Option<Types>,
     /// Machines that have, or had, attempts of a job: the end of each job was looked for on every
     /// machine, a fourth of all work with 2,000 of them.
@@ -77,6 +72,7 @@
 }
 
 impl Partition {
+    /// A partition that was just acquired, before its records are loaded.
     pub fn new(name: &str, term: u64, types: Option<Types>, now: Micros) -> Self {
         Partition {
             name: name.to_owned(),
@@ -105,10 +101,12 @@
         }
     }
 
+    /// Whether its records are loaded, so that decisions may be made.
     pub fn active(&self) -> bool {
         self.loaded
     }
 
+    /// Key of its record in the store.
     pub fn key(&self) -> String {
         format!("{PARTITION_PREFIX}{}", self.name)
     }
@@ -234,6 +232,7 @@
         (sum, certain)
     }
 
+    /// Attempts that may still be on a machine.
     pub fn occupied_slots(&self) -> impl Iterator<Item = &Slot> {
         self.machines.values().flat_map(|m| m.slots.values()).filter(|s| !s.exited())
     }
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -12,11 +12,10 @@
 use crate::calls::{JobWrite, JobWriteAction, PageWrite, PendingStoreCall};
 use crate::events::LogEvent;
 use crate::jobs::pages::{PageRow, WriteLimits, affordable_pages};
-use crate::jobs::records::{
-    self, DueWrite, PlannedWrite, WriteOutcome, active_job_key, terminal_job_key,
-};
+use crate::jobs::records::{self, DueWrite, PlannedWrite, WriteOutcome, terminal_job_key};
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
+use crate::store::active_job_key;
 use crate::store::parse;
 use crate::store::write_budget::WriteKind;
 
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -42,6 +42,7 @@
 }
 
 impl<'a> Feasibility<'a> {
+    /// The filter for one job at one moment.
     pub fn new(
         partition: &'a Partition,
         config: &Config,
--- a/crates/quartzlever-core/src/scheduling/score.rs
+++ b/crates/quartzlever-core/src/scheduling/score.rs
@@ -47,6 +47,7 @@
 }
 
 impl<'a> Scoring<'a> {
+    /// The scoring for a job as its tasks are placed now.
     pub fn new(job: &'a PartitionJob) -> Self {
         // Replicas of one service go to different machines, so that a loss takes one of them.
         let service = job.service();
@@ -57,6 +58,7 @@
         Scoring { spec: job.spec(), need: job.need(), replicas }
     }
 
+    /// How well a machine suits the job.
     pub fn score(&self, machine: &Machine) -> Score {
         let image = if machine.images.contains(&self.spec.image) {
             ImageState::Present
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -11,9 +11,9 @@
 use super::cut::StealRequest;
 use crate::calls::{Move, PendingStoreCall};
 use crate::events::LogEvent;
-use crate::jobs::records::active_job_key;
 use crate::messages::{CallPriority, LogLevel, RequestId};
 use crate::router::Core;
+use crate::store::active_job_key;
 use crate::store::write_budget::WriteKind;
 
 /// After a move of unknown outcome its jobs are written again after this time, which settles the matter.
--- a/crates/quartzlever-core/src/stealing/cut.rs
+++ b/crates/quartzlever-core/src/stealing/cut.rs
@@ -13,12 +13,12 @@
 use crate::calls::Move;
 use crate::jobs::pages::Pages;
 use crate::jobs::partition_job::PartitionJob;
-use crate::jobs::records::active_job_key;
 use crate::machines::resources::Resources;
 use crate::messages::RequestId;
 use crate::partition::Partition;
 use crate::router::Core;
 use crate::scheduling::{RunTimes, offer_allowed};
+use crate::store::active_job_key;
 
 /// Jobs that one move takes from, at the most; the store may take fewer changes in a transaction.
 const MAX_JOBS: usize = 8;
--- a/crates/quartzlever-core/src/stealing/thief.rs
+++ b/crates/quartzlever-core/src/stealing/thief.rs
@@ -62,6 +62,7 @@
 }
 
 impl Stealing {
+    /// A thief that has not asked anybody yet.
     pub fn new(config: &Config) -> Self {
         Stealing {
             interval: config.operator.steal_start,
--- a/crates/quartzlever-core/src/store.rs
+++ b/crates/quartzlever-core/src/store.rs
@@ -19,10 +19,15 @@
 pub(crate) mod watch;
 pub(crate) mod write_budget;
 
-use quartzlever_wire::store::Row;
+use quartzlever_wire::store::{ACTIVE_JOB_PREFIX, Row};
 use serde::de::DeserializeOwned;
 
 /// The record of a row, if it can be read.
 pub(crate) fn parse<T: DeserializeOwned>(row: &Row) -> Option<T> {
     row.v.parse()
 }
+
+/// The key of a job that is neither done nor cancelled.
+pub(crate) fn active_job_key(id: &str) -> String {
+    format!("{ACTIVE_JOB_PREFIX}{id}")
+}
--- a/crates/quartzlever-core/src/store/cache.rs
+++ b/crates/quartzlever-core/src/store/cache.rs
@@ -23,6 +23,7 @@
 }
 
 impl<T> Versioned<T> {
+    /// A record as of its last change.
     pub fn new(record: T, mod_revision: u64) -> Self {
         Versioned { record, mod_revision }
     }
--- a/crates/quartzlever-core/src/store/recent_jobs.rs
+++ b/crates/quartzlever-core/src/store/recent_jobs.rs
@@ -49,10 +49,12 @@
 pub(crate) struct TerminalJobs(Remembered<TerminalJobRecord>);
 
 impl TerminalJobs {
+    /// The final state of a job, if it is remembered.
     pub fn get(&self, id: &str) -> Option<&TerminalJobRecord> {
         self.0.get(id)
     }
 
+    /// Remembers the final state of a job.
     pub fn put(&mut self, id: &str, over: TerminalJobRecord) {
         self.0.put(id, over);
     }
