--- a/crates/quartzlever-core/src/machines/attempt.rs
+++ b/crates/quartzlever-core/src/machines/attempt.rs
@@ -19,7 +19,7 @@
     Settled,
     InFlight,
     /// It was given up and may still arrive, minutes late. Such an attempt is never cleared in
-    /// this session: a cleared attempt would be started again by the late command.
+    /// this incarnation: a cleared attempt would be started again by the late command.
     OutcomeUnknown,
 }
 
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Calls a worker: with its commands, or for its status alone while none of its sessions is known.
+    /// Calls a worker: with its commands, or for its status alone while no incarnation of it is known.
     fn call_worker(&mut self, name: &str, now: Micros, until: Micros, outbox: &mut Outbox) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let address = machine.record.address.clone();
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as its partition knows it: its session, its heartbeats, and the attempts that may be on it.
+//! A machine as its partition knows it: its incarnation, its heartbeats, and the attempts that may be on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -149,7 +149,7 @@
             .slots
             .iter()
             .any(|(key, s)| s.in_answer && s.wanted && !heartbeat.lists(&key.task, key.attempt));
-        // A session that ran out although it was answered all the time.
+        // An incarnation whose lease ran out although it was answered all the time.
         let lapsed = heartbeat.incarnation > self.incarnation
             && self.incarnation > 0
             && self.unacknowledged > 0;
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -91,7 +91,7 @@
             machine.track_acknowledgement(heartbeat, now);
         }
         if heartbeat.incarnation > machine.incarnation && machine.incarnation > 0 {
-            // The lease ran out over there: everything of the earlier session is gone.
+            // The lease ran out over there: everything of the earlier incarnation is gone.
             self.empty_machine(&heartbeat.host);
         }
         let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return };
@@ -242,7 +242,7 @@
             .machines
             .values()
             .filter(|m| {
-                // A session that was only heard of by a direct call runs out a lease after it
+                // An incarnation that was only heard of by a direct call runs out a lease after it
                 // began, and it began before it was heard of. Without that time, tasks given to a
                 // machine that had just come back were taken for gone and started elsewhere.
                 now.saturating_sub(
--- a/crates/quartzlever-core/src/machines/reconciliation/tests.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation/tests.rs
@@ -123,8 +123,8 @@
 
 #[test]
 fn a_late_copy_of_a_report_proves_nothing() {
-    // What is known already: session and tick. What comes: of the worker's own accord or as an
-    // answer to a call, session, tick, fencing token. Whether it counts, and proves the machine.
+    // What is known already: incarnation and sequence. What comes: of the worker's own accord or as an
+    // answer to a call, incarnation, sequence, fencing token. Whether it counts, and proves the machine.
     type Told = (StatusSource, u64, u64, u64);
     type Case<'a> = (&'a str, Option<(u64, u64)>, Told, bool, bool);
     let cases: &[Case] = &[
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -408,8 +408,8 @@
 
     /// How often tasks of a job were started, on the machines that there are now.
     pub fn starts_of(&self, job: &str) -> usize {
-        let required_by = |w: &Worker| w.started.iter().filter(|(task, _)| task.job == job).count();
-        self.workers.values().map(required_by).sum()
+        let of_job = |w: &Worker| w.started.iter().filter(|(task, _)| task.job == job).count();
+        self.workers.values().map(of_job).sum()
     }
 
     /// Lets time pass.
--- a/crates/quartzlever-recovery/src/detection.rs
+++ b/crates/quartzlever-recovery/src/detection.rs
@@ -66,7 +66,7 @@
 
 /// What an observation means for a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Feasibility {
+pub enum Assessment {
     /// Neither the store nor this controller knows of any cluster.
     Unfounded,
     /// The store is as it was, or further.
@@ -80,29 +80,29 @@
 }
 
 /// Judges an observation by what `node` knew of the store; `None` if it has no history.
-pub fn judge(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Feasibility {
+pub fn judge(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Assessment {
     let Some(Stamped { value: identity, mod_revision }) = &observed.identity else {
         return if known.is_some() {
-            Feasibility::Lost(Loss::IdentityGone)
+            Assessment::Lost(Loss::IdentityGone)
         } else {
-            Feasibility::Unfounded
+            Assessment::Unfounded
         };
     };
     let generation = Generation { identity: identity.clone(), mod_revision: *mod_revision };
     if known.is_some_and(|known| known.identity.cluster != identity.cluster) {
-        return Feasibility::ForeignCluster;
+        return Assessment::ForeignCluster;
     }
     if identity.phase == Phase::Rebuilding {
-        return Feasibility::Lost(Loss::GivenUp);
+        return Assessment::Lost(Loss::GivenUp);
     }
     match known {
-        None => Feasibility::Newer(generation),
+        None => Assessment::Newer(generation),
         Some(known) if identity.generation > known.identity.generation => {
-            Feasibility::Newer(generation)
+            Assessment::Newer(generation)
         }
         Some(known) => match regression(node, known, identity, observed) {
-            Some(loss) => Feasibility::Lost(loss),
-            None => Feasibility::Intact(generation),
+            Some(loss) => Assessment::Lost(loss),
+            None => Assessment::Intact(generation),
         },
     }
 }
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -111,9 +111,8 @@
     let prefix = format!("{PAGES}{job}/");
     let pages =
         known.rows().range(prefix.clone()..).take_while(|(key, _)| key.starts_with(&prefix));
-    let required_by =
-        pages.filter(|(key, _)| page_of_key(key).is_some_and(|(owner, _)| owner == job));
-    required_by.fold(txn, |txn, (key, record)| match Json::from_text(&record.value) {
+    let of_job = pages.filter(|(key, _)| page_of_key(key).is_some_and(|(owner, _)| owner == job));
+    of_job.fold(txn, |txn, (key, record)| match Json::from_text(&record.value) {
         Some(value) => txn.write(key, value),
         None => txn,
     })
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -27,7 +27,7 @@
 use super::settings::{Local, RebuildSettings};
 use super::writer::Writer;
 use crate::access::StoreAccess;
-use crate::detection::{Feasibility, Loss, judge};
+use crate::detection::{Assessment, Loss, judge};
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
@@ -102,14 +102,14 @@
     fn state(&self, observed: &Observed) -> Result<State, RebuildError> {
         let known = self.history.map(History::known);
         let state = match judge(self.session.node(), known.as_ref(), observed) {
-            Feasibility::ForeignCluster => return Err(RebuildError::ForeignCluster),
-            Feasibility::Intact(generation) => match self.missing.clone() {
+            Assessment::ForeignCluster => return Err(RebuildError::ForeignCluster),
+            Assessment::Intact(generation) => match self.missing.clone() {
                 Some(loss) => State::GivingUp { generation, loss },
                 None => State::Verifying(generation),
             },
-            Feasibility::Newer(generation) => State::Joining(generation),
-            Feasibility::Unfounded => State::Electing(Cause::FirstStart),
-            Feasibility::Lost(loss) => State::Electing(Cause::Lost(loss)),
+            Assessment::Newer(generation) => State::Joining(generation),
+            Assessment::Unfounded => State::Electing(Cause::FirstStart),
+            Assessment::Lost(loss) => State::Electing(Cause::Lost(loss)),
         };
         Ok(state)
     }
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -7,7 +7,7 @@
 use super::outcome::Attempt;
 use super::session::Session;
 use crate::access::StoreAccess;
-use crate::detection::{Feasibility, Known, judge};
+use crate::detection::{Assessment, Known, judge};
 use crate::generation::{GENERATIONS, Generation};
 use crate::history::History;
 use crate::identity::{Identity, Observed, Phase, Stamped};
@@ -61,7 +61,7 @@
     });
     let serving = Observed { identity, ..observed.clone() };
     let known: Known<'_> = history.known();
-    let is_intact = matches!(judge(node, Some(&known), &serving), Feasibility::Intact(_));
+    let is_intact = matches!(judge(node, Some(&known), &serving), Assessment::Intact(_));
     is_intact && observed.revision + history.identity.base >= latest_candidate_revision(observed)
 }
 
--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -129,8 +129,8 @@
     /// How many tasks of a job are on machines.
     pub fn running(&self, job: &str) -> usize {
         let state = self.lock();
-        let required_by = |task: &&TaskId| task.job == job;
-        state.workers.values().map(|w| w.running().iter().filter(required_by).count()).sum()
+        let of_job = |task: &&TaskId| task.job == job;
+        state.workers.values().map(|w| w.running().iter().filter(of_job).count()).sum()
     }
 
     /// A machine that runs tasks stops for good, if there is one.
--- a/crates/quartzlever-testkit/src/rules.rs
+++ b/crates/quartzlever-testkit/src/rules.rs
@@ -233,9 +233,9 @@
         let machine_type = spec.types.as_ref().is_none_or(|t| t.contains(&place.machine_type));
         let zone = spec.zone.as_ref().is_none_or(|z| *z == place.zone);
         let spot = spec.spot || !place.spot;
-        let required_by = |m: &&MachineTasks| m.tasks.iter().any(|t| t.job == task.job);
+        let of_job = |m: &&MachineTasks| m.tasks.iter().any(|t| t.job == task.job);
         let together =
-            !spec.one_zone || machines.iter().filter(required_by).all(|m| m.zone == place.zone);
+            !spec.one_zone || machines.iter().filter(of_job).all(|m| m.zone == place.zone);
         let here = machines
             .iter()
             .filter(|m| m.zone == place.zone)
--- a/crates/quartzlever/src/node.rs
+++ b/crates/quartzlever/src/node.rs
@@ -1,6 +1,6 @@
 //! A node: the core's thread, the threads that carry out its effects, and the servers.
 //!
-//! Owns the order in which they start. Never takes partition in what they do: `core_thread` has the core,
+//! Owns the order in which they start. Never takes part in what they do: `core_thread` has the core,
 //! `executors` the outside systems, `peer_server` the other controllers' connections, `pending` the
 //! askers, `startup` the time before the store may be worked with.
 
@@ -34,7 +34,7 @@
     let port = Port::take(settings.api, bounds, inbox.clone(), clock)?;
     ProgramEvent::ApiServed { node: &settings.core.node, address: port.address()? }.log();
     let (store, port) = match recovery {
-        None => (StoreService::DirectCommand(StoreClient::new(&settings.state)), Some(port)),
+        None => (StoreService::Direct(StoreClient::new(&settings.state)), Some(port)),
         Some(recovery) => {
             port.open()?;
             (startup::open_store(&settings, recovery, &log, &incoming)?, None)
--- a/crates/quartzlever/src/node/executors/limit.rs
+++ b/crates/quartzlever/src/node/executors/limit.rs
@@ -1,6 +1,6 @@
 //! A rate limit that all nodes share.
 //!
-//! Owns this node's part of the limit. Never knows who else shares it: the core says how large the partition is.
+//! Owns this node's share of the limit. Never knows who else shares it: the core says how large it is.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/quartzlever/src/recovery/commands.rs
+++ b/crates/quartzlever/src/recovery/commands.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use quartzlever_clients::StoreClient;
-use quartzlever_recovery::detection::{Feasibility, judge, missing_records};
+use quartzlever_recovery::detection::{Assessment, judge, missing_records};
 use quartzlever_recovery::format::{Snapshot, WriteTimes, read_log};
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::{History, StoredFiles, read_history};
@@ -113,18 +113,18 @@
     let (directory, history) = load(path)?;
     let mut access = ClientAccess { client: StoreClient::new(state), clock: Clock::new() };
     let observed = observe(&mut access).map_err(|_| CommandError::NoAnswer)?;
-    let feasibility = judge(node, Some(&history.known()), &observed);
+    let assessment = judge(node, Some(&history.known()), &observed);
     let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
     let listed = list_generation(&mut access, &generation).map_err(|_| CommandError::NoAnswer)?;
-    let same_line = matches!(feasibility, Feasibility::Intact(_));
+    let same_line = matches!(assessment, Assessment::Intact(_));
     let missing = missing_records(&history.picture, history.identity.base, listed.rows())
         .filter(|_| same_line);
-    let reason = match (&feasibility, &missing) {
-        (Feasibility::Lost(loss), _) | (_, Some(loss)) => format!("would rebuild: {loss}"),
-        (Feasibility::Intact(_), None) => "would not rebuild: the records are intact".into(),
-        (Feasibility::Newer(_), _) => "would not rebuild: another controller has".into(),
-        (Feasibility::Unfounded, _) => "would wait for all controllers: the first start".into(),
-        (Feasibility::ForeignCluster, _) => {
+    let reason = match (&assessment, &missing) {
+        (Assessment::Lost(loss), _) | (_, Some(loss)) => format!("would rebuild: {loss}"),
+        (Assessment::Intact(_), None) => "would not rebuild: the records are intact".into(),
+        (Assessment::Newer(_), _) => "would not rebuild: another controller has".into(),
+        (Assessment::Unfounded, _) => "would wait for all controllers: the first start".into(),
+        (Assessment::ForeignCluster, _) => {
             "would not start: the state service has another cluster's records".into()
         }
     };
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -30,7 +30,7 @@
 /// The store, called directly or through the guard.
 #[derive(Clone)]
 pub enum StoreService {
-    DirectCommand(StoreClient),
+    Direct(StoreClient),
     Guarded(std::sync::Arc<GuardedStore>),
 }
 
@@ -38,7 +38,7 @@
     /// Makes a call.
     pub fn call(&self, call: &StoreCall) -> Result<StoreReply, CallError> {
         match self {
-            StoreService::DirectCommand(client) => client.call(call),
+            StoreService::Direct(client) => client.call(call),
             StoreService::Guarded(state) => state.call(call),
         }
     }
--- a/crates/quartzlever/src/server/routing.rs
+++ b/crates/quartzlever/src/server/routing.rs
@@ -33,7 +33,7 @@
         let path = target.split('?').next().unwrap_or("").trim_start_matches('/');
         let (route, allowed) = match path.strip_prefix("v2/runs") {
             Some("") => (Route::Submit, "POST"),
-            Some(rest) => match Route::required_by(rest) {
+            Some(rest) => match Route::of_job(rest) {
                 Some(Route::Lookup(job)) => (Route::Lookup(job), "GET"),
                 Some(route) => (route, "POST"),
                 None => return NO_SUCH_PATH,
@@ -53,7 +53,7 @@
     }
 
     /// The route of what follows the path of all jobs.
-    fn required_by(rest: &str) -> Option<Route> {
+    fn of_job(rest: &str) -> Option<Route> {
         let job_path = rest.strip_prefix('/')?;
         match job_path.split_once('/') {
             None if job_path.is_empty() => None,
