--- a/crates/quartzlever-clients/src/budget.rs
+++ b/crates/quartzlever-clients/src/budget.rs
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Waits for `count`, at most for `patience`; `false` if that was not enough.
-    pub fn wait(&self, count: f64, keep: f64, patience: Duration) -> bool {
-        let end = Instant::now() + patience;
+    /// Waits for `count`, at most for `timeout`; `false` if that was not enough.
+    pub fn wait(&self, count: f64, keep: f64, timeout: Duration) -> bool {
+        let end = Instant::now() + timeout;
         loop {
             match self.take(count, keep) {
                 Ok(()) => return true,
--- a/crates/quartzlever-clients/src/cloud.rs
+++ b/crates/quartzlever-clients/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::cloud::{
-    Catalogue, CloudCall, CloudReply, HostNames, InstancePage, ScaleOutRequest,
+    Catalogue, CloudCall, CloudReply, InstancePage, MachineNames, ScaleOutRequest,
 };
 
 use crate::http::HttpClient;
@@ -26,7 +26,7 @@
         match what {
             CloudCall::Catalogue => self.catalogue(),
             CloudCall::ScaleOut(request) => self.scale_out(request),
-            CloudCall::Return(hosts) => self.return_machines(hosts),
+            CloudCall::ScaleIn(machines) => self.return_machines(machines),
             CloudCall::List { from } => self.list(from.as_deref()),
         }
     }
@@ -42,7 +42,7 @@
     fn scale_out(&self, request: &ScaleOutRequest) -> Result<CloudReply, CallError> {
         let reply = self.http.post(&format!("{}/rentals", self.base), request)?;
         match reply.status {
-            200 => Ok(CloudReply::ScaledOut(reply.json::<HostNames>()?.hosts)),
+            200 => Ok(CloudReply::ScaledOut(reply.json::<MachineNames>()?.machines)),
             503 if reply.says("no capacity") => Ok(CloudReply::NoCapacity),
             // Malformed for the cloud, so never to be had.
             400 => Ok(CloudReply::NoCapacity),
@@ -50,8 +50,8 @@
         }
     }
 
-    fn return_machines(&self, hosts: &[String]) -> Result<CloudReply, CallError> {
-        let names = HostNames { hosts: hosts.to_vec() };
+    fn return_machines(&self, machines: &[String]) -> Result<CloudReply, CallError> {
+        let names = MachineNames { machines: machines.to_vec() };
         let reply = self.http.post(&format!("{}/rentals/return", self.base), &names)?;
         match reply.status {
             200 => Ok(CloudReply::ScaledIn),
--- a/crates/quartzlever-clients/src/http.rs
+++ b/crates/quartzlever-clients/src/http.rs
@@ -44,8 +44,8 @@
     /// A client with connections of its own, under this policy.
     pub fn new(policy: CallPolicy) -> HttpClient {
         let agent = ureq::AgentBuilder::new()
-            .timeout_connect(policy.connect)
-            .timeout(policy.whole)
+            .timeout_connect(policy.connect_timeout)
+            .timeout(policy.timeout)
             .max_idle_connections(policy.idle_connections)
             .max_idle_connections_per_host(policy.idle_connections)
             .redirects(0)
--- a/crates/quartzlever-clients/src/peer.rs
+++ b/crates/quartzlever-clients/src/peer.rs
@@ -49,10 +49,10 @@
 }
 
 fn connect(peer: SocketAddr) -> io::Result<TcpStream> {
-    let CallPolicy { connect, whole, .. } = CallPolicy::PEER;
-    let stream = TcpStream::connect_timeout(&peer, connect)?;
-    stream.set_read_timeout(Some(whole))?;
-    stream.set_write_timeout(Some(whole))?;
+    let CallPolicy { connect_timeout, timeout, .. } = CallPolicy::PEER;
+    let stream = TcpStream::connect_timeout(&peer, connect_timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    stream.set_write_timeout(Some(timeout))?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
--- a/crates/quartzlever-clients/src/policy.rs
+++ b/crates/quartzlever-clients/src/policy.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallPolicy {
     /// The longest time for connecting.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// The longest time for the whole call; for a peer, for each read and each write.
-    pub whole: Duration,
+    pub timeout: Duration,
     /// How many unused connections are kept open for the next calls.
     pub idle_connections: usize,
     /// What a status says that is no answer to the call.
@@ -24,8 +24,8 @@
 impl CallPolicy {
     /// All calls to the store but watches.
     pub const STORE: CallPolicy = CallPolicy {
-        connect: Duration::from_millis(700),
-        whole: Duration::from_millis(1500),
+        connect_timeout: Duration::from_millis(700),
+        timeout: Duration::from_millis(1500),
         idle_connections: 10,
         status: store_status,
     };
@@ -33,28 +33,28 @@
     /// Watches of the store. One stays open for its time, and in an outage for longer. One whose
     /// connection is dead must not keep the cache of the records old for long.
     pub const STORE_WATCH: CallPolicy =
-        CallPolicy { whole: Duration::from_secs(12), idle_connections: 2, ..CallPolicy::STORE };
+        CallPolicy { timeout: Duration::from_secs(12), idle_connections: 2, ..CallPolicy::STORE };
 
     /// Calls to the cloud.
     pub const CLOUD: CallPolicy = CallPolicy {
-        connect: Duration::from_secs(1),
-        whole: Duration::from_secs(5),
+        connect_timeout: Duration::from_secs(1),
+        timeout: Duration::from_secs(5),
         idle_connections: 3,
         status: |_| CallError::Refused,
     };
 
     /// Calls to workers, all of them together.
     pub const WORKERS: CallPolicy = CallPolicy {
-        connect: Duration::from_millis(800),
-        whole: Duration::from_secs(2),
+        connect_timeout: Duration::from_millis(800),
+        timeout: Duration::from_secs(2),
         idle_connections: 100,
         status: worker_status,
     };
 
     /// Calls to one peer; their answers have no status.
     pub const PEER: CallPolicy = CallPolicy {
-        connect: Duration::from_millis(700),
-        whole: Duration::from_secs(2),
+        connect_timeout: Duration::from_millis(700),
+        timeout: Duration::from_secs(2),
         idle_connections: 1,
         status: |_| CallError::Unknown,
     };
--- a/crates/quartzlever-clients/src/store.rs
+++ b/crates/quartzlever-clients/src/store.rs
@@ -2,7 +2,7 @@
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::store::{
-    GrantAnswer, GrantRequest, REVISION_PROBE_KEY, Row, Rows, StoreCall, StoreReply, Txn,
+    GrantAnswer, GrantRequest, KeyValue, ListPage, REVISION_PROBE_KEY, StoreCall, StoreReply, Txn,
     TxnAnswer, WatchAnswer,
 };
 use serde_json::json;
@@ -52,8 +52,8 @@
     fn get(&self, key: &str) -> Result<StoreReply, CallError> {
         let reply = self.http.get(&format!("{}/keys/{key}", self.base), &[])?;
         match reply.status {
-            200 => Ok(StoreReply::Row(Some(reply.json::<Row>()?))),
-            404 => Ok(StoreReply::Row(None)),
+            200 => Ok(StoreReply::Read(Some(reply.json::<KeyValue>()?))),
+            404 => Ok(StoreReply::Read(None)),
             _ => Err(self.http.failure(&reply)),
         }
     }
@@ -63,7 +63,7 @@
         query.extend(from.map(|from| ("from", from)));
         let reply = self.http.get(&format!("{}/keys", self.base), &query)?;
         match reply.status {
-            200 => Ok(StoreReply::Rows(reply.json::<Rows>()?)),
+            200 => Ok(StoreReply::Listed(reply.json::<ListPage>()?)),
             _ => Err(self.http.failure(&reply)),
         }
     }
--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -47,9 +47,9 @@
 
 impl Cloud {
     /// Notes that a machine was rented for a partition, and forgets hints that have served their time.
-    pub fn note_launch(&mut self, host: String, partition: &str, now: Micros) {
-        if self.launch_hints.insert(host.clone(), partition.to_owned()).is_none() {
-            self.launch_hint_order.push_back((now, host));
+    pub fn note_launch(&mut self, machine: String, partition: &str, now: Micros) {
+        if self.launch_hints.insert(machine.clone(), partition.to_owned()).is_none() {
+            self.launch_hint_order.push_back((now, machine));
             while self
                 .launch_hint_order
                 .front()
@@ -62,8 +62,8 @@
     }
 
     /// The partition that a machine was rented for, as far as anybody told.
-    pub fn launched_for(&self, host: &str) -> Option<&String> {
-        self.launch_hints.get(host)
+    pub fn launched_for(&self, machine: &str) -> Option<&String> {
+        self.launch_hints.get(machine)
     }
 
     /// Whether it is time to look at what is to be rented or returned; notes the next time.
@@ -140,9 +140,9 @@
             PendingCloudCall::ScaleOutRequest { partition, term, request } => {
                 self.scale_out_replied(&partition, term, request, result)
             }
-            PendingCloudCall::Return { partition, hosts } => {
+            PendingCloudCall::ScaleIn { partition, machines } => {
                 if let Some((partition, term)) = partition {
-                    self.scale_in_replied(&partition, term, hosts, result);
+                    self.scale_in_replied(&partition, term, machines, result);
                 }
             }
             PendingCloudCall::List { seen } => self.listed(seen, result),
@@ -160,7 +160,7 @@
             if self.types.is_none() {
                 // Without the types nothing can be placed, not even on machines at hand.
                 let call = StoreCall::Get(CATALOGUE_KEY.into());
-                self.outbox.call_store(CallPriority::Work, call, PendingStoreCall::KeptCatalogue);
+                self.outbox.call_store(CallPriority::Work, call, PendingStoreCall::ReadCatalogue);
             }
         }
     }
@@ -175,7 +175,7 @@
         self.outbox.call_store(
             CallPriority::Work,
             StoreCall::Txn(txn),
-            PendingStoreCall::KeptCatalogue,
+            PendingStoreCall::ReadCatalogue,
         );
     }
 
@@ -190,9 +190,9 @@
 
     /// The catalogue that an earlier process kept; the cloud's own word goes before it.
     pub(crate) fn catalogue_read(&mut self, result: Result<StoreReply, CallError>) {
-        if let Ok(StoreReply::Row(Some(row))) = result
+        if let Ok(StoreReply::Read(Some(entry))) = result
             && self.types.is_none()
-            && let Some(catalogue) = parse::<Catalogue>(&row)
+            && let Some(catalogue) = parse::<Catalogue>(&entry)
         {
             self.use_catalogue(catalogue);
         }
@@ -206,8 +206,8 @@
 
     fn listed(&mut self, mut seen: Vec<Instance>, result: Result<CloudReply, CallError>) {
         self.cloud.list_answered(self.now);
-        let Ok(CloudReply::Listed(InstancePage { hosts, has_next })) = result else { return };
-        seen.extend(hosts);
+        let Ok(CloudReply::Listed(InstancePage { instances, has_next })) = result else { return };
+        seen.extend(instances);
         if has_next && let Some(last) = seen.last() {
             let from = Some(last.name.clone());
             return self.list_instances(from, seen);
@@ -253,13 +253,13 @@
 
     fn return_strays(&mut self, strays: Vec<String>) {
         for partition in self.partitions.values_mut() {
-            for host in &strays {
-                partition.autoscaling.pending_instances.forget(host);
+            for machine in &strays {
+                partition.autoscaling.pending_instances.forget(machine);
             }
         }
         self.call_cloud(
-            CloudCall::Return(strays.clone()),
-            PendingCloudCall::Return { partition: None, hosts: strays },
+            CloudCall::ScaleIn(strays.clone()),
+            PendingCloudCall::ScaleIn { partition: None, machines: strays },
         );
     }
 }
--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -288,9 +288,9 @@
     /// What is left of all that runs, in processor-seconds.
     fn running_work(&self, now: Micros) -> f64 {
         let mut work = 0.0;
-        for slot in self.occupied_slots() {
-            let ran = slot.running_since.map_or(0, |since| now.saturating_sub(since));
-            work += slot.expect.saturating_sub(ran) as f64 / 1e6 * slot.need.cpus;
+        for attempt in self.active_attempts() {
+            let ran = attempt.running_since.map_or(0, |since| now.saturating_sub(since));
+            work += attempt.expect.saturating_sub(ran) as f64 / 1e6 * attempt.need.cpus;
         }
         work
     }
--- a/crates/quartzlever-core/src/autoscaling/fleet.rs
+++ b/crates/quartzlever-core/src/autoscaling/fleet.rs
@@ -33,21 +33,21 @@
 
 impl TerminatedMachines {
     /// Whether a machine was returned lately.
-    pub fn contains(&self, host: &str) -> bool {
-        self.known.contains_key(host)
+    pub fn contains(&self, machine: &str) -> bool {
+        self.known.contains_key(machine)
     }
 
     /// Notes that a machine was returned.
-    pub(crate) fn put(&mut self, host: &str, now: Micros) {
-        self.known.insert(host.to_owned(), now);
-        self.order.push_back((now, host.to_owned()));
+    pub(crate) fn put(&mut self, machine: &str, now: Micros) {
+        self.known.insert(machine.to_owned(), now);
+        self.order.push_back((now, machine.to_owned()));
         // By age: by number or name, a day with many returns forgot the last ones too early.
         while let Some((at, _)) = self.order.front()
             && now.saturating_sub(*at) > TERMINATED_REMEMBERED_FOR
-            && let Some((at, host)) = self.order.pop_front()
+            && let Some((at, machine)) = self.order.pop_front()
         {
-            if self.known.get(&host) == Some(&at) {
-                self.known.remove(&host);
+            if self.known.get(&machine) == Some(&at) {
+                self.known.remove(&machine);
             }
         }
     }
--- a/crates/quartzlever-core/src/autoscaling/pending_instances.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances.rs
@@ -80,23 +80,23 @@
 
 impl PendingInstances {
     /// A machine was rented.
-    pub fn expect(&mut self, host: &str, expected: PendingInstance) {
-        self.expected.insert(host.to_owned(), expected);
+    pub fn expect(&mut self, machine: &str, expected: PendingInstance) {
+        self.expected.insert(machine.to_owned(), expected);
     }
 
     /// A machine has come up, here or for another partition, or it is gone.
-    pub fn forget(&mut self, host: &str) -> Option<PendingInstance> {
-        self.expected.remove(host)
+    pub fn forget(&mut self, machine: &str) -> Option<PendingInstance> {
+        self.expected.remove(machine)
     }
 
     /// A machine has come up.
     pub fn arrived(
         &mut self,
-        host: &str,
+        machine: &str,
         types: Option<&BTreeMap<String, MachineType>>,
         now: Micros,
     ) {
-        let Some(expected) = self.forget(host) else { return };
+        let Some(expected) = self.forget(machine) else { return };
         if types.is_some_and(|types| !expected.is_late(types, now)) {
             let since = self.in_time.entry(expected.offer).or_default();
             *since = expected.since.max(*since);
@@ -104,8 +104,8 @@
     }
 
     /// Whether a machine is awaited here.
-    pub fn contains(&self, host: &str) -> bool {
-        self.expected.contains_key(host)
+    pub fn contains(&self, machine: &str) -> bool {
+        self.expected.contains_key(machine)
     }
 
     /// Whether none is awaited.
@@ -144,11 +144,11 @@
         most: usize,
     ) -> Vec<String> {
         let given_up = self.expected.iter().filter(|(_, e)| e.is_given_up(types, now)).take(most);
-        let hosts: Vec<String> = given_up.map(|(host, _)| host.clone()).collect();
-        for host in &hosts {
-            self.expected.remove(host);
+        let machines: Vec<String> = given_up.map(|(machine, _)| machine.clone()).collect();
+        for machine in &machines {
+            self.expected.remove(machine);
         }
-        hosts
+        machines
     }
 
     /// How many machines are late, and how many are awaited, if that is news for the log.
--- a/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
@@ -69,9 +69,9 @@
             pending_instances.expect(&format!("late-{n}"), rented(NOW + 10 * SECOND));
         }
         for (n, (since, at)) in came.iter().enumerate() {
-            let host = format!("came-{n}");
-            pending_instances.expect(&host, rented(NOW + since * SECOND));
-            pending_instances.arrived(&host, Some(&types), NOW + at * SECOND);
+            let machine = format!("came-{n}");
+            pending_instances.expect(&machine, rented(NOW + since * SECOND));
+            pending_instances.arrived(&machine, Some(&types), NOW + at * SECOND);
         }
         let offers = pending_instances.late_offers(&types, NOW + 40 * SECOND);
         assert_eq!(offers.is_empty(), asked, "{late} late, {came:?}");
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -80,9 +80,9 @@
             return;
         };
         match result {
-            Ok(CloudReply::ScaledOut(hosts)) => {
-                partition.scaled_out(cache, &request, &hosts, now);
-                self.announce_launch(name, &hosts);
+            Ok(CloudReply::ScaledOut(machines)) => {
+                partition.scaled_out(cache, &request, &machines, now);
+                self.announce_launch(name, &machines);
             }
             Ok(CloudReply::NoCapacity) => {
                 partition.autoscaling.request_refused(&request, now);
@@ -99,13 +99,13 @@
 
     /// Tells the peers which machines were rented for a partition: their first heartbeats may go to
     /// any node.
-    fn announce_launch(&mut self, name: &str, hosts: &[String]) {
-        for host in hosts {
-            self.cloud.note_launch(host.clone(), name, self.now);
+    fn announce_launch(&mut self, name: &str, machines: &[String]) {
+        for machine in machines {
+            self.cloud.note_launch(machine.clone(), name, self.now);
         }
         for node in self.config.nodes.iter().filter(|node| **node != self.config.node) {
             let request =
-                PeerRequest::ScaledOut { partition: name.to_owned(), hosts: hosts.to_vec() };
+                PeerRequest::ScaledOut { partition: name.to_owned(), machines: machines.to_vec() };
             self.outbox.ask_peer(node, request, PendingPeerCall::Notification);
         }
     }
@@ -145,20 +145,20 @@
         &mut self,
         cache: &Cache,
         request: &ScaleOutRequest,
-        hosts: &[String],
+        machines: &[String],
         now: Micros,
     ) {
         let fleet = &mut self.autoscaling;
         let since = fleet.request_answered(&request.name).unwrap_or(now);
         let offer = MachineOffer::of_request(request);
-        if (hosts.len() as u32) < request.count {
+        if (machines.len() as u32) < request.count {
             fleet.refuse(offer.clone(), now + REFUSAL_REMEMBERED_FOR);
         }
-        for host in hosts {
-            if !cache.is_claimed(host) && !fleet.terminated.contains(host) {
+        for machine in machines {
+            if !cache.is_claimed(machine) && !fleet.terminated.contains(machine) {
                 fleet
                     .pending_instances
-                    .expect(host, PendingInstance { offer: offer.clone(), since });
+                    .expect(machine, PendingInstance { offer: offer.clone(), since });
             }
         }
     }
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -44,15 +44,16 @@
             now,
         );
         partition.mark_for_scale_in(&rules);
-        let mut hosts = partition.marked_machines();
-        hosts.truncate(MAX_MACHINES_PER_SCALE_IN);
+        let mut machine_names = partition.marked_machines();
+        machine_names.truncate(MAX_MACHINES_PER_SCALE_IN);
         // After standing still, their heartbeats may wait unread.
         if now.saturating_sub(listening_since) > 2 * self.config.workers.heartbeat_interval {
-            let room = MAX_MACHINES_PER_SCALE_IN - hosts.len();
-            hosts.extend(partition.autoscaling.pending_instances.take_given_up(&types, now, room));
+            let room = MAX_MACHINES_PER_SCALE_IN - machine_names.len();
+            machine_names
+                .extend(partition.autoscaling.pending_instances.take_given_up(&types, now, room));
         }
         let late = partition.autoscaling.pending_instances.late_count_change(&types, now);
-        let reasons = partition.begin_scale_in(&hosts);
+        let reasons = partition.begin_scale_in(&machine_names);
         let partition = Some((name.to_owned(), partition.term));
         if let Some((late, awaited)) = late {
             self.outbox.log(LogLevel::Info, || LogEvent::MachinesLate {
@@ -61,7 +62,7 @@
                 awaited,
             });
         }
-        if hosts.is_empty() {
+        if machine_names.is_empty() {
             return;
         }
         self.outbox.log(LogLevel::Info, || {
@@ -69,12 +70,12 @@
                 machine: machine.clone(),
                 reason,
             };
-            let machines = hosts.iter().zip(reasons).map(each).collect();
+            let machines = machine_names.iter().zip(reasons).map(each).collect();
             LogEvent::MachinesReturned { partition: name.to_owned(), machines }
         });
         self.call_cloud(
-            CloudCall::Return(hosts.clone()),
-            PendingCloudCall::Return { partition, hosts },
+            CloudCall::ScaleIn(machine_names.clone()),
+            PendingCloudCall::ScaleIn { partition, machines: machine_names },
         );
     }
 
@@ -83,32 +84,32 @@
         &mut self,
         name: &str,
         term: u64,
-        hosts: Vec<String>,
+        machines: Vec<String>,
         result: Result<CloudReply, CallError>,
     ) {
         let now = self.now;
         let Some(partition) = self.partition_at_term(name, term) else { return };
         if !matches!(result, Ok(CloudReply::ScaledIn)) {
             partition.autoscaling.scale_in_not_before(now + 2 * RETRY);
-            for host in hosts {
-                if let Some(machine) = partition.machines.get_mut(&host) {
+            for machine_name in machines {
+                if let Some(machine) = partition.machines.get_mut(&machine_name) {
                     machine.scaling_in = false;
                 }
-                partition.refresh(&host);
+                partition.refresh(&machine_name);
             }
             return;
         }
         let mut dropped = Vec::new();
-        for host in hosts {
+        for machine_name in machines {
             // The machine is gone, with everything on it.
-            let known = partition.remove_machine(&host);
-            partition.autoscaling.terminated.put(&host, now);
+            let known = partition.remove_machine(&machine_name);
+            partition.autoscaling.terminated.put(&machine_name, now);
             if known {
-                dropped.push(host);
+                dropped.push(machine_name);
             }
         }
-        for host in dropped {
-            self.release_ownership(&host, name, term);
+        for machine_name in dropped {
+            self.release_ownership(&machine_name, name, term);
         }
     }
 }
@@ -149,14 +150,15 @@
                 changed.push(machine.name.clone());
             }
         }
-        for host in changed {
-            self.refresh(&host);
+        for machine_name in changed {
+            self.refresh(&machine_name);
         }
     }
 
     /// The marked machines that can be returned now.
     fn marked_machines(&self) -> Vec<String> {
-        let is_free = |m: &Machine| !m.busy() && m.slots.values().all(|slot| slot.accounted);
+        let is_free =
+            |m: &Machine| !m.busy() && m.attempts.values().all(|attempt| attempt.accounted);
         let goes = |m: &Machine| {
             m.scale_in_reason.is_some_and(|reason| reason.is_pressing() || is_free(m))
         };
@@ -165,15 +167,15 @@
     }
 
     /// Marks machines as being returned; gives the reason of each for the log, none if it never came up.
-    fn begin_scale_in(&mut self, hosts: &[String]) -> Vec<Option<ScaleInReason>> {
+    fn begin_scale_in(&mut self, machines: &[String]) -> Vec<Option<ScaleInReason>> {
         let mut reasons = Vec::new();
-        for host in hosts {
-            let machine = self.machines.get_mut(host);
+        for machine_name in machines {
+            let machine = self.machines.get_mut(machine_name);
             reasons.push(machine.and_then(|machine| {
                 machine.scaling_in = true;
                 machine.scale_in_reason
             }));
-            self.refresh(host);
+            self.refresh(machine_name);
         }
         reasons
     }
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -92,7 +92,8 @@
     (ScaleInReason::Silent, |rules, machine| rules.quiet(machine) > rules.patience(machine)),
     // What ended may be in reports that a node which did not listen has not read.
     (ScaleInReason::NotGone, |rules, machine| {
-        rules.has_listened() && machine.has_lingering_attempt(rules.now, rules.config.gone_within())
+        rules.has_listened()
+            && machine.has_lingering_attempt(rules.now, rules.config.attempt_exit_timeout())
     }),
     // Deaf machines are returned: where many seem deaf at once it is this node that is not heard.
     (ScaleInReason::IgnoresCommands, |rules, machine| {
@@ -178,7 +179,7 @@
             // Behind a cut machines go on working: they are given their whole lease. In a recovery
             // they get half of it: a lease's life has passed unheard before, so that a cut short
             // enough to spare them would be over, and the whole partition waits for them.
-            let lease = self.config.lease_gone_after();
+            let lease = self.config.worker_lease_expired_after();
             let lease = if machine.verified { lease } else { lease / 2 };
             return lease.max(operator.silent_return);
         }
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_restart_while_the_cloud_is_down_knows_the_types() {
     use crate::messages::{Command, Effect};
-    use quartzlever_wire::store::{CATALOGUE_KEY, Row, StoreCall};
+    use quartzlever_wire::store::{CATALOGUE_KEY, KeyValue, StoreCall};
     // (whether an earlier process kept the catalogue, whether types are known in the end)
     for (kept, known) in [(true, true), (false, false)] {
         let mut core = core();
@@ -28,13 +28,13 @@
         });
         let Some(call_id) = call_id else { panic!("the kept catalogue is not read") };
         let v = serde_json::json!({ "chassis": types });
-        let row = Row {
-            path: CATALOGUE_KEY.into(),
-            v: quartzlever_wire::Json::of(&v),
+        let entry = KeyValue {
+            key: CATALOGUE_KEY.into(),
+            value: quartzlever_wire::Json::of(&v),
             mod_revision: 3,
             lease_id: None,
         };
-        let result = Ok(StoreReply::Row(kept.then_some(row)));
+        let result = Ok(StoreReply::Read(kept.then_some(entry)));
         core.step(NOW, vec![Command::StoreReply { call_id, result }]);
         assert_eq!(core.types.is_some(), known, "kept {kept}");
     }
@@ -61,7 +61,7 @@
             }
             let effects = core.step(NOW + step * SECOND / 2, commands);
             terminated |= effects.iter().any(|e| {
-                matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::Return(h), .. }
+                matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::ScaleIn(h), .. }
                     if h.contains(&"n-1".to_owned()))
             });
         }
@@ -128,7 +128,7 @@
         }
         let effects = core.step(NOW + 4 * SECOND, Vec::new());
         terminated |= effects.iter().any(|e| {
-            matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::Return(_), .. })
+            matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::ScaleIn(_), .. })
         });
         assert_eq!(terminated, returned, "{name}");
         // Until it is proven empty its task stays where it may be.
@@ -243,8 +243,8 @@
                     Effect::Worker { call_id, address, .. } if address.starts_with("n-1") => {
                         asked = Some(call_id);
                     }
-                    Effect::Cloud { call: CloudCall::Return(hosts), .. }
-                        if hosts.contains(&"n-1".to_owned()) =>
+                    Effect::Cloud { call: CloudCall::ScaleIn(machines), .. }
+                        if machines.contains(&"n-1".to_owned()) =>
                     {
                         returned_at.get_or_insert(now - NOW);
                     }
@@ -269,9 +269,9 @@
         let partition = core.partitions.get_mut("one").expect("it is held");
         for n in 0..10 {
             let name = format!("x-{n}");
-            let mut host = machine_record_of(&name, "one");
-            (host.zone, host.spot) = ("b".into(), false);
-            partition.add_machine(&name, host, true, NOW);
+            let mut record = machine_record_of(&name, "one");
+            (record.zone, record.spot) = ("b".into(), false);
+            partition.add_machine(&name, record, true, NOW);
         }
         for n in 0..10 {
             core.step(
@@ -297,8 +297,8 @@
                 batch.push(Command::Heartbeat { id: 101, heartbeat: first });
             }
             for effect in core.step(now, batch) {
-                if let Effect::Cloud { call: CloudCall::Return(hosts), .. } = effect {
-                    terminated += hosts.iter().filter(|h| h.starts_with("x-")).count();
+                if let Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } = effect {
+                    terminated += machines.iter().filter(|h| h.starts_with("x-")).count();
                 }
             }
         }
@@ -383,7 +383,7 @@
         machines(&mut core, &[]);
         let mut rows = if raised_before { vec![raised_version(3)] } else { Vec::new() };
         for (node, process, announced) in [("one", core.process, true), ("two", 22, !old)] {
-            rows.push(partition_row(node, node, process, 5));
+            rows.push(partition_entry(node, node, process, 5));
             if announced {
                 rows.push(announcement(node, process, 4));
             }
@@ -391,7 +391,7 @@
         list_records(&mut core, &rows, 9);
         if let Some(seconds) = raised_after {
             core.now = NOW + seconds * SECOND;
-            core.apply_cluster_row(&raised_version(10));
+            core.apply_cluster_record(&raised_version(10));
         }
         core.lease.expire_at(NOW + 900 * SECOND);
         let now = NOW + after * SECOND;
@@ -525,8 +525,9 @@
         let spec = JobSpec { types, expect_s: 60.0, ..spec(8) };
         reconcile_test_job(&mut core, &spec, 11, NOW);
         if case.elsewhere {
-            let hosts = MachineRecords::from([("n-9".to_owned(), machine_record_of("n-9", "two"))]);
-            core.cache.record_group(&large_group_key("n-9"), hosts, 3);
+            let machines =
+                MachineRecords::from([("n-9".to_owned(), machine_record_of("n-9", "two"))]);
+            core.cache.record_group(&large_group_key("n-9"), machines, 3);
         }
         let now = NOW + case.age_s * SECOND + SECOND;
         let partition = core.partitions.get_mut("one").expect("it is held");
--- a/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
+++ b/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
@@ -65,7 +65,7 @@
         let is_warm = |m: &Machine| {
             let record = &m.record;
             let machine_type = types.get(&record.machine_type);
-            let lower = m.slots.values().filter(|s| s.wanted && !s.exited() && !s.service);
+            let lower = m.attempts.values().filter(|s| s.wanted && !s.exited() && !s.service);
             let room = m.free.cpus + lower.map(|s| s.need.cpus).sum::<f64>();
             record.zone == offer.zone
                 && !record.spot
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzlever_wire::cloud::{Instance, ScaleOutRequest};
-use quartzlever_wire::pages::PAGES;
+use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
     ACTIVE_JOB_PREFIX, ActiveJobRecord, CLUSTER_PREFIX, MACHINE_PREFIX, MachineRecords,
     PARTITION_PREFIX,
@@ -19,7 +19,7 @@
     /// Nothing depends on the answer: a hint for a peer, or the removal of what nobody needs.
     Ignored,
     /// The kept catalogue is read, or written.
-    KeptCatalogue,
+    ReadCatalogue,
     Grant {
         sent: Micros,
     },
@@ -57,14 +57,14 @@
     },
     /// The present revision, for the questions that wait for it, and for the age of the view.
     Revision {
-        asked: Vec<Asked>,
+        asked: Vec<PendingLookup>,
         sent: Micros,
     },
     ReadActiveJob {
-        purpose: Purpose,
+        purpose: JobReadPurpose,
     },
     ReadTerminalJob {
-        purpose: Purpose,
+        purpose: JobReadPurpose,
     },
     Accept {
         id: RequestId,
@@ -91,7 +91,7 @@
         partition: String,
         term: u64,
         request: Option<RequestId>,
-        moved: Vec<Move>,
+        moved: Vec<TaskMove>,
     },
     WriteGroup(GroupWrite),
     ReadGroup {
@@ -126,7 +126,7 @@
 pub(crate) enum PendingCloudCall {
     Catalogue,
     ScaleOutRequest { partition: String, term: u64, request: ScaleOutRequest },
-    Return { partition: Option<(String, u64)>, hosts: Vec<String> },
+    ScaleIn { partition: Option<(String, u64)>, machines: Vec<String> },
     List { seen: Vec<Instance> },
 }
 
@@ -163,7 +163,7 @@
 pub(crate) struct GroupWrite {
     pub key: String,
     /// The group as it will be.
-    pub hosts: MachineRecords,
+    pub records: MachineRecords,
     pub added: BTreeSet<String>,
     pub dropped: BTreeSet<String>,
     /// The partitions whose machines the change concerns, with their terms.
@@ -204,7 +204,7 @@
 
 /// Why a job is read from the store.
 #[derive(Debug)]
-pub(crate) enum Purpose {
+pub(crate) enum JobReadPurpose {
     /// Whether a submission that cannot be accepted is of a known job; `refuse` says whether an
     /// unknown one is refused for good.
     Submit {
@@ -223,29 +223,29 @@
     },
 }
 
-impl Purpose {
+impl JobReadPurpose {
     /// The request that waits for the answer.
     pub fn request(&self) -> RequestId {
         match self {
-            Purpose::Submit { id, .. }
-            | Purpose::Lookup { id, .. }
-            | Purpose::Cancel { id, .. } => *id,
+            JobReadPurpose::Submit { id, .. }
+            | JobReadPurpose::Lookup { id, .. }
+            | JobReadPurpose::Cancel { id, .. } => *id,
         }
     }
 
     /// The job that is read.
     pub fn job(&self) -> &str {
         match self {
-            Purpose::Submit { job, .. }
-            | Purpose::Lookup { job, .. }
-            | Purpose::Cancel { job, .. } => job,
+            JobReadPurpose::Submit { job, .. }
+            | JobReadPurpose::Lookup { job, .. }
+            | JobReadPurpose::Cancel { job, .. } => job,
         }
     }
 }
 
 /// Ranges of one job that a transaction moves, and the job's record after it.
 #[derive(Debug)]
-pub(crate) struct Move {
+pub(crate) struct TaskMove {
     pub job: String,
     pub cut: Ranges,
     pub record: ActiveJobRecord,
@@ -253,7 +253,7 @@
 
 /// A question that waits.
 #[derive(Debug)]
-pub(crate) struct Asked {
+pub(crate) struct PendingLookup {
     pub id: RequestId,
     pub job: String,
     pub since: Micros,
@@ -281,7 +281,7 @@
             Section::Partitions => PARTITION_PREFIX,
             Section::Machines => MACHINE_PREFIX,
             Section::Jobs => ACTIVE_JOB_PREFIX,
-            Section::Pages => PAGES,
+            Section::Pages => PAGE_PREFIX,
             Section::Cluster => CLUSTER_PREFIX,
         }
     }
@@ -302,9 +302,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ClusterWrite {
     /// This process's version was announced.
-    Announce,
+    AnnounceVersion,
     /// Smaller blocks of machines were agreed on.
-    Blocks,
+    SetGroupSize,
     /// The cluster version was raised.
-    Raise,
+    RaiseVersion,
 }
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -14,7 +14,7 @@
 
 impl Team {
     /// Whether the team has a limit, so that its jobs have to run in one partition.
-    pub fn limited(&self) -> bool {
+    pub fn has_limits(&self) -> bool {
         self.cpus_max > 0.0 || self.gpus_max > 0.0
     }
 }
@@ -126,12 +126,12 @@
 const DRIFT_PER_10K: Micros = 10;
 
 /// A span after which any other machine's clock has surely counted `span`.
-pub fn surely_after(span: Micros) -> Micros {
+pub fn upper_drift_bound(span: Micros) -> Micros {
     span + span * DRIFT_PER_10K / 10_000
 }
 
 /// A span within which no other machine's clock has counted `span`.
-pub fn surely_within(span: Micros) -> Micros {
+pub fn lower_drift_bound(span: Micros) -> Micros {
     span - span * DRIFT_PER_10K / 10_000
 }
 
@@ -143,7 +143,7 @@
 const LONGEST_WATCH: Micros = 5 * SECOND;
 
 /// What a node without a partition may use of an equal share.
-const WITHOUT_PART: f64 = 0.5;
+const IDLE_NODE_SHARE: f64 = 0.5;
 
 impl Config {
     /// The team of this name; `None` if the settings do not know it.
@@ -152,8 +152,8 @@
     }
 
     /// Whether a team of this name has a limit.
-    pub fn limited(&self, team: &str) -> bool {
-        self.team(team).is_some_and(Team::limited)
+    pub fn is_team_limited(&self, team: &str) -> bool {
+        self.team(team).is_some_and(Team::has_limits)
     }
 
     /// The partition that runs all jobs of a limited team, chosen by the team's name.
@@ -171,13 +171,13 @@
     /// does so itself or not. Nodes without a partition ask for little and leave the rest to those
     /// who have the work: with a third of the requests, a node that was left with everything
     /// turned away 60 submissions in 10 s while two thirds lay idle.
-    pub fn share_of_limits(&self, leaders: usize, holds_lease: bool) -> f64 {
+    pub fn rate_limit_share(&self, leaders: usize, holds_lease: bool) -> f64 {
         let nodes = self.nodes.len().max(1);
         let leaders = leaders.min(nodes);
         if leaders == 0 {
             return 1.0 / nodes as f64;
         }
-        let idle = WITHOUT_PART / nodes as f64;
+        let idle = IDLE_NODE_SHARE / nodes as f64;
         if holds_lease { (1.0 - idle * (nodes - leaders) as f64) / leaders as f64 } else { idle }
     }
 
@@ -186,8 +186,8 @@
     /// renewal at the latest moment the tasks end with their lease, still within `cancel`:
     /// view + lease + drift + margin = cancel. `None` if no view can be as fresh as that.
     fn view_room(&self) -> Option<Micros> {
-        let kept = surely_after(self.workers.lease) + CANCEL_MARGIN;
-        let room = surely_within(self.workers.cancel.checked_sub(kept)?);
+        let kept = upper_drift_bound(self.workers.lease) + CANCEL_MARGIN;
+        let room = lower_drift_bound(self.workers.cancel.checked_sub(kept)?);
         (room >= SHORTEST_VIEW).then_some(room)
     }
 
@@ -208,7 +208,7 @@
 
     /// How long after the end of a job its tasks may be not proven gone before their machine is
     /// returned: that takes a few seconds, and more while the cloud refuses.
-    pub fn gone_within(&self) -> Micros {
+    pub fn attempt_exit_timeout(&self) -> Micros {
         self.workers.cancel / 2
     }
 
@@ -218,8 +218,8 @@
     }
 
     /// How long a silent machine needs to lose its lease for certain.
-    pub fn lease_gone_after(&self) -> Micros {
-        surely_after(self.workers.lease) + SECOND
+    pub fn worker_lease_expired_after(&self) -> Micros {
+        upper_drift_bound(self.workers.lease) + SECOND
     }
 }
 
--- a/crates/quartzlever-core/src/config/tests.rs
+++ b/crates/quartzlever-core/src/config/tests.rs
@@ -10,13 +10,13 @@
     for (leaders, holds_lease, partition) in
         [(0, false, 33), (3, true, 33), (2, true, 41), (1, true, 66), (2, false, 16)]
     {
-        let share = three.share_of_limits(leaders, holds_lease);
+        let share = three.rate_limit_share(leaders, holds_lease);
         assert_eq!((share * 100.0) as u32, partition, "{leaders} {holds_lease}");
     }
     // Whoever holds partitions, all together never have more than the limit.
     for leaders in 1..=3 {
-        let all = three.share_of_limits(leaders, true) * leaders as f64
-            + three.share_of_limits(leaders, false) * (3 - leaders) as f64;
+        let all = three.rate_limit_share(leaders, true) * leaders as f64
+            + three.rate_limit_share(leaders, false) * (3 - leaders) as f64;
         assert!(all < 1.0 + 1e-9, "{leaders}: {all}");
     }
 }
--- a/crates/quartzlever-core/src/jobs/cancellation.rs
+++ b/crates/quartzlever-core/src/jobs/cancellation.rs
@@ -25,7 +25,7 @@
 pub(crate) fn plan_cancellation(job: &str, mod_revision: u64, done: u32) -> Txn {
     let active_key = active_job_key(job);
     Txn::default()
-        .when(active_key.clone(), mod_revision)
+        .if_mod_revision(active_key.clone(), mod_revision)
         .delete(active_key)
         .write(terminal_job_key(job), Json::of(&cancelled(done)))
 }
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use quartzlever_wire::pages::{PageRecord, page_key, page_of_key, page_of_task, tasks_of_page};
-use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, Txn};
+use quartzlever_wire::store::{ActiveJobRecord, KeyValue, StoreCall, Txn};
 use quartzlever_wire::{Json, Micros, Ranges, SECOND};
 
 use crate::calls::{PageWrite, PendingStoreCall};
@@ -74,9 +74,9 @@
 
 impl<'a> PageRow<'a> {
     /// Reads the key and the value of a row.
-    pub fn read(row: &'a Row) -> Self {
-        let Some((job, number)) = page_of_key(&row.path) else { return PageRow::NoPage };
-        match parse::<PageRecord>(row).and_then(|record| record.tasks(number)) {
+    pub fn read(entry: &'a KeyValue) -> Self {
+        let Some((job, number)) = page_of_key(&entry.key) else { return PageRow::NoPage };
+        match parse::<PageRecord>(entry).and_then(|record| record.tasks(number)) {
             Some(finished) => PageRow::Page { job, number, finished },
             None => PageRow::Unreadable,
         }
@@ -152,11 +152,11 @@
         let Some((job, pages)) = self.jobs.iter().find(|(job, _)| !is_active_job(job)) else {
             return;
         };
-        let mut txn = leader.when(active_job_key(job), 0);
+        let mut txn = leader.if_mod_revision(active_job_key(job), 0);
         let removed = pages.len().min(txn_ops);
         for (number, page) in pages.iter().take(removed) {
             let key = page_key(job, *number);
-            txn = txn.when(key.clone(), page.mod_revision).delete(key);
+            txn = txn.if_mod_revision(key.clone(), page.mod_revision).delete(key);
         }
         if !budget.try_spend(WriteKind::GarbageCollection, removed) {
             return;
@@ -244,7 +244,8 @@
         for PageWrite { number, finished } in pages {
             let key = page_key(job, *number);
             let value = Json::of(&PageRecord::new(*number, finished));
-            txn = txn.when(key.clone(), self.mod_revision(job, *number)).write(key, value);
+            txn =
+                txn.if_mod_revision(key.clone(), self.mod_revision(job, *number)).write(key, value);
         }
         txn
     }
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -77,8 +77,8 @@
     fn plan(&self, new: &Ranges, room: WriteLimits) -> Option<(Txn, PlannedWrite)> {
         let progress = self.pages.plan(&self.record, new, room)?;
         let txn = Txn::default()
-            .when(format!("{PARTITION_PREFIX}one"), self.term)
-            .when(ACTIVE_JOB_PREFIX, self.mod_revision);
+            .if_mod_revision(format!("{PARTITION_PREFIX}one"), self.term)
+            .if_mod_revision(ACTIVE_JOB_PREFIX, self.mod_revision);
         let planned = progress_of_job(txn, ID, progress, &self.pages);
         Some((planned.txn.clone(), planned))
     }
@@ -227,8 +227,9 @@
     leader.committed(write, mod_revision);
     let (late, _) = leader.plan(&Ranges::of(1..2), room(1024, 4)).expect("a second step");
     let over = TerminalJobRecord { phase: JobPhase::Cancelled, done: 0 };
-    let cancel =
-        Txn::default().when(ACTIVE_JOB_PREFIX, leader.mod_revision).delete(ACTIVE_JOB_PREFIX);
+    let cancel = Txn::default()
+        .if_mod_revision(ACTIVE_JOB_PREFIX, leader.mod_revision)
+        .delete(ACTIVE_JOB_PREFIX);
     commit(&mut store, cancel.write("over/req-1", Json::of(&over))).expect("cancelled");
     let before = store.keys("pages/");
     assert!(!before.is_empty());
@@ -264,9 +265,9 @@
     assert!(!stored.paged && !Json::of(&stored).text().contains("paged"));
 }
 
-fn page_event(number: u32, finished: &Ranges, mod_revision: u64) -> Row {
+fn page_event(number: u32, finished: &Ranges, mod_revision: u64) -> KeyValue {
     let v = Json::of(&PageRecord::new(number, finished));
-    Row { path: page_key(ID, number), v, mod_revision, lease_id: None }
+    KeyValue { key: page_key(ID, number), value: v, mod_revision, lease_id: None }
 }
 
 /// Two leaders may record the last tasks in different pages without knowing of each other: whoever
@@ -284,13 +285,13 @@
         record.paged = true;
         record.finished = Ranges::of(own_tasks);
         if taken_over {
-            core.apply_page_row(&page_event(0, &Ranges::of(2..4), 11));
+            core.apply_page_record(&page_event(0, &Ranges::of(2..4), 11));
             core.reconcile_job(record, 10);
         } else {
             core.reconcile_job(record, 10);
             let before = core.step(NOW + SECOND, Vec::new());
             assert!(!format!("{before:?}").contains("over/req-1"), "{name}: not yet");
-            core.apply_page_row(&page_event(0, &Ranges::of(2..4), 11));
+            core.apply_page_record(&page_event(0, &Ranges::of(2..4), 11));
         }
         let effects = core.step(NOW + 2 * SECOND, Vec::new());
         assert!(format!("{effects:?}").contains("over/req-1"), "{name}: {effects:?}");
@@ -310,7 +311,7 @@
     core.reconcile_job(moved, 11);
     let ready = |core: &Core| core.partitions["one"].jobs[ID].ready.to_string();
     assert_eq!(ready(&core), "2-3");
-    core.apply_page_row(&page_event(0, &Ranges::of(0..3), 11));
+    core.apply_page_record(&page_event(0, &Ranges::of(0..3), 11));
     assert_eq!(ready(&core), "3", "what the page tells beyond that counts too");
 }
 
@@ -324,8 +325,8 @@
         if !first {
             core.cache.record_partition("a", PartitionRecord { node: "a".into(), process: 1 }, 4);
         }
-        core.apply_page_row(&page_event(0, &Ranges::of(0..3), 8));
-        core.apply_page_row(&page_event(1, &Ranges::of(PAGE_TASKS..PAGE_TASKS + 3), 9));
+        core.apply_page_record(&page_event(0, &Ranges::of(0..3), 8));
+        core.apply_page_record(&page_event(1, &Ranges::of(PAGE_TASKS..PAGE_TASKS + 3), 9));
         if active {
             core.reconcile_job(record("0-3", ""), 10);
         }
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -75,7 +75,7 @@
 
 /// The partition that holds the job, as far as that decides what becomes of its tasks.
 #[derive(Clone, Copy, Debug)]
-pub struct Holder<'a> {
+pub struct PartitionContext<'a> {
     /// The name of the partition.
     pub partition: &'a str,
     /// The term under which it is held.
@@ -132,15 +132,15 @@
         &mut self,
         record: ActiveJobRecord,
         mod_revision: u64,
-        holder: Holder<'_>,
+        context: PartitionContext<'_>,
         team_limited: bool,
     ) -> RecordTaken {
         let mut taken = RecordTaken::default();
         if mod_revision <= self.mod_revision {
             return taken;
         }
-        let owned = record.owned_by(holder.partition);
-        let fresh = record.entered_under(holder.partition, holder.term);
+        let owned = record.owned_by(context.partition);
+        let fresh = record.entered_under(context.partition, context.term);
         self.record = record;
         self.mod_revision = mod_revision;
         if !self.writing {
@@ -148,7 +148,7 @@
             taken.placement_wanted = self.settle_unknown_outcome();
         }
         let new = owned.minus(&self.known());
-        let at_once = if holder.recovery_complete {
+        let at_once = if context.recovery_complete {
             new.clone()
         } else if team_limited {
             // The team's limit counts what an earlier leader may have started.
@@ -164,7 +164,7 @@
         self.finished = self.finished.intersect(&owned);
         taken.placement_wanted |= !self.ready.is_empty() && !at_once.is_empty();
         taken.nothing_left_here =
-            self.idle() && owned.is_empty() && !ends_here(&self.record, holder.partition);
+            self.idle() && owned.is_empty() && !ends_here(&self.record, context.partition);
         taken
     }
 
@@ -182,19 +182,19 @@
 
     /// Puts a task whose attempt is surely on no machine back into the queue, if it is still the
     /// partition's and not finished. Whether it came back.
-    pub fn requeue(&mut self, index: u32, attempt: u64, holder: Holder<'_>) -> bool {
+    pub fn requeue(&mut self, index: u32, attempt: u64, context: PartitionContext<'_>) -> bool {
         if self.assignments.get(&index).is_none_or(|p| p.attempt != attempt) {
             return false;
         }
         self.assignments.remove(&index);
-        let owned = self.record.owned_by(holder.partition);
+        let owned = self.record.owned_by(context.partition);
         if !owned.contains(index) || self.finished.contains(index) {
             return false;
         }
         // Seen to have ended here, but before the barrier opens another machine could still
         // hold an attempt of an earlier leader.
-        let fresh = self.record.entered_under(holder.partition, holder.term).contains(index);
-        if holder.recovery_complete || fresh {
+        let fresh = self.record.entered_under(context.partition, context.term).contains(index);
+        if context.recovery_complete || fresh {
             self.ready.insert(index);
         } else {
             self.awaiting_recovery.insert(index);
--- a/crates/quartzlever-core/src/jobs/partition_job/tests.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use crate::testing::{NOW, record};
 
-const HOLDER: Holder<'_> = Holder { partition: "one", term: 5, recovery_complete: true };
+const HOLDER: PartitionContext<'_> =
+    PartitionContext { partition: "one", term: 5, recovery_complete: true };
 
 fn ranges(text: &str) -> Ranges {
     text.parse().unwrap_or_default()
@@ -30,8 +31,8 @@
     ] {
         let record = record("0-3", "");
         let mut job = PartitionJob::new(record.clone(), NOW, NOW);
-        let holder = Holder { partition: "one", term, recovery_complete };
-        let taken = job.take_record(record, 10, holder, team_limited);
+        let context = PartitionContext { partition: "one", term, recovery_complete };
+        let taken = job.take_record(record, 10, context, team_limited);
         let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
         let name = format!("{recovery_complete} {team_limited} {term}");
         assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
@@ -165,9 +166,9 @@
         if finished {
             job.finish(0, "one", NOW);
         }
-        let holder = Holder { partition: "one", term, recovery_complete };
+        let context = PartitionContext { partition: "one", term, recovery_complete };
         let name = format!("{ended} {finished} {recovery_complete} {term}");
-        assert_eq!(job.requeue(0, ended, holder), comes_back, "{name}");
+        assert_eq!(job.requeue(0, ended, context), comes_back, "{name}");
         assert_eq!(job.assignments.is_empty(), ended == 7, "{name}");
         let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
         assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
--- a/crates/quartzlever-core/src/jobs/records.rs
+++ b/crates/quartzlever-core/src/jobs/records.rs
@@ -122,7 +122,7 @@
     room: WriteLimits,
 ) -> Option<PlannedWrite> {
     let id = &job.spec().id;
-    let base = leader.when(active_job_key(id), job.mod_revision());
+    let base = leader.if_mod_revision(active_job_key(id), job.mod_revision());
     if job.all_finished() {
         return Some(end_of_job(base, job));
     }
--- a/crates/quartzlever-core/src/jobs/records/tests.rs
+++ b/crates/quartzlever-core/src/jobs/records/tests.rs
@@ -1,7 +1,7 @@
 //! What is written of a job's record.
 
 use super::*;
-use crate::jobs::partition_job::Holder;
+use crate::jobs::partition_job::PartitionContext;
 use crate::testing::*;
 
 /// A record with more gaps than a value holds keeps what fits, the longest ranges first; the rest
@@ -42,11 +42,11 @@
 }
 
 fn partition_job(id: &str, mine: &str) -> PartitionJob {
-    let holder = Holder { partition: "one", term: 5, recovery_complete: true };
+    let context = PartitionContext { partition: "one", term: 5, recovery_complete: true };
     let mut record = record(mine, "");
     record.job.id = id.into();
     let mut job = PartitionJob::new(record.clone(), NOW, NOW);
-    job.take_record(record, 10, holder, false);
+    job.take_record(record, 10, context, false);
     job
 }
 
@@ -64,8 +64,8 @@
         job
     };
     let mut given_away = job_with("e", 0, 0);
-    let holder = Holder { partition: "one", term: 5, recovery_complete: true };
-    given_away.take_record(record("", "0-3"), 11, holder, false);
+    let context = PartitionContext { partition: "one", term: 5, recovery_complete: true };
+    given_away.take_record(record("", "0-3"), 11, context, false);
     let jobs = BTreeMap::from([
         ("a".to_owned(), job_with("a", 1, NOW)),
         ("b".to_owned(), job_with("b", 1, NOW - 5)),
@@ -99,7 +99,7 @@
             job.ready.remove(index);
             job.finish(index, "one", NOW);
         }
-        let leader = Txn::default().when("parts/one", 5);
+        let leader = Txn::default().if_mod_revision("parts/one", 5);
         let planned = plan_write(leader, &job, &Pages::default(), paging, room);
         let PlannedWrite { txn, action: planned_action, recorded, .. } = planned.expect("it fits");
         let conditions: Vec<(&str, u64)> =
--- a/crates/quartzlever-core/src/jobs/submission.rs
+++ b/crates/quartzlever-core/src/jobs/submission.rs
@@ -27,19 +27,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     /// It can never run.
-    ForGood,
+    Permanent,
     /// That cannot be decided yet.
-    ForNow,
+    Temporary,
 }
 
 /// Whether a job is refused; `services` says whether all controllers know services.
 pub(crate) fn refusal(feasibility: Feasibility, spec: &JobSpec, services: bool) -> Option<Refusal> {
     match feasibility {
         // An earlier version could not read its record.
-        Feasibility::Fits if spec.is_service() && !services => Some(Refusal::ForNow),
+        Feasibility::Fits if spec.is_service() && !services => Some(Refusal::Temporary),
         Feasibility::Fits => None,
-        Feasibility::Never => Some(Refusal::ForGood),
-        Feasibility::Unsure => Some(Refusal::ForNow),
+        Feasibility::Never => Some(Refusal::Permanent),
+        Feasibility::Unsure => Some(Refusal::Temporary),
     }
 }
 
@@ -70,7 +70,7 @@
 impl<Leads: Fn(&str) -> bool> EntryChoice<'_, Leads> {
     /// The partition that a job enters. None if no partition is known to have a leader.
     pub fn choose(&self, spec: &JobSpec, rng: &mut SmallRng) -> Option<Entry> {
-        if self.config.limited(&spec.team) {
+        if self.config.is_team_limited(&spec.team) {
             let partition = self.config.partition_of_team(&spec.team);
             let term = self.cache.partition(partition).map_or(0, |held| held.mod_revision);
             return Some(Entry { partition: partition.to_owned(), term });
@@ -138,9 +138,11 @@
         return None;
     }
     let active_key = active_job_key(&spec.id);
-    let mut txn = Txn::default().when(active_key.clone(), 0).when(terminal_job_key(&spec.id), 0);
+    let mut txn = Txn::default()
+        .if_mod_revision(active_key.clone(), 0)
+        .if_mod_revision(terminal_job_key(&spec.id), 0);
     if let Some(partition_key) = fence {
-        txn = txn.when(partition_key, term);
+        txn = txn.if_mod_revision(partition_key, term);
     }
     Some(Acceptance { txn: txn.write(active_key, value), record: Box::new(record) })
 }
--- a/crates/quartzlever-core/src/jobs/submission/tests.rs
+++ b/crates/quartzlever-core/src/jobs/submission/tests.rs
@@ -78,9 +78,9 @@
     for (feasibility, job, services, refused) in [
         (Feasibility::Fits, &spec(2), false, None),
         (Feasibility::Fits, &service, true, None),
-        (Feasibility::Fits, &service, false, Some(Refusal::ForNow)),
-        (Feasibility::Unsure, &spec(2), true, Some(Refusal::ForNow)),
-        (Feasibility::Never, &service, false, Some(Refusal::ForGood)),
+        (Feasibility::Fits, &service, false, Some(Refusal::Temporary)),
+        (Feasibility::Unsure, &spec(2), true, Some(Refusal::Temporary)),
+        (Feasibility::Never, &service, false, Some(Refusal::Permanent)),
     ] {
         assert_eq!(refusal(feasibility, job, services), refused, "{feasibility:?} {services}");
     }
--- a/crates/quartzlever-core/src/jobs/user_requests.rs
+++ b/crates/quartzlever-core/src/jobs/user_requests.rs
@@ -6,7 +6,7 @@
 
 use quartzlever_wire::store::StoreCall;
 
-use crate::calls::{PendingStoreCall, Purpose};
+use crate::calls::{JobReadPurpose, PendingStoreCall};
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
 use crate::store::active_job_key;
@@ -41,13 +41,13 @@
     }
 
     /// Reads a job for a request under way.
-    pub fn read(&mut self, purpose: Purpose, outbox: &mut Outbox) {
+    pub fn read(&mut self, purpose: JobReadPurpose, outbox: &mut Outbox) {
         let call = StoreCall::Get(active_job_key(purpose.job()));
         self.call(call, PendingStoreCall::ReadActiveJob { purpose }, outbox);
     }
 
     /// Reads a job for a new request, unless too many calls of users are under way.
-    pub fn read_or_reject(&mut self, purpose: Purpose, outbox: &mut Outbox) {
+    pub fn read_or_reject(&mut self, purpose: JobReadPurpose, outbox: &mut Outbox) {
         if self.calls_in_flight >= MAX_USER_CALLS {
             return outbox.reject_retryable(purpose.request(), 503, "busy");
         }
--- a/crates/quartzlever-core/src/jobs/user_requests/tests.rs
+++ b/crates/quartzlever-core/src/jobs/user_requests/tests.rs
@@ -4,8 +4,8 @@
 use crate::messages::{Effect, LogLevel};
 use crate::testing::NOW;
 
-fn lookup(id: u64) -> Purpose {
-    Purpose::Lookup { id, job: "req-1".into() }
+fn lookup(id: u64) -> JobReadPurpose {
+    JobReadPurpose::Lookup { id, job: "req-1".into() }
 }
 
 #[test]
--- a/crates/quartzlever-core/src/leadership/lease.rs
+++ b/crates/quartzlever-core/src/leadership/lease.rs
@@ -9,7 +9,7 @@
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::PendingStoreCall;
-use crate::config::{Config, surely_within};
+use crate::config::{Config, lower_drift_bound};
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
 
@@ -142,7 +142,7 @@
         if !was_held {
             self.regained_at = sent;
         }
-        let life = surely_within(config.operator.lease_life);
+        let life = lower_drift_bound(config.operator.lease_life);
         self.valid_until = self.valid_until.max(sent + life.saturating_sub(MARGIN));
         self.next_renewal_at = sent + config.operator.lease_life / RENEWALS_PER_LIFE;
         if was_held { LeaseOutcome::Extended } else { LeaseOutcome::Regained }
--- a/crates/quartzlever-core/src/leadership/lease/tests.rs
+++ b/crates/quartzlever-core/src/leadership/lease/tests.rs
@@ -57,7 +57,7 @@
 fn a_lease_is_reckoned_from_the_sending_of_the_call() {
     let config = core().config;
     // 15 s, less the drift of the clocks and a second.
-    let life = surely_within(config.operator.lease_life) - SECOND;
+    let life = lower_drift_bound(config.operator.lease_life) - SECOND;
     assert!(life > 13 * SECOND && life < 14 * SECOND, "{life}");
     let mut lease = Lease::default();
     assert!(!lease.is_held(NOW));
--- a/crates/quartzlever-core/src/leadership/partition_keys.rs
+++ b/crates/quartzlever-core/src/leadership/partition_keys.rs
@@ -265,7 +265,9 @@
         self.releasing.remove(name);
         let key = format!("{PARTITION_PREFIX}{name}");
         let value = Json::of(&self.own_record);
-        let txn = Txn::default().when(key.clone(), mod_revision).write_held(key, value, lease);
+        let txn = Txn::default()
+            .if_mod_revision(key.clone(), mod_revision)
+            .write_with_lease(key, value, lease);
         write_budget.spend(1);
         let pending = PendingStoreCall::Acquire { partition: name.to_owned(), lease };
         outbox.call_store(CallPriority::Lease, StoreCall::Txn(txn), pending);
@@ -313,7 +315,7 @@
             term: mod_revision,
         });
         let key = format!("{PARTITION_PREFIX}{name}");
-        let txn = Txn::default().when(key.clone(), mod_revision).delete(key);
+        let txn = Txn::default().if_mod_revision(key.clone(), mod_revision).delete(key);
         write_budget.spend(1);
         let pending = PendingStoreCall::Release { partition: name.to_owned(), mod_revision };
         outbox.call_store(CallPriority::Lease, StoreCall::Txn(txn), pending);
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use quartzlever_wire::store::{
-    MACHINES_SEEN_PREFIX, MachineRecord, MachinesSeenRecord, Row, StoreCall, Txn,
+    KeyValue, MACHINES_SEEN_PREFIX, MachineRecord, MachinesSeenRecord, StoreCall, Txn,
 };
 use quartzlever_wire::workers::WorkerCall;
 use quartzlever_wire::{Json, Micros, SECOND};
@@ -111,7 +111,7 @@
     }
 
     /// This process stood still or could not act: what was not heard until now shows nothing.
-    pub fn listen_anew(&mut self, now: Micros) {
+    pub fn restart_listening(&mut self, now: Micros) {
         self.listening_since = now;
     }
 
@@ -122,9 +122,9 @@
     }
 
     /// A machine of a partition that another node holds has come here.
-    pub fn note_foreign_heartbeat(&mut self, now: Micros, partition: &str, host: &str) {
+    pub fn note_foreign_heartbeat(&mut self, now: Micros, partition: &str, machine: &str) {
         let foreign_heartbeats = self.foreign_heartbeats.entry(partition.to_owned()).or_default();
-        foreign_heartbeats.insert(host.to_owned(), now);
+        foreign_heartbeats.insert(machine.to_owned(), now);
     }
 
     /// A peer says how many machines of a partition it hears.
@@ -137,10 +137,10 @@
     }
 
     /// What a peer has left at the store.
-    pub fn apply_machines_seen_row(&mut self, now: Micros, row: &Row) {
+    pub fn apply_machines_seen_record(&mut self, now: Micros, entry: &KeyValue) {
         let name =
-            row.path.strip_prefix(MACHINES_SEEN_PREFIX).and_then(|rest| rest.rsplit_once('/'));
-        if let (Some((partition, _)), Some(record)) = (name, parse::<MachinesSeenRecord>(row)) {
+            entry.key.strip_prefix(MACHINES_SEEN_PREFIX).and_then(|rest| rest.rsplit_once('/'));
+        if let (Some((partition, _)), Some(record)) = (name, parse::<MachinesSeenRecord>(entry)) {
             self.note_machines_seen(now, partition.to_owned(), record.machines);
         }
     }
@@ -159,13 +159,13 @@
     pub fn foreign_machines(&mut self, now: Micros, config: &Config) -> Vec<ForeignMachines> {
         let recent = config.workers.heartbeat_interval * 2;
         let mut told = Vec::new();
-        self.foreign_heartbeats.retain(|partition, hosts| {
-            hosts.retain(|_, at| now.saturating_sub(*at) < recent);
-            if hosts.len() >= MIN_MACHINES {
-                let machines = hosts.len() as u32;
+        self.foreign_heartbeats.retain(|partition, last_heartbeats| {
+            last_heartbeats.retain(|_, at| now.saturating_sub(*at) < recent);
+            if last_heartbeats.len() >= MIN_MACHINES {
+                let machines = last_heartbeats.len() as u32;
                 told.push(ForeignMachines { partition: partition.clone(), machines });
             }
-            !hosts.is_empty()
+            !last_heartbeats.is_empty()
         });
         told
     }
@@ -184,7 +184,7 @@
         let key = format!("{MACHINES_SEEN_PREFIX}{partition}/{}", config.node);
         // It hangs on this node's lease, so that nothing is left of it in the end.
         let value = Json::of(&MachinesSeenRecord { machines });
-        let txn = Txn::default().write_held(key, value, lease);
+        let txn = Txn::default().write_with_lease(key, value, lease);
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 
--- a/crates/quartzlever-core/src/leadership/reachability/tests.rs
+++ b/crates/quartzlever-core/src/leadership/reachability/tests.rs
@@ -90,11 +90,11 @@
 fn machines_that_do_not_come_any_more_are_not_told_of() {
     let config = core().config;
     let mut reachability = Reachability::new(NOW);
-    for (partition, hosts) in [("two", 4), ("three", 2)] {
-        for host in 0..hosts {
+    for (partition, machines) in [("two", 4), ("three", 2)] {
+        for machine in 0..machines {
             // The first comes a second before the others.
-            let at = if host == 0 { NOW - SECOND } else { NOW };
-            reachability.note_foreign_heartbeat(at, partition, &format!("n-{host}"));
+            let at = if machine == 0 { NOW - SECOND } else { NOW };
+            reachability.note_foreign_heartbeat(at, partition, &format!("n-{machine}"));
         }
     }
     let mut told = |after: Micros| reachability.foreign_machines(NOW + after, &config);
--- a/crates/quartzlever-core/src/machines/attempt.rs
+++ b/crates/quartzlever-core/src/machines/attempt.rs
@@ -25,7 +25,7 @@
 
 /// An attempt that is on a machine, or may be.
 #[derive(Clone, Debug)]
-pub struct Slot {
+pub struct Attempt {
     pub need: Resources,
     pub priority: Priority,
     /// Team and class of the job; empty for an attempt of a job that is not known here.
@@ -61,7 +61,7 @@
     pub kill_sent: Option<Micros>,
 }
 
-impl Slot {
+impl Attempt {
     /// Whether it was reported to have ended.
     pub fn exited(&self) -> bool {
         self.phase == Some(TaskPhase::Exited)
@@ -81,7 +81,7 @@
 
     /// An attempt of which nothing is known yet.
     pub(super) fn blank(now: Micros) -> Self {
-        Slot {
+        Attempt {
             need: Resources::default(),
             priority: Priority::BestEffort,
             team: String::new(),
@@ -108,8 +108,8 @@
 
     /// A new attempt of a job's task.
     pub fn new(job: &JobSpec, now: Micros) -> Self {
-        let mut slot = Slot::blank(now);
-        slot.describe(job);
-        slot
+        let mut attempt = Attempt::blank(now);
+        attempt.describe(job);
+        attempt
     }
 }
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -23,7 +23,7 @@
 
 /// An attempt whose end a heartbeat shows for the first time.
 pub(super) struct EndedAttempt<'a> {
-    pub host: &'a str,
+    pub machine: &'a str,
     pub seen: &'a TaskStatus,
     /// When its start was decided.
     pub placed: Micros,
@@ -49,36 +49,37 @@
     pub(super) fn attempt_runs(
         &mut self,
         config: &Config,
-        host: &str,
+        machine_name: &str,
         key: &AttemptKey,
         now: Micros,
     ) {
-        let Some(machine) = self.machines.get_mut(host) else { return };
-        let Some(slot) = machine.slots.get_mut(key) else { return };
+        let Some(machine) = self.machines.get_mut(machine_name) else { return };
+        let Some(attempt) = machine.attempts.get_mut(key) else { return };
         let task = &key.task;
-        if slot.running_since.is_none() {
-            slot.running_since = Some(now);
+        if attempt.running_since.is_none() {
+            attempt.running_since = Some(now);
             if config.log_level >= LogLevel::Debug {
                 let submitted = self.jobs.get(&task.job).map_or(now, |job| job.since);
                 self.log_events.push(LogEvent::TaskRunning {
                     partition: self.name.clone(),
                     job: task.job.clone(),
                     task: task.index,
-                    machine: host.to_owned(),
-                    class: slot.class.clone(),
-                    since_placement: now - slot.since,
+                    machine: machine_name.to_owned(),
+                    class: attempt.class.clone(),
+                    since_placement: now - attempt.since,
                     since_submission: now - submitted,
                 });
             }
         }
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| j.service()) {
             job.record_start();
-            if slot.running_since.is_some_and(|t| now.saturating_sub(t) > REPLICA_HEALTHY_AFTER) {
+            if attempt.running_since.is_some_and(|t| now.saturating_sub(t) > REPLICA_HEALTHY_AFTER)
+            {
                 job.mark_healthy();
             }
         }
-        if !machine.images.contains(&slot.image) {
-            machine.images.insert(slot.image.clone());
+        if !machine.images.contains(&attempt.image) {
+            machine.images.insert(attempt.image.clone());
         }
     }
 
@@ -105,7 +106,7 @@
             Some(Cause::Error) | Some(Cause::Other) | None => {
                 self.attempt_failed(config, ended, now)
             }
-            Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
+            Some(Cause::NoCapacity | Cause::Busy | Cause::Unknown) => {
                 if let Some(job) = self.jobs.get_mut(&seen.task.job) {
                     job.no_start_before = now + SECOND;
                 }
@@ -116,7 +117,7 @@
 
     fn task_done(&mut self, run_times: &mut RunTimes, ended: &EndedAttempt, now: Micros) {
         let task = &ended.seen.task;
-        if let Some(machine) = self.machines.get_mut(ended.host) {
+        if let Some(machine) = self.machines.get_mut(ended.machine) {
             machine.failures.forget();
             if let Some(ran) = ended.ran.filter(|_| ended.expect > 0) {
                 let pace = (ran.saturating_mul(1000) / ended.expect).min(1_000_000) as u32;
@@ -143,7 +144,7 @@
         let id = &ended.seen.task.job;
         let Some(job) = self.jobs.get_mut(id) else { return };
         let was_mistaken = job.fails_everywhere();
-        job.failures.note(ended.host, ended.placed, ended.ran.unwrap_or(0), now);
+        job.failures.note(ended.machine, ended.placed, ended.ran.unwrap_or(0), now);
         let (runs_well, several) = (job.succeeded > 0, job.failures.on_several());
         if several {
             // A mistaken job fails everywhere: it must not hammer the machines.
@@ -154,7 +155,7 @@
             let (partition, job) = (self.name.clone(), id.clone());
             self.log_events.push(LogEvent::JobFailsEverywhere { partition, job });
         }
-        if let Some(machine) = self.machines.get_mut(ended.host) {
+        if let Some(machine) = self.machines.get_mut(ended.machine) {
             machine.failures.note(id, runs_well, several, now);
         }
         if several && !runs_well {
@@ -173,8 +174,10 @@
                 task: TaskId { job: id.to_owned(), index: *index },
                 attempt: place.attempt,
             };
-            let slot = self.machines.get(&place.machine).and_then(|m| m.slots.get(&key));
-            let since = slot.filter(|slot| !slot.exited()).and_then(|slot| slot.running_since);
+            let attempt = self.machines.get(&place.machine).and_then(|m| m.attempts.get(&key));
+            let since = attempt
+                .filter(|attempt| !attempt.exited())
+                .and_then(|attempt| attempt.running_since);
             if let Some(since) = since {
                 job.failures.runs(now.saturating_sub(since), margin);
             }
@@ -193,8 +196,8 @@
     /// Tells the machines that a job failed on what has become of it elsewhere.
     fn update_failure_records(&mut self, id: &str, tell: impl Fn(&mut MachineFailures)) {
         let Some(job) = self.jobs.get(id) else { return };
-        for host in job.failures.machines() {
-            if let Some(machine) = self.machines.get_mut(host) {
+        for machine_name in job.failures.machines() {
+            if let Some(machine) = self.machines.get_mut(machine_name) {
                 tell(&mut machine.failures);
             }
         }
--- a/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
@@ -26,7 +26,7 @@
         (Batch, Some(Cause::Error), 5, true, false, true),
         (Batch, Some(Cause::Other), 5, true, false, true),
         (Batch, None, 5, true, false, true),
-        (Batch, Some(Cause::NoRoom), 0, true, true, false),
+        (Batch, Some(Cause::NoCapacity), 0, true, true, false),
         (Batch, Some(Cause::Busy), 0, true, true, false),
         (Batch, Some(Cause::Unknown), 0, true, true, false),
         // A replica is never done: it goes on at once if it ran well, after a pause otherwise.
@@ -34,7 +34,7 @@
         (Service, Some(Cause::Done), 31, true, false, false),
         (Service, Some(Cause::Error), 5, true, false, true),
         (Service, Some(Cause::Error), 31, true, false, false),
-        (Service, Some(Cause::NoRoom), 0, true, true, false),
+        (Service, Some(Cause::NoCapacity), 0, true, true, false),
     ] {
         let (mut core, attempt) = with_attempt(shape);
         let config = core.config.clone();
@@ -48,7 +48,7 @@
             kept: None,
         };
         let ended = EndedAttempt {
-            host: "n-1",
+            machine: "n-1",
             seen: &seen,
             placed: NOW,
             ran: (ran > 0).then_some(ran * SECOND),
@@ -69,7 +69,7 @@
 /// An end that is reported late, of an attempt whose task was started anew elsewhere, frees nothing.
 #[test]
 fn the_end_of_an_earlier_attempt_leaves_the_present_one() {
-    for cause in [Some(Cause::Halted), Some(Cause::Error), Some(Cause::NoRoom)] {
+    for cause in [Some(Cause::Halted), Some(Cause::Error), Some(Cause::NoCapacity)] {
         let (mut core, attempt) = with_attempt(Shape::Batch);
         let config = core.config.clone();
         let partition = core.partitions.get_mut("one").expect("it is held");
@@ -82,7 +82,7 @@
         };
         let (class, expect) = (spec(1).class, 5 * SECOND);
         let ended =
-            EndedAttempt { host: "n-1", seen: &seen, placed: NOW, ran: None, class, expect };
+            EndedAttempt { machine: "n-1", seen: &seen, placed: NOW, ran: None, class, expect };
         partition.attempt_ended(&config, &mut RunTimes::default(), &ended, NOW + SECOND);
         let job = &partition.jobs["req-1"];
         assert_eq!(job.assignments[&0].attempt, attempt, "{cause:?}");
--- a/crates/quartzlever-core/src/machines/call_queue.rs
+++ b/crates/quartzlever-core/src/machines/call_queue.rs
@@ -32,18 +32,18 @@
 
 impl CallQueue {
     /// A machine may have something to be told at once.
-    pub fn add_urgent(&mut self, host: impl Into<String>) {
-        self.urgent.insert(host.into());
+    pub fn add_urgent(&mut self, machine: impl Into<String>) {
+        self.urgent.insert(machine.into());
     }
 
     /// A machine may still heed an earlier leader.
-    pub(super) fn add_unfenced(&mut self, host: &str) {
-        self.unfenced.insert(host.to_owned());
+    pub(super) fn add_unfenced(&mut self, machine: &str) {
+        self.unfenced.insert(machine.to_owned());
     }
 
     /// A machine has shown this term's fencing token.
-    pub(super) fn fenced(&mut self, host: &str) {
-        self.unfenced.remove(host);
+    pub(super) fn fenced(&mut self, machine: &str) {
+        self.unfenced.remove(machine);
     }
 
     /// Every machine is proven.
@@ -52,9 +52,9 @@
     }
 
     /// A machine is gone.
-    pub(super) fn forget(&mut self, host: &str) {
-        self.urgent.remove(host);
-        self.unfenced.remove(host);
+    pub(super) fn forget(&mut self, machine: &str) {
+        self.urgent.remove(machine);
+        self.unfenced.remove(machine);
     }
 
     /// The machines that are called now: first those that have something urgent to be told, then those that have
@@ -65,12 +65,12 @@
         limits: CallLimits,
         now: Micros,
     ) -> Vec<String> {
-        self.urgent.retain(|host| {
+        self.urgent.retain(|machine| {
             machines
-                .get(host)
+                .get(machine)
                 .is_some_and(|m| m.fenced && m.incarnation > 0 && m.has_urgent_commands())
         });
-        let callable = |host: &&String| machines.get(*host).is_some_and(|m| m.callable(now));
+        let callable = |machine: &&String| machines.get(*machine).is_some_and(|m| m.callable(now));
         let room = |most: usize| most.saturating_sub(limits.in_flight);
         let urgent = self.urgent.iter().filter(callable).take(room(limits.urgent));
         let unfenced = self.unfenced.iter().filter(callable).take(room(limits.fencing));
@@ -78,13 +78,13 @@
     }
 
     #[cfg(test)]
-    pub(super) fn is_urgent(&self, host: &str) -> bool {
-        self.urgent.contains(host)
+    pub(super) fn is_urgent(&self, machine: &str) -> bool {
+        self.urgent.contains(machine)
     }
 
     #[cfg(test)]
-    pub(super) fn is_unfenced(&self, host: &str) -> bool {
-        self.unfenced.contains(host)
+    pub(super) fn is_unfenced(&self, machine: &str) -> bool {
+        self.unfenced.contains(machine)
     }
 }
 
--- a/crates/quartzlever-core/src/machines/call_queue/tests.rs
+++ b/crates/quartzlever-core/src/machines/call_queue/tests.rs
@@ -23,7 +23,7 @@
         ("nothing", |_| {}, true, true),
         ("not fenced", |m| m.fenced = false, false, false),
         ("no session is known", |m| m.incarnation = 0, false, false),
-        ("nothing to be told", |m| m.slots.clear(), false, false),
+        ("nothing to be told", |m| m.attempts.clear(), false, false),
         ("a call is under way", |m| m.call = Some(7), false, true),
         ("it is returned", |m| m.scaling_in = true, false, true),
         ("the last call has failed", |m| m.no_call_before = NOW + 1, false, true),
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -12,7 +12,7 @@
 
 use crate::calls::PendingWorkerCall;
 use crate::config::Config;
-use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
+use crate::machines::attempt::{Attempt, AttemptKey, DirectCommand};
 use crate::machines::call_queue::CallLimits;
 use crate::machines::machine::Machine;
 use crate::machines::reconciliation::StatusSource;
@@ -46,10 +46,13 @@
 impl Machine {
     /// The commands that bring the worker to what is wanted. `clearable` says whether an
     /// exited attempt is accounted for.
-    pub fn commands(&self, clearable: impl Fn(&AttemptKey, &Slot) -> bool) -> Vec<WorkerCommand> {
+    pub fn commands(
+        &self,
+        clearable: impl Fn(&AttemptKey, &Attempt) -> bool,
+    ) -> Vec<WorkerCommand> {
         const MOST: usize = 200;
         let mut commands = Vec::new();
-        for (key, slot) in &self.slots {
+        for (key, slot) in &self.attempts {
             let (task, attempt) = (key.task.clone(), key.attempt);
             if slot.exited() {
                 let spent = slot.direct_command == DirectCommand::Settled && !slot.in_answer;
@@ -63,7 +66,7 @@
                 }
             }
         }
-        for (key, slot) in &self.slots {
+        for (key, slot) in &self.attempts {
             // A `run` without effect may be repeated. An unwanted attempt that was never reported
             // is not: it leaves the table once a later heartbeat proves that it is not there.
             if slot.wanted && !slot.exited() && slot.phase.is_none() {
@@ -84,18 +87,18 @@
     /// Notes that a direct call carries all commands of this moment; gives the attempts whose `run` it carries.
     fn note_direct_commands(&mut self, now: Micros) -> Vec<AttemptKey> {
         let mut runs = Vec::new();
-        for (key, slot) in &mut self.slots {
-            if slot.exited() {
+        for (key, attempt) in &mut self.attempts {
+            if attempt.exited() {
                 continue;
             }
-            if slot.wanted && slot.phase.is_none() {
-                slot.sent = true;
-                if slot.direct_command == DirectCommand::Settled {
-                    slot.direct_command = DirectCommand::InFlight;
+            if attempt.wanted && attempt.phase.is_none() {
+                attempt.sent = true;
+                if attempt.direct_command == DirectCommand::Settled {
+                    attempt.direct_command = DirectCommand::InFlight;
                 }
                 runs.push(key.clone());
-            } else if !slot.wanted {
-                slot.kill_sent = Some(now);
+            } else if !attempt.wanted {
+                attempt.kill_sent = Some(now);
             }
         }
         runs
@@ -107,10 +110,10 @@
             self.call = None;
         }
         for key in runs {
-            if let Some(slot) = self.slots.get_mut(key)
-                && slot.direct_command == DirectCommand::InFlight
+            if let Some(attempt) = self.attempts.get_mut(key)
+                && attempt.direct_command == DirectCommand::InFlight
             {
-                slot.direct_command =
+                attempt.direct_command =
                     if known { DirectCommand::Settled } else { DirectCommand::OutcomeUnknown };
             }
         }
@@ -238,7 +241,7 @@
         match result {
             Ok(WorkerReply::Status(status) | WorkerReply::Refused(status)) => {
                 // Another machine may have come to live at the address, or somebody holds a later term.
-                if status.host != call.machine || status.fencing_token > call.term {
+                if status.machine != call.machine || status.fencing_token > call.term {
                     machine.no_call_before = now + CALL_RETRY;
                     return DirectCallOutcome::NothingLearned;
                 }
@@ -261,12 +264,12 @@
         is_over: impl Fn(&str) -> bool,
         now: Micros,
     ) -> Option<WorkerCommands> {
-        let machine = self.machines.get_mut(&heartbeat.host)?;
+        let machine = self.machines.get_mut(&heartbeat.machine)?;
         // A late heartbeat's answer is dropped by the worker; the lease is taken as renewed all
         // the same, which errs on the safe side.
         machine.last_answered_at = now;
         let commands = if is_newer {
-            self.commands_for(&heartbeat.host, true)
+            self.commands_for(&heartbeat.machine, true)
         } else {
             self.kills_for(heartbeat, is_over)
         };
@@ -278,9 +281,9 @@
     pub fn commands_for(&mut self, name: &str, answer: bool) -> Vec<WorkerCommand> {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
-        let mut commands = machine.commands(|key, slot| {
+        let mut commands = machine.commands(|key, attempt| {
             // The result of a finished task is kept on the machine until its end is recorded.
-            slot.cause != Some(Cause::Done)
+            attempt.cause != Some(Cause::Done)
                 || jobs
                     .get(&key.task.job)
                     .is_none_or(|job| job.service() || job.record.finished.contains(key.task.index))
@@ -291,10 +294,10 @@
         if answer && commands.len() < MIN_CLEARS_IN_ANSWER && commands.iter().all(clears) {
             commands.clear();
         }
-        for slot in machine.slots.values_mut() {
-            if slot.wanted && slot.phase.is_none() {
-                slot.sent = true;
-                slot.in_answer |= answer;
+        for attempt in machine.attempts.values_mut() {
+            if attempt.wanted && attempt.phase.is_none() {
+                attempt.sent = true;
+                attempt.in_answer |= answer;
             }
         }
         commands
@@ -308,10 +311,10 @@
         heartbeat: &Heartbeat,
         over: impl Fn(&str) -> bool,
     ) -> Vec<WorkerCommand> {
-        let slots = self.machines.get(&heartbeat.host).map(|m| &m.slots);
+        let attempts = self.machines.get(&heartbeat.machine).map(|m| &m.attempts);
         let unwanted = |t: &TaskStatus| {
             let key = AttemptKey { task: t.task.clone(), attempt: t.attempt };
-            slots.and_then(|s| s.get(&key)).is_some_and(|s| !s.wanted && s.leeway_s <= 0.0)
+            attempts.and_then(|s| s.get(&key)).is_some_and(|s| !s.wanted && s.leeway_s <= 0.0)
         };
         let ends = |t: &&TaskStatus| {
             t.phase != TaskPhase::Exited
--- a/crates/quartzlever-core/src/machines/commands/tests.rs
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -1,6 +1,6 @@
 //! Commands in answers and direct calls, as tables.
 
-use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
+use crate::machines::attempt::{Attempt, AttemptKey, DirectCommand};
 use crate::machines::machine::Machine;
 use crate::outbox::Outbox;
 use crate::testing::*;
@@ -35,7 +35,7 @@
         if given_up {
             let Some(machine) = partition.machines.get_mut("n-1") else { unreachable!() };
             machine
-                .slots
+                .attempts
                 .values_mut()
                 .for_each(|s| s.direct_command = DirectCommand::OutcomeUnknown);
         }
@@ -124,19 +124,19 @@
             .collect();
         if let Some(partition) = core.partitions.get_mut("one") {
             // A second machine, so that the partition has more than half of what the processor serves.
-            let host = MachineRecord {
+            let record = MachineRecord {
                 partition: "one".into(),
                 address: "n-2:9000".into(),
                 machine_type: "m".into(),
                 zone: "a".into(),
                 spot: true,
             };
-            partition.add_machine("n-2", host, true, NOW);
+            partition.add_machine("n-2", record, true, NOW);
             for machine in partition.machines.values_mut() {
                 (machine.incarnation, machine.last_heartbeat_at) = (1, NOW);
             }
-            for host in ["n-1", "n-2"] {
-                partition.refresh(host);
+            for machine_name in ["n-1", "n-2"] {
+                partition.refresh(machine_name);
             }
         }
         core.reconcile_job(record_of(1, 1, "one"), 10);
@@ -234,8 +234,8 @@
         (None, true, 0.0, run),
     ] {
         let mut machine = Machine::new("n-1", machine_record_of("n-1", "one"), NOW);
-        let slot = Slot { phase, wanted, leeway_s, ..Slot::new(&spec(1), NOW) };
-        machine.slots.insert(AttemptKey { task: task(), attempt: 7 }, slot);
+        let attempt = Attempt { phase, wanted, leeway_s, ..Attempt::new(&spec(1), NOW) };
+        machine.attempts.insert(AttemptKey { task: task(), attempt: 7 }, attempt);
         let commands = machine.commands(|_, _| true);
         assert_eq!(commands, Vec::from_iter(told), "{phase:?} {wanted} {leeway_s}");
     }
@@ -249,7 +249,7 @@
 #[test]
 fn a_call_of_unknown_outcome_may_still_start_its_attempts() {
     use DirectCommand::{OutcomeUnknown, Settled};
-    let status = |host: &str, token| heartbeat_from(host, 1, 3, token, &[]);
+    let status = |machine: &str, token| heartbeat_from(machine, 1, 3, token, &[]);
     for (name, result, known, callable) in [
         ("accepted", Ok(WorkerReply::Status(status("n-1", 5))), Settled, true),
         ("refused", Ok(WorkerReply::Refused(status("n-1", 5))), Settled, true),
@@ -271,7 +271,7 @@
         assert_eq!(*until, NOW + 1, "{name}: not after the authority ends");
         let call = outbox.take_worker_call(*call_id).expect("it is under way");
         let command = |partition: &Partition| {
-            partition.machines["n-1"].slots.values().next().map(|slot| slot.direct_command)
+            partition.machines["n-1"].attempts.values().next().map(|attempt| attempt.direct_command)
         };
         assert_eq!(command(partition), Some(DirectCommand::InFlight), "{name}");
         let run_times = &mut RunTimes::default();
--- a/crates/quartzlever-core/src/machines/failures.rs
+++ b/crates/quartzlever-core/src/machines/failures.rs
@@ -36,9 +36,9 @@
 
 impl JobFailures {
     /// An attempt that was placed at `placed` has failed after running for `ran`.
-    pub fn note(&mut self, host: &str, placed: Micros, ran: Micros, now: Micros) {
+    pub fn note(&mut self, machine: &str, placed: Micros, ran: Micros, now: Micros) {
         self.note_round(placed, now);
-        self.machines.insert(host.to_owned());
+        self.machines.insert(machine.to_owned());
         self.longest_run = self.longest_run.max(ran);
     }
 
@@ -58,8 +58,8 @@
     }
 
     /// Whether a task failed on this machine.
-    pub fn includes(&self, host: &str) -> bool {
-        self.machines.contains(host)
+    pub fn includes(&self, machine: &str) -> bool {
+        self.machines.contains(machine)
     }
 
     /// The machines on which tasks failed.
--- a/crates/quartzlever-core/src/machines/failures/tests.rs
+++ b/crates/quartzlever-core/src/machines/failures/tests.rs
@@ -12,9 +12,9 @@
     let mut now = NOW;
     for pause in [1, 2, 4, 8, 16, 32, 32] {
         let placed = now;
-        for host in ["n-1", "n-2", "n-3", "n-4"] {
+        for machine in ["n-1", "n-2", "n-3", "n-4"] {
             now += SECOND / 10;
-            failures.note(host, placed, SECOND, now);
+            failures.note(machine, placed, SECOND, now);
             assert_eq!(failures.pause(), pause * SECOND);
         }
         now += failures.pause();
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -21,9 +21,9 @@
     /// To a partition that owns the machine, which does not have it here.
     Owned { partition: String },
     /// To another leader: the machine is unclaimed, and was rented for a partition of that one.
-    RentedElsewhere { partition: String },
+    LaunchedElsewhere { partition: String },
     /// Nobody has claimed the machine; the partition that rented it, if that is known.
-    Unclaimed { rented_for: Option<String> },
+    Unclaimed { launched_for: Option<String> },
 }
 
 /// What is known here of who owns and leads what.
@@ -48,30 +48,31 @@
 }
 
 impl<'a> OwnershipView<'a> {
-    /// Where the heartbeat of a machine belongs; `rented_for` tells which partition rented a machine.
+    /// Where the heartbeat of a machine belongs; `launched_for` tells which partition rented a machine.
     pub fn route<'r>(
         &self,
-        host: &str,
-        rented_for: impl FnOnce(&str) -> Option<&'r String>,
+        machine: &str,
+        launched_for: impl FnOnce(&str) -> Option<&'r String>,
     ) -> HeartbeatRoute {
-        if let Some((name, _)) = self.partitions.iter().find(|(_, p)| p.machines.contains_key(host))
+        if let Some((name, _)) =
+            self.partitions.iter().find(|(_, p)| p.machines.contains_key(machine))
         {
             return HeartbeatRoute::Own { partition: name.clone() };
         }
         if !self.cache.loaded() {
             return HeartbeatRoute::CacheNotLoaded;
         }
-        if let Some(record) = self.cache.machine_record(host) {
+        if let Some(record) = self.cache.machine_record(machine) {
             return HeartbeatRoute::Owned { partition: record.partition.clone() };
         }
-        match rented_for(host).cloned() {
+        match launched_for(machine).cloned() {
             Some(partition)
                 if !self.partitions.contains_key(&partition)
                     && self.other_leader_of(&partition).is_some() =>
             {
-                HeartbeatRoute::RentedElsewhere { partition }
+                HeartbeatRoute::LaunchedElsewhere { partition }
             }
-            rented_for => HeartbeatRoute::Unclaimed { rented_for },
+            launched_for => HeartbeatRoute::Unclaimed { launched_for },
         }
     }
 
@@ -82,17 +83,22 @@
     }
 
     /// For whom an unclaimed machine is to be claimed: the partition that rented it, else this node's own.
-    pub fn claimant_of(&self, host: &str, rented_for: Option<&str>, may_act: bool) -> Claimant {
-        let partition = rented_for
+    pub fn claimant_of(
+        &self,
+        machine: &str,
+        launched_for: Option<&str>,
+        may_act: bool,
+    ) -> Claimant {
+        let partition = launched_for
             .and_then(|p| self.partitions.get(p))
             .or_else(|| self.partitions.get(self.node))
             .filter(|p| p.active());
         let Some(partition) = partition else { return Claimant::NotEntitled };
-        if !may_act || partition.autoscaling.terminated.contains(host) {
+        if !may_act || partition.autoscaling.terminated.contains(machine) {
             return Claimant::NotEntitled;
         }
         let owner = PartitionTerm { partition: partition.name.clone(), term: partition.term };
-        if partition.autoscaling.pending_instances.contains(host) {
+        if partition.autoscaling.pending_instances.contains(machine) {
             Claimant::Expected(owner)
         } else {
             Claimant::Unexpected(owner)
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -12,12 +12,12 @@
 fn a_heartbeat_goes_to_whoever_owns_or_rented_the_machine() {
     // n-1 is a machine of partition "one", which is led here; n-7 is claimed for partition "two".
     let owned = |partition: &str| HeartbeatRoute::Owned { partition: partition.into() };
-    let unclaimed = |rented_for: Option<&str>| HeartbeatRoute::Unclaimed {
-        rented_for: rented_for.map(str::to_owned),
+    let unclaimed = |launched_for: Option<&str>| HeartbeatRoute::Unclaimed {
+        launched_for: launched_for.map(str::to_owned),
     };
-    let rented_elsewhere = HeartbeatRoute::RentedElsewhere { partition: "two".into() };
+    let rented_elsewhere = HeartbeatRoute::LaunchedElsewhere { partition: "two".into() };
     // (machine, the partition that rented it, whether the records are known, who leads "two", the route)
-    for (host, rented_for, loaded, leader, route) in [
+    for (machine, launched_for, loaded, leader, route) in [
         ("n-1", None, true, "two", HeartbeatRoute::Own { partition: "one".into() }),
         ("n-1", Some("two"), false, "two", HeartbeatRoute::Own { partition: "one".into() }),
         ("n-7", None, false, "two", HeartbeatRoute::CacheNotLoaded),
@@ -30,12 +30,12 @@
         ("n-9", Some("three"), true, "two", unclaimed(Some("three"))),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
-        let hosts = [("n-7".into(), machine_record_of("n-7", "two"))].into();
-        core.apply_group_change(&large_group_key("n-7"), hosts, 9);
+        let records = [("n-7".into(), machine_record_of("n-7", "two"))].into();
+        core.apply_group_change(&large_group_key("n-7"), records, 9);
         core.cache.set_loaded(loaded);
-        let rented_for = rented_for.map(str::to_owned);
-        let found = view(&core).route(host, |_| rented_for.as_ref());
-        assert_eq!(found, route, "{host} {rented_for:?} {loaded} {leader}");
+        let launched_for = launched_for.map(str::to_owned);
+        let found = view(&core).route(machine, |_| launched_for.as_ref());
+        assert_eq!(found, route, "{machine} {launched_for:?} {loaded} {leader}");
     }
 }
 
@@ -45,7 +45,7 @@
     let (expected, unexpected) = (Claimant::Expected(owner.clone()), Claimant::Unexpected(owner));
     // (who rented it, whether this leader may act, its partition is loaded, the machine was returned, it is
     // expected; the claimant)
-    for (rented_for, may_act, loaded, terminated, pending, claimant) in [
+    for (launched_for, may_act, loaded, terminated, pending, claimant) in [
         (None, true, true, false, false, &unexpected),
         (None, true, true, false, true, &expected),
         (Some("one"), true, true, false, true, &expected),
@@ -67,7 +67,7 @@
                 partition.autoscaling.pending_instances.expect("n-9", machine);
             }
         }
-        let found = view(&core).claimant_of("n-9", rented_for, may_act);
-        assert_eq!(&found, claimant, "{rented_for:?} {may_act} {loaded} {terminated} {pending}");
+        let found = view(&core).claimant_of("n-9", launched_for, may_act);
+        assert_eq!(&found, claimant, "{launched_for:?} {may_act} {loaded} {terminated} {pending}");
     }
 }
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -7,7 +7,7 @@
 use quartzlever_wire::workers::{Heartbeat, TaskPhase, TaskStatus};
 
 use crate::autoscaling::ScaleInReason;
-use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
+use crate::machines::attempt::{Attempt, AttemptKey, DirectCommand};
 use crate::machines::failures::MachineFailures;
 use crate::machines::resources::Resources;
 use crate::messages::CallId;
@@ -34,7 +34,7 @@
     pub idle_since: Option<Micros>,
     /// The cloud takes it away at about this time.
     pub spot_notice_until: Option<Micros>,
-    pub slots: BTreeMap<AttemptKey, Slot>,
+    pub attempts: BTreeMap<AttemptKey, Attempt>,
     /// What is free, kept by `Partition::refresh`.
     pub free: Resources,
     /// Direct calls in a row that brought nothing, with nothing heard since.
@@ -71,7 +71,7 @@
             last_answered_at: now,
             idle_since: Some(now),
             spot_notice_until: None,
-            slots: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             free: Resources::default(),
             failed_calls: 0,
             unacknowledged: 0,
@@ -100,13 +100,13 @@
 
     /// Whether replicas of services are to run here.
     pub fn serves(&self) -> bool {
-        self.slots.values().any(|s| s.service && s.wanted && !s.exited())
+        self.attempts.values().any(|s| s.service && s.wanted && !s.exited())
     }
 
     /// Whether an attempt that must not be here is not proven gone although it has had that long:
     /// its job is over, or its `run` may still arrive and nothing will ever tell.
     pub fn has_lingering_attempt(&self, now: Micros, within: Micros) -> bool {
-        self.slots.values().filter(|s| !s.wanted && !s.exited()).any(|s| {
+        self.attempts.values().filter(|s| !s.wanted && !s.exited()).any(|s| {
             let lost = s.phase.is_none() && s.direct_command == DirectCommand::OutcomeUnknown;
             let since = s.job_terminal_since.or(lost.then_some(s.since));
             since.is_some_and(|t| now.saturating_sub(t) > within)
@@ -123,9 +123,11 @@
     /// do, and cost no more than to be heard.
     pub fn confirms_known_state(&self, heartbeat: &Heartbeat) -> bool {
         let known = |t: &TaskStatus| {
-            let slot =
-                self.slots.iter().find(|(key, _)| key.attempt == t.attempt && key.task == t.task);
-            slot.is_some_and(|(_, s)| {
+            let attempt = self
+                .attempts
+                .iter()
+                .find(|(key, _)| key.attempt == t.attempt && key.task == t.task);
+            attempt.is_some_and(|(_, s)| {
                 s.phase == Some(t.phase)
                     && s.cause == t.cause
                     && (t.phase != TaskPhase::Exited || s.accounted)
@@ -137,7 +139,7 @@
             && heartbeat.incarnation == self.incarnation
             && heartbeat.warning_s.is_none()
             && heartbeat.address == self.record.address
-            && heartbeat.tasks.len() == self.slots.len()
+            && heartbeat.tasks.len() == self.attempts.len()
             && heartbeat.tasks.iter().all(known)
             && !self.has_urgent_commands()
     }
@@ -146,7 +148,7 @@
     /// under way at a time, so it has seen the answer to the one before, or never will.
     pub fn track_acknowledgement(&mut self, heartbeat: &Heartbeat, now: Micros) {
         let missing = self
-            .slots
+            .attempts
             .iter()
             .any(|(key, s)| s.in_answer && s.wanted && !heartbeat.lists(&key.task, key.attempt));
         // An incarnation whose lease ran out although it was answered all the time.
@@ -171,35 +173,35 @@
     /// What is free, counting everything that may be on the machine as taken.
     pub fn free_of(&self, total: Resources) -> Resources {
         let mut free = total;
-        for slot in self.slots.values().filter(|s| !s.exited()) {
-            free.take(&slot.need);
+        for attempt in self.attempts.values().filter(|s| !s.exited()) {
+            free.take(&attempt.need);
         }
         free
     }
 
     /// Whether an image is being fetched for a task.
     pub fn pulls(&self, image: &str) -> bool {
-        let waits = |s: &Slot| matches!(s.phase, None | Some(TaskPhase::Pulling));
-        self.slots.values().any(|s| waits(s) && s.image == image)
+        let waits = |s: &Attempt| matches!(s.phase, None | Some(TaskPhase::Pulling));
+        self.attempts.values().any(|s| waits(s) && s.image == image)
     }
 
     /// Whether an attempt may be running here.
     pub fn busy(&self) -> bool {
-        self.slots.values().any(|s| !s.exited())
+        self.attempts.values().any(|s| !s.exited())
     }
 
     /// Whether anything waits to be said to the worker that is worth a call of its own.
     pub fn has_urgent_commands(&self) -> bool {
-        self.slots.values().filter(|s| !s.exited()).any(|s| {
+        self.attempts.values().filter(|s| !s.exited()).any(|s| {
             if s.wanted { !s.sent && !s.can_wait_for_heartbeat } else { s.kill_sent.is_none() }
         })
     }
 
     /// Marks an attempt as unwanted.
     pub fn stop(&mut self, key: &AttemptKey, leeway_s: f64) {
-        if let Some(slot) = self.slots.get_mut(key) {
-            slot.wanted = false;
-            slot.leeway_s = leeway_s;
+        if let Some(attempt) = self.attempts.get_mut(key) {
+            attempt.wanted = false;
+            attempt.leeway_s = leeway_s;
         }
     }
 }
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -67,8 +67,8 @@
     /// Takes everything off a machine that is surely empty.
     pub fn empty_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
-        let slots = std::mem::take(&mut machine.slots);
-        for (AttemptKey { task, attempt }, slot) in slots {
+        let attempts = std::mem::take(&mut machine.attempts);
+        for (AttemptKey { task, attempt }, slot) in attempts {
             if slot.phase == Some(TaskPhase::Exited) && slot.accounted {
                 continue;
             }
--- a/crates/quartzlever-core/src/machines/membership/tests.rs
+++ b/crates/quartzlever-core/src/machines/membership/tests.rs
@@ -76,7 +76,7 @@
             assert!(!partition.remove_machine("n-1"), "it is gone");
         } else {
             partition.empty_machine("n-1");
-            assert!(partition.machines["n-1"].slots.is_empty());
+            assert!(partition.machines["n-1"].attempts.is_empty());
         }
         assert!(partition.jobs["req-1"].ready.contains(0), "removed {removed}");
         assert_eq!(partition.call_queue.is_urgent("n-1"), !removed);
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -121,9 +121,9 @@
         now: Micros,
     ) {
         let soon = now + PAUSE;
-        let change = self.changes.entry(layout.key_of(&heartbeat.host)).or_default();
+        let change = self.changes.entry(layout.key_of(&heartbeat.machine)).or_default();
         change.not_before = change.not_before.min(soon);
-        match change.claims.get_mut(&heartbeat.host) {
+        match change.claims.get_mut(&heartbeat.machine) {
             Some(claim) => {
                 claim.ids.push(id);
                 if (heartbeat.incarnation, heartbeat.sequence)
@@ -134,7 +134,7 @@
             }
             None => {
                 let claim = OwnershipClaim { ids: vec![id], heartbeat, owner };
-                change.claims.insert(claim.heartbeat.host.clone(), claim);
+                change.claims.insert(claim.heartbeat.machine.clone(), claim);
             }
         }
     }
@@ -142,19 +142,19 @@
     /// A returned machine's record is no longer wanted.
     pub fn release(
         &mut self,
-        host: &str,
+        machine: &str,
         owner: PartitionTerm,
         cache: &Cache,
         layout: &GroupLayout,
     ) {
-        let known = cache.group_of_machine(host).cloned();
-        let key = known.unwrap_or_else(|| layout.key_of(host));
-        self.changes.entry(key).or_default().drops.insert(host.to_owned(), owner);
+        let known = cache.group_of_machine(machine).cloned();
+        let key = known.unwrap_or_else(|| layout.key_of(machine));
+        self.changes.entry(key).or_default().drops.insert(machine.to_owned(), owner);
     }
 
     /// The machine belongs to somebody now: gives the claim that waited for that.
-    pub fn take_claim(&mut self, key: &str, host: &str) -> Option<OwnershipClaim> {
-        self.changes.get_mut(key)?.claims.remove(host)
+    pub fn take_claim(&mut self, key: &str, machine: &str) -> Option<OwnershipClaim> {
+        self.changes.get_mut(key)?.claims.remove(machine)
     }
 
     /// Writes groups that have to change, as far as the budget allows.
@@ -183,18 +183,18 @@
         let claims: Vec<String> =
             change.claims.keys().filter(|h| context.layout.key_of(h) != key).cloned().collect();
         let elsewhere =
-            |host: &&String| cache.group_of_machine(host).is_some_and(|group| group != key);
+            |machine: &&String| cache.group_of_machine(machine).is_some_and(|group| group != key);
         let drops: Vec<String> = change.drops.keys().filter(elsewhere).cloned().collect();
-        for host in claims {
-            let right = context.layout.key_of(&host);
-            if let Some(claim) = self.changes.get_mut(key).and_then(|c| c.claims.remove(&host)) {
-                self.changes.entry(right).or_default().claims.insert(host, claim);
+        for machine in claims {
+            let right = context.layout.key_of(&machine);
+            if let Some(claim) = self.changes.get_mut(key).and_then(|c| c.claims.remove(&machine)) {
+                self.changes.entry(right).or_default().claims.insert(machine, claim);
             }
         }
-        for host in drops {
-            let Some(right) = cache.group_of_machine(&host).cloned() else { continue };
-            if let Some(owner) = self.changes.get_mut(key).and_then(|c| c.drops.remove(&host)) {
-                self.changes.entry(right).or_default().drops.insert(host, owner);
+        for machine in drops {
+            let Some(right) = cache.group_of_machine(&machine).cloned() else { continue };
+            if let Some(owner) = self.changes.get_mut(key).and_then(|c| c.drops.remove(&machine)) {
+                self.changes.entry(right).or_default().drops.insert(machine, owner);
             }
         }
     }
@@ -243,7 +243,7 @@
         let pause = match result {
             Ok(StoreReply::Committed(mod_revision)) => {
                 if let Some(change) = change {
-                    change.drops.retain(|host, _| !write.dropped.contains(host));
+                    change.drops.retain(|machine, _| !write.dropped.contains(machine));
                 }
                 return GroupWriteOutcome::Committed { mod_revision: *mod_revision };
             }
@@ -326,8 +326,8 @@
 
 fn send(key: &str, update: GroupUpdate, context: &GroupContext, outbox: &mut Outbox) {
     let txn = update.transaction(key, context);
-    let GroupUpdate { hosts, added, dropped, terms, .. } = update;
-    let write = GroupWrite { key: key.to_owned(), hosts, added, dropped, partitions: terms };
+    let GroupUpdate { records, added, dropped, terms, .. } = update;
+    let write = GroupWrite { key: key.to_owned(), records, added, dropped, partitions: terms };
     let pending = PendingStoreCall::WriteGroup(write);
     outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
 }
--- a/crates/quartzlever-core/src/machines/ownership/group_update.rs
+++ b/crates/quartzlever-core/src/machines/ownership/group_update.rs
@@ -20,7 +20,7 @@
 /// A change of one group.
 pub(super) struct GroupUpdate {
     /// The group as it is to be, and its modification revision as it is.
-    pub hosts: MachineRecords,
+    pub records: MachineRecords,
     pub mod_revision: u64,
     pub added: BTreeSet<String>,
     pub dropped: BTreeSet<String>,
@@ -32,18 +32,19 @@
     /// A group as it is to be: without the machines that were returned, and with those that wait for
     /// their claim, as far as they fit.
     pub fn plan(key: &str, pending: &PendingGroupChange, context: &GroupContext) -> Self {
-        let Versioned { record: hosts, mod_revision } =
+        let Versioned { record: records, mod_revision } =
             context.cache.group(key).cloned().unwrap_or_default();
         let mut update = GroupUpdate {
-            hosts,
+            records,
             mod_revision,
             added: BTreeSet::new(),
             dropped: pending.drops.keys().cloned().collect(),
             terms: BTreeMap::new(),
         };
-        for (host, owner) in &pending.drops {
-            if update.hosts.get(host).is_some_and(|record| record.partition == owner.partition) {
-                update.hosts.remove(host);
+        for (machine, owner) in &pending.drops {
+            if update.records.get(machine).is_some_and(|record| record.partition == owner.partition)
+            {
+                update.records.remove(machine);
                 update.terms.insert(owner.partition.clone(), owner.term);
             }
         }
@@ -58,54 +59,54 @@
         // The whole group is measured once, then each record that comes to it: writing it out
         // anew for each was most of the work of a start.
         let mut room = context.layout.value_limit.saturating_sub(self.value_length());
-        for (host, claim) in claims {
-            let is_claimed = context.cache.is_claimed(host);
-            if self.hosts.contains_key(host) || is_claimed {
+        for (machine, claim) in claims {
+            let is_claimed = context.cache.is_claimed(machine);
+            if self.records.contains_key(machine) || is_claimed {
                 continue;
             }
             let record = record_of(claim);
-            let length = host.len() + MACHINE_NAME_OVERHEAD + written_length(&record);
+            let length = machine.len() + MACHINE_NAME_OVERHEAD + written_length(&record);
             if length > room {
                 continue;
             }
             room -= length;
-            self.hosts.insert(host.clone(), record);
-            self.added.insert(host.clone());
+            self.records.insert(machine.clone(), record);
+            self.added.insert(machine.clone());
             self.terms.insert(claim.owner.partition.clone(), claim.owner.term);
         }
     }
 
     /// How long the group's value is as JSON, at the most.
     fn value_length(&self) -> usize {
-        written_length(&self.hosts) + GROUP_VALUE_OVERHEAD
+        written_length(&self.records) + GROUP_VALUE_OVERHEAD
     }
 
     /// Whether the group as it is to be takes more than this.
     pub fn exceeds(&self, value_limit: usize) -> bool {
-        !self.hosts.is_empty() && self.value_length() > value_limit
+        !self.records.is_empty() && self.value_length() > value_limit
     }
 
     /// The transaction: on condition of the group's modification revision, of the terms of all partitions
     /// concerned, and of whatever else decides where a machine is claimed.
     pub fn transaction(&self, key: &str, context: &GroupContext) -> Txn {
         let large_form = context.layout.is_large();
-        let mut txn = Txn::default().when(key, self.mod_revision);
+        let mut txn = Txn::default().if_mod_revision(key, self.mod_revision);
         for (partition, term) in &self.terms {
-            txn = txn.when(format!("{PARTITION_PREFIX}{partition}"), *term);
+            txn = txn.if_mod_revision(format!("{PARTITION_PREFIX}{partition}"), *term);
         }
         if !self.added.is_empty() && !large_form {
-            txn = txn.when(GROUP_SIZE_KEY, context.layout.size_revision);
+            txn = txn.if_mod_revision(GROUP_SIZE_KEY, context.layout.size_revision);
         }
         // A claim that an earlier version wrote for one of these machines is seen there.
-        let first_form = self.added.iter().next().map(|host| large_group_key(host));
+        let first_form = self.added.iter().next().map(|machine| large_group_key(machine));
         if let Some(first) = first_form.filter(|first| !large_form && first != key) {
             let mod_revision = known_revision(context.cache, &first);
-            txn = txn.when(first, mod_revision);
+            txn = txn.if_mod_revision(first, mod_revision);
         }
-        if self.hosts.is_empty() {
+        if self.records.is_empty() {
             txn.delete(key)
         } else {
-            txn.write(key, Json::of(&MachineGroupRecord { m: self.hosts.clone() }))
+            txn.write(key, Json::of(&MachineGroupRecord { machines: self.records.clone() }))
         }
     }
 }
--- a/crates/quartzlever-core/src/machines/ownership/layout.rs
+++ b/crates/quartzlever-core/src/machines/ownership/layout.rs
@@ -62,7 +62,7 @@
     }
 
     /// The key that a machine is claimed under.
-    pub fn key_of(&self, host: &str) -> String {
-        group_key(host, self.size)
+    pub fn key_of(&self, machine: &str) -> String {
+        group_key(machine, self.size)
     }
 }
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -80,13 +80,13 @@
     /// The first group, by key, that is too large, has a machine of a partition held here, and is not being written.
     fn group_to_split(&self, context: &GroupContext) -> Option<String> {
         let size = context.layout.size;
-        let ours = |hosts: &MachineRecords| {
-            let first = hosts.values().next();
+        let ours = |records: &MachineRecords| {
+            let first = records.values().next();
             first.is_some_and(|record| context.partitions.contains_key(&record.partition))
         };
-        let large = |key: &str, hosts: &MachineRecords| {
+        let large = |key: &str, records: &MachineRecords| {
             let span = group_capacity(key).filter(|span| *span > size);
-            span.is_some() && hosts.keys().next().is_some_and(|h| group_key(h, size) != key)
+            span.is_some() && records.keys().next().is_some_and(|h| group_key(h, size) != key)
         };
         let busy = |key: &String| self.changes.get(key).is_some_and(|change| change.writing);
         context
@@ -103,11 +103,11 @@
 /// The next step of splitting this group.
 fn plan_split(key: &str, context: &GroupContext) -> Option<GroupSplit> {
     let known = |key: &str| context.cache.group(key);
-    let Versioned { record: hosts, mod_revision } = known(key)?;
+    let Versioned { record: records, mod_revision } = known(key)?;
     let mut groups: BTreeMap<String, MachineRecords> = BTreeMap::new();
-    for (host, record) in hosts {
-        let group = groups.entry(context.layout.key_of(host)).or_default();
-        group.insert(host.clone(), record.clone());
+    for (machine, record) in records {
+        let group = groups.entry(context.layout.key_of(machine)).or_default();
+        group.insert(machine.clone(), record.clone());
     }
     // What an earlier step has copied need not be written again.
     groups.retain(|key, group| {
@@ -115,15 +115,16 @@
     });
     let most = context.layout.max_changes;
     let whole = groups.len() < most;
-    let mut txn =
-        Txn::default().when(key, *mod_revision).when(GROUP_SIZE_KEY, context.layout.size_revision);
+    let mut txn = Txn::default()
+        .if_mod_revision(key, *mod_revision)
+        .if_mod_revision(GROUP_SIZE_KEY, context.layout.size_revision);
     let mut small = Vec::new();
     for (key, mut group) in groups.into_iter().take(if whole { most } else { most.max(1) }) {
         let Versioned { record: there, mod_revision } = known(&key).cloned().unwrap_or_default();
         group.extend(there);
         txn = txn
-            .when(&key, mod_revision)
-            .write(&key, Json::of(&MachineGroupRecord { m: group.clone() }));
+            .if_mod_revision(&key, mod_revision)
+            .write(&key, Json::of(&MachineGroupRecord { machines: group.clone() }));
         small.push((key, group));
     }
     if whole {
--- a/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
@@ -21,8 +21,8 @@
 fn with_large_group(partition: &str) -> Core {
     let mut core = core();
     let names = ["n-1", "n-20", "n-40"];
-    let hosts = names.iter().map(|n| ((*n).to_owned(), machine_record_of(n, partition)));
-    core.cache.record_group(LARGE, hosts.collect(), 9);
+    let records = names.iter().map(|n| ((*n).to_owned(), machine_record_of(n, partition)));
+    core.cache.record_group(LARGE, records.collect(), 9);
     core
 }
 
@@ -97,8 +97,8 @@
         if let [Effect::Store { call: StoreCall::Txn(txn), .. }] = &effects[..] {
             for change in &txn.changes {
                 let Change::Write { write, v, .. } = change else { continue };
-                let hosts = quartzlever_wire::store::machine_records_in(write, v);
-                core.cache.record_group(write, hosts.expect("it is readable"), 20);
+                let records = quartzlever_wire::store::machine_records_in(write, v);
+                core.cache.record_group(write, records.expect("it is readable"), 20);
             }
         }
         now += SPLIT_PAUSE;
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -18,8 +18,8 @@
 #[test]
 fn a_block_is_reckoned_as_long_as_it_is_written() {
     for names in [&["n-1"][..], &["n-1", "n-22", "n-333"], &["a\"b", "n-\u{e9}"]] {
-        let mut hosts = MachineRecords::new();
-        let mut length = written_length(&hosts) + 16;
+        let mut records = MachineRecords::new();
+        let mut length = written_length(&records) + 16;
         for (n, name) in names.iter().enumerate() {
             let record = MachineRecord {
                 partition: "one".into(),
@@ -29,9 +29,9 @@
                 spot: n == 0,
             };
             length += name.len() + 4 + written_length(&record);
-            hosts.insert((*name).to_owned(), record);
+            records.insert((*name).to_owned(), record);
         }
-        let written = written_length(&MachineGroupRecord { m: hosts });
+        let written = written_length(&MachineGroupRecord { machines: records });
         assert!(length >= written, "{names:?}: {length} for {written}");
     }
 }
@@ -77,7 +77,7 @@
 fn group_write() -> GroupWrite {
     GroupWrite {
         key: large_group_key("n-9"),
-        hosts: [("n-9".into(), machine_record_of("n-9", "one"))].into(),
+        records: [("n-9".into(), machine_record_of("n-9", "one"))].into(),
         added: ["n-9".into()].into(),
         dropped: ["n-8".into()].into(),
         partitions: [("one".into(), 5)].into(),
@@ -171,8 +171,8 @@
 fn only_the_partition_that_returned_a_machine_removes_its_record() {
     for (recorded_for, removed) in [("one", true), ("two", false)] {
         let (mut core, mut ownership) = (core(), Ownership::default());
-        let hosts = [("n-8".into(), machine_record_of("n-8", recorded_for))].into();
-        core.cache.record_group(&large_group_key("n-8"), hosts, 9);
+        let records = [("n-8".into(), machine_record_of("n-8", recorded_for))].into();
+        core.cache.record_group(&large_group_key("n-8"), records, 9);
         ownership.release("n-8", owner(), &core.cache, &LAYOUT);
         let effects = write(&mut ownership, &core, true, LAYOUT, NOW);
         assert_eq!(is_write(&effects), removed, "{recorded_for}");
--- a/crates/quartzlever-core/src/machines/presence.rs
+++ b/crates/quartzlever-core/src/machines/presence.rs
@@ -50,11 +50,12 @@
         until: Micros,
         outbox: &mut Outbox,
     ) {
-        if self.awaiting.contains_key(&heartbeat.host) || self.awaiting.len() >= MAX_PRESENCE_CHECKS
+        if self.awaiting.contains_key(&heartbeat.machine)
+            || self.awaiting.len() >= MAX_PRESENCE_CHECKS
         {
             return outbox.reject_retryable(id, 503, "asked already");
         }
-        let (machine, address) = (heartbeat.host.clone(), heartbeat.address.clone());
+        let (machine, address) = (heartbeat.machine.clone(), heartbeat.address.clone());
         self.awaiting.insert(machine.clone(), AwaitingHeartbeat { id, heartbeat });
         let pending = PendingWorkerCall {
             partition: owner.partition,
@@ -74,7 +75,7 @@
     ) -> Option<PresenceOutcome> {
         let AwaitingHeartbeat { id, heartbeat } = self.awaiting.remove(machine)?;
         Some(match result {
-            Ok(WorkerReply::Status(status)) if status.host == heartbeat.host => {
+            Ok(WorkerReply::Status(status)) if status.machine == heartbeat.machine => {
                 PresenceOutcome::Present { id, status }
             }
             _ => PresenceOutcome::NotConfirmed { id },
--- a/crates/quartzlever-core/src/machines/presence/tests.rs
+++ b/crates/quartzlever-core/src/machines/presence/tests.rs
@@ -9,8 +9,8 @@
 use crate::outbox::Outbox;
 use crate::testing::{NOW, heartbeat_from};
 
-fn ask(checks: &mut PresenceChecks, outbox: &mut Outbox, id: u64, host: &str) -> Vec<Effect> {
-    let heartbeat = heartbeat_from(host, 1, 1, 0, &[]);
+fn ask(checks: &mut PresenceChecks, outbox: &mut Outbox, id: u64, machine: &str) -> Vec<Effect> {
+    let heartbeat = heartbeat_from(machine, 1, 1, 0, &[]);
     let owner = PartitionTerm { partition: "one".into(), term: 5 };
     checks.begin(id, heartbeat, owner, NOW + 1, outbox);
     outbox.take_effects()
@@ -33,7 +33,7 @@
 
 #[test]
 fn only_the_machine_itself_confirms_its_presence() {
-    let status = |host: &str| Ok(WorkerReply::Status(heartbeat_from(host, 1, 9, 0, &[])));
+    let status = |machine: &str| Ok(WorkerReply::Status(heartbeat_from(machine, 1, 9, 0, &[])));
     let refused = Ok(WorkerReply::Refused(heartbeat_from("n-9", 1, 9, 0, &[])));
     for (name, result, present) in [
         ("it answers", status("n-9"), true),
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -9,7 +9,7 @@
 use quartzlever_wire::{Micros, micros_from_secs};
 
 use crate::config::Config;
-use crate::machines::attempt::{AttemptKey, DirectCommand, Slot};
+use crate::machines::attempt::{Attempt, AttemptKey, DirectCommand};
 use crate::machines::attempt_outcomes::EndedAttempt;
 use crate::machines::machine::Machine;
 use crate::partition::Partition;
@@ -34,7 +34,7 @@
         match source {
             // A worker has one heartbeat under way at a time: earlier answers are spent.
             StatusSource::Heartbeat => {
-                self.slots.values_mut().for_each(|slot| slot.in_answer = false);
+                self.attempts.values_mut().for_each(|attempt| attempt.in_answer = false);
             }
             // It was reached, so it is not deaf.
             StatusSource::DirectReply => self.unacknowledged = 0,
@@ -55,7 +55,7 @@
         now: Micros,
     ) -> bool {
         let term = self.term;
-        let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return false };
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return false };
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence) {
             return false;
         }
@@ -69,7 +69,7 @@
         if source == StatusSource::Heartbeat && machine.confirms_known_state(heartbeat) {
             machine.sequence = heartbeat.sequence;
             machine.last_heartbeat_at = now;
-            machine.slots.values_mut().for_each(|s| s.in_answer = false);
+            machine.attempts.values_mut().for_each(|s| s.in_answer = false);
             return true;
         }
         self.apply_status_changes(config, run_times, heartbeat, source, now);
@@ -86,79 +86,81 @@
         now: Micros,
     ) {
         let term = self.term;
-        let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return };
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         if source == StatusSource::Heartbeat {
             machine.track_acknowledgement(heartbeat, now);
         }
         if heartbeat.incarnation > machine.incarnation && machine.incarnation > 0 {
             // The lease ran out over there: everything of the earlier incarnation is gone.
-            self.empty_machine(&heartbeat.host);
+            self.empty_machine(&heartbeat.machine);
         }
-        let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return };
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         machine.note_status(heartbeat, source, now);
         if heartbeat.fencing_token >= term {
             machine.fenced = true;
             machine.verified = true;
-            self.call_queue.fenced(&heartbeat.host);
+            self.call_queue.fenced(&heartbeat.machine);
         }
         for task in &heartbeat.tasks {
-            self.apply_task_status(config, run_times, &heartbeat.host, task, now);
+            self.apply_task_status(config, run_times, &heartbeat.machine, task, now);
         }
         self.remove_unlisted_attempts(heartbeat, source);
         self.checkpoint_before_reclaim(heartbeat);
-        let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return };
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         if machine.busy() {
             machine.idle_since = None;
         } else if machine.idle_since.is_none() {
             machine.idle_since = Some(now);
         }
-        self.refresh(&heartbeat.host);
+        self.refresh(&heartbeat.machine);
     }
 
     /// On a spot notice, stops the tasks that can still save their progress; the others may yet
     /// come to their end.
     fn checkpoint_before_reclaim(&mut self, heartbeat: &Heartbeat) {
         let Some(left) = heartbeat.warning_s else { return };
-        let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return };
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let jobs = &self.jobs;
-        for (AttemptKey { task, .. }, slot) in &mut machine.slots {
+        for (AttemptKey { task, .. }, attempt) in &mut machine.attempts {
             let Some(job) = jobs.get(&task.job).map(|j| &j.record.job) else { continue };
             // The notice may run half as long as it says.
             let saves = job.checkpoint_s > 0.0 && job.save_s <= left / 2.0;
             // A replica runs again elsewhere the sooner.
-            if (saves || job.is_service()) && slot.wanted && slot.phase == Some(TaskPhase::Running)
+            if (saves || job.is_service())
+                && attempt.wanted
+                && attempt.phase == Some(TaskPhase::Running)
             {
-                slot.wanted = false;
-                slot.leeway_s = job.save_s;
-                self.call_queue.add_urgent(heartbeat.host.clone());
+                attempt.wanted = false;
+                attempt.leeway_s = job.save_s;
+                self.call_queue.add_urgent(heartbeat.machine.clone());
             }
         }
     }
 
     /// Attempts that are known here but not in the heartbeat.
     fn remove_unlisted_attempts(&mut self, heartbeat: &Heartbeat, source: StatusSource) {
-        let Some(machine) = self.machines.get_mut(&heartbeat.host) else { return };
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let absent: Vec<AttemptKey> = machine
-            .slots
+            .attempts
             .iter()
-            .filter(|(key, slot)| {
+            .filter(|(key, attempt)| {
                 if heartbeat.lists(&key.task, key.attempt) {
                     return false;
                 }
                 // Seen before, so its `run` is spent: cleared, or lost.
-                let spent = slot.phase.is_some();
+                let spent = attempt.phase.is_some();
                 // Never seen, and nothing that could still start it is under way.
                 let dead = source == StatusSource::Heartbeat
-                    && !slot.wanted
-                    && slot.direct_command == DirectCommand::Settled;
+                    && !attempt.wanted
+                    && attempt.direct_command == DirectCommand::Settled;
                 spent || dead
             })
             .map(|(key, _)| key.clone())
             .collect();
         self.placement_wanted |= !absent.is_empty();
         for key in absent {
-            if let Some(machine) = self.machines.get_mut(&heartbeat.host) {
-                machine.slots.remove(&key);
+            if let Some(machine) = self.machines.get_mut(&heartbeat.machine) {
+                machine.attempts.remove(&key);
             }
             self.requeue(&key.task, key.attempt);
         }
@@ -169,65 +171,75 @@
         &mut self,
         config: &Config,
         run_times: &mut RunTimes,
-        host: &str,
+        machine: &str,
         seen: &TaskStatus,
         now: Micros,
     ) {
         let key = AttemptKey { task: seen.task.clone(), attempt: seen.attempt };
-        let known = self.machines.get(host).is_some_and(|m| m.slots.contains_key(&key));
+        let known = self.machines.get(machine).is_some_and(|m| m.attempts.contains_key(&key));
         if !known {
-            self.reconcile_attempt(config, host, seen, now);
+            self.reconcile_attempt(config, machine, seen, now);
         }
         if seen.phase == TaskPhase::Running {
-            self.attempt_runs(config, host, &key, now);
+            self.attempt_runs(config, machine, &key, now);
         }
-        let Some(slot) = self.machines.get_mut(host).and_then(|m| m.slots.get_mut(&key)) else {
+        let Some(attempt) = self.machines.get_mut(machine).and_then(|m| m.attempts.get_mut(&key))
+        else {
             return;
         };
-        slot.phase = Some(seen.phase);
-        slot.cause = seen.cause;
-        if seen.phase != TaskPhase::Exited || slot.accounted {
+        attempt.phase = Some(seen.phase);
+        attempt.cause = seen.cause;
+        if seen.phase != TaskPhase::Exited || attempt.accounted {
             return;
         }
-        slot.accounted = true;
+        attempt.accounted = true;
         // What a limited team used, or may have used, is free for its other tasks anywhere.
-        self.placement_wanted |= slot.team.is_empty() || config.limited(&slot.team);
+        self.placement_wanted |= attempt.team.is_empty() || config.is_team_limited(&attempt.team);
         let ended = EndedAttempt {
-            host,
+            machine,
             seen,
-            placed: slot.since,
-            ran: slot.running_since.map(|since| now.saturating_sub(since)),
-            class: slot.class.clone(),
-            expect: slot.expect,
+            placed: attempt.since,
+            ran: attempt.running_since.map(|since| now.saturating_sub(since)),
+            class: attempt.class.clone(),
+            expect: attempt.expect,
         };
         self.attempt_ended(config, run_times, &ended, now);
     }
 
     /// An attempt that this leader has not started: adopted if the task is ours and nowhere
     /// else, ended otherwise.
-    fn reconcile_attempt(&mut self, config: &Config, host: &str, seen: &TaskStatus, now: Micros) {
+    fn reconcile_attempt(
+        &mut self,
+        config: &Config,
+        machine_name: &str,
+        seen: &TaskStatus,
+        now: Micros,
+    ) {
         let exited = seen.phase == TaskPhase::Exited;
-        let mut slot = Slot::blank(now);
-        (slot.phase, slot.cause) = (Some(seen.phase), seen.cause);
-        (slot.wanted, slot.sent) = (false, true);
+        let mut attempt = Attempt::blank(now);
+        (attempt.phase, attempt.cause) = (Some(seen.phase), seen.cause);
+        (attempt.wanted, attempt.sent) = (false, true);
         if !self.jobs.contains_key(&seen.task.job) {
             // Its job may have ended while no leader acted: then it has had that time already.
             let absent = config.operator.lease_life + config.operator.takeover_after;
-            slot.job_terminal_since = Some(now.saturating_sub(absent));
+            attempt.job_terminal_since = Some(now.saturating_sub(absent));
         }
         if let Some(job) = self.jobs.get_mut(&seen.task.job) {
-            slot.describe(&job.record.job);
-            self.attempted.entry(seen.task.job.clone()).or_default().insert(host.to_owned());
+            attempt.describe(&job.record.job);
+            self.machines_by_job
+                .entry(seen.task.job.clone())
+                .or_default()
+                .insert(machine_name.to_owned());
             let index = seen.task.index;
             let allowed = config.team(&job.record.job.team).is_some();
-            if !exited && allowed && job.adopt(index, host, seen.attempt, &self.name) {
-                slot.wanted = true;
+            if !exited && allowed && job.adopt(index, machine_name, seen.attempt, &self.name) {
+                attempt.wanted = true;
             }
         }
-        if let Some(machine) = self.machines.get_mut(host) {
+        if let Some(machine) = self.machines.get_mut(machine_name) {
             machine
-                .slots
-                .insert(AttemptKey { task: seen.task.clone(), attempt: seen.attempt }, slot);
+                .attempts
+                .insert(AttemptKey { task: seen.task.clone(), attempt: seen.attempt }, attempt);
         }
     }
 
@@ -236,7 +248,7 @@
         if !self.active() {
             return;
         }
-        let gone_after = config.lease_gone_after();
+        let gone_after = config.worker_lease_expired_after();
         let sole_leader_from = self.acquired.max(self.sole_leader_from);
         let silent: Vec<String> = self
             .machines
@@ -248,7 +260,7 @@
                 now.saturating_sub(
                     m.last_answered_at.max(m.last_heartbeat_at).max(sole_leader_from),
                 ) > gone_after
-                    && (!m.verified || !m.slots.is_empty())
+                    && (!m.verified || !m.attempts.is_empty())
             })
             .map(|m| m.name.clone())
             .collect();
--- a/crates/quartzlever-core/src/machines/reconciliation/tests.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation/tests.rs
@@ -102,7 +102,7 @@
     ] {
         let mut core = core();
         core.reconcile_job(record("0", "1-3"), 10);
-        assert_eq!(core.config.lease_gone_after(), terminated);
+        assert_eq!(core.config.worker_lease_expired_after(), terminated);
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.start("req-1", 0, "n-1", NOW);
             partition.acquired = NOW - acquired * SECOND;
@@ -185,6 +185,6 @@
         assert_eq!(machine.verified, *verified, "{name}: proven");
         assert_eq!(partition.recovery_complete, known.is_some() || *verified, "{name}: barrier");
         assert_eq!(machine.last_heartbeat_at == NOW, *counts, "{name}: a sign of life");
-        assert_eq!(machine.slots.len(), usize::from(*counts), "{name}: its list is adopted");
+        assert_eq!(machine.attempts.len(), usize::from(*counts), "{name}: its list is adopted");
     }
 }
--- a/crates/quartzlever-core/src/machines/resources.rs
+++ b/crates/quartzlever-core/src/machines/resources.rs
@@ -38,7 +38,7 @@
     }
 
     /// Gives back what a task needed.
-    pub fn give(&mut self, need: &Resources) {
+    pub fn add(&mut self, need: &Resources) {
         self.cpus += need.cpus;
         self.gpus += need.gpus;
         self.ram_gb += need.ram_gb;
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -14,8 +14,8 @@
 use crate::autoscaling::Fleet;
 use crate::config::Config;
 use crate::events::LogEvent;
-use crate::jobs::partition_job::{Holder, PartitionJob};
-use crate::machines::attempt::{AttemptKey, Slot};
+use crate::jobs::partition_job::{PartitionContext, PartitionJob};
+use crate::machines::attempt::{Attempt, AttemptKey};
 use crate::machines::call_queue::CallQueue;
 use crate::machines::machine::Machine;
 use crate::machines::resources::Resources;
@@ -42,7 +42,7 @@
     pub machines: Table<Machine>,
     /// Whether every machine is known to hold nothing that an earlier leader started unseen.
     pub recovery_complete: bool,
-    attempts: u64,
+    last_attempt: u64,
     pub autoscaling: Fleet,
     /// Events for the log, taken up with the next decisions.
     pub log_events: Vec<LogEvent>,
@@ -50,7 +50,7 @@
     pub types: Option<Types>,
     /// Machines that have, or had, attempts of a job: the end of each job was looked for on every
     /// machine, a fourth of all work with 2,000 of them.
-    pub attempted: HashMap<String, BTreeSet<String>>,
+    pub machines_by_job: HashMap<String, BTreeSet<String>>,
     /// Free room of the machines that may get tasks.
     pub free_capacity_index: FreeCapacityIndex,
     /// Machines that are to be called.
@@ -83,11 +83,11 @@
             jobs: Table::default(),
             machines: Table::default(),
             recovery_complete: false,
-            attempts: 0,
+            last_attempt: 0,
             autoscaling: Fleet::default(),
             log_events: Vec::new(),
             types,
-            attempted: HashMap::new(),
+            machines_by_job: HashMap::new(),
             free_capacity_index: FreeCapacityIndex::default(),
             call_queue: CallQueue::default(),
             placement_wanted: true,
@@ -113,13 +113,13 @@
 
     /// A transaction that only the present leader of this partition can get into force.
     pub fn txn(&self) -> Txn {
-        Txn::default().when(self.key(), self.term)
+        Txn::default().if_mod_revision(self.key(), self.term)
     }
 
     /// A number that no attempt ever had: the term is unique and the counter is its leader's.
     pub fn next_attempt(&mut self) -> u64 {
-        self.attempts += 1;
-        (self.term << 22) + self.attempts
+        self.last_attempt += 1;
+        (self.term << 22) + self.last_attempt
     }
 
     /// Takes in a job's record as the store has it.
@@ -134,18 +134,18 @@
         if !self.jobs.contains_key(&record.job.id) && !PartitionJob::concerns(&record, &self.name) {
             return;
         }
-        let holder = Holder {
+        let context = PartitionContext {
             partition: &self.name,
             term: self.term,
             recovery_complete: self.recovery_complete,
         };
-        let team_limited = config.limited(&record.job.team);
+        let team_limited = config.is_team_limited(&record.job.team);
         let id = record.job.id.clone();
         let job = self
             .jobs
             .entry(id)
             .or_insert_with(|| Box::new(PartitionJob::new(record.clone(), now, wall)));
-        let taken = job.take_record(record, mod_revision, holder, team_limited);
+        let taken = job.take_record(record, mod_revision, context, team_limited);
         self.placement_wanted |= taken.placement_wanted;
         if taken.nothing_left_here {
             let id = job.spec().id.clone();
@@ -164,9 +164,9 @@
             |index, attempt| AttemptKey { task: TaskId { job: id.to_owned(), index }, attempt };
         let (first, last) = (key(0, 0), key(u32::MAX, u64::MAX));
         let all = (Bound::Included(&first), Bound::Included(&last));
-        for name in self.attempted.remove(id).into_iter().flatten() {
+        for name in self.machines_by_job.remove(id).into_iter().flatten() {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
-            for (_, slot) in machine.slots.range_mut::<AttemptKey, _>(all) {
+            for (_, slot) in machine.attempts.range_mut::<AttemptKey, _>(all) {
                 slot.wanted = false;
                 slot.leeway_s = 0.0;
                 if slot.exited() {
@@ -185,26 +185,26 @@
         job.finish(index, &self.name, now);
         if let Some(place) = job.assignments.get(&index).cloned()
             && let Some(machine) = self.machines.get_mut(&place.machine)
-            && let Some(slot) = machine.slots.get_mut(&AttemptKey {
+            && let Some(attempt) = machine.attempts.get_mut(&AttemptKey {
                 task: TaskId { job: id.to_owned(), index },
                 attempt: place.attempt,
             })
         {
             // Another attempt, if that is what it is, has no use any more.
-            slot.wanted = slot.exited();
+            attempt.wanted = attempt.exited();
             self.call_queue.add_urgent(place.machine);
         }
     }
 
     /// Puts a task that is surely on no machine back into the queue.
     pub fn requeue(&mut self, task: &TaskId, attempt: u64) {
-        let holder = Holder {
+        let context = PartitionContext {
             partition: &self.name,
             term: self.term,
             recovery_complete: self.recovery_complete,
         };
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        self.placement_wanted |= job.requeue(task.index, attempt, holder);
+        self.placement_wanted |= job.requeue(task.index, attempt, context);
     }
 
     /// Takes up the machine types, or newer ones.
@@ -222,10 +222,10 @@
     pub fn team_use(&self, team: &str) -> (Resources, bool) {
         let mut sum = Resources::default();
         let mut certain = true;
-        for slot in self.occupied_slots() {
-            if slot.team == team {
-                sum.give(&slot.need);
-            } else if slot.team.is_empty() {
+        for attempt in self.active_attempts() {
+            if attempt.team == team {
+                sum.add(&attempt.need);
+            } else if attempt.team.is_empty() {
                 certain = false;
             }
         }
@@ -233,8 +233,8 @@
     }
 
     /// Attempts that may still be on a machine.
-    pub fn occupied_slots(&self) -> impl Iterator<Item = &Slot> {
-        self.machines.values().flat_map(|m| m.slots.values()).filter(|s| !s.exited())
+    pub fn active_attempts(&self) -> impl Iterator<Item = &Attempt> {
+        self.machines.values().flat_map(|m| m.attempts.values()).filter(|s| !s.exited())
     }
 
     /// Ready tasks of this rank or above. Jobs that fail everywhere have none that anybody waits for.
--- a/crates/quartzlever-core/src/peers.rs
+++ b/crates/quartzlever-core/src/peers.rs
@@ -35,9 +35,9 @@
                 self.job_terminated(&job, TerminalJobRecord { phase: JobPhase::Cancelled, done });
                 PeerAnswer::Nothing
             }
-            PeerRequest::ScaledOut { partition, hosts } => {
-                for host in hosts {
-                    self.cloud.note_launch(host, &partition, self.now);
+            PeerRequest::ScaledOut { partition, machines: launched } => {
+                for machine in launched {
+                    self.cloud.note_launch(machine, &partition, self.now);
                 }
                 PeerAnswer::Nothing
             }
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -147,7 +147,7 @@
         let sharers =
             leaders.max(if self.partitions.is_empty() { self.config.nodes.len() } else { 1 });
         self.write_budget.pass(self.now, self.config.store_write_rps, sharers);
-        let share = self.config.share_of_limits(leaders, !self.partitions.is_empty());
+        let share = self.config.rate_limit_share(leaders, !self.partitions.is_empty());
         if share != self.share {
             self.share = share;
             self.outbox.set_rate_share(share);
@@ -217,7 +217,7 @@
             }
             Command::Tick { wall, behind } => {
                 if behind {
-                    self.reachability.listen_anew(self.now);
+                    self.reachability.restart_listening(self.now);
                 }
                 self.wall_offset = Some(wall as i64 - self.now as i64);
             }
@@ -295,7 +295,7 @@
             }
             PendingStoreCall::Watch { number, sent } => self.watched(number, sent, result),
             PendingStoreCall::Revision { asked, sent } => self.revision_read(asked, sent, result),
-            PendingStoreCall::KeptCatalogue => self.catalogue_read(result),
+            PendingStoreCall::ReadCatalogue => self.catalogue_read(result),
             PendingStoreCall::ReadActiveJob { purpose } => self.active_job_read(purpose, result),
             PendingStoreCall::ReadTerminalJob { purpose } => {
                 self.terminal_job_read(purpose, result)
--- a/crates/quartzlever-core/src/router/heartbeats.rs
+++ b/crates/quartzlever-core/src/router/heartbeats.rs
@@ -19,21 +19,21 @@
 
     /// A worker reports.
     pub(crate) fn handle_heartbeat(&mut self, id: RequestId, heartbeat: Heartbeat) {
-        let rented_for = |host: &str| self.cloud.launched_for(host);
-        match self.ownership_view().route(&heartbeat.host, rented_for) {
+        let launched_for = |machine: &str| self.cloud.launched_for(machine);
+        match self.ownership_view().route(&heartbeat.machine, launched_for) {
             HeartbeatRoute::Own { partition } => {
                 self.handle_own_heartbeat(id, &partition, &heartbeat);
             }
             HeartbeatRoute::CacheNotLoaded => self.outbox.reject_retryable(id, 503, STARTING),
             HeartbeatRoute::Owned { partition } => {
                 if self.other_leader_of(&partition).is_some() {
-                    self.note_foreign_heartbeat(&partition, &heartbeat.host);
+                    self.note_foreign_heartbeat(&partition, &heartbeat.machine);
                 }
                 self.redirect(id, &partition);
             }
-            HeartbeatRoute::RentedElsewhere { partition } => self.redirect(id, &partition),
-            HeartbeatRoute::Unclaimed { rented_for } => {
-                self.claim(id, heartbeat, rented_for.as_deref());
+            HeartbeatRoute::LaunchedElsewhere { partition } => self.redirect(id, &partition),
+            HeartbeatRoute::Unclaimed { launched_for } => {
+                self.claim(id, heartbeat, launched_for.as_deref());
             }
         }
     }
@@ -57,9 +57,9 @@
         }
     }
 
-    fn claim(&mut self, id: RequestId, heartbeat: Heartbeat, rented_for: Option<&str>) {
+    fn claim(&mut self, id: RequestId, heartbeat: Heartbeat, launched_for: Option<&str>) {
         let claimant =
-            self.ownership_view().claimant_of(&heartbeat.host, rented_for, self.may_act());
+            self.ownership_view().claimant_of(&heartbeat.machine, launched_for, self.may_act());
         match claimant {
             Claimant::NotEntitled => self.outbox.reject_retryable(id, 503, "not entitled"),
             Claimant::Expected(owner) => self.request_ownership(id, heartbeat, owner),
@@ -80,7 +80,7 @@
             Some(PresenceOutcome::Present { id, status }) => {
                 let held =
                     self.partitions.get(&call.partition).is_some_and(|p| p.term == call.term);
-                if held && self.may_act() && self.cache.machine_record(&status.host).is_none() {
+                if held && self.may_act() && self.cache.machine_record(&status.machine).is_none() {
                     let owner =
                         PartitionTerm { partition: call.partition.clone(), term: call.term };
                     self.request_ownership(id, status, owner);
@@ -111,7 +111,7 @@
         let newer = partition.apply_heartbeat(&self.config, run_times, heartbeat, source, now);
         self.complete_recovery(name);
         self.place(name);
-        self.fill(name, &heartbeat.host);
+        self.fill(name, &heartbeat.machine);
         let cache = &self.cache;
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let is_over = |job: &str| !cache.is_active_job(job);
--- a/crates/quartzlever-core/src/router/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -5,7 +5,8 @@
 
 #[test]
 fn a_machine_that_nobody_knows_is_asked_before_it_is_claimed() {
-    let alive = |host: &str| Ok(WorkerReply::Status(heartbeat_from(host, 1, 9, 0, &[])));
+    let alive =
+        |machine_name: &str| Ok(WorkerReply::Status(heartbeat_from(machine_name, 1, 9, 0, &[])));
     // (whether its first heartbeat is expected, what it says when it is asked, whether it is claimed)
     for (name, expected, says, claimed) in [
         ("rented and coming up", true, None, true),
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -5,7 +5,9 @@
 //! pages, the final states. What is decided is decided in `jobs`; the steps hand it on, in an order
 //! that matters: a final state is noted before anything older can be taken in.
 
-use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, StoreReply, TerminalJobRecord};
+use quartzlever_wire::store::{
+    ActiveJobRecord, KeyValue, StoreCall, StoreReply, TerminalJobRecord,
+};
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Micros, Ranges, SECOND};
 
@@ -57,14 +59,14 @@
     }
 
     /// A page as the store has it.
-    pub(crate) fn apply_page_row(&mut self, row: &Row) {
-        match PageRow::read(row) {
+    pub(crate) fn apply_page_record(&mut self, entry: &KeyValue) {
+        match PageRow::read(entry) {
             PageRow::NoPage => {}
             PageRow::Unreadable => {
-                self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
+                self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key));
             }
             PageRow::Page { job, number, finished } => {
-                self.record_page(job, number, finished, row.mod_revision);
+                self.record_page(job, number, finished, entry.mod_revision);
             }
         }
     }
@@ -218,12 +220,12 @@
         let Some(job) = partition.jobs.get_mut(id) else { return };
         job.end_write();
         match result {
-            Ok(StoreReply::Row(Some(row))) => {
-                if let Some(record) = parse::<ActiveJobRecord>(&row) {
-                    self.reconcile_job(record, row.mod_revision);
+            Ok(StoreReply::Read(Some(entry))) => {
+                if let Some(record) = parse::<ActiveJobRecord>(&entry) {
+                    self.reconcile_job(record, entry.mod_revision);
                 }
             }
-            Ok(StoreReply::Row(None)) => {
+            Ok(StoreReply::Read(None)) => {
                 job.begin_reread();
                 let waiting = PendingStoreCall::RereadTerminalJob {
                     partition: name.into(),
@@ -250,8 +252,8 @@
         result: Result<StoreReply, CallError>,
     ) {
         let now = self.now;
-        if let Ok(StoreReply::Row(Some(row))) = &result
-            && let Some(over) = parse::<TerminalJobRecord>(row)
+        if let Ok(StoreReply::Read(Some(entry))) = &result
+            && let Some(over) = parse::<TerminalJobRecord>(entry)
         {
             return self.job_terminated(id, over);
         }
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -66,7 +66,7 @@
             LeaseOutcome::Regained => {
                 // The store may have been away, and its leases with their full time again: nobody is
                 // called silent for what was not answered meanwhile.
-                self.reachability.listen_anew(self.now);
+                self.reachability.restart_listening(self.now);
             }
             LeaseOutcome::Ended => {
                 // The lease is gone, and with it the announcement and every partition.
@@ -205,8 +205,8 @@
                 partition.reconcile_job(&self.config, record.clone(), *mod_revision, now, wall);
             }
             let name = partition.name.clone();
-            for (host, record) in self.cache.machines_of(&name) {
-                partition.add_machine(host, record.clone(), false, now);
+            for (machine, record) in self.cache.machines_of(&name) {
+                partition.add_machine(machine, record.clone(), false, now);
             }
             partition.loaded = true;
         }
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -103,7 +103,7 @@
     ] {
         let mut core = with_cache(&[("two", "two", 6)]);
         core.partitions.clear();
-        core.apply_cluster_row(&announcement("one", core.process, 4));
+        core.apply_cluster_record(&announcement("one", core.process, 4));
         let (mut attempts, mut answers) = (0, Vec::new());
         for step in 0..200 {
             let now = NOW + step * SECOND / 100;
--- a/crates/quartzlever-core/src/router/lookups.rs
+++ b/crates/quartzlever-core/src/router/lookups.rs
@@ -4,7 +4,7 @@
 use quartzlever_wire::Micros;
 use quartzlever_wire::store::StoreReply;
 
-use crate::calls::{Asked, Purpose};
+use crate::calls::{JobReadPurpose, PendingLookup};
 use crate::messages::{Answer, RequestId};
 use crate::router::Core;
 use crate::store::lookups::REVISION_SHARE;
@@ -30,7 +30,7 @@
         }
         while let Some(asked) = self.lookups.take_overdue(now) {
             for one in asked {
-                self.read_for_user(Purpose::Lookup { id: one.id, job: one.job });
+                self.read_for_user(JobReadPurpose::Lookup { id: one.id, job: one.job });
             }
         }
     }
@@ -38,7 +38,7 @@
     /// The revision was read, or not: for questions, or for the age of the view alone.
     pub(crate) fn revision_read(
         &mut self,
-        asked: Vec<Asked>,
+        asked: Vec<PendingLookup>,
         sent: Micros,
         result: Result<StoreReply, CallError>,
     ) {
@@ -62,8 +62,8 @@
         }
     }
 
-    fn answer_from_cache(&mut self, asked: Asked) {
-        let Asked { id, job, .. } = asked;
+    fn answer_from_cache(&mut self, asked: PendingLookup) {
+        let PendingLookup { id, job, .. } = asked;
         if let Some(over) = self.terminal_jobs.get(&job).cloned() {
             return self.answer_terminal_job(id, &job, &over);
         }
@@ -72,7 +72,7 @@
                 let view = self.view_active_job(&known.record);
                 self.outbox.answer(id, 200, Answer::View(view));
             }
-            None => self.read_for_user(Purpose::Lookup { id, job }),
+            None => self.read_for_user(JobReadPurpose::Lookup { id, job }),
         }
     }
 }
--- a/crates/quartzlever-core/src/router/ownership.rs
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -1,7 +1,7 @@
 //! Claims of machines and the groups that they are in, step by step through the components that they concern.
 
 use quartzlever_wire::CallError;
-use quartzlever_wire::store::{MachineRecords, Row, StoreReply, machine_records_in};
+use quartzlever_wire::store::{KeyValue, MachineRecords, StoreReply, machine_records_in};
 use quartzlever_wire::workers::Heartbeat;
 
 use super::Core;
@@ -39,10 +39,10 @@
     }
 
     /// A returned machine's record is no longer wanted.
-    pub(crate) fn release_ownership(&mut self, host: &str, partition: &str, term: u64) {
+    pub(crate) fn release_ownership(&mut self, machine: &str, partition: &str, term: u64) {
         let owner = PartitionTerm { partition: partition.to_owned(), term };
         let layout = self.group_layout();
-        self.ownership.release(host, owner, &self.cache, &layout);
+        self.ownership.release(machine, owner, &self.cache, &layout);
     }
 
     /// Writes groups of machines that have to change, and splits one that is too large.
@@ -67,8 +67,8 @@
         result: &Result<StoreReply, CallError>,
     ) {
         let Some(mod_revision) = self.ownership.split_answered(result, self.now) else { return };
-        for (key, hosts) in small {
-            self.cache.record_group(&key, hosts, mod_revision);
+        for (key, records) in small {
+            self.cache.record_group(&key, records, mod_revision);
         }
         if whole {
             self.cache.record_group(key, MachineRecords::new(), mod_revision + 1);
@@ -83,11 +83,11 @@
     ) {
         match self.ownership.write_answered(&write, result, self.now) {
             GroupWriteOutcome::Committed { mod_revision } => {
-                let GroupWrite { key, hosts, added, .. } = write;
-                self.apply_group_change(&key, hosts, mod_revision);
+                let GroupWrite { key, records, added, .. } = write;
+                self.apply_group_change(&key, records, mod_revision);
                 // An event of a later change may have been quicker: then these are known already.
-                for host in &added {
-                    self.settle_claim(&key, host);
+                for machine in &added {
+                    self.settle_claim(&key, machine);
                 }
                 self.ownership.forget_if_settled(&key);
             }
@@ -103,26 +103,26 @@
 
     /// A group has been read again.
     pub(super) fn group_read(&mut self, key: &str, result: Result<StoreReply, CallError>) {
-        let is_read = matches!(result, Ok(StoreReply::Row(_)));
+        let is_read = matches!(result, Ok(StoreReply::Read(_)));
         self.ownership.read_answered(key, is_read, self.now);
         match result {
-            Ok(StoreReply::Row(Some(row))) => self.apply_group_row(&row, true),
+            Ok(StoreReply::Read(Some(entry))) => self.apply_group_record(&entry, true),
             // The watch tells of its removal, at which modification revision it cannot be written any more.
-            Ok(StoreReply::Row(None)) => self.apply_group_change(key, MachineRecords::new(), 0),
+            Ok(StoreReply::Read(None)) => self.apply_group_change(key, MachineRecords::new(), 0),
             _ => {}
         }
     }
 
     /// Takes in a group as the store has it. `is_change` says that a machine which was not
     /// known before has been claimed since.
-    pub(crate) fn apply_group_row(&mut self, row: &Row, is_change: bool) {
-        let Some(hosts) = machine_records_in(&row.path, &row.v) else {
-            return self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
+    pub(crate) fn apply_group_record(&mut self, entry: &KeyValue, is_change: bool) {
+        let Some(records) = machine_records_in(&entry.key, &entry.value) else {
+            return self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key));
         };
         if is_change {
-            self.apply_group_change(&row.path, hosts, row.mod_revision);
+            self.apply_group_change(&entry.key, records, entry.mod_revision);
         } else {
-            self.cache.record_group(&row.path, hosts, row.mod_revision);
+            self.cache.record_group(&entry.key, records, entry.mod_revision);
         }
     }
 
@@ -130,27 +130,27 @@
     pub(crate) fn apply_group_change(
         &mut self,
         key: &str,
-        hosts: MachineRecords,
+        records: MachineRecords,
         mod_revision: u64,
     ) {
         let now = self.now;
-        let Some(new) = self.cache.record_group(key, hosts, mod_revision) else { return };
-        for (host, record) in new {
+        let Some(new) = self.cache.record_group(key, records, mod_revision) else { return };
+        for (machine, record) in new {
             for partition in self.partitions.values_mut() {
                 if partition.name == record.partition {
-                    partition.add_claimed_machine(&host, &record, mod_revision, now);
+                    partition.add_claimed_machine(&machine, &record, mod_revision, now);
                 } else {
                     let types = partition.types.as_deref();
-                    partition.autoscaling.pending_instances.arrived(&host, types, now);
+                    partition.autoscaling.pending_instances.arrived(&machine, types, now);
                 }
             }
-            self.settle_claim(key, &host);
+            self.settle_claim(key, &machine);
         }
     }
 
     /// The machine belongs to somebody now: answers the heartbeats that waited for that.
-    fn settle_claim(&mut self, key: &str, host: &str) {
-        let Some(claim) = self.ownership.take_claim(key, host) else { return };
+    fn settle_claim(&mut self, key: &str, machine: &str) {
+        let Some(claim) = self.ownership.take_claim(key, machine) else { return };
         for id in claim.ids {
             self.handle_heartbeat(id, claim.heartbeat.clone());
         }
--- a/crates/quartzlever-core/src/router/ownership/tests.rs
+++ b/crates/quartzlever-core/src/router/ownership/tests.rs
@@ -11,11 +11,11 @@
     // (what the write brings, what the block is read as after that; machines in the end)
     let block = |names: &[&str]| {
         let record = |n: &&str| {
-            let mut host = core().partitions["one"].machines["n-1"].record.clone();
-            host.address = format!("{n}:9000");
-            ((*n).to_owned(), host)
+            let mut record = core().partitions["one"].machines["n-1"].record.clone();
+            record.address = format!("{n}:9000");
+            ((*n).to_owned(), record)
         };
-        serde_json::json!(MachineGroupRecord { m: names.iter().map(record).collect() })
+        serde_json::json!(MachineGroupRecord { machines: names.iter().map(record).collect() })
     };
     for (name, brings, found, machines) in [
         ("in force", Ok(StoreReply::Committed(20)), None, 2),
@@ -50,13 +50,13 @@
             });
             let Some(call_id) = call_id else { panic!("{name}: not read back") };
             let path = large_group_key("n-9");
-            let row = quartzlever_wire::store::Row {
-                path,
-                v: quartzlever_wire::Json::of(&v),
+            let entry = quartzlever_wire::store::KeyValue {
+                key: path,
+                value: quartzlever_wire::Json::of(&v),
                 mod_revision: 21,
                 lease_id: None,
             };
-            let result = Ok(StoreReply::Row(Some(row)));
+            let result = Ok(StoreReply::Read(Some(entry)));
             core.step(NOW + 2 * SECOND, vec![Command::StoreReply { call_id, result }]);
             if let Some(call_id) = txn(&core.step(NOW + 4 * SECOND, Vec::new())) {
                 let result = Ok(StoreReply::Committed(22));
@@ -81,24 +81,24 @@
 fn in_two_blocks(large: &str, small: &str) {
     let block = |partition: &str| {
         Json::of(&MachineGroupRecord {
-            m: MachineRecords::from([(
+            machines: MachineRecords::from([(
                 "n-000231".to_owned(),
                 machine_record_of("n-000231", partition),
             )]),
         })
     };
-    let row = |path: &str, partition: &str, mod_revision| Row {
-        path: path.into(),
-        v: block(partition),
+    let entry = |path: &str, partition: &str, mod_revision| KeyValue {
+        key: path.into(),
+        value: block(partition),
         mod_revision,
         lease_id: None,
     };
     for order in [[0, 1], [1, 0]] {
         for news in [true, false] {
             let mut core = core();
-            let rows = [row(small, "two", 20), row(large, "one", 21)];
+            let rows = [entry(small, "two", 20), entry(large, "one", 21)];
             for n in order {
-                core.apply_group_row(&rows[n], news && order == [0, 1]);
+                core.apply_group_record(&rows[n], news && order == [0, 1]);
             }
             let owner = core.cache.machine_record("n-000231").map(|r| r.partition.clone());
             assert_eq!(owner.as_deref(), Some("two"), "{order:?}");
@@ -129,11 +129,16 @@
         core.cache.set_revision(revision);
         core.config.value_bytes = 2048;
         core.lease.renew_at(NOW + 900 * SECOND);
-        core.apply_cluster_row(&raised_version(10));
+        core.apply_cluster_record(&raised_version(10));
         if let Some((size, mod_revision)) = agreed {
             let v = Json::of(&GroupSizeRecord { size });
             let path = GROUP_SIZE_KEY.into();
-            core.apply_cluster_row(&Row { path, v, mod_revision, lease_id: None });
+            core.apply_cluster_record(&KeyValue {
+                key: path,
+                value: v,
+                mod_revision,
+                lease_id: None,
+            });
         }
         core.request_ownership(
             1,
--- a/crates/quartzlever-core/src/router/reachability.rs
+++ b/crates/quartzlever-core/src/router/reachability.rs
@@ -4,7 +4,7 @@
 //! The counts and the decisions are those of `leadership::reachability`.
 
 use quartzlever_wire::peers::PeerRequest;
-use quartzlever_wire::store::Row;
+use quartzlever_wire::store::KeyValue;
 
 use crate::calls::PendingPeerCall;
 use crate::leadership::reachability::{ForeignMachines, OwnHeartbeats, Reachability};
@@ -71,13 +71,13 @@
     }
 
     /// What a peer has left at the store.
-    pub(crate) fn apply_machines_seen_row(&mut self, row: &Row) {
-        self.reachability.apply_machines_seen_row(self.now, row);
+    pub(crate) fn apply_machines_seen_record(&mut self, entry: &KeyValue) {
+        self.reachability.apply_machines_seen_record(self.now, entry);
     }
 
     /// A machine of a partition that another node holds has come here.
-    pub(crate) fn note_foreign_heartbeat(&mut self, partition: &str, host: &str) {
-        self.reachability.note_foreign_heartbeat(self.now, partition, host);
+    pub(crate) fn note_foreign_heartbeat(&mut self, partition: &str, machine: &str) {
+        self.reachability.note_foreign_heartbeat(self.now, partition, machine);
     }
 
     /// A call to try whether workers are reached was answered, or was not.
--- a/crates/quartzlever-core/src/router/reachability/tests.rs
+++ b/crates/quartzlever-core/src/router/reachability/tests.rs
@@ -42,9 +42,9 @@
     for (machines, told) in [(2, None), (3, Some(3)), (7, Some(7))] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
-        let hosts: MachineRecords =
+        let records: MachineRecords =
             names.iter().map(|n| (n.clone(), machine_record_of(n, "two"))).collect();
-        core.apply_group_change(&large_group_key("n-101"), hosts, 9);
+        core.apply_group_change(&large_group_key("n-101"), records, 9);
         let come = names.iter().take(machines).enumerate();
         let heartbeats = come.map(|(n, name)| Command::Heartbeat {
             id: n as u64,
@@ -70,9 +70,9 @@
     for (reached, left) in [(true, false), (false, true)] {
         let mut peer = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
-        let hosts: MachineRecords =
+        let records: MachineRecords =
             names.iter().map(|n| (n.clone(), machine_record_of(n, "two"))).collect();
-        peer.apply_group_change(&large_group_key("n-101"), hosts, 9);
+        peer.apply_group_change(&large_group_key("n-101"), records, 9);
         let heartbeats = names.iter().enumerate().map(|(n, name)| Command::Heartbeat {
             id: n as u64,
             heartbeat: idle_heartbeat(name, 3, 6),
@@ -105,7 +105,7 @@
         let write = write.replacen("two", "one", 1);
         let mut leader = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         with_ten_machines(&mut leader, NOW - 10 * SECOND);
-        leader.reachability.listen_anew(NOW - 60 * SECOND);
+        leader.reachability.restart_listening(NOW - 60 * SECOND);
         if let Some(partition) = leader.partitions.get_mut("one") {
             partition.acquired = NOW - 60 * SECOND;
         }
@@ -135,7 +135,7 @@
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         with_ten_machines(&mut core, NOW - 10 * SECOND);
-        core.reachability.listen_anew(NOW - 60 * SECOND);
+        core.reachability.restart_listening(NOW - 60 * SECOND);
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.acquired = NOW - 60 * SECOND;
         }
--- a/crates/quartzlever-core/src/router/store_changes.rs
+++ b/crates/quartzlever-core/src/router/store_changes.rs
@@ -2,7 +2,7 @@
 //! in the order in which it is told.
 
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, ActiveJobRecord, MachineRecords, PartitionRecord, Row, StoreReply,
+    ACTIVE_JOB_PREFIX, ActiveJobRecord, KeyValue, MachineRecords, PartitionRecord, StoreReply,
 };
 use quartzlever_wire::{CallError, Micros};
 
@@ -68,8 +68,8 @@
         if section == Section::Cluster && page.begins_section {
             self.cluster.forget_nodes();
         }
-        for row in page.rows {
-            if let Some(event) = StoreEvent::listed(section, row) {
+        for entry in page.entries {
+            if let Some(event) = StoreEvent::listed(section, entry) {
                 self.apply_store_event(event);
             }
         }
@@ -91,37 +91,39 @@
                     self.partitions.remove(&name);
                 }
             }
-            StoreEvent::MachineGroup { row, is_change } => self.apply_group_row(&row, is_change),
+            StoreEvent::MachineGroup { entry, is_change } => {
+                self.apply_group_record(&entry, is_change)
+            }
             StoreEvent::MachineGroupDeleted { key, mod_revision } => {
                 if self.cache.group(&key).is_some_and(|group| group.mod_revision <= mod_revision) {
                     self.apply_group_change(&key, MachineRecords::new(), mod_revision + 1);
                 }
             }
-            StoreEvent::Job(row) => self.apply_job_record(&row),
+            StoreEvent::Job(entry) => self.apply_job_record(&entry),
             StoreEvent::JobDeleted { id, mod_revision } => {
                 self.cache.active_job_deleted(&id, mod_revision);
             }
             StoreEvent::JobTerminated { id, record } => self.job_terminated(&id, record),
-            StoreEvent::Page(row) => self.apply_page_row(&row),
+            StoreEvent::Page(entry) => self.apply_page_record(&entry),
             StoreEvent::PageDeleted { key, mod_revision } => self.pages.remove(&key, mod_revision),
-            StoreEvent::Cluster(row) => self.apply_cluster_row(&row),
+            StoreEvent::Cluster(entry) => self.apply_cluster_record(&entry),
             StoreEvent::ClusterDeleted { key, mod_revision } => {
                 self.cluster_deleted(&key, mod_revision);
             }
-            StoreEvent::MachinesSeen(row) => self.apply_machines_seen_row(&row),
+            StoreEvent::MachinesSeen(entry) => self.apply_machines_seen_record(&entry),
         }
     }
 
     /// A job's record as the store has it. One that cannot be read is left alone: its
     /// job stays known, since lookups read what the cache does not have.
-    fn apply_job_record(&mut self, row: &Row) {
-        match parse::<ActiveJobRecord>(row) {
-            Some(record) => self.reconcile_job(record, row.mod_revision),
+    fn apply_job_record(&mut self, entry: &KeyValue) {
+        match parse::<ActiveJobRecord>(entry) {
+            Some(record) => self.reconcile_job(record, entry.mod_revision),
             None => {
-                if let Some(id) = row.path.strip_prefix(ACTIVE_JOB_PREFIX) {
+                if let Some(id) = entry.key.strip_prefix(ACTIVE_JOB_PREFIX) {
                     self.cache.record_unreadable_job(id);
                 }
-                self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
+                self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key));
             }
         }
     }
@@ -186,11 +188,11 @@
                 partition.drop_job(&id, now);
             }
             let name = partition.name.clone();
-            for (host, record) in self.cache.machines_of(&name) {
-                if !partition.machines.contains_key(host)
-                    && !partition.autoscaling.terminated.contains(host)
+            for (machine, record) in self.cache.machines_of(&name) {
+                if !partition.machines.contains_key(machine)
+                    && !partition.autoscaling.terminated.contains(machine)
                 {
-                    partition.add_machine(host, record.clone(), false, now);
+                    partition.add_machine(machine, record.clone(), false, now);
                 }
             }
         }
--- a/crates/quartzlever-core/src/router/store_changes/tests.rs
+++ b/crates/quartzlever-core/src/router/store_changes/tests.rs
@@ -24,12 +24,12 @@
     // A page that is not read ends it; what comes of it after that is ignored.
     core.page_listed(first, Section::Partitions, Err(CallError::Unknown));
     assert_eq!(pages_asked(&core.step(NOW + 2 * SECOND, Vec::new())), 1);
-    let late = Rows { rows: Vec::new(), has_next: false, revision: 90 };
-    core.page_listed(first, Section::Cluster, Ok(StoreReply::Rows(late)));
+    let late = ListPage { entries: Vec::new(), has_next: false, revision: 90 };
+    core.page_listed(first, Section::Cluster, Ok(StoreReply::Listed(late)));
     assert!(!core.cache.loaded() && core.cache.revision() < 90);
     // The earlier watch's word is no news for a copy that was made anew.
     core.listing.abandon();
-    let own = partition_row("one", "one", core.process, 5);
+    let own = partition_entry("one", "one", core.process, 5);
     list_records(&mut core, &[own], 95);
     core.watched(2, NOW, Ok(StoreReply::TooOld));
     assert!(core.cache.loaded() && core.cache.revision() == 95);
@@ -52,8 +52,10 @@
     .enumerate()
     {
         let mut core = core();
-        let rows: Vec<Row> = key
-            .map(|(node, process, mod_revision)| partition_row("one", node, process, mod_revision))
+        let rows: Vec<KeyValue> = key
+            .map(|(node, process, mod_revision)| {
+                partition_entry("one", node, process, mod_revision)
+            })
             .into_iter()
             .collect();
         list_records(&mut core, &rows, revision);
--- a/crates/quartzlever-core/src/router/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -133,7 +133,7 @@
                         waiting
                             .push(Command::StoreReply { call_id, result: Ok(StoreReply::Renewed) });
                     }
-                    Effect::Cloud { call: CloudCall::Return(_), .. } => returns += 1,
+                    Effect::Cloud { call: CloudCall::ScaleIn(_), .. } => returns += 1,
                     Effect::Answer { status: 200, .. } => answers += 1,
                     _ => {}
                 }
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -6,10 +6,12 @@
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::peers::PeerRequest;
-use quartzlever_wire::store::{ActiveJobRecord, Row, StoreCall, StoreReply, TerminalJobRecord};
+use quartzlever_wire::store::{
+    ActiveJobRecord, KeyValue, StoreCall, StoreReply, TerminalJobRecord,
+};
 use quartzlever_wire::users::{JobPhase, JobSpec, JobView};
 
-use crate::calls::{PendingPeerCall, PendingStoreCall, Purpose};
+use crate::calls::{JobReadPurpose, PendingPeerCall, PendingStoreCall};
 use crate::events::LogEvent;
 use crate::jobs::cancellation::{self, CancelOutcome, cancelled};
 use crate::jobs::feasibility::feasibility;
@@ -45,12 +47,12 @@
     }
 
     /// Reads a job for a new request, unless too many calls of users are under way.
-    pub(crate) fn read_for_user(&mut self, purpose: Purpose) {
+    pub(crate) fn read_for_user(&mut self, purpose: JobReadPurpose) {
         self.user_requests.read_or_reject(purpose, &mut self.outbox);
     }
 
     /// Reads a job for a request under way.
-    fn read(&mut self, purpose: Purpose) {
+    fn read(&mut self, purpose: JobReadPurpose) {
         self.user_requests.read(purpose, &mut self.outbox);
     }
 
@@ -67,14 +69,14 @@
         let refusal = submission::refusal(fits, &spec, self.cluster.services());
         let entry = self.choose_entry(&spec);
         let (Some(entry), None) = (entry, refusal) else {
-            let refuse = refusal == Some(Refusal::ForGood);
-            return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse });
+            let refuse = refusal == Some(Refusal::Permanent);
+            return self.read(JobReadPurpose::Submit { id, job: spec.id.clone(), refuse });
         };
         let (wall, value_bytes) = (self.wall(), self.limits.value_bytes());
         let planned = submission::plan_acceptance(&spec, entry, wall, value_bytes);
         let Some(Acceptance { txn, record }) = planned else {
             // Nothing could ever be kept of such a job; a known one is still answered as known.
-            return self.read(Purpose::Submit { id, job: spec.id.clone(), refuse: true });
+            return self.read(JobReadPurpose::Submit { id, job: spec.id.clone(), refuse: true });
         };
         self.write_budget.spend(1);
         let pending = PendingStoreCall::Accept { id, record };
@@ -116,7 +118,7 @@
                     None => self.answer_phase(id, 201, &job, JobPhase::Queued),
                 }
             }
-            AcceptOutcome::Known => self.read(Purpose::Submit { id, job, refuse: false }),
+            AcceptOutcome::Known => self.read(JobReadPurpose::Submit { id, job, refuse: false }),
             AcceptOutcome::PartitionChanged => {
                 self.outbox.reject_retryable(id, 503, "the part has changed hands");
             }
@@ -129,18 +131,18 @@
             let phase = over.phase;
             return self.answer_phase(id, 200, &job, phase);
         }
-        self.read_for_user(Purpose::Cancel { id, job, tries: 0 });
+        self.read_for_user(JobReadPurpose::Cancel { id, job, tries: 0 });
     }
 
     pub(super) fn active_job_read(
         &mut self,
-        purpose: Purpose,
+        purpose: JobReadPurpose,
         result: Result<StoreReply, CallError>,
     ) {
         self.user_requests.call_answered();
         match result {
-            Ok(StoreReply::Row(Some(row))) => self.answer_active_job(purpose, &row),
-            Ok(StoreReply::Row(None)) => {
+            Ok(StoreReply::Read(Some(row))) => self.answer_active_job(purpose, &row),
+            Ok(StoreReply::Read(None)) => {
                 let call = StoreCall::Get(terminal_job_key(purpose.job()));
                 let pending = PendingStoreCall::ReadTerminalJob { purpose };
                 self.user_requests.call(call, pending, &mut self.outbox);
@@ -150,24 +152,24 @@
     }
 
     /// Goes on with a request for a job that is neither done nor cancelled.
-    fn answer_active_job(&mut self, purpose: Purpose, row: &Row) {
+    fn answer_active_job(&mut self, purpose: JobReadPurpose, row: &KeyValue) {
         let record = parse::<ActiveJobRecord>(row);
         if record.is_none() {
-            self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
+            self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.key));
         }
         match purpose {
-            Purpose::Submit { id, job, .. } => {
+            JobReadPurpose::Submit { id, job, .. } => {
                 let phase = record.map_or(JobPhase::Queued, |r| self.view_active_job(&r).phase);
                 self.answer_phase(id, 200, &job, phase);
             }
-            Purpose::Lookup { id, job } => {
+            JobReadPurpose::Lookup { id, job } => {
                 let view = match record {
                     Some(record) => self.view_active_job(&record),
                     None => lookups::view_unreadable_job(job),
                 };
                 self.outbox.answer(id, 200, Answer::View(view));
             }
-            Purpose::Cancel { id, job, tries } => {
+            JobReadPurpose::Cancel { id, job, tries } => {
                 let done = record.map_or(0, |r| r.finished.len());
                 let txn = cancellation::plan_cancellation(&job, row.mod_revision, done);
                 self.write_budget.spend(cancellation::CHANGES);
@@ -179,19 +181,19 @@
 
     pub(super) fn terminal_job_read(
         &mut self,
-        purpose: Purpose,
+        purpose: JobReadPurpose,
         result: Result<StoreReply, CallError>,
     ) {
         self.user_requests.call_answered();
         let over = match result {
-            Ok(StoreReply::Row(Some(row))) => {
+            Ok(StoreReply::Read(Some(row))) => {
                 let over = parse::<TerminalJobRecord>(&row);
                 if over.is_none() {
-                    self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path));
+                    self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.key));
                 }
                 over
             }
-            Ok(StoreReply::Row(None)) => return self.answer_unknown_job(&purpose),
+            Ok(StoreReply::Read(None)) => return self.answer_unknown_job(&purpose),
             _ => None,
         };
         let Some(over) = over else {
@@ -200,23 +202,23 @@
         let job = purpose.job().to_owned();
         self.job_terminated(&job, over.clone());
         match purpose {
-            Purpose::Lookup { id, .. } => self.answer_terminal_job(id, &job, &over),
-            Purpose::Submit { id, .. } | Purpose::Cancel { id, .. } => {
+            JobReadPurpose::Lookup { id, .. } => self.answer_terminal_job(id, &job, &over),
+            JobReadPurpose::Submit { id, .. } | JobReadPurpose::Cancel { id, .. } => {
                 self.answer_phase(id, 200, &job, over.phase);
             }
         }
     }
 
     /// Answers a request for a job that is neither live nor over.
-    fn answer_unknown_job(&mut self, purpose: &Purpose) {
+    fn answer_unknown_job(&mut self, purpose: &JobReadPurpose) {
         match *purpose {
-            Purpose::Submit { id, refuse: true, .. } => {
+            JobReadPurpose::Submit { id, refuse: true, .. } => {
                 self.outbox.answer(id, 422, Answer::Error { error: "can never run" });
             }
-            Purpose::Submit { id, .. } => {
+            JobReadPurpose::Submit { id, .. } => {
                 self.outbox.reject_retryable(id, 503, "cannot decide yet");
             }
-            Purpose::Lookup { id, .. } | Purpose::Cancel { id, .. } => {
+            JobReadPurpose::Lookup { id, .. } | JobReadPurpose::Cancel { id, .. } => {
                 self.outbox.answer(id, 404, Answer::Error { error: "unknown job" });
             }
         }
@@ -237,7 +239,9 @@
                 self.job_terminated(&job, cancelled(done));
                 self.answer_phase(id, 200, &job, JobPhase::Cancelled);
             }
-            CancelOutcome::ReadAgain => self.read(Purpose::Cancel { id, job, tries: tries + 1 }),
+            CancelOutcome::ReadAgain => {
+                self.read(JobReadPurpose::Cancel { id, job, tries: tries + 1 })
+            }
             CancelOutcome::Failed => self.outbox.reject_retryable(id, 503, "not written"),
         }
     }
--- a/crates/quartzlever-core/src/router/user_requests/tests.rs
+++ b/crates/quartzlever-core/src/router/user_requests/tests.rs
@@ -105,20 +105,20 @@
             for effect in effects {
                 match effect {
                     Effect::Store { call_id, call, .. } => {
-                        let row = |path: &str| Row {
-                            path: path.into(),
-                            v: Json::of(&"not a record"),
+                        let entry = |path: &str| KeyValue {
+                            key: path.into(),
+                            value: Json::of(&"not a record"),
                             mod_revision: 7,
                             lease_id: None,
                         };
                         let reply = match &call {
                             StoreCall::Get(key) if *key == format!("live/{}", job()) && !over => {
-                                StoreReply::Row(Some(row(key)))
+                                StoreReply::Read(Some(entry(key)))
                             }
                             StoreCall::Get(key) if key.starts_with("over/") && over => {
-                                StoreReply::Row(Some(row(key)))
+                                StoreReply::Read(Some(entry(key)))
                             }
-                            StoreCall::Get(_) => StoreReply::Row(None),
+                            StoreCall::Get(_) => StoreReply::Read(None),
                             StoreCall::Revision => StoreReply::Revision(0),
                             StoreCall::Txn(_) => StoreReply::Committed(8),
                             _ => continue,
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -12,7 +12,7 @@
 use super::score::{Score, Scoring};
 use crate::config::Config;
 use crate::jobs::partition_job::PartitionJob;
-use crate::machines::attempt::{AttemptKey, Slot};
+use crate::machines::attempt::{Attempt, AttemptKey};
 use crate::machines::resources::Resources;
 use crate::partition::Partition;
 use crate::router::Core;
@@ -61,10 +61,10 @@
     }
 
     /// Gives what found no room elsewhere to one machine.
-    pub(crate) fn fill(&mut self, name: &str, host: &str) {
+    pub(crate) fn fill(&mut self, name: &str, machine: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.active()) else { return };
-        if !partition.machines.get(host).is_some_and(|m| m.usable() && m.free.cpus > 0.0) {
+        if !partition.machines.get(machine).is_some_and(|m| m.usable() && m.free.cpus > 0.0) {
             return;
         }
         let short = std::mem::take(&mut partition.short);
@@ -72,12 +72,12 @@
             // Most machines that heartbeat are full, or nearly so.
             if partition
                 .machines
-                .get(host)
+                .get(machine)
                 .is_none_or(|m| m.free.cpus + 1e-6 < partition.unplaced_min_cpus)
             {
                 break;
             }
-            partition.place_tasks(&self.config, id, Some(host), now);
+            partition.place_tasks(&self.config, id, Some(machine), now);
         }
         partition.short = short;
     }
@@ -120,7 +120,7 @@
         }
         let Some(job) = self.jobs.get(id) else { return false };
         let (spec, need, service) = (job.spec(), job.need(), job.service());
-        let hosts = self.feasible_machines(config, job, only, now);
+        let machines = self.feasible_machines(config, job, only, now);
         let bound = spec.one_zone || spec.spread;
         let allowance = self.team_allowance(config, spec, &need);
         let on_trial = job.fails_everywhere() && !service;
@@ -128,11 +128,11 @@
         // Replicas are dealt out one a machine, round after round; other tasks fill machine by machine.
         let (rounds, each) = if service { (left, 1) } else { (1, u32::MAX) };
         let assigning = Assigning { config, id, need, bound, now };
-        for host in (0..rounds).flat_map(|_| &hosts) {
+        for machine in (0..rounds).flat_map(|_| &machines) {
             if left == 0 {
                 break;
             }
-            left -= self.start_tasks_on(&assigning, host, left.min(each));
+            left -= self.start_tasks_on(&assigning, machine, left.min(each));
         }
         // What only the team's limit keeps back asks for no room, nor does a job that fails everywhere.
         allowance > 0 && left > 0 && !on_trial
@@ -166,42 +166,45 @@
     ) -> Vec<String> {
         let feasibility = Feasibility::new(self, config, job, now);
         let scoring = Scoring::new(job);
-        if let Some(host) = only {
-            let machine = self.machines.get(host).filter(|m| machine_allowed(job.spec(), m));
+        if let Some(machine_name) = only {
+            let machine =
+                self.machines.get(machine_name).filter(|m| machine_allowed(job.spec(), m));
             let found = machine.filter(|m| feasibility.admits(m));
-            return found.map(|_| host.to_owned()).into_iter().collect();
+            return found.map(|_| machine_name.to_owned()).into_iter().collect();
         }
         // The index has only machines that the job may run on.
-        let machines = self.free_capacity_index.with(job.spec()).filter_map(|host| {
-            let machine = self.machines.get(host).filter(|m| feasibility.admits(m))?;
-            Some((scoring.score(machine), host))
+        let machines = self.free_capacity_index.with(job.spec()).filter_map(|machine_name| {
+            let machine = self.machines.get(machine_name).filter(|m| feasibility.admits(m))?;
+            Some((scoring.score(machine), machine_name))
         });
         let mut scored: Vec<(Score, &str)> = machines.collect();
         scored.sort_by(|a, b| a.0.order(&b.0).then_with(|| a.1.cmp(b.1)));
-        scored.into_iter().map(|(_, host)| host.to_owned()).collect()
+        scored.into_iter().map(|(_, machine_name)| machine_name.to_owned()).collect()
     }
 
     /// Starts tasks of a job on a machine, so many at the most and as far as there is room; how many.
-    fn start_tasks_on(&mut self, assigning: &Assigning, host: &str, most: u32) -> u32 {
+    fn start_tasks_on(&mut self, assigning: &Assigning, machine: &str, most: u32) -> u32 {
         let Assigning { config, id, need, bound, now } = assigning;
-        let room = self.machines.get(host).map_or(0, |m| m.free.count(need)).min(most);
+        let room = self.machines.get(machine).map_or(0, |m| m.free.count(need)).min(most);
         let mut started = 0;
         while started < room {
-            if *bound && !self.zone_open(&config.zones, id, host) {
+            if *bound && !self.zone_open(&config.zones, id, machine) {
                 break;
             }
             let Some(index) = self.jobs.get(*id).and_then(|j| j.ready.lowest()) else { break };
-            self.start(id, index, host, *now);
+            self.start(id, index, machine, *now);
             started += 1;
         }
-        self.refresh(host);
+        self.refresh(machine);
         started
     }
 
     /// How many more tasks keep the team inside its limit, counting everything that may be on a
     /// machine.
     pub fn team_allowance(&self, config: &Config, spec: &JobSpec, need: &Resources) -> u32 {
-        let Some(team) = config.team(&spec.team).filter(|t| t.limited()) else { return u32::MAX };
+        let Some(team) = config.team(&spec.team).filter(|t| t.has_limits()) else {
+            return u32::MAX;
+        };
         if !self.recovery_complete || config.partition_of_team(&team.name) != self.name {
             return 0;
         }
@@ -219,29 +222,30 @@
     }
 
     /// Decides that a ready task goes to a machine, which is to be refreshed afterwards.
-    pub fn start(&mut self, id: &str, index: u32, host: &str, now: Micros) {
+    pub fn start(&mut self, id: &str, index: u32, machine_name: &str, now: Micros) {
         let attempt = self.next_attempt();
-        let (Some(job), Some(machine)) = (self.jobs.get_mut(id), self.machines.get_mut(host))
+        let (Some(job), Some(machine)) =
+            (self.jobs.get_mut(id), self.machines.get_mut(machine_name))
         else {
             return;
         };
-        job.assign(index, host, attempt);
+        job.assign(index, machine_name, attempt);
         let key = AttemptKey { task: TaskId { job: id.to_owned(), index }, attempt };
-        let slot = Slot {
+        let slot = Attempt {
             can_wait_for_heartbeat: job.can_wait_for_heartbeat,
-            ..Slot::new(job.spec(), now)
+            ..Attempt::new(job.spec(), now)
         };
-        machine.slots.insert(key, slot);
-        self.attempted.entry(id.to_owned()).or_default().insert(host.to_owned());
+        machine.attempts.insert(key, slot);
+        self.machines_by_job.entry(id.to_owned()).or_default().insert(machine_name.to_owned());
         machine.idle_since = None;
-        self.call_queue.add_urgent(host);
+        self.call_queue.add_urgent(machine_name);
     }
 
     /// Marks an attempt as unwanted.
-    pub fn stop(&mut self, host: &str, key: &AttemptKey, leeway_s: f64) {
-        if let Some(machine) = self.machines.get_mut(host) {
+    pub fn stop(&mut self, machine_name: &str, key: &AttemptKey, leeway_s: f64) {
+        if let Some(machine) = self.machines.get_mut(machine_name) {
             machine.stop(key, leeway_s);
-            self.call_queue.add_urgent(host);
+            self.call_queue.add_urgent(machine_name);
         }
     }
 }
--- a/crates/quartzlever-core/src/scheduling/assignment/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment/tests.rs
@@ -48,13 +48,13 @@
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.recovery_complete = open;
             if stranger {
-                let mut slot = crate::machines::attempt::Slot::new(&spec(1), NOW);
-                slot.team = String::new();
+                let mut attempt = crate::machines::attempt::Attempt::new(&spec(1), NOW);
+                attempt.team = String::new();
                 let task = quartzlever_wire::workers::TaskId { job: "req-9".into(), index: 0 };
                 if let Some(machine) = partition.machines.get_mut("n-1") {
                     machine
-                        .slots
-                        .insert(crate::machines::attempt::AttemptKey { task, attempt: 1 }, slot);
+                        .attempts
+                        .insert(crate::machines::attempt::AttemptKey { task, attempt: 1 }, attempt);
                 }
             }
         }
--- a/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
+++ b/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
@@ -31,13 +31,13 @@
 
 impl FreeCapacityIndex {
     /// Notes how many processors of a machine are free.
-    pub fn put(&mut self, host: &str, record: &MachineRecord, cpus: f64) {
+    pub fn put(&mut self, machine: &str, record: &MachineRecord, cpus: f64) {
         let free = thousandths(cpus);
-        if let Some((group, known)) = self.places.get_mut(host) {
+        if let Some((group, known)) = self.places.get_mut(machine) {
             if *known != free {
                 let group = &mut self.groups[*group].by_free_cpus;
-                group.remove(&(*known, host.to_owned()));
-                group.insert((free, host.to_owned()));
+                group.remove(&(*known, machine.to_owned()));
+                group.insert((free, machine.to_owned()));
                 *known = free;
             }
             return;
@@ -54,14 +54,14 @@
             });
             self.groups.len() - 1
         });
-        self.groups[group].by_free_cpus.insert((free, host.to_owned()));
-        self.places.insert(host.to_owned(), (group, free));
+        self.groups[group].by_free_cpus.insert((free, machine.to_owned()));
+        self.places.insert(machine.to_owned(), (group, free));
     }
 
     /// Forgets a machine that may not get tasks.
-    pub fn remove(&mut self, host: &str) {
-        if let Some((group, free)) = self.places.remove(host) {
-            self.groups[group].by_free_cpus.remove(&(free, host.to_owned()));
+    pub fn remove(&mut self, machine: &str) {
+        if let Some((group, free)) = self.places.remove(machine) {
+            self.groups[group].by_free_cpus.remove(&(free, machine.to_owned()));
         }
     }
 
@@ -73,6 +73,6 @@
             .iter()
             .filter(|g| offer_allowed(spec, &g.machine_type, &g.zone, g.spot))
             .flat_map(move |g| g.by_free_cpus.range(least.clone()..))
-            .map(|(_, host)| host.as_str())
+            .map(|(_, machine)| machine.as_str())
     }
 }
