--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -17,7 +17,7 @@
 use crate::config::Config;
 use crate::events::LogEvent;
 use crate::jobs::partition_job::PartitionJob;
-use crate::machines::attempt::{AttemptKey, Slot};
+use crate::machines::attempt::{Attempt, AttemptKey};
 use crate::machines::machine::Machine;
 use crate::machines::resources::Resources;
 use crate::messages::LogLevel;
@@ -82,12 +82,12 @@
 impl Preemptible {
     fn of(partition: &Partition) -> Self {
         let mut all = Preemptible { coming: 0.0, lowest: Priority::Prod, yields: false };
-        for slot in partition.occupied_slots() {
-            if slot.wanted {
-                all.lowest = all.lowest.max(slot.priority);
-                all.yields |= slot.yields;
+        for attempt in partition.active_attempts() {
+            if attempt.wanted {
+                all.lowest = all.lowest.max(attempt.priority);
+                all.yields |= attempt.yields;
             } else {
-                all.coming += slot.need.cpus;
+                all.coming += attempt.need.cpus;
             }
         }
         all
@@ -119,20 +119,20 @@
     /// Work lost by stopping it.
     cost: f64,
     key: &'a AttemptKey,
-    slot: &'a Slot,
+    attempt: &'a Attempt,
 }
 
 impl Preemption<'_> {
     /// Whether an attempt may be stopped for the job: it is of lower rank and not protected, or its team
     /// is beyond its guarantee while the job's is within its own.
-    fn may_stop(&self, slot: &Slot, is_protected: bool) -> bool {
-        let lower = slot.priority > self.spec.priority;
+    fn may_stop(&self, attempt: &Attempt, is_protected: bool) -> bool {
+        let lower = attempt.priority > self.spec.priority;
         let borrowed = self.inside.contains(&self.spec.team)
-            && slot.team != self.spec.team
-            && !slot.team.is_empty()
-            && !self.inside.contains(&slot.team);
-        let asked = self.victims == Victims::Any || slot.yields;
-        slot.wanted && !slot.exited() && asked && ((lower && !is_protected) || borrowed)
+            && attempt.team != self.spec.team
+            && !attempt.team.is_empty()
+            && !self.inside.contains(&attempt.team);
+        let asked = self.victims == Victims::Any || attempt.yields;
+        attempt.wanted && !attempt.exited() && asked && ((lower && !is_protected) || borrowed)
     }
 
     /// Fetching the image takes its time on the way to the start as well.
@@ -279,55 +279,58 @@
     }
 
     /// Whether some of these attempts save before they end, so that they end one after the other.
-    fn takes_time_to_end(&self, host: &str, attempts: &[AttemptKey]) -> bool {
-        let slots = self.machines.get(host).map(|machine| &machine.slots);
+    fn takes_time_to_end(&self, machine_name: &str, attempts: &[AttemptKey]) -> bool {
+        let slots = self.machines.get(machine_name).map(|machine| &machine.attempts);
         let slots = attempts.iter().filter_map(|key| slots.and_then(|slots| slots.get(key)));
-        slots.into_iter().any(|slot| slot.yields)
+        slots.into_iter().any(|attempt| attempt.yields)
     }
 
     /// All ways to make room for tasks of the job on one machine each, the dearest first.
     fn all_evictions(&self, asks: &Preemption) -> Vec<Eviction> {
-        let mut all: Vec<Eviction> =
-            self.machines.keys().filter_map(|host| self.cheapest_eviction(asks, host)).collect();
+        let mut all: Vec<Eviction> = self
+            .machines
+            .keys()
+            .filter_map(|machine| self.cheapest_eviction(asks, machine))
+            .collect();
         all.sort_by(|a, b| b.lost.total_cmp(&a.lost));
         all
     }
 
     /// The attempts to stop on a machine so that a task of the job fits there, at the least lost
     /// work; none if that cannot be had.
-    fn cheapest_eviction(&self, asks: &Preemption, host: &str) -> Option<Eviction> {
-        let machine = self.machines.get(host).filter(|m| m.open(asks.now, asks.quiet))?;
+    fn cheapest_eviction(&self, asks: &Preemption, machine_name: &str) -> Option<Eviction> {
+        let machine = self.machines.get(machine_name).filter(|m| m.open(asks.now, asks.quiet))?;
         let machine_type = self.types.as_ref()?.get(&machine.record.machine_type)?;
         if !machine_allowed(asks.spec, machine) {
             return None;
         }
         let mut free = machine.free;
         let (mut lost, mut attempts) = (0.0, Vec::new());
-        for Stoppable { cost, key, slot } in self.stoppable(asks, machine) {
+        for Stoppable { cost, key, attempt } in self.stoppable(asks, machine) {
             if free.fits(&asks.need) {
                 break;
             }
-            free.give(&slot.need);
+            free.add(&attempt.need);
             lost += cost;
             attempts.push(key.clone());
         }
         lost += asks.image_cost(machine, machine_type);
         let gain = free.count(&asks.need);
         let fits = free.fits(&asks.need) && !attempts.is_empty();
-        fits.then(|| Eviction { lost, gain, machine: host.to_owned(), attempts })
+        fits.then(|| Eviction { lost, gain, machine: machine_name.to_owned(), attempts })
     }
 
     /// The attempts on a machine that may be stopped for a job, the cheapest first.
     fn stoppable<'a>(&'a self, asks: &Preemption, machine: &'a Machine) -> Vec<Stoppable<'a>> {
-        let slots = machine.slots.iter().filter(|(key, slot)| {
+        let attempts = machine.attempts.iter().filter(|(key, attempt)| {
             let job = self.jobs.get(&key.task.job);
-            asks.may_stop(slot, job.is_some_and(|j| j.is_protected(asks.now)))
+            asks.may_stop(attempt, job.is_some_and(|j| j.is_protected(asks.now)))
         });
-        let mut stoppable: Vec<Stoppable> = slots
-            .map(|(key, slot)| Stoppable {
-                cost: self.stopping_cost(key, slot, asks.now),
+        let mut stoppable: Vec<Stoppable> = attempts
+            .map(|(key, attempt)| Stoppable {
+                cost: self.stopping_cost(key, attempt, asks.now),
                 key,
-                slot,
+                attempt,
             })
             .collect();
         stoppable.sort_by(|a, b| a.cost.total_cmp(&b.cost));
@@ -335,13 +338,13 @@
     }
 
     /// Work that is lost by stopping an attempt, in processor-microseconds.
-    fn stopping_cost(&self, key: &AttemptKey, slot: &Slot, now: Micros) -> f64 {
-        let ran = slot.running_since.map_or(0, |since| now.saturating_sub(since));
+    fn stopping_cost(&self, key: &AttemptKey, attempt: &Attempt, now: Micros) -> f64 {
+        let ran = attempt.running_since.map_or(0, |since| now.saturating_sub(since));
         // Sparing them for good made the older ones pay, and lost more work.
         let again =
             self.jobs.get(&key.task.job).is_none_or(|j| j.preempted.contains(key.task.index));
         let ran = if again { ran + REPEATED_PREEMPTION_COST } else { ran };
-        ran as f64 * slot.need.cpus.max(LEAST_CPUS_LOST)
+        ran as f64 * attempt.need.cpus.max(LEAST_CPUS_LOST)
     }
 }
 
--- a/crates/quartzlever-core/src/scheduling/preemption/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption/tests.rs
@@ -22,7 +22,7 @@
         second.due_s = Some(4.0);
         queue_job(&mut core, &second, 11);
         let unwanted = |core: &Core| {
-            core.partitions["one"].machines["n-1"].slots.values().filter(|s| !s.wanted).count()
+            core.partitions["one"].machines["n-1"].attempts.values().filter(|s| !s.wanted).count()
         };
         assert_eq!(unwanted(&core), 0, "{runs:?} {comes:?}: at once");
         core.now = NOW + quartzlever_wire::SECOND;
@@ -58,7 +58,7 @@
         partition.placement_wanted = true;
         core.place("one");
         let partition = &core.partitions["one"];
-        let unwanted = partition.machines["n-1"].slots.values().filter(|s| !s.wanted).count();
+        let unwanted = partition.machines["n-1"].attempts.values().filter(|s| !s.wanted).count();
         assert_eq!(unwanted, stopped, "{runs:?} {checkpoint_s} {comes:?}");
         // It goes on where there is room, and nobody is asked for help before it presses.
         assert!(!partition.saturated, "{runs:?} {checkpoint_s} {comes:?}");
@@ -94,7 +94,7 @@
             partition.placement_wanted = true;
         }
         core.place("one");
-        let slots = core.partitions["one"].machines["n-1"].slots.values();
-        assert_eq!(slots.filter(|s| !s.wanted).count(), stopped, "{age} {tasks} {done}");
+        let attempts = core.partitions["one"].machines["n-1"].attempts.values();
+        assert_eq!(attempts.filter(|s| !s.wanted).count(), stopped, "{age} {tasks} {done}");
     }
 }
--- a/crates/quartzlever-core/src/scheduling/reservations.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations.rs
@@ -43,21 +43,21 @@
 
 impl Reservations {
     /// Whether a machine is kept for the first task of another job.
-    pub(super) fn keeps_for_another(&self, host: &str, id: &str) -> bool {
-        self.starved.as_ref().is_some_and(|kept| kept.job != id && kept.machine == host)
+    pub(super) fn keeps_for_another(&self, machine: &str, id: &str) -> bool {
+        self.starved.as_ref().is_some_and(|kept| kept.job != id && kept.machine == machine)
     }
 
     /// Whether room is being made on a machine for more urgent work than of this rank.
-    pub(super) fn keeps_from(&self, host: &str, priority: Priority, now: Micros) -> bool {
-        self.preempted.get(host).is_some_and(|room| now < room.until && priority > room.priority)
+    pub(super) fn keeps_from(&self, machine: &str, priority: Priority, now: Micros) -> bool {
+        self.preempted.get(machine).is_some_and(|room| now < room.until && priority > room.priority)
     }
 
     /// Keeps the room that is being made on a machine for work of a rank, or above.
-    pub(super) fn keep_preempted(&mut self, host: &str, priority: Priority, now: Micros) {
+    pub(super) fn keep_preempted(&mut self, machine: &str, priority: Priority, now: Micros) {
         let priority =
-            self.preempted.get(host).map_or(priority, |room| room.priority.min(priority));
+            self.preempted.get(machine).map_or(priority, |room| room.priority.min(priority));
         let room = PreemptedCapacity { priority, until: now + PREEMPTED_CAPACITY_RESERVED_FOR };
-        self.preempted.insert(host.to_owned(), room);
+        self.preempted.insert(machine.to_owned(), room);
     }
 
     /// Opens made room to everybody where nothing waits any more that it was made for.
@@ -72,8 +72,8 @@
     }
 
     /// A machine is gone: whatever comes up under its name later has no room made.
-    pub(crate) fn machine_removed(&mut self, host: &str) {
-        self.preempted.remove(host);
+    pub(crate) fn machine_removed(&mut self, machine: &str) {
+        self.preempted.remove(machine);
     }
 }
 
@@ -100,10 +100,10 @@
     /// processors free.
     fn roomiest_machine_for(&self, job: &PartitionJob) -> Option<String> {
         let (spec, need) = (job.spec(), job.need());
-        let suitable = self.machines.iter().filter(|(host, m)| {
+        let suitable = self.machines.iter().filter(|(machine, m)| {
             let machine_type = self.types.as_ref().and_then(|t| t.get(&m.record.machine_type));
             m.usable()
-                && !job.failures.includes(host)
+                && !job.failures.includes(machine)
                 && machine_allowed(spec, m)
                 && machine_type.is_some_and(|t| Resources::capacity_of(t).fits(&need))
         });
--- a/crates/quartzlever-core/src/scheduling/reservations/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations/tests.rs
@@ -55,15 +55,15 @@
     };
     place(&mut core, NOW + SECOND);
     let stopped = |core: &Core| -> Vec<crate::machines::attempt::AttemptKey> {
-        let slots = &core.partitions["one"].machines["n-1"].slots;
-        slots.iter().filter(|(_, s)| !s.wanted).map(|(key, _)| key.clone()).collect()
+        let attempts = &core.partitions["one"].machines["n-1"].attempts;
+        attempts.iter().filter(|(_, s)| !s.wanted).map(|(key, _)| key.clone()).collect()
     };
     let keys = stopped(&core);
     assert_eq!(keys.len(), 4, "all that is on the machine");
     for (n, key) in keys.iter().enumerate() {
         assert_eq!(placed(&core, &wide.id), [], "{n} have ended");
         let partition = core.partitions.get_mut("one").expect("it is held");
-        partition.machines["n-1"].slots.remove(key);
+        partition.machines["n-1"].attempts.remove(key);
         partition.requeue(&key.task, key.attempt);
         partition.refresh("n-1");
         core.fill("one", "n-1");
--- a/crates/quartzlever-core/src/scheduling/zones.rs
+++ b/crates/quartzlever-core/src/scheduling/zones.rs
@@ -48,9 +48,10 @@
 fn tasks_by_zone<'a>(partition: &'a Partition, id: &str) -> BTreeMap<&'a str, u32> {
     let mut used: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in partition.machines.values() {
-        let slots = machine.slots.iter();
-        let count =
-            slots.filter(|(key, slot)| key.task.job == *id && !slot.exited()).count() as u32;
+        let attempts = machine.attempts.iter();
+        let count = attempts
+            .filter(|(key, attempt)| key.task.job == *id && !attempt.exited())
+            .count() as u32;
         if count > 0 {
             *used.entry(machine.record.zone.as_str()).or_default() += count;
         }
@@ -60,8 +61,9 @@
 
 impl Partition {
     /// Whether a task of a job that is bound to zones may start on this machine.
-    pub(super) fn zone_open(&self, zones: &[String], id: &str, host: &str) -> bool {
-        let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(host)) else {
+    pub(super) fn zone_open(&self, zones: &[String], id: &str, machine_name: &str) -> bool {
+        let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(machine_name))
+        else {
             return false;
         };
         zone_capacity(self, job, zones).left(&machine.record.zone) > 0
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -9,7 +9,7 @@
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
 use super::cut::StealRequest;
-use crate::calls::{Move, PendingStoreCall};
+use crate::calls::{PendingStoreCall, TaskMove};
 use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel, RequestId};
 use crate::router::Core;
@@ -45,7 +45,7 @@
         name: &str,
         term: u64,
         request: Option<RequestId>,
-        moved: Vec<Move>,
+        moved: Vec<TaskMove>,
         result: Result<StoreReply, CallError>,
     ) {
         if self.partition_at_term(name, term).is_none() {
@@ -72,11 +72,11 @@
         &mut self,
         name: &str,
         request: Option<RequestId>,
-        moved: Vec<Move>,
+        moved: Vec<TaskMove>,
         mod_revision: u64,
     ) {
         let mut jobs = Vec::new();
-        for Move { job: id, cut, mut record } in moved {
+        for TaskMove { job: id, cut, mut record } in moved {
             let text = Json::of(&self.pages.stored_form(&record)).text().to_owned();
             if let Some(job) = self.partitions.get_mut(name).and_then(|p| p.jobs.get_mut(&id)) {
                 job.move_committed(&cut, &mut record, mod_revision);
@@ -100,10 +100,10 @@
 
     /// The move can no longer come into force: what is still owned returns to the queue, and jobs whose
     /// records have changed are read again.
-    fn move_conflicted(&mut self, name: &str, term: u64, moved: Vec<Move>, failed: &[String]) {
+    fn move_conflicted(&mut self, name: &str, term: u64, moved: Vec<TaskMove>, failed: &[String]) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let mut again = Vec::new();
-        for Move { job: id, cut, .. } in moved {
+        for TaskMove { job: id, cut, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
             job.move_conflicted(&cut, name);
             if failed.contains(&active_job_key(&id)) {
@@ -121,9 +121,9 @@
     }
 
     /// The move was not carried out: its tasks return to the queue.
-    fn take_back(&mut self, name: &str, moved: Vec<Move>) {
+    fn take_back(&mut self, name: &str, moved: Vec<TaskMove>) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        for Move { job: id, cut, .. } in moved {
+        for TaskMove { job: id, cut, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
             job.move_undone(&cut);
         }
@@ -131,10 +131,10 @@
 
     /// The move may still come into force, minutes late. Its tasks stay cut until another write at the
     /// same modification revision, or a newer record, has settled the matter.
-    fn move_outcome_unknown(&mut self, name: &str, moved: Vec<Move>) {
+    fn move_outcome_unknown(&mut self, name: &str, moved: Vec<TaskMove>) {
         let settle_at = self.now + SETTLE_AFTER;
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        for Move { job: id, .. } in moved {
+        for TaskMove { job: id, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
             job.move_outcome_unknown(settle_at);
         }
--- a/crates/quartzlever-core/src/stealing/cut.rs
+++ b/crates/quartzlever-core/src/stealing/cut.rs
@@ -10,7 +10,7 @@
 use quartzlever_wire::{Json, Ranges};
 
 use super::victim::is_movable;
-use crate::calls::Move;
+use crate::calls::TaskMove;
 use crate::jobs::pages::Pages;
 use crate::jobs::partition_job::PartitionJob;
 use crate::machines::resources::Resources;
@@ -81,14 +81,15 @@
     /// The victim's term.
     pub term: u64,
     pub txn: Txn,
-    pub moved: Vec<Move>,
+    pub moved: Vec<TaskMove>,
     bytes: usize,
 }
 
 impl Cut {
     /// An empty move, on condition of the terms of both partitions.
     fn new(victim: &Partition, asked: &StealRequest) -> Self {
-        let txn = victim.txn().when(format!("{PARTITION_PREFIX}{}", asked.thief), asked.term);
+        let txn =
+            victim.txn().if_mod_revision(format!("{PARTITION_PREFIX}{}", asked.thief), asked.term);
         Cut { term: victim.term, txn, moved: Vec::new(), bytes: 0 }
     }
 
@@ -116,9 +117,9 @@
         job.begin_move(&cut);
         let key = active_job_key(&id);
         let txn = std::mem::take(&mut self.txn);
-        self.txn = txn.when(key.clone(), job.mod_revision()).write(key, value);
+        self.txn = txn.if_mod_revision(key.clone(), job.mod_revision()).write(key, value);
         let tasks = cut.len();
-        self.moved.push(Move { job: id, cut, record });
+        self.moved.push(TaskMove { job: id, cut, record });
         tasks
     }
 }
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -6,7 +6,7 @@
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
 use quartzlever_wire::users::Priority;
 
-use crate::machines::attempt::Slot;
+use crate::machines::attempt::Attempt;
 use crate::partition::Partition;
 use crate::router::Core;
 use crate::scheduling::silence_limit;
@@ -90,8 +90,8 @@
         let open = partition.machines.values().filter(|m| m.open(self.now, quiet));
         let free = open.filter_map(|m| {
             let mut free = m.free;
-            let lower = |s: &&Slot| s.wanted && !s.exited() && s.priority > priority;
-            m.slots.values().filter(lower).for_each(|s| free.give(&s.need));
+            let lower = |s: &&Attempt| s.wanted && !s.exited() && s.priority > priority;
+            m.attempts.values().filter(lower).for_each(|s| free.add(&s.need));
             (free.cpus > 0.0).then(|| FreeCapacity {
                 machine_type: m.record.machine_type.clone(),
                 zone: m.record.zone.clone(),
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -34,7 +34,7 @@
             job.ready.subtract(&cut);
             job.begin_move(&cut);
         }
-        let the_move = Move { job: "req-1".into(), cut, record: record("0-1", "2-3") };
+        let the_move = TaskMove { job: "req-1".into(), cut, record: record("0-1", "2-3") };
         core.steal_written("one", 5, None, vec![the_move], moved);
         let ready = |core: &Core| core.partitions["one"].jobs["req-1"].ready.to_string();
         assert_eq!(ready(&core), after_move, "{name}");
--- a/crates/quartzlever-core/src/stealing/victim.rs
+++ b/crates/quartzlever-core/src/stealing/victim.rs
@@ -88,7 +88,7 @@
         && !job.ready.is_empty()
         // Elsewhere it would fail on as many machines again.
         && !job.fails_everywhere()
-        && !config.limited(&spec.team)
+        && !config.is_team_limited(&spec.team)
         && !spec.one_zone
         && !spec.spread
         && !spec.is_service()
--- a/crates/quartzlever-core/src/store.rs
+++ b/crates/quartzlever-core/src/store.rs
@@ -19,12 +19,12 @@
 pub(crate) mod watch;
 pub(crate) mod write_budget;
 
-use quartzlever_wire::store::{ACTIVE_JOB_PREFIX, Row};
+use quartzlever_wire::store::{ACTIVE_JOB_PREFIX, KeyValue};
 use serde::de::DeserializeOwned;
 
 /// The record of a row, if it can be read.
-pub(crate) fn parse<T: DeserializeOwned>(row: &Row) -> Option<T> {
-    row.v.parse()
+pub(crate) fn parse<T: DeserializeOwned>(entry: &KeyValue) -> Option<T> {
+    entry.value.parse()
 }
 
 /// The key of a job that is neither done nor cancelled.
--- a/crates/quartzlever-core/src/store/event.rs
+++ b/crates/quartzlever-core/src/store/event.rs
@@ -2,10 +2,10 @@
 //!
 //! Decides which records are read at all. What each means for a component is no concern of this module.
 
-use quartzlever_wire::pages::PAGES;
+use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, CLUSTER_PREFIX, Event, MACHINE_PREFIX, MACHINES_SEEN_PREFIX,
-    PARTITION_PREFIX, PartitionRecord, Row, TERMINAL_JOB_PREFIX, TerminalJobRecord,
+    ACTIVE_JOB_PREFIX, CLUSTER_PREFIX, Event, KeyValue, MACHINE_PREFIX, MACHINES_SEEN_PREFIX,
+    PARTITION_PREFIX, PartitionRecord, TERMINAL_JOB_PREFIX, TerminalJobRecord,
 };
 
 use crate::calls::Section;
@@ -28,7 +28,7 @@
     },
     /// A block of machines is as listed, or has changed.
     MachineGroup {
-        row: Row,
+        entry: KeyValue,
         is_change: bool,
     },
     MachineGroupDeleted {
@@ -36,7 +36,7 @@
         mod_revision: u64,
     },
     /// The record of a job that is neither done nor cancelled, which may be unreadable.
-    Job(Row),
+    Job(KeyValue),
     JobDeleted {
         id: String,
         mod_revision: u64,
@@ -47,19 +47,19 @@
         record: TerminalJobRecord,
     },
     /// Finished tasks of a job.
-    Page(Row),
+    Page(KeyValue),
     PageDeleted {
         key: String,
         mod_revision: u64,
     },
     /// The cluster version, a node's version, or the size of blocks.
-    Cluster(Row),
+    Cluster(KeyValue),
     ClusterDeleted {
         key: String,
         mod_revision: u64,
     },
     /// A node tells how many of the machines it hears.
-    MachinesSeen(Row),
+    MachinesSeen(KeyValue),
 }
 
 impl StoreEvent {
@@ -83,39 +83,39 @@
                 None
             }
             Event::Write { write, v, mod_revision } => {
-                Self::written(Row { path: write, v, mod_revision, lease_id: None })
+                Self::written(KeyValue { key: write, value: v, mod_revision, lease_id: None })
             }
             Event::Delete { delete, mod_revision } => Self::deleted(delete, mod_revision),
         }
     }
 
     /// A record that a listing has brought.
-    pub fn listed(section: Section, row: Row) -> Option<Self> {
+    pub fn listed(section: Section, entry: KeyValue) -> Option<Self> {
         match section {
-            Section::Partitions => Self::partition(&row),
-            Section::Machines => Some(StoreEvent::MachineGroup { row, is_change: false }),
-            Section::Jobs => Some(StoreEvent::Job(row)),
-            Section::Pages => Some(StoreEvent::Page(row)),
-            Section::Cluster => Some(StoreEvent::Cluster(row)),
+            Section::Partitions => Self::partition(&entry),
+            Section::Machines => Some(StoreEvent::MachineGroup { entry, is_change: false }),
+            Section::Jobs => Some(StoreEvent::Job(entry)),
+            Section::Pages => Some(StoreEvent::Page(entry)),
+            Section::Cluster => Some(StoreEvent::Cluster(entry)),
         }
     }
 
-    fn written(row: Row) -> Option<Self> {
-        if row.path.starts_with(PARTITION_PREFIX) {
-            Self::partition(&row)
-        } else if row.path.starts_with(MACHINE_PREFIX) {
-            Some(StoreEvent::MachineGroup { row, is_change: true })
-        } else if row.path.starts_with(ACTIVE_JOB_PREFIX) {
-            Some(StoreEvent::Job(row))
-        } else if row.path.starts_with(PAGES) {
-            Some(StoreEvent::Page(row))
-        } else if row.path.starts_with(CLUSTER_PREFIX) {
-            Some(StoreEvent::Cluster(row))
-        } else if row.path.starts_with(MACHINES_SEEN_PREFIX) {
-            Some(StoreEvent::MachinesSeen(row))
+    fn written(entry: KeyValue) -> Option<Self> {
+        if entry.key.starts_with(PARTITION_PREFIX) {
+            Self::partition(&entry)
+        } else if entry.key.starts_with(MACHINE_PREFIX) {
+            Some(StoreEvent::MachineGroup { entry, is_change: true })
+        } else if entry.key.starts_with(ACTIVE_JOB_PREFIX) {
+            Some(StoreEvent::Job(entry))
+        } else if entry.key.starts_with(PAGE_PREFIX) {
+            Some(StoreEvent::Page(entry))
+        } else if entry.key.starts_with(CLUSTER_PREFIX) {
+            Some(StoreEvent::Cluster(entry))
+        } else if entry.key.starts_with(MACHINES_SEEN_PREFIX) {
+            Some(StoreEvent::MachinesSeen(entry))
         } else {
-            let id = row.path.strip_prefix(TERMINAL_JOB_PREFIX)?.to_owned();
-            let record = parse::<TerminalJobRecord>(&row)?;
+            let id = entry.key.strip_prefix(TERMINAL_JOB_PREFIX)?.to_owned();
+            let record = parse::<TerminalJobRecord>(&entry)?;
             Some(StoreEvent::JobTerminated { id, record })
         }
     }
@@ -123,7 +123,7 @@
     fn deleted(key: String, mod_revision: u64) -> Option<Self> {
         if let Some(name) = key.strip_prefix(PARTITION_PREFIX) {
             Some(StoreEvent::PartitionDeleted { name: name.to_owned(), mod_revision })
-        } else if key.starts_with(PAGES) {
+        } else if key.starts_with(PAGE_PREFIX) {
             Some(StoreEvent::PageDeleted { key, mod_revision })
         } else if key.starts_with(CLUSTER_PREFIX) {
             Some(StoreEvent::ClusterDeleted { key, mod_revision })
@@ -135,10 +135,10 @@
         }
     }
 
-    fn partition(row: &Row) -> Option<Self> {
-        let name = row.path.strip_prefix(PARTITION_PREFIX)?.to_owned();
-        let record = parse(row)?;
-        Some(StoreEvent::Partition { name, record, mod_revision: row.mod_revision })
+    fn partition(entry: &KeyValue) -> Option<Self> {
+        let name = entry.key.strip_prefix(PARTITION_PREFIX)?.to_owned();
+        let record = parse(entry)?;
+        Some(StoreEvent::Partition { name, record, mod_revision: entry.mod_revision })
     }
 }
 
--- a/crates/quartzlever-core/src/store/event/tests.rs
+++ b/crates/quartzlever-core/src/store/event/tests.rs
@@ -46,7 +46,7 @@
         let event = Event::Write { write: key.into(), v: value.clone(), mod_revision };
         assert_eq!(kind(event, &cache, &terminal_jobs), expected, "{key} {mod_revision}");
     }
-    for (prefix, expected) in [(PAGES, "Page"), (MACHINES_SEEN_PREFIX, "MachinesSeen")] {
+    for (prefix, expected) in [(PAGE_PREFIX, "Page"), (MACHINES_SEEN_PREFIX, "MachinesSeen")] {
         let event = Event::Write { write: format!("{prefix}one"), v: any.clone(), mod_revision: 9 };
         assert_eq!(kind(event, &cache, &terminal_jobs), expected, "{prefix}");
     }
@@ -58,7 +58,7 @@
     for (key, mod_revision, expected) in [
         ("parts/one".to_owned(), 9, "PartitionDeleted"),
         ("parts/one".to_owned(), 8, ""),
-        (format!("{PAGES}req-1/0"), 9, "PageDeleted"),
+        (format!("{PAGE_PREFIX}req-1/0"), 9, "PageDeleted"),
         (format!("{CLUSTER_PREFIX}nodes/one"), 9, "ClusterDeleted"),
         ("hosts/a".to_owned(), 9, "MachineGroupDeleted"),
         ("live/req-1".to_owned(), 9, "JobDeleted"),
@@ -72,9 +72,9 @@
 /// A listing shows what is there: nothing of it counts as known already.
 #[test]
 fn listed_records_are_told_by_their_section() {
-    let row = |path: &str| Row {
-        path: path.into(),
-        v: Json::of(&PartitionRecord { node: "one".into(), process: 1 }),
+    let entry = |path: &str| KeyValue {
+        key: path.into(),
+        value: Json::of(&PartitionRecord { node: "one".into(), process: 1 }),
         mod_revision: 3,
         lease_id: None,
     };
@@ -85,10 +85,10 @@
         (Section::Pages, "pages/req-1/0", "Page"),
         (Section::Cluster, "cluster/version", "Cluster"),
     ] {
-        let event = StoreEvent::listed(section, row(path));
+        let event = StoreEvent::listed(section, entry(path));
         let text = format!("{event:?}");
         assert!(text.starts_with(&format!("Some({expected}")), "{section:?}: {text}");
     }
-    let listed = StoreEvent::listed(Section::Machines, row("hosts/a"));
+    let listed = StoreEvent::listed(Section::Machines, entry("hosts/a"));
     assert!(matches!(listed, Some(StoreEvent::MachineGroup { is_change: false, .. })));
 }
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -5,7 +5,7 @@
 //! page that belongs to an earlier listing is ignored. Later pages may tell of changes after the first one,
 //! and the watch, which begins at the revision of the first page, tells of these again.
 
-use quartzlever_wire::store::{Row, Rows, StoreCall, StoreReply};
+use quartzlever_wire::store::{KeyValue, ListPage, StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
 use crate::calls::{PendingStoreCall, Section};
@@ -35,7 +35,7 @@
 /// A page that has come.
 #[derive(Debug)]
 pub(crate) struct ListedPage {
-    pub rows: Vec<Row>,
+    pub entries: Vec<KeyValue>,
     /// The revision at which the listing begins, if this is its first page.
     pub begins_at: Option<u64>,
     /// Whether it is the first page of its section.
@@ -74,21 +74,21 @@
         result: Result<StoreReply, CallError>,
     ) -> Option<ListedPage> {
         let listing = self.under_way.filter(|listing| listing.number == number)?;
-        let Ok(StoreReply::Rows(rows)) = result else {
+        let Ok(StoreReply::Listed(page)) = result else {
             self.under_way = None;
             self.retry_at = now + RETRY;
             return None;
         };
         self.under_way = Some(UnderWay { section: Some(section), ..listing });
-        let next = match (next_page(&rows), section.next()) {
+        let next = match (next_page(&page), section.next()) {
             (Some(from), _) => NextPage::From(from),
             (None, Some(next)) => NextPage::Section(next),
             (None, None) => NextPage::Complete { sent: listing.sent },
         };
         Some(ListedPage {
-            begins_at: listing.section.is_none().then_some(rows.revision),
+            begins_at: listing.section.is_none().then_some(page.revision),
             begins_section: listing.section != Some(section),
-            rows: rows.rows,
+            entries: page.entries,
             next,
         })
     }
@@ -118,8 +118,8 @@
     outbox.call_store(CallPriority::Lease, call, PendingStoreCall::List { listing, section });
 }
 
-fn next_page(rows: &Rows) -> Option<String> {
-    if rows.has_next { rows.rows.last().map(|row| row.path.clone()) } else { None }
+fn next_page(page: &ListPage) -> Option<String> {
+    if page.has_next { page.entries.last().map(|entry| entry.key.clone()) } else { None }
 }
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/store/listing/tests.rs
+++ b/crates/quartzlever-core/src/store/listing/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::messages::{Effect, LogLevel};
-use crate::testing::{NOW, partition_row};
+use crate::testing::{NOW, partition_entry};
 
 /// States that tests begin with.
 impl Listing {
@@ -25,8 +25,8 @@
     outbox.take_effects().into_iter().filter_map(call).collect()
 }
 
-fn page(rows: Vec<Row>, has_next: bool) -> Result<StoreReply, CallError> {
-    Ok(StoreReply::Rows(Rows { rows, has_next, revision: 20 }))
+fn page(rows: Vec<KeyValue>, has_next: bool) -> Result<StoreReply, CallError> {
+    Ok(StoreReply::Listed(ListPage { entries: rows, has_next, revision: 20 }))
 }
 
 #[test]
@@ -35,11 +35,11 @@
     listing.begin(NOW, &mut outbox);
     listing.begin(NOW + SECOND, &mut outbox);
     assert_eq!(asked(&mut outbox), [("parts/".to_owned(), None)], "one at a time");
-    let row = partition_row("one", "one", 1, 5);
+    let entry = partition_entry("one", "one", 1, 5);
     let number = listing.latest();
-    let first = listing.page_listed(NOW, number, Section::Partitions, page(vec![row], true));
+    let first = listing.page_listed(NOW, number, Section::Partitions, page(vec![entry], true));
     let first = first.expect("it is of the listing under way");
-    assert_eq!((first.begins_at, first.begins_section, first.rows.len()), (Some(20), true, 1));
+    assert_eq!((first.begins_at, first.begins_section, first.entries.len()), (Some(20), true, 1));
     assert_eq!(listing.proceed(Section::Partitions, first.next, &mut outbox), None);
     assert_eq!(asked(&mut outbox), [("parts/".to_owned(), Some("parts/one".to_owned()))]);
     for section in Section::ALL {
--- a/crates/quartzlever-core/src/store/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -10,7 +10,7 @@
 use quartzlever_wire::store::StoreCall;
 use quartzlever_wire::{Micros, SECOND};
 
-use crate::calls::{Asked, PendingStoreCall};
+use crate::calls::{PendingLookup, PendingStoreCall};
 use crate::messages::{CallPriority, RequestId};
 use crate::outbox::Outbox;
 use crate::store::cache::Cache;
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Lookups {
     /// For a read of the revision.
-    waiting: Vec<Asked>,
+    waiting: Vec<PendingLookup>,
     is_reading: bool,
     next_read_at: Micros,
     /// For the cache to come to a revision.
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct Fenced {
     revision: u64,
-    asked: Vec<Asked>,
+    asked: Vec<PendingLookup>,
 }
 
 impl Lookups {
@@ -48,7 +48,7 @@
         if self.waiting.len() + fenced >= MOST {
             return false;
         }
-        self.waiting.push(Asked { id, job, since: now });
+        self.waiting.push(PendingLookup { id, job, since: now });
         true
     }
 
@@ -71,12 +71,12 @@
     }
 
     /// These questions wait for the cache to come to a revision from now on.
-    pub fn wait_for(&mut self, revision: u64, asked: Vec<Asked>) {
+    pub fn wait_for(&mut self, revision: u64, asked: Vec<PendingLookup>) {
         self.fenced.push_back(Fenced { revision, asked });
     }
 
     /// The next questions that the cache is new enough for.
-    pub fn take_answerable(&mut self, cache: &Cache) -> Option<Vec<Asked>> {
+    pub fn take_answerable(&mut self, cache: &Cache) -> Option<Vec<PendingLookup>> {
         let first = self.fenced.front()?;
         if !cache.loaded() || first.revision > cache.revision() {
             return None;
@@ -86,7 +86,7 @@
 
     /// The next questions that have waited too long, since the cache lags behind or there is none: the oldest
     /// first.
-    pub fn take_overdue(&mut self, now: Micros) -> Option<Vec<Asked>> {
+    pub fn take_overdue(&mut self, now: Micros) -> Option<Vec<PendingLookup>> {
         let first = self.fenced.front()?.asked.first();
         if first.is_some_and(|asked| now.saturating_sub(asked.since) <= PATIENCE) {
             return None;
--- a/crates/quartzlever-core/src/store/lookups/tests.rs
+++ b/crates/quartzlever-core/src/store/lookups/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// Has the revision read; gives the questions that wait for it.
-fn read(lookups: &mut Lookups, now: Micros) -> Option<Vec<Asked>> {
+fn read(lookups: &mut Lookups, now: Micros) -> Option<Vec<PendingLookup>> {
     let mut outbox = Outbox::new(LogLevel::Error, NOW);
     lookups.poll(now, SECOND / 10, &mut outbox);
     match outbox.take_store_call(1) {
@@ -38,8 +38,8 @@
 
 #[test]
 fn questions_are_given_out_when_the_cache_is_new_enough_or_they_have_waited_too_long() {
-    let asked = |id| vec![Asked { id, job: format!("req-{id}"), since: NOW }];
-    let ids = |asked: Option<Vec<Asked>>| asked.map(|asked| asked[0].id);
+    let asked = |id| vec![PendingLookup { id, job: format!("req-{id}"), since: NOW }];
+    let ids = |asked: Option<Vec<PendingLookup>>| asked.map(|asked| asked[0].id);
     let mut lookups = Lookups::default();
     for (revision, id) in [(10, 1), (12, 2), (11, 3)] {
         lookups.wait_for(revision, asked(id));
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -1,7 +1,7 @@
 //! What tests of single modules share: a controller with one partition and one machine, jobs, and reports.
 
 pub(crate) use crate::autoscaling::{MachineOffer, PendingInstance};
-pub(crate) use crate::calls::{JobWrite, JobWriteAction, Move, PendingStoreCall, Section};
+pub(crate) use crate::calls::{JobWrite, JobWriteAction, PendingStoreCall, Section, TaskMove};
 pub(crate) use crate::config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
 pub(crate) use crate::events::LogEvent;
 pub(crate) use crate::leadership::lease::Lease;
@@ -17,8 +17,8 @@
     FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity,
 };
 pub(crate) use quartzlever_wire::store::{
-    ActiveJobRecord, CLUSTER_VERSION_KEY, Change, ClusterRecord, Event, MachineRecord,
-    MachineRecords, NodeRecord, PartitionRecord, Row, Rows, Share, StoreCall, StoreReply,
+    ActiveJobRecord, CLUSTER_VERSION_KEY, Change, ClusterRecord, Event, KeyValue, ListPage,
+    MachineRecord, MachineRecords, NodeRecord, PartitionRecord, Share, StoreCall, StoreReply,
     TerminalJobRecord, WatchAnswer, large_group_key,
 };
 pub(crate) use quartzlever_wire::users::{JobPhase, JobSpec, Priority, Shape};
@@ -94,14 +94,14 @@
     core.cache.set_view_as_of(NOW);
     let mut partition = Partition::new("one", 5, core.types.clone(), NOW);
     (partition.loaded, partition.recovery_complete) = (true, true);
-    let host = MachineRecord {
+    let record = MachineRecord {
         partition: "one".into(),
         address: "n-1:9000".into(),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: true,
     };
-    partition.add_machine("n-1", host, true, NOW);
+    partition.add_machine("n-1", record, true, NOW);
     core.partitions.insert("one".into(), partition);
     core
 }
@@ -118,7 +118,7 @@
         })
         .collect();
     Heartbeat {
-        host: "n-1".into(),
+        machine: "n-1".into(),
         address: "n-1:9000".into(),
         machine_type: "m".into(),
         zone: "a".into(),
@@ -132,7 +132,7 @@
 }
 
 pub(crate) fn heartbeat_from(
-    host: &str,
+    machine: &str,
     incarnation: u64,
     tick: u64,
     fencing_token: u64,
@@ -146,8 +146,8 @@
         kept: None,
     });
     Heartbeat {
-        host: host.into(),
-        address: format!("{host}:9000"),
+        machine: machine.into(),
+        address: format!("{machine}:9000"),
         machine_type: "m".into(),
         zone: "a".into(),
         spot: true,
@@ -177,15 +177,15 @@
 }
 
 /// The announcement of a process of this version.
-pub(crate) fn announcement(node: &str, process: u64, mod_revision: u64) -> Row {
+pub(crate) fn announcement(node: &str, process: u64, mod_revision: u64) -> KeyValue {
     let v = Json::of(&NodeRecord { version: crate::upgrade::VERSION, process });
-    Row { path: format!("cluster/nodes/{node}"), v, mod_revision, lease_id: Some(1) }
+    KeyValue { key: format!("cluster/nodes/{node}"), value: v, mod_revision, lease_id: Some(1) }
 }
 
 /// The record that raises the cluster version.
-pub(crate) fn raised_version(mod_revision: u64) -> Row {
+pub(crate) fn raised_version(mod_revision: u64) -> KeyValue {
     let v = Json::of(&ClusterRecord { version: crate::upgrade::VERSION });
-    Row { path: CLUSTER_VERSION_KEY.into(), v, mod_revision, lease_id: None }
+    KeyValue { key: CLUSTER_VERSION_KEY.into(), value: v, mod_revision, lease_id: None }
 }
 
 /// The store's answer to the announcement of node one among the effects, without which it
@@ -221,7 +221,7 @@
 
 pub(crate) fn idle_heartbeat(name: &str, tick: u64, fencing_token: u64) -> Heartbeat {
     Heartbeat {
-        host: name.into(),
+        machine: name.into(),
         address: format!("{name}:9000"),
         machine_type: "m".into(),
         zone: "a".into(),
@@ -251,7 +251,7 @@
 
 pub(crate) fn returned(effects: &[Effect]) -> usize {
     let names = |e: &Effect| match e {
-        Effect::Cloud { call: CloudCall::Return(hosts), .. } => hosts.len(),
+        Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } => machines.len(),
         _ => 0,
     };
     effects.iter().map(names).sum()
@@ -298,7 +298,7 @@
         kept: None,
     };
     Heartbeat {
-        host: "n-1".into(),
+        machine: "n-1".into(),
         address: "n-1:9000".into(),
         machine_type: "m".into(),
         zone: "a".into(),
@@ -348,7 +348,7 @@
         };
         partition.add_machine(name, record, true, NOW);
         let heartbeat = Heartbeat {
-            host: (*name).into(),
+            machine: (*name).into(),
             address: "n:1".into(),
             machine_type: (*machine_type).into(),
             zone: (*zone).into(),
@@ -380,7 +380,7 @@
 /// How many of a job's tasks went to each machine, by the machines' names.
 pub(crate) fn placed(core: &Core, id: &str) -> Vec<(String, usize)> {
     let on = |m: &crate::machines::machine::Machine| {
-        m.slots.keys().filter(|key| key.task.job == id).count()
+        m.attempts.keys().filter(|key| key.task.job == id).count()
     };
     let partition = &core.partitions["one"];
     let counts = partition.machines.values().map(|m| (m.name.clone(), on(m)));
@@ -388,19 +388,24 @@
 }
 
 /// The key of a partition, held by a process of a node.
-pub(crate) fn partition_row(partition: &str, node: &str, process: u64, mod_revision: u64) -> Row {
+pub(crate) fn partition_entry(
+    partition: &str,
+    node: &str,
+    process: u64,
+    mod_revision: u64,
+) -> KeyValue {
     let v = Json::of(&PartitionRecord { node: node.into(), process });
-    Row { path: format!("parts/{partition}"), v, mod_revision, lease_id: Some(1) }
+    KeyValue { key: format!("parts/{partition}"), value: v, mod_revision, lease_id: Some(1) }
 }
 
 /// Has all records listed anew: these rows, at this revision.
-pub(crate) fn list_records(core: &mut Core, rows: &[Row], revision: u64) {
+pub(crate) fn list_records(core: &mut Core, rows: &[KeyValue], revision: u64) {
     core.listing.begin(core.now, &mut core.outbox);
     let number = core.listing.latest();
     for section in Section::ALL {
-        let of = |row: &&Row| row.path.starts_with(section.prefix());
+        let of = |entry: &&KeyValue| entry.key.starts_with(section.prefix());
         let rows = rows.iter().filter(of).cloned().collect();
-        let page = Rows { rows, has_next: false, revision };
-        core.page_listed(number, section, Ok(StoreReply::Rows(page)));
+        let page = ListPage { entries: rows, has_next: false, revision };
+        core.page_listed(number, section, Ok(StoreReply::Listed(page)));
     }
 }
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -7,8 +7,9 @@
 use std::collections::BTreeMap;
 
 use quartzlever_wire::store::{
-    CLUSTER_VERSION_KEY, ClusterRecord, GROUP_SIZE_KEY, GroupSizeRecord, NODE_VERSION_PREFIX,
-    NodeRecord, PARTITION_PREFIX, PartitionRecord, Row, StoreCall, StoreReply, Txn, group_size,
+    CLUSTER_VERSION_KEY, ClusterRecord, GROUP_SIZE_KEY, GroupSizeRecord, KeyValue,
+    NODE_VERSION_PREFIX, NodeRecord, PARTITION_PREFIX, PartitionRecord, StoreCall, StoreReply, Txn,
+    group_size,
 };
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
@@ -149,16 +150,16 @@
             return;
         }
         let (txn, write) = if self.has_announced() {
-            let next = self.raising().map(|txn| (txn, ClusterWrite::Raise));
+            let next = self.raising().map(|txn| (txn, ClusterWrite::RaiseVersion));
             let next =
-                next.or_else(|| self.smaller_group_size().map(|t| (t, ClusterWrite::Blocks)));
+                next.or_else(|| self.smaller_group_size().map(|t| (t, ClusterWrite::SetGroupSize)));
             let Some(next) = next else { return };
             next
         } else {
             // At once, while the records are still being read: nothing is acquired before it.
             let key = format!("{NODE_VERSION_PREFIX}{}", self.config.node);
-            let txn = Txn::default().write_held(key, Json::of(&self.own_record()), lease);
-            (txn, ClusterWrite::Announce)
+            let txn = Txn::default().write_with_lease(key, Json::of(&self.own_record()), lease);
+            (txn, ClusterWrite::AnnounceVersion)
         };
         self.cluster.write_pending = true;
         self.cluster.next_write_at = now + RETRY;
@@ -187,13 +188,13 @@
         if self.cluster.version >= VERSION || !self.cache.loaded() {
             return None;
         }
-        let mut txn = Txn::default().when(CLUSTER_VERSION_KEY, 0);
+        let mut txn = Txn::default().if_mod_revision(CLUSTER_VERSION_KEY, 0);
         for node in &self.config.nodes {
             let (record, mod_revision) = self.cluster.nodes.get(node)?;
             if record.version < VERSION {
                 return None;
             }
-            txn = txn.when(format!("{NODE_VERSION_PREFIX}{node}"), *mod_revision);
+            txn = txn.if_mod_revision(format!("{NODE_VERSION_PREFIX}{node}"), *mod_revision);
             let partition = self.cache.partition(node);
             if let Some(Versioned { record: leader, .. }) = partition {
                 let (announced, _) = self.cluster.nodes.get(&leader.node)?;
@@ -201,7 +202,7 @@
                     return None;
                 }
             }
-            txn = txn.when(
+            txn = txn.if_mod_revision(
                 format!("{PARTITION_PREFIX}{node}"),
                 partition.map_or(0, |held| held.mod_revision),
             );
@@ -216,7 +217,8 @@
         if !self.cluster.services() || size >= self.group_size() {
             return None;
         }
-        let txn = Txn::default().when(GROUP_SIZE_KEY, self.cluster.group_size_revision());
+        let txn =
+            Txn::default().if_mod_revision(GROUP_SIZE_KEY, self.cluster.group_size_revision());
         Some(txn.write(GROUP_SIZE_KEY, Json::of(&GroupSizeRecord { size })))
     }
 
@@ -229,7 +231,7 @@
         self.cluster.write_pending = false;
         match (write, result) {
             // What was announced on an earlier lease has gone with it.
-            (ClusterWrite::Announce, Ok(StoreReply::Committed(mod_revision)))
+            (ClusterWrite::AnnounceVersion, Ok(StoreReply::Committed(mod_revision)))
                 if self.lease.id() == Some(lease) =>
             {
                 let (node, record) = (self.config.node.clone(), self.own_record());
@@ -249,23 +251,23 @@
     }
 
     /// A record of versions, as the store has it.
-    pub(crate) fn apply_cluster_row(&mut self, row: &Row) {
-        if row.path == CLUSTER_VERSION_KEY {
-            match parse::<ClusterRecord>(row) {
+    pub(crate) fn apply_cluster_record(&mut self, entry: &KeyValue) {
+        if entry.key == CLUSTER_VERSION_KEY {
+            match parse::<ClusterRecord>(entry) {
                 Some(record) => self.cluster_raised(record.version),
-                None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path)),
+                None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
             }
-        } else if row.path == GROUP_SIZE_KEY {
-            match parse::<GroupSizeRecord>(row) {
+        } else if entry.key == GROUP_SIZE_KEY {
+            match parse::<GroupSizeRecord>(entry) {
                 Some(record) if record.size > 0 => {
-                    self.cluster.group_size = Some((record.size, row.mod_revision));
+                    self.cluster.group_size = Some((record.size, entry.mod_revision));
                 }
-                _ => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path)),
+                _ => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
             }
-        } else if let Some(node) = row.path.strip_prefix(NODE_VERSION_PREFIX) {
-            match parse::<NodeRecord>(row) {
-                Some(record) => self.cluster.insert_node(node, record, row.mod_revision),
-                None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.path)),
+        } else if let Some(node) = entry.key.strip_prefix(NODE_VERSION_PREFIX) {
+            match parse::<NodeRecord>(entry) {
+                Some(record) => self.cluster.insert_node(node, record, entry.mod_revision),
+                None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
             }
         }
     }
--- a/crates/quartzlever-core/src/upgrade/tests.rs
+++ b/crates/quartzlever-core/src/upgrade/tests.rs
@@ -7,7 +7,7 @@
 fn announce(core: &mut Core, node: &str, version: u32, process: u64, mod_revision: u64) {
     let v = Json::of(&NodeRecord { version, process });
     let path = format!("cluster/nodes/{node}");
-    core.apply_cluster_row(&Row { path, v, mod_revision, lease_id: Some(1) });
+    core.apply_cluster_record(&KeyValue { key: path, value: v, mod_revision, lease_id: Some(1) });
 }
 
 fn held(core: &mut Core, partition: &str, node: &str, process: u64, mod_revision: u64) {
@@ -52,7 +52,7 @@
         let first = transactions(&mut core, NOW);
         assert!(first.iter().all(|t| format!("{t:?}").contains("cluster/nodes/one")), "{n}");
         assert_eq!(first.len(), 1, "{n}");
-        core.cluster_answered(ClusterWrite::Announce, 1, &Ok(StoreReply::Committed(8)));
+        core.cluster_answered(ClusterWrite::AnnounceVersion, 1, &Ok(StoreReply::Committed(8)));
         announce(&mut core, "one", VERSION, process.0, 8);
         if let Some(version) = version {
             announce(&mut core, "two", version, process.1, 9);
@@ -78,15 +78,15 @@
         }
         // Until the key is seen nothing new is done, and after that it is not raised again.
         assert!(!core.cluster.services(), "{n}");
-        core.apply_cluster_row(&raised_version(10));
+        core.apply_cluster_record(&raised_version(10));
         assert!(core.cluster.services(), "{n}");
-        core.cluster_answered(ClusterWrite::Raise, 1, &Ok(StoreReply::Committed(10)));
+        core.cluster_answered(ClusterWrite::RaiseVersion, 1, &Ok(StoreReply::Committed(10)));
         assert!(transactions(&mut core, NOW + 5 * SECOND).is_empty(), "{n}");
         // A lower one does not bring it back.
         let v = Json::of(&ClusterRecord { version: 1 });
-        core.apply_cluster_row(&Row {
-            path: CLUSTER_VERSION_KEY.into(),
-            v,
+        core.apply_cluster_record(&KeyValue {
+            key: CLUSTER_VERSION_KEY.into(),
+            value: v,
             mod_revision: 11,
             lease_id: None,
         });
@@ -103,9 +103,9 @@
     core.config.version = 1;
     assert!(transactions(&mut core, NOW).is_empty());
     let v = Json::of(&ClusterRecord { version: VERSION + 1 });
-    core.apply_cluster_row(&Row {
-        path: CLUSTER_VERSION_KEY.into(),
-        v,
+    core.apply_cluster_record(&KeyValue {
+        key: CLUSTER_VERSION_KEY.into(),
+        value: v,
         mod_revision: 10,
         lease_id: None,
     });
@@ -161,7 +161,7 @@
             announce(&mut core, "two", VERSION, process, mod_revision);
         }
         if raised {
-            core.apply_cluster_row(&raised_version(10));
+            core.apply_cluster_record(&raised_version(10));
         }
         let takes = |core: &mut Core, now: Micros| {
             let effects = core.step(now, Vec::new());
--- a/crates/quartzlever-core/tests/simulation/large_fleet.rs
+++ b/crates/quartzlever-core/tests/simulation/large_fleet.rs
@@ -26,7 +26,7 @@
 #[test]
 fn one_controller_takes_over_more_than_4000_machines() {
     let mut simulation = Simulation::with(4_200, NODES, large);
-    simulation.cloud.most = MACHINES;
+    simulation.cloud.max_machines = MACHINES;
     simulation.run_time = 45 * SECOND;
     simulation.run(3 * SECOND);
     for number in 0..JOBS {
--- a/crates/quartzlever-core/tests/simulation/large_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/large_jobs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use quartzlever_core::Config;
-use quartzlever_wire::pages::{PAGES, PageRecord, page_of_key};
+use quartzlever_wire::pages::{PAGE_PREFIX, PageRecord, page_of_key};
 use quartzlever_wire::store::ActiveJobRecord;
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{Ranges, SECOND};
@@ -63,7 +63,7 @@
 fn recorded(w: &Simulation, id: &str) -> Ranges {
     let live = w.store.get(&format!("live/{id}")).and_then(|(v, _)| v.parse::<ActiveJobRecord>());
     let mut finished = live.expect("a live job").finished;
-    for key in w.store.keys(PAGES) {
+    for key in w.store.keys(PAGE_PREFIX) {
         let (_, number) = page_of_key(&key).expect("the key of a page");
         let page = w.store.get(&key).and_then(|(v, _)| v.parse::<PageRecord>());
         finished.add(&page.and_then(|page| page.tasks(number)).expect("a page"));
@@ -84,14 +84,17 @@
             .enumerate()
     {
         let mut w = Simulation::with(500 + seed as u64, NODES, low_limits);
-        w.cloud.most = 90;
+        w.cloud.max_machines = 90;
         (w.run_time, w.odd_tasks_wait) = (SECOND, true);
         w.run(5 * SECOND);
         (w.store.value_limit, w.store.ops_limit) = (VALUE_BYTES, CHANGES);
         let id = job(1, TASKS).id;
         assert_eq!(w.submit_until_accepted(0, &job(1, TASKS)), 201, "{trouble:?}");
         w.run(40 * SECOND);
-        assert!(!w.store.keys(PAGES).is_empty(), "{trouble:?}: the record has outgrown its value");
+        assert!(
+            !w.store.keys(PAGE_PREFIX).is_empty(),
+            "{trouble:?}: the record has outgrown its value"
+        );
         let (before, started) = (recorded(&w, &id), starts(&w));
         assert!(before.count_ranges() > 200, "{trouble:?}: {} gaps", before.count_ranges());
         bring_about(&mut w, trouble);
@@ -112,7 +115,7 @@
         w.pass(90 * SECOND);
         let end = if trouble == Cancelled { JobPhase::Cancelled } else { JobPhase::Done };
         assert_eq!(w.over(&id), Some(end), "{trouble:?}");
-        assert!(w.store.keys(PAGES).is_empty(), "{trouble:?}: pages are left over");
+        assert!(w.store.keys(PAGE_PREFIX).is_empty(), "{trouble:?}: pages are left over");
         assert!(w.store.too_large < 8, "{trouble:?}: {} too large", w.store.too_large);
         w.check_end();
         assert!(w.rules.broken.is_empty(), "{trouble:?}: {:?}", &w.rules.broken[..1]);
--- a/crates/quartzlever-core/tests/simulation/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -84,8 +84,8 @@
     };
     let claimed: Vec<MachineRecords> =
         w.store.keys("hosts/").into_iter().filter_map(machines).collect();
-    let is_claimed = |host: &String| claimed.iter().any(|hosts| hosts.contains_key(host));
-    w.workers.keys().filter(|host| !is_claimed(host)).count()
+    let is_claimed = |machine: &String| claimed.iter().any(|records| records.contains_key(machine));
+    w.workers.keys().filter(|machine| !is_claimed(machine)).count()
 }
 
 #[test]
--- a/crates/quartzlever-core/tests/simulation/liveness.rs
+++ b/crates/quartzlever-core/tests/simulation/liveness.rs
@@ -17,9 +17,10 @@
 #[test]
 fn jobs_run_where_the_cloud_has_no_spot_machines() {
     // (spot machines there are, tasks of each job)
-    for (most_spot, tasks) in [(0, 1), (0, 4), (1, 4), (1, 16)] {
+    for (max_spot_machines, tasks) in [(0, 1), (0, 4), (1, 4), (1, 16)] {
         let mut simulation = Simulation::new(60_000 + u64::from(tasks), NODES);
-        (simulation.cloud.most, simulation.cloud.most_spot) = (12, most_spot);
+        (simulation.cloud.max_machines, simulation.cloud.max_spot_machines) =
+            (12, max_spot_machines);
         simulation.run(3 * SECOND);
         let calm = simulation.now;
         let jobs: Vec<JobSpec> = (0..6).map(|k| job(k, tasks)).collect();
@@ -27,7 +28,7 @@
             assert_eq!(
                 simulation.submit_until_accepted(k % NODES.len(), spec),
                 201,
-                "{most_spot} {tasks}"
+                "{max_spot_machines} {tasks}"
             );
         }
         simulation.pass(240 * SECOND);
@@ -35,10 +36,10 @@
         assert_eq!(
             simulation.rules.broken,
             Vec::<String>::new(),
-            "{most_spot} spot, {tasks} tasks"
+            "{max_spot_machines} spot, {tasks} tasks"
         );
         let waiting = simulation.rules.waiting();
-        assert!(waiting.is_empty(), "{most_spot} spot, {tasks} tasks: {waiting:?} wait");
+        assert!(waiting.is_empty(), "{max_spot_machines} spot, {tasks} tasks: {waiting:?} wait");
     }
 }
 
@@ -57,7 +58,7 @@
     watch_lag: Micros,
     fault_rates: FaultRates,
     /// The cloud: spot machines, and how long a machine boots.
-    most_spot: usize,
+    max_spot_machines: usize,
     boot: Micros,
     /// Calls that go wrong, by their number.
     faults: Vec<(usize, CallFault)>,
@@ -91,7 +92,7 @@
             slow: 0,
             watch_lag: 0,
             fault_rates: FaultRates::default(),
-            most_spot: usize::MAX,
+            max_spot_machines: usize::MAX,
             boot: SECOND,
             faults: Vec::new(),
         }
@@ -124,7 +125,7 @@
             slow: [0, 0, SECOND / 3, SECOND][rng.random_range(0..4)],
             watch_lag: [0, 0, 0, 2 * SECOND][rng.random_range(0..4)],
             fault_rates,
-            most_spot: [usize::MAX, usize::MAX, 0, 1][rng.random_range(0..4)],
+            max_spot_machines: [usize::MAX, usize::MAX, 0, 1][rng.random_range(0..4)],
             boot: [SECOND, 4 * SECOND][rng.random_range(0..2)],
             faults,
             ..StartUp::usual(seed)
@@ -141,7 +142,8 @@
         simulation.store.write_rate = self.write_rate;
         (simulation.slow, simulation.watch_lag) = (self.slow, self.watch_lag);
         (simulation.fault_rates, simulation.boot) = (self.fault_rates, self.boot);
-        (simulation.cloud.most, simulation.cloud.most_spot) = (4 * self.nodes, self.most_spot);
+        (simulation.cloud.max_machines, simulation.cloud.max_spot_machines) =
+            (4 * self.nodes, self.max_spot_machines);
         simulation.call_faults.extend(self.faults.iter().copied());
         let jobs: Vec<JobSpec> = (0..4).map(|k| job(k, 2)).collect();
         for (k, spec) in jobs.iter().enumerate() {
@@ -213,7 +215,7 @@
     ];
     for (tune, write_rps, jobs_a_second) in cases {
         let mut simulation = Simulation::with(90_000 + jobs_a_second, NODES, tune);
-        (simulation.store.write_rate, simulation.cloud.most) = (write_rps, 30);
+        (simulation.store.write_rate, simulation.cloud.max_machines) = (write_rps, 30);
         let mut number = 0;
         for _ in 0..25 {
             for _ in 0..jobs_a_second {
--- a/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
@@ -11,7 +11,7 @@
 /// A world with machines at hand, which are never returned for being idle.
 fn with_machines(seed: u64) -> Simulation {
     let mut w = Simulation::with(seed, NODES, |config| config.operator.idle_boots = 1_000.0);
-    w.cloud.most = 12;
+    w.cloud.max_machines = 12;
     w.run(3 * SECOND);
     for k in 0..6 {
         assert_eq!(w.submit_until_accepted(k as usize % 3, &job(100 + k, 8)), 201);
--- a/crates/quartzlever-core/tests/simulation/on_call.rs
+++ b/crates/quartzlever-core/tests/simulation/on_call.rs
@@ -162,7 +162,7 @@
         name: "machines come late or never, the cloud goes, and the holder that waits for them ends",
         tune: usual,
         bring_about: |w| {
-            (w.cloud.most, w.never_booted, w.boot) = (24, 50, 15 * SECOND);
+            (w.cloud.max_machines, w.never_booted, w.boot) = (24, 50, 15 * SECOND);
             let ids = submit(w, 0, 4, |_, spec| spec.tasks = 8);
             w.run(10 * SECOND);
             let (_, leader) = w.busiest();
@@ -239,7 +239,7 @@
         name: "a huge array is stolen from, loses two holders, and is cancelled in its middle",
         tune: usual,
         bring_about: |w| {
-            w.cloud.most = 20;
+            w.cloud.max_machines = 20;
             let ids = submit(w, 0, 1, |_, spec| (spec.tasks, spec.cpus) = (600, 0.5));
             w.run(12 * SECOND);
             let (_, leader) = w.busiest();
@@ -288,7 +288,7 @@
     for seed in 0..more.unwrap_or(24) {
         let mut w =
             Simulation::with(80_000 + seed, NODES, if seed % 2 == 0 { usual } else { long_holds });
-        w.cloud.most = 10;
+        w.cloud.max_machines = 10;
         w.run(3 * SECOND);
         w.run_time = [4, 15, 40][seed as usize % 3] * SECOND;
         let mut ids = Vec::new();
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -10,7 +10,7 @@
 
 use quartzlever_core::{Command, Config, Core, Effect, LogLevel, Operator, Team, WorkerTimes};
 use quartzlever_testkit::jobs;
-use quartzlever_testkit::rules::{Asked, MachineTasks, RuleChecker, TeamLimit};
+use quartzlever_testkit::rules::{MachineTasks, RuleChecker, TeamLimit, UserRequest};
 use quartzlever_testkit::{Cloud, Store, Worker};
 use quartzlever_wire::cloud::{CloudCall, CloudReply};
 use quartzlever_wire::store::{StoreCall, StoreReply, TerminalJobRecord};
@@ -196,7 +196,7 @@
     requests: BTreeMap<u64, (usize, u64)>,
     request: u64,
     pub answers: BTreeMap<u64, (u16, serde_json::Value)>,
-    asked: BTreeMap<u64, (Asked, String, Micros)>,
+    asked: BTreeMap<u64, (UserRequest, String, Micros)>,
     pub rules: RuleChecker,
     tune: fn(&mut Config),
     pub run_time: Micros,
@@ -320,10 +320,10 @@
         let mut tasks: BTreeMap<String, usize> = BTreeMap::new();
         for key in self.store.keys("hosts/") {
             let Some((value, _)) = self.store.get(&key) else { continue };
-            for (host, record) in
+            for (machine, record) in
                 quartzlever_wire::store::machine_records_in(&key, value).into_iter().flatten()
             {
-                let on = self.workers.get(&host).map_or(0, |w| w.running().len());
+                let on = self.workers.get(&machine).map_or(0, |w| w.running().len());
                 *tasks.entry(record.partition).or_default() += on;
             }
         }
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -39,7 +39,7 @@
 /// How late a call, or its second execution, comes when a fault holds it up.
 const CALL_LATE: Micros = 6 * SECOND;
 /// When a caller gives a call up.
-const CALL_PATIENCE: Micros = 1_500_000;
+const CALL_TIMEOUT: Micros = 1_500_000;
 /// How late an answer comes that is held up.
 const ANSWER_LATE: Micros = 3_200_000;
 /// How long a controller that ends is away, and how long one stands still.
@@ -155,21 +155,21 @@
     /// The cloud carries out a call, and new machines begin to boot.
     pub(super) fn cloud_call(&mut self, call: &CloudCall) -> CloudReply {
         let reply = self.cloud.call(call);
-        if let CloudReply::ScaledOut(hosts) = &reply {
-            for host in hosts {
-                let instance = self.cloud.machines.get(host).cloned();
-                if let Some(instance) = instance.filter(|_| !self.workers.contains_key(host)) {
+        if let CloudReply::ScaledOut(machines) = &reply {
+            for machine in machines {
+                let instance = self.cloud.machines.get(machine).cloned();
+                if let Some(instance) = instance.filter(|_| !self.workers.contains_key(machine)) {
                     let mut worker = Worker::new(instance, LEASE, self.run_time, self.now);
                     worker.odd_tasks_wait = self.odd_tasks_wait;
                     worker.fails_everywhere = self.fails_everywhere.clone();
-                    self.workers.insert(host.clone(), worker);
+                    self.workers.insert(machine.clone(), worker);
                     if self.never_booted > 0 && self.rng.random_range(0..100) < self.never_booted {
                         self.counts.never_booted += 1;
                         continue;
                     }
                     let first = self.rng.random_range(0..self.cores.len());
                     let at = self.now + self.boot;
-                    self.next_heartbeat.insert(host.clone(), (first, at));
+                    self.next_heartbeat.insert(machine.clone(), (first, at));
                 }
             }
         }
@@ -266,14 +266,14 @@
         match fault {
             CallFault::Refused => self.fail_call(n, &effect, CallError::Refused, STEP),
             CallFault::AnswerLost => {
-                self.fail_call(n, &effect, CallError::Unknown, CALL_PATIENCE);
+                self.fail_call(n, &effect, CallError::Unknown, CALL_TIMEOUT);
                 // Carried out for a caller that is not there any more.
                 self.lives[n] += 1;
                 self.carry_out_soundly(n, effect);
                 self.lives[n] -= 1;
             }
             CallFault::CarriedOutLate => {
-                self.fail_call(n, &effect, CallError::Unknown, CALL_PATIENCE);
+                self.fail_call(n, &effect, CallError::Unknown, CALL_TIMEOUT);
                 self.carry_out_late(effect, false);
             }
             CallFault::AnswerLate => {
--- a/crates/quartzlever-core/tests/simulation/sim/checks.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/checks.rs
@@ -24,7 +24,7 @@
             .workers
             .values()
             .map(|w| MachineTasks {
-                host: w.instance.name.clone(),
+                machine: w.instance.name.clone(),
                 machine_type: w.instance.machine_type.clone(),
                 zone: w.instance.zone.clone(),
                 spot: w.instance.spot,
@@ -93,7 +93,7 @@
             self.rules.partition_held(now, partition, acting);
         }
         let types = self.cloud.catalogue.types.clone();
-        let can_rent = self.cloud.machines.len() < self.cloud.most;
+        let can_rent = self.cloud.machines.len() < self.cloud.max_machines;
         let limits = team_limits(config(self.names[0], &self.names).teams);
         self.rules.classes_start(now, since, |spec| {
             let limit = limits.iter().find(|l| l.team == spec.team).map_or(0.0, |l| l.cpus);
--- a/crates/quartzlever-core/tests/simulation/sim/digest.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/digest.rs
@@ -11,7 +11,7 @@
 use std::{env, io, thread};
 
 use quartzlever_core::{CallPriority, Effect};
-use quartzlever_wire::cloud::{CloudCall, HostNames};
+use quartzlever_wire::cloud::{CloudCall, MachineNames};
 use quartzlever_wire::peers;
 use quartzlever_wire::store::{GrantRequest, StoreCall};
 use quartzlever_wire::workers::WorkerCall;
@@ -222,9 +222,9 @@
                 self.number(2);
                 self.json(request);
             }
-            CloudCall::Return(hosts) => {
+            CloudCall::ScaleIn(machines) => {
                 self.number(3);
-                self.json(&HostNames { hosts: hosts.clone() });
+                self.json(&MachineNames { machines: machines.clone() });
             }
             CloudCall::List { from } => {
                 self.number(4);
--- a/crates/quartzlever-core/tests/simulation/sim/users.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/users.rs
@@ -17,7 +17,7 @@
     pub(super) fn ask(
         &mut self,
         n: usize,
-        asked: Asked,
+        asked: UserRequest,
         job: &str,
         make: impl FnOnce(u64) -> Command,
     ) -> u64 {
@@ -28,19 +28,19 @@
 
     pub fn submit(&mut self, n: usize, spec: JobSpec) -> u64 {
         let job = spec.id.clone();
-        self.rules.asked(Asked::Submit, &job, Some(&spec));
-        self.ask(n, Asked::Submit, &job, |id| Command::Submit { id, spec: Box::new(spec) })
+        self.rules.asked(UserRequest::Submit, &job, Some(&spec));
+        self.ask(n, UserRequest::Submit, &job, |id| Command::Submit { id, spec: Box::new(spec) })
     }
 
     pub fn lookup(&mut self, n: usize, job: &str) -> u64 {
         let name = job.to_owned();
-        self.ask(n, Asked::Lookup, job, |id| Command::Lookup { id, job: name })
+        self.ask(n, UserRequest::Lookup, job, |id| Command::Lookup { id, job: name })
     }
 
     pub fn cancel(&mut self, n: usize, job: &str) -> u64 {
-        self.rules.asked(Asked::Cancel, job, None);
+        self.rules.asked(UserRequest::Cancel, job, None);
         let name = job.to_owned();
-        self.ask(n, Asked::Cancel, job, |id| Command::Cancel { id, job: name })
+        self.ask(n, UserRequest::Cancel, job, |id| Command::Cancel { id, job: name })
     }
 
     /// Users ask at all nodes and repeat the submission, all at once.
--- a/crates/quartzlever-core/tests/simulation/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -40,7 +40,7 @@
 
 pub(crate) fn simulation(seed: u64, tune: fn(&mut Config)) -> Simulation {
     let mut w = Simulation::with(seed, NODES, tune);
-    w.cloud.most = 90;
+    w.cloud.max_machines = 90;
     w.old.extend(0..NODES.len());
     for n in 0..NODES.len() {
         w.kill(n);
--- a/crates/quartzlever-recovery/src/generation.rs
+++ b/crates/quartzlever-recovery/src/generation.rs
@@ -8,13 +8,13 @@
 //! identity's key at its modification revision as one more condition and a modification revision from before the generation matches nothing.
 
 use quartzlever_wire::store::{
-    Change, Condition, Event, Row, Rows, StoreCall, StoreReply, Txn, WatchAnswer,
+    Change, Condition, Event, KeyValue, ListPage, StoreCall, StoreReply, Txn, WatchAnswer,
 };
 
-use crate::identity::{IDENTITY, Identity, RECOVERY, Stamped};
+use crate::identity::{IDENTITY_KEY, Identity, RECOVERY_PREFIX, Stamped};
 
 /// Prefix of the namespaces of all generations but the first.
-pub(crate) const GENERATIONS: &str = "generation/";
+pub(crate) const GENERATION_PREFIX: &str = "generation/";
 
 /// A modification revision that no key ever has: what a condition on a record of an earlier line becomes.
 const UNMATCHED_REVISION: u64 = u64::MAX >> 2;
@@ -41,7 +41,7 @@
     /// The generation's own key, unless the store's key belongs to something else.
     fn own_key(&self, key: &str) -> Option<String> {
         let own = key.strip_prefix(self.identity.namespace.as_str())?;
-        let others = own.starts_with(RECOVERY) || own.starts_with(GENERATIONS);
+        let others = own.starts_with(RECOVERY_PREFIX) || own.starts_with(GENERATION_PREFIX);
         (!others).then(|| own.to_owned())
     }
 
@@ -62,7 +62,7 @@
     pub fn to_store(&self, call: &StoreCall) -> StoreCall {
         match call {
             // A listing tells the revision too, and which generation it belongs to.
-            StoreCall::Revision => StoreCall::List { prefix: IDENTITY.into(), from: None },
+            StoreCall::Revision => StoreCall::List { prefix: IDENTITY_KEY.into(), from: None },
             StoreCall::Get(key) => StoreCall::Get(self.key_in_store(key)),
             StoreCall::List { prefix, from } => StoreCall::List {
                 prefix: self.key_in_store(prefix),
@@ -89,7 +89,7 @@
             Change::Delete { delete } => Change::Delete { delete: self.key_in_store(delete) },
         };
         let mut conditions: Vec<Condition> = txn.conditions.iter().map(condition).collect();
-        conditions.push(Condition { path: IDENTITY.into(), mod_revision: self.mod_revision });
+        conditions.push(Condition { path: IDENTITY_KEY.into(), mod_revision: self.mod_revision });
         Txn { conditions, changes: txn.changes.iter().map(change).collect() }
     }
 
@@ -97,9 +97,15 @@
     pub(crate) fn reply_from_store(&self, reply: StoreReply) -> StoreReply {
         match reply {
             StoreReply::Revision(revision) => StoreReply::Revision(self.revision(revision)),
-            StoreReply::Row(row) => StoreReply::Row(row.and_then(|row| self.own_row(row))),
-            StoreReply::Rows(rows) => StoreReply::Rows(Rows {
-                rows: rows.rows.into_iter().filter_map(|row| self.own_row(row)).collect(),
+            StoreReply::Read(entry) => {
+                StoreReply::Read(entry.and_then(|entry| self.own_entry(entry)))
+            }
+            StoreReply::Listed(rows) => StoreReply::Listed(ListPage {
+                entries: rows
+                    .entries
+                    .into_iter()
+                    .filter_map(|entry| self.own_entry(entry))
+                    .collect(),
                 has_next: rows.has_next,
                 revision: self.revision(rows.revision),
             }),
@@ -115,9 +121,9 @@
         }
     }
 
-    fn own_row(&self, row: Row) -> Option<Row> {
-        let path = self.own_key(&row.path)?;
-        Some(Row { path, mod_revision: self.revision(row.mod_revision), ..row })
+    fn own_entry(&self, entry: KeyValue) -> Option<KeyValue> {
+        let key = self.own_key(&entry.key)?;
+        Some(KeyValue { key, mod_revision: self.revision(entry.mod_revision), ..entry })
     }
 
     fn own_event(&self, event: Event) -> Option<Event> {
--- a/crates/quartzlever-recovery/src/guard.rs
+++ b/crates/quartzlever-recovery/src/guard.rs
@@ -14,7 +14,7 @@
 
 use crate::detection::Loss;
 use crate::generation::Generation;
-use crate::identity::{IDENTITY, Observed};
+use crate::identity::{IDENTITY_KEY, Observed};
 
 /// Why a call has no answer that may be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -60,19 +60,19 @@
         let floor = self.highest.load(Ordering::SeqCst);
         let reply = store(&self.generation.to_store(call))?;
         match (call, &reply) {
-            (StoreCall::Revision, StoreReply::Rows(rows)) => {
+            (StoreCall::Revision, StoreReply::Listed(rows)) => {
                 let revision = self.check(&Observed::of(rows), floor)?;
                 return Ok(StoreReply::Revision(self.generation.revision(revision)));
             }
-            (StoreCall::Get(key), StoreReply::Row(None)) if is_known(key) => {
+            (StoreCall::Get(key), StoreReply::Read(None)) if is_known(key) => {
                 self.verify(store)?;
                 return Err(GuardError::Suspect);
             }
-            (_, StoreReply::Row(None) | StoreReply::Rows(_))
+            (_, StoreReply::Read(None) | StoreReply::Listed(_))
             | (_, StoreReply::Renewed | StoreReply::Granted(_)) => {
                 self.verify(store)?;
             }
-            (_, StoreReply::Conflict(keys)) if keys.iter().any(|key| key == IDENTITY) => {
+            (_, StoreReply::Conflict(keys)) if keys.iter().any(|key| key == IDENTITY_KEY) => {
                 return Err(GuardError::Lost(Loss::IdentityDiffers));
             }
             (StoreCall::Watch { from, .. }, StoreReply::Watched(answer)) => {
@@ -95,8 +95,8 @@
         store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
     ) -> Result<(), GuardError> {
         let floor = self.highest.load(Ordering::SeqCst);
-        match store(&StoreCall::List { prefix: IDENTITY.into(), from: None })? {
-            StoreReply::Rows(rows) => self.check(&Observed::of(&rows), floor).map(drop),
+        match store(&StoreCall::List { prefix: IDENTITY_KEY.into(), from: None })? {
+            StoreReply::Listed(rows) => self.check(&Observed::of(&rows), floor).map(drop),
             _ => Err(GuardError::Call(CallError::Unknown)),
         }
     }
--- a/crates/quartzlever-recovery/src/identity.rs
+++ b/crates/quartzlever-recovery/src/identity.rs
@@ -6,30 +6,30 @@
 
 use std::collections::BTreeMap;
 
-use quartzlever_wire::store::{Row, Rows};
+use quartzlever_wire::store::{KeyValue, ListPage};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 /// Prefix of all keys of this crate.
-pub(crate) const RECOVERY: &str = "recovery/";
+pub(crate) const RECOVERY_PREFIX: &str = "recovery/";
 /// Key of the [`Identity`].
-pub const IDENTITY: &str = "recovery/identity";
+pub const IDENTITY_KEY: &str = "recovery/identity";
 /// Key of the [`Lock`] of the controller that rebuilds.
-pub const LOCK: &str = "recovery/lock";
+pub const LOCK_KEY: &str = "recovery/lock";
 /// Prefix of the keys of [`Candidate`]s, by node.
-pub const CANDIDATES: &str = "recovery/candidates/";
+pub const CANDIDATE_PREFIX: &str = "recovery/candidates/";
 /// Prefix of the keys of [`ExtraPiece`]s, by node and number.
-pub(crate) const EXTRAS: &str = "recovery/extra/";
+pub(crate) const EXTRA_PREFIX: &str = "recovery/extra/";
 /// Prefix of keys, by node, of controllers that were up before a loss and had no part in the rebuild: what
 /// they alone know is not in the records before they come back.
-pub(crate) const ABSENT: &str = "recovery/absent/";
+pub(crate) const ABSENT_PREFIX: &str = "recovery/absent/";
 /// Prefix of keys, by node, of controllers that came without any history. Such a one cannot tell records
 /// that were never there from lost ones until a controller with a history has compared them with its own.
-pub const UNVERIFIED: &str = "recovery/unvouched/";
-/// Key that is there while final states of the generation before are not all written yet: [`Inheriting`].
-pub const INHERITING: &str = "recovery/inheriting";
+pub const UNVERIFIED_PREFIX: &str = "recovery/unvouched/";
+/// Key that is there while final states of the generation before are not all written yet: [`PendingFinalStates`].
+pub const PENDING_FINAL_STATES_KEY: &str = "recovery/inheriting";
 /// Prefix of the keys of [`Witness`]es, by node.
-pub const WITNESSES: &str = "recovery/witness/";
+pub const WITNESS_PREFIX: &str = "recovery/witness/";
 
 /// Whether controllers may act on the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -99,7 +99,7 @@
 /// Final states are written after a rebuild. Until then the controllers that had them answer from their
 /// pictures: those that knew everything up to this revision of the generation before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Inheriting {
+pub struct PendingFinalStates {
     /// A revision of the generation before.
     pub known_to: u64,
 }
@@ -142,15 +142,15 @@
     /// In the order of their keys.
     pub(crate) extras: Vec<ExtraPiece>,
     /// Present while some final states are not written.
-    pub inheriting: Option<Stamped<Inheriting>>,
+    pub pending_final_states: Option<Stamped<PendingFinalStates>>,
     /// Stamps of the keys of controllers without a history, by node.
     pub unverified: BTreeMap<String, u64>,
     /// The store's own revision.
     pub revision: u64,
 }
 
-fn stamped<T: DeserializeOwned>(row: &Row) -> Option<Stamped<T>> {
-    Some(Stamped { value: row.v.parse()?, mod_revision: row.mod_revision })
+fn stamped<T: DeserializeOwned>(entry: &KeyValue) -> Option<Stamped<T>> {
+    Some(Stamped { value: entry.value.parse()?, mod_revision: entry.mod_revision })
 }
 
 impl Observed {
@@ -160,25 +160,25 @@
     }
 
     /// What a listing of `recovery/`, or of the identity's key alone, shows.
-    pub fn of(rows: &Rows) -> Observed {
+    pub fn of(rows: &ListPage) -> Observed {
         let mut observed = Observed { revision: rows.revision, ..Observed::default() };
-        for row in &rows.rows {
-            if row.path == IDENTITY {
-                observed.identity = stamped(row);
-            } else if row.path == INHERITING {
-                observed.inheriting = stamped(row);
-            } else if row.path == LOCK {
-                observed.lock = stamped(row);
-            } else if let Some(node) = row.path.strip_prefix(CANDIDATES) {
-                observed.candidates.extend(stamped(row).map(|c| (node.to_owned(), c)));
-            } else if let Some(node) = row.path.strip_prefix(ABSENT) {
-                observed.absent.extend(stamped(row).map(|a| (node.to_owned(), a)));
-            } else if let Some(node) = row.path.strip_prefix(UNVERIFIED) {
-                observed.unverified.insert(node.to_owned(), row.mod_revision);
-            } else if row.path.starts_with(EXTRAS) {
-                observed.extras.extend(row.v.parse::<ExtraPiece>());
-            } else if let Some(node) = row.path.strip_prefix(WITNESSES) {
-                let count = row.v.parse::<Witness>().map(|w| w.count);
+        for entry in &rows.entries {
+            if entry.key == IDENTITY_KEY {
+                observed.identity = stamped(entry);
+            } else if entry.key == PENDING_FINAL_STATES_KEY {
+                observed.pending_final_states = stamped(entry);
+            } else if entry.key == LOCK_KEY {
+                observed.lock = stamped(entry);
+            } else if let Some(node) = entry.key.strip_prefix(CANDIDATE_PREFIX) {
+                observed.candidates.extend(stamped(entry).map(|c| (node.to_owned(), c)));
+            } else if let Some(node) = entry.key.strip_prefix(ABSENT_PREFIX) {
+                observed.absent.extend(stamped(entry).map(|a| (node.to_owned(), a)));
+            } else if let Some(node) = entry.key.strip_prefix(UNVERIFIED_PREFIX) {
+                observed.unverified.insert(node.to_owned(), entry.mod_revision);
+            } else if entry.key.starts_with(EXTRA_PREFIX) {
+                observed.extras.extend(entry.value.parse::<ExtraPiece>());
+            } else if let Some(node) = entry.key.strip_prefix(WITNESS_PREFIX) {
+                let count = entry.value.parse::<Witness>().map(|w| w.count);
                 observed.witnesses.extend(count.map(|count| (node.to_owned(), count)));
             }
         }
--- a/crates/quartzlever-recovery/src/picture/update.rs
+++ b/crates/quartzlever-recovery/src/picture/update.rs
@@ -3,7 +3,7 @@
 //! Pure conversions from the wire's answers; both types are written to the log, so their fields may not
 //! change without a new format version.
 
-use quartzlever_wire::store::{Change, Event, Row, StoreCall, StoreReply};
+use quartzlever_wire::store::{Change, Event, KeyValue, StoreCall, StoreReply};
 use serde::{Deserialize, Serialize};
 
 /// A change of one key; without a value it was deleted.
@@ -41,8 +41,8 @@
                 let changes = answer.log.iter().map(change_watched).collect();
                 Some(Update { changes, complete_to: Some(answer.revision) })
             }
-            (StoreCall::Get(_), StoreReply::Row(Some(row))) => {
-                Some(Update { changes: vec![change_read(row)], complete_to: None })
+            (StoreCall::Get(_), StoreReply::Read(Some(entry))) => {
+                Some(Update { changes: vec![change_read(entry)], complete_to: None })
             }
             _ => None,
         }
@@ -71,10 +71,10 @@
     }
 }
 
-fn change_read(row: &Row) -> KeyChange {
+fn change_read(entry: &KeyValue) -> KeyChange {
     KeyChange {
-        key: row.path.clone(),
-        mod_revision: row.mod_revision,
-        value: Some(row.v.text().to_owned()),
+        key: entry.key.clone(),
+        mod_revision: entry.mod_revision,
+        value: Some(entry.value.text().to_owned()),
     }
 }
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -7,7 +7,7 @@
 
 use quartzlever_wire::Json;
 use quartzlever_wire::fields::Fields;
-use quartzlever_wire::pages::{PAGES, page_of_key};
+use quartzlever_wire::pages::{PAGE_PREFIX, page_of_key};
 use quartzlever_wire::store::{
     ACTIVE_JOB_PREFIX, Change, MACHINE_PREFIX, MACHINES_SEEN_PREFIX, NODE_VERSION_PREFIX,
     PARTITION_PREFIX, TERMINAL_JOB_PREFIX, machine_records_in,
@@ -86,7 +86,9 @@
     if let Some(job) = key.strip_prefix(ACTIVE_JOB_PREFIX) {
         return records.contains_key(&format!("{TERMINAL_JOB_PREFIX}{job}"));
     }
-    let Some((job, _)) = page_of_key(key).filter(|_| key.starts_with(PAGES)) else { return false };
+    let Some((job, _)) = page_of_key(key).filter(|_| key.starts_with(PAGE_PREFIX)) else {
+        return false;
+    };
     let is_terminal = records.contains_key(&format!("{TERMINAL_JOB_PREFIX}{job}"));
     is_terminal || !records.contains_key(&format!("{ACTIVE_JOB_PREFIX}{job}"))
 }
@@ -117,8 +119,8 @@
     let count = |prefix: &str| records.keys().filter(|key| key.starts_with(prefix)).count();
     let machines =
         records.iter().filter(|(key, _)| key.starts_with(MACHINE_PREFIX)).map(|(key, value)| {
-            let hosts = Json::from_text(value).and_then(|json| machine_records_in(key, &json));
-            hosts.map_or(0, |hosts| hosts.len())
+            let records = Json::from_text(value).and_then(|json| machine_records_in(key, &json));
+            records.map_or(0, |records| records.len())
         });
     let store = survivors.rows.iter().filter(|(key, _)| !is_bound_to_lease(key));
     Summary {
--- a/crates/quartzlever-recovery/src/rebuild.rs
+++ b/crates/quartzlever-recovery/src/rebuild.rs
@@ -36,7 +36,7 @@
 mod successor;
 mod writer;
 
-pub use inheritance::write_inherited;
+pub use inheritance::restore_final_states;
 pub use listing::{list_generation, observe};
 pub use outcome::{Opened, RebuildError};
 pub use settings::{Local, RebuildSettings};
--- a/crates/quartzlever-recovery/src/rebuild/acceptance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/acceptance.rs
@@ -6,7 +6,7 @@
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Txn;
 
-use super::inheritance::{TerminalJobs, add_inherited};
+use super::inheritance::{TerminalJobs, add_final_states};
 use super::listing::{list_generation, observe};
 use super::outcome::{Attempt, Interruption, Opened, Progress};
 use super::session::Session;
@@ -15,7 +15,7 @@
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{IDENTITY, Observed, UNVERIFIED};
+use crate::identity::{IDENTITY_KEY, Observed, UNVERIFIED_PREFIX};
 use crate::picture::Picture;
 
 /// Whether this process, which has no history, has asked the others to compare the records with theirs.
@@ -65,7 +65,7 @@
     vouching: &mut Vouching,
 ) -> Attempt<Progress> {
     let Reading { generation, mut picture, observed } = reading;
-    if add_inherited(&mut picture, history, &generation, &observed) == TerminalJobs::Incomplete {
+    if add_final_states(&mut picture, history, &generation, &observed) == TerminalJobs::Incomplete {
         session.log_progress(RebuildEvent::FinalStatesAwaited);
         return Ok(Progress::LookAgain);
     }
@@ -83,7 +83,7 @@
     session: &mut Session<'_, A>,
     generation: &Generation,
 ) -> Attempt<()> {
-    let key = format!("{UNVERIFIED}{}", session.node());
-    let txn = Txn::default().when(IDENTITY, generation.mod_revision);
+    let key = format!("{UNVERIFIED_PREFIX}{}", session.node());
+    let txn = Txn::default().if_mod_revision(IDENTITY_KEY, generation.mod_revision);
     session.commit(txn.write(key, Json::of(&generation.identity.generation)))
 }
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -5,7 +5,7 @@
 //! its final state; each transaction is on condition that the records are as they were read.
 
 use quartzlever_wire::Json;
-use quartzlever_wire::pages::{PAGES, page_of_key};
+use quartzlever_wire::pages::{PAGE_PREFIX, page_of_key};
 use quartzlever_wire::store::{ACTIVE_JOB_PREFIX, StoreCall, StoreReply, TERMINAL_JOB_PREFIX, Txn};
 
 use super::acceptance::Reading;
@@ -15,7 +15,7 @@
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{ABSENT, Observed};
+use crate::identity::{ABSENT_PREFIX, Observed};
 use crate::picture::{Picture, Record};
 
 /// Whether this process knew anything that the records lacked.
@@ -56,8 +56,8 @@
     observed: &Observed,
 ) -> Attempt<()> {
     let Some(absent) = observed.absent.get(session.node()) else { return Ok(()) };
-    let key = format!("{ABSENT}{}", session.node());
-    session.commit(Txn::default().when(&key, absent.mod_revision).delete(&key))
+    let key = format!("{ABSENT_PREFIX}{}", session.node());
+    session.commit(Txn::default().if_mod_revision(&key, absent.mod_revision).delete(&key))
 }
 
 /// Jobs that the records lack, or show as live though they are over, each as a transaction.
@@ -86,8 +86,8 @@
     let active_job_key = format!("{ACTIVE_JOB_PREFIX}{job}");
     let live = records.get(&active_job_key);
     let txn = Txn::default()
-        .when(key, 0)
-        .when(&active_job_key, live.map_or(0, |record| record.mod_revision))
+        .if_mod_revision(key, 0)
+        .if_mod_revision(&active_job_key, live.map_or(0, |record| record.mod_revision))
         .write(key, Json::from_text(&record.value)?);
     let contradicts_live = live.is_some();
     let txn = if contradicts_live { txn.delete(active_job_key) } else { txn };
@@ -102,13 +102,13 @@
     if is_in_records || known.get(&terminal_job_key).is_some() {
         return None;
     }
-    let txn = Txn::default().when(key, 0).when(terminal_job_key, 0);
+    let txn = Txn::default().if_mod_revision(key, 0).if_mod_revision(terminal_job_key, 0);
     Some(with_pages(txn.write(key, Json::from_text(&record.value)?), job, known))
 }
 
 /// A job's pages of finished tasks go with its record.
 fn with_pages(txn: Txn, job: &str, known: &Picture) -> Txn {
-    let prefix = format!("{PAGES}{job}/");
+    let prefix = format!("{PAGE_PREFIX}{job}/");
     let pages =
         known.rows().range(prefix.clone()..).take_while(|(key, _)| key.starts_with(&prefix));
     let of_job = pages.filter(|(key, _)| page_of_key(key).is_some_and(|(owner, _)| owner == job));
--- a/crates/quartzlever-recovery/src/rebuild/election.rs
+++ b/crates/quartzlever-recovery/src/rebuild/election.rs
@@ -17,7 +17,7 @@
 use crate::detection::Loss;
 use crate::events::RebuildEvent;
 use crate::history::History;
-use crate::identity::{CANDIDATES, Candidate, LOCK, Lock, Observed};
+use crate::identity::{CANDIDATE_PREFIX, Candidate, LOCK_KEY, Lock, Observed};
 use crate::picture::KeyChange;
 
 /// Why no generation serves.
@@ -99,8 +99,12 @@
         match self.stage(session.settings(), observed, now) {
             Stage::Announcing(candidate) => {
                 self.announced.get_or_insert(now);
-                let key = format!("{CANDIDATES}{}", session.node());
-                session.commit(Txn::default().write_held(key, Json::of(&candidate), lease))?;
+                let key = format!("{CANDIDATE_PREFIX}{}", session.node());
+                session.commit(Txn::default().write_with_lease(
+                    key,
+                    Json::of(&candidate),
+                    lease,
+                ))?;
             }
             Stage::PublishingExtras { after, changes } => {
                 publish_extras(session, &changes, lease)?;
@@ -214,7 +218,11 @@
 fn lock<A: StoreAccess>(session: &mut Session<'_, A>, lease: u64) -> Attempt<()> {
     let settings = session.settings();
     let lock = Lock { node: settings.node.clone(), process: settings.process };
-    session.commit(Txn::default().when(LOCK, 0).write_held(LOCK, Json::of(&lock), lease))
+    session.commit(Txn::default().if_mod_revision(LOCK_KEY, 0).write_with_lease(
+        LOCK_KEY,
+        Json::of(&lock),
+        lease,
+    ))
 }
 
 /// Controllers that have not announced themselves.
--- a/crates/quartzlever-recovery/src/rebuild/extras.rs
+++ b/crates/quartzlever-recovery/src/rebuild/extras.rs
@@ -7,7 +7,7 @@
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Change;
 
-use crate::identity::{Candidate, EXTRAS, ExtraPiece, Observed};
+use crate::identity::{Candidate, EXTRA_PREFIX, ExtraPiece, Observed};
 use crate::picture::{KeyChange, Update};
 
 /// A piece takes a third of a value at the most: quotes in it are escaped, and its key comes on top.
@@ -75,7 +75,7 @@
 ) -> Vec<Change> {
     let pieces = changes.iter().flat_map(|change| pieces_of(change, value_bytes));
     let write = |(n, piece): (usize, ExtraPiece)| Change::Write {
-        write: format!("{EXTRAS}{node}/{n:08}"),
+        write: format!("{EXTRA_PREFIX}{node}/{n:08}"),
         v: Json::of(&piece),
         lease_id: Some(lease),
     };
--- a/crates/quartzlever-recovery/src/rebuild/inheritance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/inheritance.rs
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// The error of the call, whose outcome may be unknown; writing the same records again does no harm.
-pub fn write_inherited(
+pub fn restore_final_states(
     store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
     generation: &Generation,
     records: &[(String, Record)],
@@ -35,7 +35,7 @@
     let mut txn = Txn::default();
     for (key, record) in records {
         if let Some(value) = Json::from_text(&record.value) {
-            txn = txn.when(key, 0).write(key, value);
+            txn = txn.if_mod_revision(key, 0).write(key, value);
         }
     }
     let call = StoreCall::Txn(txn);
@@ -44,7 +44,7 @@
 }
 
 /// Adds to a generation's records the final states that this process knows and that may not be written yet.
-pub(super) fn add_inherited(
+pub(super) fn add_final_states(
     picture: &mut Picture,
     history: Option<&History>,
     generation: &Generation,
@@ -52,7 +52,7 @@
 ) -> TerminalJobs {
     let base = generation.identity.base;
     let Some(history) = history else {
-        return match observed.inheriting {
+        return match observed.pending_final_states {
             None => TerminalJobs::Complete,
             Some(_) => TerminalJobs::Incomplete,
         };
@@ -63,7 +63,7 @@
         return TerminalJobs::Complete;
     }
     let known_to = history.picture.revision();
-    if observed.inheriting.as_ref().is_some_and(|i| known_to < i.value.known_to) {
+    if observed.pending_final_states.as_ref().is_some_and(|i| known_to < i.value.known_to) {
         return TerminalJobs::Incomplete;
     }
     let final_states =
--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 
 use quartzlever_wire::CallError;
-use quartzlever_wire::store::{Rows, StoreCall, StoreReply};
+use quartzlever_wire::store::{ListPage, StoreCall, StoreReply};
 
 use crate::access::StoreAccess;
 use crate::generation::Generation;
-use crate::identity::{Observed, RECOVERY};
+use crate::identity::{Observed, RECOVERY_PREFIX};
 use crate::picture::{Picture, Record};
 
 /// Reads the keys of this crate.
@@ -21,12 +21,16 @@
     let mut all = Vec::new();
     let mut from: Option<String> = None;
     loop {
-        let page = read_page(access, RECOVERY, from)?;
-        all.extend(page.rows);
+        let page = read_page(access, RECOVERY_PREFIX, from)?;
+        all.extend(page.entries);
         if !page.has_next {
-            return Ok(Observed::of(&Rows { rows: all, has_next: false, revision: page.revision }));
+            return Ok(Observed::of(&ListPage {
+                entries: all,
+                has_next: false,
+                revision: page.revision,
+            }));
         }
-        from = all.last().map(|row| row.path.clone());
+        from = all.last().map(|row| row.key.clone());
     }
 }
 
@@ -44,8 +48,8 @@
     loop {
         let page = read_page(access, &generation.identity.namespace, from)?;
         let has_next = page.has_next;
-        let last = page.rows.last().map(|row| row.path.clone());
-        let StoreReply::Rows(own) = generation.reply_from_store(StoreReply::Rows(page)) else {
+        let last = page.entries.last().map(|row| row.key.clone());
+        let StoreReply::Listed(own) = generation.reply_from_store(StoreReply::Listed(page)) else {
             return Err(CallError::Unknown);
         };
         revision.get_or_insert(own.revision);
@@ -61,16 +65,16 @@
     access: &mut impl StoreAccess,
     prefix: &str,
     from: Option<String>,
-) -> Result<Rows, CallError> {
+) -> Result<ListPage, CallError> {
     match access.call(&StoreCall::List { prefix: prefix.to_owned(), from })? {
-        StoreReply::Rows(page) => Ok(page),
+        StoreReply::Listed(page) => Ok(page),
         _ => Err(CallError::Unknown),
     }
 }
 
-fn records_of(rows: Rows) -> impl Iterator<Item = (String, Record)> {
-    rows.rows.into_iter().map(|row| {
-        let value = row.v.text().to_owned();
-        (row.path, Record { value, mod_revision: row.mod_revision })
+fn records_of(rows: ListPage) -> impl Iterator<Item = (String, Record)> {
+    rows.entries.into_iter().map(|row| {
+        let value = row.value.text().to_owned();
+        (row.key, Record { value, mod_revision: row.mod_revision })
     })
 }
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -31,7 +31,7 @@
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{IDENTITY, Identity, Observed, Phase};
+use crate::identity::{IDENTITY_KEY, Identity, Observed, Phase};
 
 /// Returns a store that may be worked with; blocks, and asks the store again, until there is one.
 ///
@@ -150,8 +150,8 @@
             loss: loss.clone(),
         });
         let identity = Identity { phase: Phase::Rebuilding, ..generation.identity.clone() };
-        let txn = Txn::default().when(IDENTITY, generation.mod_revision);
-        self.session.commit(txn.write(IDENTITY, Json::of(&identity)))?;
+        let txn = Txn::default().if_mod_revision(IDENTITY_KEY, generation.mod_revision);
+        self.session.commit(txn.write(IDENTITY_KEY, Json::of(&identity)))?;
         Ok(Progress::LookAgain)
     }
 
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -8,7 +8,7 @@
 use super::session::Session;
 use crate::access::StoreAccess;
 use crate::detection::{Assessment, Known, judge};
-use crate::generation::{GENERATIONS, Generation};
+use crate::generation::{GENERATION_PREFIX, Generation};
 use crate::history::History;
 use crate::identity::{Identity, Observed, Phase, Stamped};
 use crate::plan::Survivors;
@@ -48,7 +48,8 @@
     let newest_seen = latest_candidate_revision(observed)
         .max(base + observed.revision)
         .max(history.picture.newest());
-    let namespace = format!("{GENERATIONS}{}-{:x}/", next.generation, session.access().draw());
+    let namespace =
+        format!("{GENERATION_PREFIX}{}-{:x}/", next.generation, session.access().draw());
     Identity { namespace, base: newest_seen + REVISION_HEADROOM, ..next }
 }
 
--- a/crates/quartzlever-recovery/src/rebuild/writer.rs
+++ b/crates/quartzlever-recovery/src/rebuild/writer.rs
@@ -16,7 +16,8 @@
 use crate::events::RebuildEvent;
 use crate::history::History;
 use crate::identity::{
-    ABSENT, AbsentNode, IDENTITY, INHERITING, Identity, Inheriting, LOCK, Observed, Phase,
+    ABSENT_PREFIX, AbsentNode, IDENTITY_KEY, Identity, LOCK_KEY, Observed,
+    PENDING_FINAL_STATES_KEY, PendingFinalStates, Phase,
 };
 use crate::picture::Picture;
 use crate::plan::{Survivors, plan};
@@ -36,8 +37,8 @@
     ) -> Self {
         let identity_stamp = observed.identity.as_ref().map_or(0, |identity| identity.mod_revision);
         let fence = vec![
-            Condition { path: LOCK.into(), mod_revision: lock_stamp },
-            Condition { path: IDENTITY.into(), mod_revision: identity_stamp },
+            Condition { path: LOCK_KEY.into(), mod_revision: lock_stamp },
+            Condition { path: IDENTITY_KEY.into(), mod_revision: identity_stamp },
         ];
         Writer { session, observed, fence }
     }
@@ -85,7 +86,7 @@
             },
         };
         let txn = self.fenced(Vec::new());
-        self.session.commit(txn.write(IDENTITY, Json::of(&identity)).delete(LOCK))?;
+        self.session.commit(txn.write(IDENTITY_KEY, Json::of(&identity)).delete(LOCK_KEY))?;
         let Identity { cluster, generation, .. } = identity;
         self.log(RebuildEvent::GenerationFounded { cluster, generation });
         Ok(())
@@ -124,14 +125,14 @@
     ) -> Attempt<()> {
         let mut txn = self.fenced(Vec::new());
         if !survivors.same_line {
-            txn = txn.write(INHERITING, Json::of(&Inheriting { known_to }));
+            txn = txn.write(PENDING_FINAL_STATES_KEY, Json::of(&PendingFinalStates { known_to }));
         }
         let is_absent = |node: &&str| !self.observed.candidates.contains_key(*node);
         for node in picture.nodes_up().filter(is_absent) {
             let absent = AbsentNode { generation: next.generation };
-            txn = txn.write(format!("{ABSENT}{node}"), Json::of(&absent));
+            txn = txn.write(format!("{ABSENT_PREFIX}{node}"), Json::of(&absent));
         }
-        self.session.commit(txn.write(IDENTITY, Json::of(next)).delete(LOCK))
+        self.session.commit(txn.write(IDENTITY_KEY, Json::of(next)).delete(LOCK_KEY))
     }
 
     fn fenced(&self, changes: Vec<Change>) -> Txn {
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -6,10 +6,11 @@
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::guard::{Guard, GuardError};
 use quartzlever_recovery::identity::{
-    CANDIDATES, Candidate, IDENTITY, INHERITING, LOCK, Lock, Observed, WITNESSES,
+    CANDIDATE_PREFIX, Candidate, IDENTITY_KEY, LOCK_KEY, Lock, Observed, PENDING_FINAL_STATES_KEY,
+    WITNESS_PREFIX,
 };
 use quartzlever_recovery::picture::{KeyChange, Update};
-use quartzlever_recovery::rebuild::{RebuildError, observe, write_inherited};
+use quartzlever_recovery::rebuild::{RebuildError, observe, restore_final_states};
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, SECOND};
 
@@ -44,7 +45,7 @@
             extras_after,
             proven: true,
         };
-        let txn = Txn::default().write(format!("{CANDIDATES}{node}"), Json::of(&candidate));
+        let txn = Txn::default().write(format!("{CANDIDATE_PREFIX}{node}"), Json::of(&candidate));
         world.borrow_mut().store.call(now, &StoreCall::Txn(txn)).expect("written");
     }
 }
@@ -94,7 +95,8 @@
             let known = history.identity.clone();
             let generation = Generation { identity: known, mod_revision: identity };
             let mod_revision = generation.revision(record);
-            let txn = Txn::default().when("live/req-1", mod_revision).delete("live/req-1");
+            let txn =
+                Txn::default().if_mod_revision("live/req-1", mod_revision).delete("live/req-1");
             late.push(generation.to_store(&StoreCall::Txn(txn)));
         }
         world.borrow_mut().store.wipe();
@@ -212,13 +214,14 @@
         access.killed_at = Some(100);
         access.later = Some((pause, |w| {
             let lock = Lock { node: "two".into(), process: 9 };
-            let txn = Txn::default().write(LOCK, Json::of(&lock)).write("overtaken", Json::of(&1));
+            let txn =
+                Txn::default().write(LOCK_KEY, Json::of(&lock)).write("overtaken", Json::of(&1));
             w.store.call(w.now, &StoreCall::Txn(txn)).expect("written");
         }));
         start(&mut access, &settings("one", 1), &local(&history));
         let world = world.borrow();
         let mod_revision = |key: &str| world.store.get(key).map(|(_, mod_revision)| mod_revision);
-        match (mod_revision(IDENTITY), mod_revision("overtaken")) {
+        match (mod_revision(IDENTITY_KEY), mod_revision("overtaken")) {
             (Some(rebuilt), Some(lost)) => assert!(rebuilt < lost, "pause {pause}"),
             (Some(_), None) => {}
             (None, _) => overtaken += 1,
@@ -258,11 +261,11 @@
             let now = world.now;
             world.store.call(now, call)
         };
-        let update = write_inherited(&mut store, generation, &inherited).expect("an answer");
+        let update = restore_final_states(&mut store, generation, &inherited).expect("an answer");
         assert_eq!(update.is_some(), written);
     }
     assert_eq!(in_store(&world), RECORDS.len());
-    let gone = Txn::default().delete(INHERITING);
+    let gone = Txn::default().delete(PENDING_FINAL_STATES_KEY);
     world.borrow_mut().store.call(START, &StoreCall::Txn(gone)).expect("written");
     assert!(!waits(&world), "all are there");
 }
@@ -279,7 +282,7 @@
     let mut access = Access::new(&world);
     access.killed_at = Some(100);
     assert!(start(&mut access, &settings("one", 1), &local(&history)).is_none());
-    assert!(world.borrow().store.get(IDENTITY).is_none(), "rebuilt without them");
+    assert!(world.borrow().store.get(IDENTITY_KEY).is_none(), "rebuilt without them");
     announce(&world, &["two"]);
     let opened = opened(&world, "one", &local(&history));
     assert_eq!(values(&opened.picture), RECORDS.to_vec());
@@ -333,18 +336,18 @@
     let cases: &[Case] = &[
         ("nothing", |_| {}, 0),
         ("an outage", |w| w.store.outage = true, 0),
-        ("an identity that is gone", |w| w.store.lose(|key| key == IDENTITY), 1),
+        ("an identity that is gone", |w| w.store.lose(|key| key == IDENTITY_KEY), 1),
         ("a final state that is gone", |w| w.store.lose(|key| key == "over/req-3"), 1),
         ("a job that is gone", |w| w.store.lose(|key| key == "live/req-1"), 1),
         ("the cluster's version that is gone", |w| w.store.lose(|k| k == "cluster/version"), 1),
         ("machines that were returned", |w| w.store.lose(|key| key.starts_with("hosts/")), 0),
         ("everything gone", |w| w.store.wipe(), 1),
-        ("a witness that went back", |w| w.store.lose(|key| key.starts_with(WITNESSES)), 1),
+        ("a witness that went back", |w| w.store.lose(|key| key.starts_with(WITNESS_PREFIX)), 1),
     ];
     for (what, injects, generation) in cases {
         let world = world();
         fill(&world, RECORDS);
-        write(&mut world.borrow_mut(), &format!("{WITNESSES}one"), r#"{"count":7}"#);
+        write(&mut world.borrow_mut(), &format!("{WITNESS_PREFIX}one"), r#"{"count":7}"#);
         let mut history = history(&world);
         history.witness = 7;
         injects(&mut world.borrow_mut());
@@ -371,7 +374,7 @@
     let mut access = Access::new(&world);
     access.killed_at = Some(60);
     assert!(start(&mut access, &settings("one", 1), &Default::default()).is_none());
-    assert!(world.borrow().store.get(IDENTITY).is_none(), "founded alone");
+    assert!(world.borrow().store.get(IDENTITY_KEY).is_none(), "founded alone");
     for node in ["three", "two"] {
         let mut access = Access::new(&world);
         access.killed_at = Some(6);
@@ -396,7 +399,7 @@
     let lost = |loss| Err(GuardError::Lost(loss));
     let gone = || lost(Loss::IdentityGone);
     let absent = "over/req-9".to_owned();
-    let txn = Txn::default().when("over/req-9", 0).write("over/req-9", Json::of(&1));
+    let txn = Txn::default().if_mod_revision("over/req-9", 0).write("over/req-9", Json::of(&1));
     /// A call, what befalls the store before it, and what becomes of it; None for an answer.
     type Case<'a> = (StoreCall, fn(&mut world::World), Option<Result<StoreReply, GuardError>>);
     let wipe: fn(&mut world::World) = |w| w.store.wipe();
--- a/crates/quartzlever-recovery/tests/rebuilding/world.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/world.rs
@@ -9,7 +9,7 @@
 use quartzlever_recovery::events::RebuildEvent;
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::History;
-use quartzlever_recovery::identity::{IDENTITY, Identity, Phase};
+use quartzlever_recovery::identity::{IDENTITY_KEY, Identity, Phase};
 use quartzlever_recovery::picture::{Picture, Record};
 use quartzlever_recovery::rebuild::{Local, Opened, RebuildError, RebuildSettings, open};
 use quartzlever_testkit::Store;
@@ -128,7 +128,7 @@
     let mut world = world.borrow_mut();
     let now = world.now;
     let identity = serde_text(&identity());
-    for (key, value) in [(IDENTITY, identity.as_str())].iter().chain(records) {
+    for (key, value) in [(IDENTITY_KEY, identity.as_str())].iter().chain(records) {
         let value = Json::from_text(value).expect("JSON");
         let txn = Txn::default().write(*key, value);
         assert!(matches!(
--- a/crates/quartzlever-testkit/src/cloud.rs
+++ b/crates/quartzlever-testkit/src/cloud.rs
@@ -20,14 +20,14 @@
     pub gone: BTreeSet<String>,
     count: u32,
     /// The most machines that it rents at once.
-    pub most: usize,
+    pub max_machines: usize,
     /// The most spot machines that it rents at once; their price is in the catalogue all the same.
-    pub most_spot: usize,
+    pub max_spot_machines: usize,
 }
 
 impl Cloud {
     /// A cloud of machines with so many processors, of which it rents so many at once.
-    pub fn new(cpus: f64, zones: &[&str], most: usize) -> Self {
+    pub fn new(cpus: f64, zones: &[&str], max_machines: usize) -> Self {
         let machine_type = MachineType {
             name: "m".into(),
             cpus,
@@ -46,8 +46,8 @@
             machines: BTreeMap::new(),
             gone: BTreeSet::new(),
             count: 0,
-            most,
-            most_spot: usize::MAX,
+            max_machines,
+            max_spot_machines: usize::MAX,
         }
     }
 
@@ -56,36 +56,36 @@
         match call {
             CloudCall::Catalogue => CloudReply::Catalogue(self.catalogue.clone()),
             CloudCall::ScaleOut(request) => self.scale_out(request),
-            CloudCall::Return(hosts) => {
-                for host in hosts {
-                    self.machines.remove(host);
-                    self.gone.insert(host.clone());
+            CloudCall::ScaleIn(machines) => {
+                for machine in machines {
+                    self.machines.remove(machine);
+                    self.gone.insert(machine.clone());
                 }
                 CloudReply::ScaledIn
             }
             CloudCall::List { .. } => CloudReply::Listed(InstancePage {
-                hosts: self.machines.values().cloned().collect(),
+                instances: self.machines.values().cloned().collect(),
                 has_next: false,
             }),
         }
     }
 
     fn scale_out(&mut self, request: &ScaleOutRequest) -> CloudReply {
-        if let Some(hosts) = self.scale_outs.get(&request.name) {
-            return CloudReply::ScaledOut(hosts.clone());
+        if let Some(machines) = self.scale_outs.get(&request.name) {
+            return CloudReply::ScaledOut(machines.clone());
         }
-        let mut room = self.most.saturating_sub(self.machines.len());
+        let mut room = self.max_machines.saturating_sub(self.machines.len());
         if request.spot {
             let spot = self.machines.values().filter(|m| m.spot).count();
-            room = room.min(self.most_spot.saturating_sub(spot));
+            room = room.min(self.max_spot_machines.saturating_sub(spot));
         }
         let count = (request.count as usize).min(room);
         if count == 0 {
             return CloudReply::NoCapacity;
         }
-        let hosts: Vec<String> = (0..count).map(|_| self.rent(request)).collect();
-        self.scale_outs.insert(request.name.clone(), hosts.clone());
-        CloudReply::ScaledOut(hosts)
+        let machines: Vec<String> = (0..count).map(|_| self.rent(request)).collect();
+        self.scale_outs.insert(request.name.clone(), machines.clone());
+        CloudReply::ScaledOut(machines)
     }
 
     /// Adds one machine and gives its name.
--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -15,12 +15,12 @@
 use serde_json::{Value, json};
 use tiny_http::Request;
 
-use crate::http::{body_of, listen, micros, respond, serve_rentals};
+use crate::http::{body_of, listen, micros, respond, serve_cloud};
 use crate::rules::{MachineTasks, RuleChecker};
 use crate::{Cloud, Worker};
 
 /// A worker gives up on a heartbeat after this time.
-const REPORT_PATIENCE: Duration = Duration::from_secs(4);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 const WORKER_THREADS: usize = 2;
 
 /// How the workers of a fleet behave.
@@ -80,9 +80,9 @@
     /// Serves a cloud whose machines are the workers of this fleet.
     pub fn serve_cloud(self: &Arc<Self>, cloud: Cloud) -> io::Result<SocketAddr> {
         let (leaving, joining) = (self.clone(), self.clone());
-        serve_rentals(
+        serve_cloud(
             Arc::new(Mutex::new(cloud)),
-            move |host| leaving.leave(host),
+            move |machine| leaving.leave(machine),
             move |instance| joining.clone().join(instance),
         )
     }
@@ -137,16 +137,16 @@
     pub fn fail_busy_machine(&self) {
         self.change(|state, _| {
             let busy = state.workers.iter().find(|(_, worker)| !worker.running().is_empty());
-            if let Some(host) = busy.map(|(host, _)| host.clone()) {
-                state.workers.remove(&host);
+            if let Some(machine) = busy.map(|(machine, _)| machine.clone()) {
+                state.workers.remove(&machine);
             }
         });
     }
 
-    fn leave(&self, host: &str) {
+    fn leave(&self, machine: &str) {
         self.change(|state, _| {
-            state.workers.remove(host);
-            state.returned.insert(host.to_owned());
+            state.workers.remove(machine);
+            state.returned.insert(machine.to_owned());
         });
     }
 
@@ -158,31 +158,31 @@
     }
 
     fn serve_worker(self: Arc<Self>, mut instance: Instance) -> io::Result<()> {
-        let host = instance.name.clone();
-        let (fleet, name) = (self.clone(), host.clone());
+        let machine = instance.name.clone();
+        let (fleet, name) = (self.clone(), machine.clone());
         let address = listen(WORKER_THREADS, move |request| fleet.command(&name, request))?;
         instance.address = address.to_string();
         self.change(|state, now| {
             let mut worker =
                 Worker::new(instance, self.behaviour.lease, self.behaviour.run_time, now);
             worker.endless = state.endless.clone();
-            if !state.returned.contains(&host) {
-                state.workers.insert(host.clone(), worker);
+            if !state.returned.contains(&machine) {
+                state.workers.insert(machine.clone(), worker);
             }
         });
-        self.report_until_returned(&host);
+        self.report_until_returned(&machine);
         Ok(())
     }
 
     /// A call to the worker's own address.
-    fn command(&self, host: &str, mut request: Request) {
+    fn command(&self, machine: &str, mut request: Request) {
         let body = body_of(&mut request);
-        if host.ends_with(['1', '3', '5', '7', '9']) {
+        if machine.ends_with(['1', '3', '5', '7', '9']) {
             thread::sleep(self.behaviour.slow_calls);
         }
         let is_status = request.url() == "/status";
         let reply = self.change(|state, now| {
-            let worker = state.workers.get_mut(host)?;
+            let worker = state.workers.get_mut(machine)?;
             if is_status {
                 return Some(Ok(WorkerReply::Status(worker.heartbeat())));
             }
@@ -200,12 +200,12 @@
         }
     }
 
-    fn report_until_returned(&self, host: &str) {
-        let agent = ureq::AgentBuilder::new().timeout(REPORT_PATIENCE).build();
+    fn report_until_returned(&self, machine: &str) {
+        let agent = ureq::AgentBuilder::new().timeout(HEARTBEAT_TIMEOUT).build();
         let mut target = 0;
         loop {
             let heartbeat = self.change(|state, now| {
-                let worker = state.workers.get_mut(host)?;
+                let worker = state.workers.get_mut(machine)?;
                 Some((worker.heartbeat(), now))
             });
             let Some((heartbeat, sent)) = heartbeat else { return };
@@ -233,7 +233,7 @@
                 let text = response.into_string().unwrap_or_default();
                 let Ok(commands) = serde_json::from_str::<WorkerCommands>(&text) else { return };
                 self.change(|state, now| {
-                    if let Some(worker) = state.workers.get_mut(&heartbeat.host) {
+                    if let Some(worker) = state.workers.get_mut(&heartbeat.machine) {
                         worker.answered(&commands, sent, heartbeat.incarnation, now);
                     }
                 });
@@ -251,8 +251,8 @@
 
 impl State {
     fn show_ends(&mut self) {
-        for (host, worker) in &self.workers {
-            let shown = self.ends_shown.entry(host.clone()).or_default();
+        for (machine, worker) in &self.workers {
+            let shown = self.ends_shown.entry(machine.clone()).or_default();
             for task in &worker.completed[*shown..] {
                 self.rules.task_completed(task);
             }
@@ -263,10 +263,10 @@
     fn show_starts(&mut self, now: Micros) {
         let machines: Vec<MachineTasks> = self.workers.values().map(machine_tasks).collect();
         self.rules.machines(now, &machines);
-        for (host, worker) in &self.workers {
-            let shown = self.starts_shown.entry(host.clone()).or_default();
+        for (machine, worker) in &self.workers {
+            let shown = self.starts_shown.entry(machine.clone()).or_default();
             for (task, at) in &worker.started[*shown..] {
-                self.rules.task_started(*at, task, host, &machines);
+                self.rules.task_started(*at, task, machine, &machines);
             }
             *shown = worker.started.len();
         }
@@ -275,7 +275,7 @@
 
 fn machine_tasks(worker: &Worker) -> MachineTasks {
     MachineTasks {
-        host: worker.instance.name.clone(),
+        machine: worker.instance.name.clone(),
         machine_type: worker.instance.machine_type.clone(),
         zone: worker.instance.zone.clone(),
         spot: worker.instance.spot,
--- a/crates/quartzlever-testkit/src/http.rs
+++ b/crates/quartzlever-testkit/src/http.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quartzlever_wire::cloud::{CloudCall, CloudReply, HostNames, Instance, ScaleOutRequest};
+use quartzlever_wire::cloud::{CloudCall, CloudReply, Instance, MachineNames, ScaleOutRequest};
 use quartzlever_wire::store::{GrantAnswer, GrantRequest, StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Micros, SECOND};
 use serde::de::DeserializeOwned;
@@ -148,10 +148,10 @@
     result: Result<StoreReply, CallError>,
 ) -> (u16, Value) {
     match result {
-        Ok(StoreReply::Row(Some(row))) => (200, json!(row)),
-        Ok(StoreReply::Row(None)) => (404, json!(store.txn_answer(None))),
+        Ok(StoreReply::Read(Some(entry))) => (200, json!(entry)),
+        Ok(StoreReply::Read(None)) => (404, json!(store.txn_answer(None))),
         Ok(StoreReply::Revision(revision)) => (404, json!({ "epoch": revision })),
-        Ok(StoreReply::Rows(rows)) => (200, json!(rows)),
+        Ok(StoreReply::Listed(rows)) => (200, json!(rows)),
         Ok(StoreReply::Committed(_)) => (200, json!(store.txn_answer(None))),
         Ok(StoreReply::Conflict(failed)) => (409, json!(store.txn_answer(Some(failed)))),
         Ok(StoreReply::NoLease) if matches!(call, StoreCall::Txn(_)) => {
@@ -168,12 +168,12 @@
     }
 }
 
-/// Serves a fake cloud at a new loopback port; `gone` is told of each returned machine, `rented` of
+/// Serves a fake cloud at a new loopback port; `terminated` is told of each returned machine, `launched` of
 /// each new one.
-pub fn serve_rentals(
+pub fn serve_cloud(
     cloud: Arc<Mutex<Cloud>>,
-    gone: impl Fn(&str) + Send + Sync + 'static,
-    rented: impl Fn(Instance) + Send + Sync + 'static,
+    terminated: impl Fn(&str) + Send + Sync + 'static,
+    launched: impl Fn(Instance) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
     listen(CLOUD_THREADS, move |mut request| {
         let call = match cloud_call(&mut request) {
@@ -186,9 +186,9 @@
         let new: Vec<_> =
             guard.machines.values().filter(|m| !before.contains(&m.name)).cloned().collect();
         drop(guard);
-        new.into_iter().for_each(&rented);
-        if let (CloudReply::ScaledIn, CloudCall::Return(hosts)) = (&reply, &call) {
-            hosts.iter().for_each(|host| gone(host));
+        new.into_iter().for_each(&launched);
+        if let (CloudReply::ScaledIn, CloudCall::ScaleIn(machines)) = (&reply, &call) {
+            machines.iter().for_each(|machine| terminated(machine));
         }
         let (status, value) = cloud_answer(reply);
         respond(request, status, &value);
@@ -205,7 +205,7 @@
             CloudCall::ScaleOut(parsed::<ScaleOutRequest>(&body)?)
         }
         "/rentals" => CloudCall::List { from: query(url, "from") },
-        _ => CloudCall::Return(parsed::<HostNames>(&body)?.hosts),
+        _ => CloudCall::ScaleIn(parsed::<MachineNames>(&body)?.machines),
     })
 }
 
@@ -213,7 +213,7 @@
 fn cloud_answer(reply: CloudReply) -> (u16, Value) {
     match reply {
         CloudReply::Catalogue(catalogue) => (200, json!(catalogue)),
-        CloudReply::ScaledOut(hosts) => (200, json!(HostNames { hosts })),
+        CloudReply::ScaledOut(machines) => (200, json!(MachineNames { machines })),
         CloudReply::NoCapacity => (503, json!({ "error": "no capacity" })),
         CloudReply::ScaledIn => (200, json!({})),
         CloudReply::Listed(instances) => (200, json!(instances)),
--- a/crates/quartzlever-testkit/src/rules.rs
+++ b/crates/quartzlever-testkit/src/rules.rs
@@ -10,7 +10,7 @@
 
 /// What a user asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum UserRequest {
     /// To run a job.
     Submit,
     /// What has become of a job.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct MachineTasks {
     /// Name of the machine.
-    pub host: String,
+    pub machine: String,
     /// Name of its type.
     pub machine_type: String,
     /// Name of its zone.
@@ -100,9 +100,9 @@
     }
 
     /// A user sends a question.
-    pub fn asked(&mut self, asked: Asked, job: &str, spec: Option<&JobSpec>) {
+    pub fn asked(&mut self, asked: UserRequest, job: &str, spec: Option<&JobSpec>) {
         let told = self.told.entry(job.to_owned()).or_default();
-        told.cancel_asked |= asked == Asked::Cancel;
+        told.cancel_asked |= asked == UserRequest::Cancel;
         if let Some(spec) = spec {
             self.specs.entry(job.to_owned()).or_insert_with(|| spec.clone());
         }
@@ -113,7 +113,7 @@
         &mut self,
         now: Micros,
         sent: Micros,
-        asked: Asked,
+        asked: UserRequest,
         job: &str,
         status: u16,
         phase: &str,
@@ -126,7 +126,7 @@
         match status {
             200 | 201 => self.told_phase(now, sent, job, phase),
             404 if known_before => self.breaks("forgotten", now, &format!("{job}: 404")),
-            400 | 422 if known_before && asked == Asked::Submit => {
+            400 | 422 if known_before && asked == UserRequest::Submit => {
                 self.breaks("forgotten", now, &format!("{job}: {status} to its repetition"));
             }
             _ => {}
@@ -176,15 +176,16 @@
         let mut broken = Vec::new();
         for machine in machines {
             for task in &machine.tasks {
-                if let Some(other) = on.insert(task, &machine.host) {
-                    broken.push(("ran_twice", format!("{task} on {other} and {}", machine.host)));
+                if let Some(other) = on.insert(task, &machine.machine) {
+                    broken
+                        .push(("ran_twice", format!("{task} on {other} and {}", machine.machine)));
                 }
                 if let Some(spec) = self.specs.get(&task.job) {
                     let sum = used.entry(spec.team.clone()).or_default();
                     *sum = (sum.0 + spec.cpus, sum.1 + spec.gpus);
                 }
                 if self.cancelled(&task.job).is_some_and(|at| now > at + self.cancel) {
-                    broken.push(("ran_cancelled", format!("{task} on {}", machine.host)));
+                    broken.push(("ran_cancelled", format!("{task} on {}", machine.machine)));
                 }
             }
         }
@@ -212,24 +213,24 @@
         &mut self,
         now: Micros,
         task: &TaskId,
-        host: &str,
+        machine: &str,
         machines: &[MachineTasks],
     ) {
         self.begun.insert(task.job.clone());
         if let Some(at) = self.cancelled(&task.job).filter(|at| now > *at) {
             self.starts_after_cancel += 1;
             if now > at + self.cancel {
-                self.breaks("ran_cancelled", now, &format!("{task} starts on {host}"));
+                self.breaks("ran_cancelled", now, &format!("{task} starts on {machine}"));
             }
         }
         if self.ended.get(&task.job).is_some_and(|end| now > *end) {
-            self.breaks("ran_after_end", now, &format!("{task} starts on {host}"));
+            self.breaks("ran_after_end", now, &format!("{task} starts on {machine}"));
         }
         let Some(spec) = self.specs.get(&task.job).cloned() else {
             return self.breaks("invented", now, &format!("{task} starts"));
         };
         self.class_starts.insert(spec.class.clone(), now);
-        let Some(place) = machines.iter().find(|m| m.host == host) else { return };
+        let Some(place) = machines.iter().find(|m| m.machine == machine) else { return };
         let machine_type = spec.types.as_ref().is_none_or(|t| t.contains(&place.machine_type));
         let zone = spec.zone.as_ref().is_none_or(|z| *z == place.zone);
         let spot = spec.spot || !place.spot;
@@ -244,7 +245,7 @@
             .count();
         let apart = !spec.spread || here as u32 <= spec.tasks.div_ceil(2);
         if !(machine_type && zone && spot && together && apart) {
-            self.breaks("wrong_place", now, &format!("{task} on {host} in {}", place.zone));
+            self.breaks("wrong_place", now, &format!("{task} on {machine} in {}", place.zone));
         }
     }
 
--- a/crates/quartzlever-testkit/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use quartzlever_wire::pages::PAGES;
+use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, CLUSTER_VERSION_KEY, Change, Event, MACHINE_PREFIX, Row, Rows, StoreCall,
-    StoreReply, TerminalJobRecord, Txn, TxnAnswer, WatchAnswer,
+    ACTIVE_JOB_PREFIX, CLUSTER_VERSION_KEY, Change, Event, KeyValue, ListPage, MACHINE_PREFIX,
+    StoreCall, StoreReply, TerminalJobRecord, Txn, TxnAnswer, WatchAnswer,
 };
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Json, Micros};
@@ -19,9 +19,9 @@
 }
 
 impl Stored {
-    fn row(&self, key: &str) -> Row {
+    fn entry(&self, key: &str) -> KeyValue {
         let Stored { value, mod_revision, lease_id } = self.clone();
-        Row { path: key.to_owned(), v: value, mod_revision, lease_id }
+        KeyValue { key: key.to_owned(), value: value, mod_revision, lease_id }
     }
 }
 
@@ -92,7 +92,7 @@
         let unknown = |(key, stored): &(&String, &Stored)| {
             key.as_str() == CLUSTER_VERSION_KEY
                 || (key.starts_with(MACHINE_PREFIX) && key.matches('~').count() > 1)
-                || key.starts_with(PAGES)
+                || key.starts_with(PAGE_PREFIX)
                 || (key.starts_with(ACTIVE_JOB_PREFIX)
                     && ["daemon", "paged"].iter().any(|word| has(&stored.value, word)))
         };
@@ -180,7 +180,7 @@
         Ok(match call {
             StoreCall::Revision => StoreReply::Revision(self.revision),
             StoreCall::Get(key) => {
-                StoreReply::Row(self.keys.get(key).map(|stored| stored.row(key)))
+                StoreReply::Read(self.keys.get(key).map(|stored| stored.entry(key)))
             }
             StoreCall::List { prefix, from } => self.list(prefix, from.as_deref()),
             StoreCall::Txn(txn) => return self.commit(now, txn),
@@ -196,8 +196,8 @@
         let listed = |key: &str| key.starts_with(prefix) && from.is_none_or(|from| key > from);
         let has_next = self.keys.keys().filter(|key| listed(key)).count() > most;
         let page = self.keys.iter().filter(|(key, _)| listed(key)).take(most);
-        let rows = page.map(|(key, stored)| stored.row(key)).collect();
-        StoreReply::Rows(Rows { rows, has_next, revision: self.revision })
+        let rows = page.map(|(key, stored)| stored.entry(key)).collect();
+        StoreReply::Listed(ListPage { entries: rows, has_next, revision: self.revision })
     }
 
     /// Makes all changes of a transaction, or none.
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use crate::fleet::Fleet;
-use crate::rules::Asked;
+use crate::rules::UserRequest;
 
 const PATIENCE: Duration = Duration::from_secs(2);
 const RETRY: Duration = Duration::from_millis(500);
@@ -19,7 +19,7 @@
 
 /// What a user was told.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct UserReply {
     /// Status of the answer; 0 without one.
     pub status: u16,
     /// Phase of the job; empty if the answer names none.
@@ -39,38 +39,38 @@
     }
 
     /// Submits a job.
-    pub fn submit(&self, controller: SocketAddr, spec: &JobSpec) -> Told {
+    pub fn submit(&self, controller: SocketAddr, spec: &JobSpec) -> UserReply {
         let body = serde_json::to_string(spec).expect("a job is JSON");
-        self.ask(controller, Asked::Submit, &spec.id, Some(spec), Some(&body))
+        self.ask(controller, UserRequest::Submit, &spec.id, Some(spec), Some(&body))
     }
 
     /// Asks what has become of a job.
-    pub fn look_up(&self, controller: SocketAddr, job: &str) -> Told {
-        self.ask(controller, Asked::Lookup, job, None, None)
+    pub fn look_up(&self, controller: SocketAddr, job: &str) -> UserReply {
+        self.ask(controller, UserRequest::Lookup, job, None, None)
     }
 
     /// Cancels a job.
-    pub fn cancel(&self, controller: SocketAddr, job: &str) -> Told {
-        self.ask(controller, Asked::Cancel, job, None, Some(""))
+    pub fn cancel(&self, controller: SocketAddr, job: &str) -> UserReply {
+        self.ask(controller, UserRequest::Cancel, job, None, Some(""))
     }
 
     fn ask(
         &self,
         controller: SocketAddr,
-        asked: Asked,
+        asked: UserRequest,
         job: &str,
         spec: Option<&JobSpec>,
         body: Option<&str>,
-    ) -> Told {
+    ) -> UserReply {
         let sent = self.fleet.rules(|rules, now| {
             rules.asked(asked, job, spec);
             now
         });
         let base = format!("http://{controller}/v2/runs");
         let request = match asked {
-            Asked::Submit => ureq::post(&base),
-            Asked::Lookup => ureq::get(&format!("{base}/{job}")),
-            Asked::Cancel => ureq::post(&format!("{base}/{job}/abort")),
+            UserRequest::Submit => ureq::post(&base),
+            UserRequest::Lookup => ureq::get(&format!("{base}/{job}")),
+            UserRequest::Cancel => ureq::post(&format!("{base}/{job}/abort")),
         };
         let told = send(request, body);
         self.fleet.rules(|rules, now| {
@@ -80,7 +80,7 @@
     }
 }
 
-fn send(request: ureq::Request, body: Option<&str>) -> Told {
+fn send(request: ureq::Request, body: Option<&str>) -> UserReply {
     let request = request.timeout(PATIENCE);
     let result = match body {
         Some(body) => request.send_string(body),
@@ -93,7 +93,7 @@
         Err(ureq::Error::Transport(_)) => (0, String::new()),
     };
     let body: Value = serde_json::from_str(&text).unwrap_or_default();
-    Told { status, phase: body["phase"].as_str().unwrap_or_default().to_owned() }
+    UserReply { status, phase: body["phase"].as_str().unwrap_or_default().to_owned() }
 }
 
 /// Repeats something until its outcome is as wanted; far too late, the test fails.
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -111,7 +111,7 @@
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
-            host: self.instance.name.clone(),
+            machine: self.instance.name.clone(),
             address: self.instance.address.clone(),
             machine_type: self.instance.machine_type.clone(),
             zone: self.instance.zone.clone(),
@@ -135,7 +135,7 @@
     }
 
     /// Whether a heartbeat told of everything that is on the machine now.
-    pub fn told(&self, heartbeat: &Heartbeat) -> bool {
+    pub fn is_reported_by(&self, heartbeat: &Heartbeat) -> bool {
         let exited = |t: &TaskStatus| t.phase == TaskPhase::Exited;
         self.incarnation == heartbeat.incarnation
             && self.fencing_token == heartbeat.fencing_token
--- a/crates/quartzlever-testkit/src/worker_fleet.rs
+++ b/crates/quartzlever-testkit/src/worker_fleet.rs
@@ -26,7 +26,7 @@
 
 /// How the workers of a fleet behave.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
+pub struct WorkerBehaviour {
     /// Time between heartbeats of a worker.
     pub heartbeat_interval: Micros,
     /// How long a worker runs its tasks without an answer to its heartbeats.
@@ -42,7 +42,7 @@
     members: Mutex<BTreeMap<u32, Member>>,
     port: u16,
     start: Instant,
-    habits: Habits,
+    behaviour: WorkerBehaviour,
     controller: Mutex<Option<SocketAddr>>,
     /// How many heartbeats were answered.
     pub answered: AtomicU64,
@@ -51,8 +51,8 @@
 }
 
 /// The number in a machine's name, which makes its loopback address.
-fn number(host: &str) -> u32 {
-    host.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(0)
+fn number(machine: &str) -> u32 {
+    machine.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(0)
 }
 
 fn address(number: u32) -> Ipv4Addr {
@@ -62,13 +62,13 @@
 
 impl WorkerFleet {
     /// Starts a fleet without workers.
-    pub fn start(habits: Habits, start: Instant) -> io::Result<Arc<WorkerFleet>> {
+    pub fn start(behaviour: WorkerBehaviour, start: Instant) -> io::Result<Arc<WorkerFleet>> {
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         let fleet = Arc::new(WorkerFleet {
             members: Mutex::new(BTreeMap::new()),
             port: listener.local_addr()?.port(),
             start,
-            habits,
+            behaviour,
             controller: Mutex::new(None),
             answered: AtomicU64::new(0),
             unanswered: AtomicU64::new(0),
@@ -95,10 +95,11 @@
     }
 
     /// A machine is up.
-    pub fn rented(self: &Arc<Self>, mut instance: Instance) {
+    pub fn launched(self: &Arc<Self>, mut instance: Instance) {
         let number = number(&instance.name);
         instance.address = format!("{}:{}", address(number), self.port);
-        let worker = Worker::new(instance, self.habits.lease, self.habits.run_time, self.now());
+        let worker =
+            Worker::new(instance, self.behaviour.lease, self.behaviour.run_time, self.now());
         let member = Arc::new(Mutex::new(worker));
         if let Ok(mut members) = self.members.lock() {
             members.insert(number, member.clone());
@@ -113,9 +114,9 @@
     }
 
     /// A machine is gone.
-    pub fn returned(&self, host: &str) {
+    pub fn terminated(&self, machine: &str) {
         if let Ok(mut members) = self.members.lock() {
-            members.remove(&number(host));
+            members.remove(&number(machine));
         }
     }
 
@@ -218,11 +219,11 @@
         heartbeat: &Heartbeat,
         sent: Micros,
     ) -> io::Result<bool> {
-        let number = number(&heartbeat.host);
+        let number = number(&heartbeat.machine);
         let spread = SECOND * u64::from(number % 50) / 50;
         let next = sent
-            + self.habits.heartbeat_interval * 3 / 4
-            + spread * self.habits.heartbeat_interval / 2 / SECOND;
+            + self.behaviour.heartbeat_interval * 3 / 4
+            + spread * self.behaviour.heartbeat_interval / 2 / SECOND;
         loop {
             thread::sleep(CHANGE);
             if self.member(number).is_none() {
@@ -231,7 +232,7 @@
             let mut worker = member.lock().map_err(|_| gone())?;
             let now = self.now();
             worker.pass(now);
-            if now >= next || !worker.told(heartbeat) {
+            if now >= next || !worker.is_reported_by(heartbeat) {
                 return Ok(true);
             }
         }
--- a/crates/quartzlever-testkit/tests/rules.rs
+++ b/crates/quartzlever-testkit/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The checker finds a violation of each rule, and nothing in what is right.
 
 use quartzlever_testkit::jobs;
-use quartzlever_testkit::rules::{Asked, MachineTasks, RuleChecker, TeamLimit};
+use quartzlever_testkit::rules::{MachineTasks, RuleChecker, TeamLimit, UserRequest};
 use quartzlever_wire::users::JobSpec;
 use quartzlever_wire::workers::TaskId;
 use quartzlever_wire::{Micros, SECOND};
@@ -16,9 +16,9 @@
     TaskId { job: job(n, 1).id, index }
 }
 
-fn on(host: &str, zone: &str, tasks: &[TaskId]) -> MachineTasks {
+fn on(machine: &str, zone: &str, tasks: &[TaskId]) -> MachineTasks {
     MachineTasks {
-        host: host.into(),
+        machine: machine.into(),
         machine_type: "m".into(),
         zone: zone.into(),
         spot: true,
@@ -32,8 +32,8 @@
     let mut checker = RuleChecker::new(20 * SECOND, vec![tight]);
     let mut spec = job(1, 2);
     change(&mut spec);
-    checker.asked(Asked::Submit, &spec.id, Some(&spec));
-    checker.answered(START, START - 1, Asked::Submit, &spec.id, 201, "queued");
+    checker.asked(UserRequest::Submit, &spec.id, Some(&spec));
+    checker.answered(START, START - 1, UserRequest::Submit, &spec.id, 201, "queued");
     checker
 }
 
@@ -52,13 +52,13 @@
             j.machines(START + 1, &both);
             j.task_completed(&task(1, 0));
             j.task_completed(&task(1, 1));
-            j.answered(START + 9, START + 8, Asked::Lookup, "req-000001", 200, "done");
+            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
         }),
         ("", |j| {
             // A question sent before the end was told may get an older answer.
-            j.asked(Asked::Cancel, "req-000001", None);
-            j.answered(START + 9, START + 5, Asked::Cancel, "req-000001", 200, "aborted");
-            j.answered(START + 10, START + 8, Asked::Lookup, "req-000001", 200, "running");
+            j.asked(UserRequest::Cancel, "req-000001", None);
+            j.answered(START + 9, START + 5, UserRequest::Cancel, "req-000001", 200, "aborted");
+            j.answered(START + 10, START + 8, UserRequest::Lookup, "req-000001", 200, "running");
             let still = [on("n1", "a", &[task(1, 0)])];
             j.machines(START + 9 + 20 * SECOND, &still);
         }),
@@ -66,39 +66,47 @@
             j.machines(START, &[on("n1", "a", &[task(1, 0)]), on("n2", "a", &[task(1, 0)])]);
         }),
         ("ran_cancelled", |j| {
-            j.asked(Asked::Cancel, "req-000001", None);
-            j.answered(START, START - 1, Asked::Cancel, "req-000001", 200, "aborted");
+            j.asked(UserRequest::Cancel, "req-000001", None);
+            j.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
             j.machines(START + 20 * SECOND + 1, &[on("n1", "a", &[task(1, 0)])]);
         }),
         ("ran_cancelled", |j| {
-            j.asked(Asked::Cancel, "req-000001", None);
-            j.answered(START, START - 1, Asked::Cancel, "req-000001", 200, "aborted");
+            j.asked(UserRequest::Cancel, "req-000001", None);
+            j.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
             j.task_started(START + 20 * SECOND + 1, &task(1, 0), "n1", &[]);
         }),
-        ("forgotten", |j| j.answered(START + 9, START + 8, Asked::Lookup, "req-000001", 404, "")),
-        ("forgotten", |j| j.answered(START + 9, START + 8, Asked::Submit, "req-000001", 422, "")),
-        ("forgotten", |j| j.answered(START + 9, START + 8, Asked::Submit, "req-000001", 400, "")),
+        ("forgotten", |j| {
+            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 404, "")
+        }),
+        ("forgotten", |j| {
+            j.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 422, "")
+        }),
+        ("forgotten", |j| {
+            j.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 400, "")
+        }),
         ("forgotten", |j| j.unanswered(START + 90 * SECOND, START + SECOND)),
-        ("invented", |j| j.answered(START, START - 1, Asked::Lookup, "req-000002", 200, "queued")),
+        ("invented", |j| {
+            j.answered(START, START - 1, UserRequest::Lookup, "req-000002", 200, "queued")
+        }),
         ("invented", |j| j.task_started(START, &task(2, 0), "n1", &[])),
         ("not_done", |j| {
             j.task_completed(&task(1, 0));
-            j.answered(START + 9, START + 8, Asked::Lookup, "req-000001", 200, "done");
+            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
         }),
         ("went_back", |j| {
-            j.asked(Asked::Cancel, "req-000001", None);
-            j.answered(START + 9, START + 8, Asked::Cancel, "req-000001", 200, "aborted");
-            j.answered(START + 12, START + 10, Asked::Submit, "req-000001", 200, "queued");
+            j.asked(UserRequest::Cancel, "req-000001", None);
+            j.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
+            j.answered(START + 12, START + 10, UserRequest::Submit, "req-000001", 200, "queued");
         }),
         ("went_back", |j| {
-            j.asked(Asked::Cancel, "req-000001", None);
+            j.asked(UserRequest::Cancel, "req-000001", None);
             j.task_completed(&task(1, 0));
             j.task_completed(&task(1, 1));
-            j.answered(START + 9, START + 8, Asked::Lookup, "req-000001", 200, "done");
-            j.answered(START + 9, START + 8, Asked::Cancel, "req-000001", 200, "aborted");
+            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
+            j.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
         }),
         ("went_back", |j| {
-            j.answered(START + 9, START + 8, Asked::Lookup, "req-000001", 200, "aborted");
+            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "aborted");
         }),
         ("ran_after_end", |j| {
             j.job_done(START, "req-000001");
@@ -111,7 +119,7 @@
         }),
         ("", |j| {
             // Nobody wants the only job any more.
-            j.asked(Asked::Cancel, "req-000001", None);
+            j.asked(UserRequest::Cancel, "req-000001", None);
             j.day_over(START + 9);
         }),
         ("not_held", |j| j.partition_held(START + 9, "one", 0)),
@@ -121,13 +129,13 @@
         ("", |j| j.classes_start(START + 90 * SECOND, START, |_| false)),
         ("", |j| {
             // Another job of the class was begun after the last fault.
-            j.asked(Asked::Submit, &job(2, 1).id, Some(&job(2, 1)));
+            j.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
             j.task_started(START + 2 * SECOND, &task(2, 0), "n1", &[]);
             j.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
         }),
         ("class_waits", |j| {
             // So it was, but before.
-            j.asked(Asked::Submit, &job(2, 1).id, Some(&job(2, 1)));
+            j.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
             j.task_started(START + 1, &task(2, 0), "n1", &[]);
             j.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
         }),
--- a/crates/quartzlever-wire/src/cloud.rs
+++ b/crates/quartzlever-wire/src/cloud.rs
@@ -66,9 +66,10 @@
 
 /// Names of machines: the answer to a scale-out, or the body of a return.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostNames {
+pub struct MachineNames {
     /// The names.
-    pub hosts: Vec<String>,
+    #[serde(rename = "hosts")]
+    pub machines: Vec<String>,
 }
 
 /// The state of a rented machine as the cloud lists it.
@@ -115,7 +116,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstancePage {
     /// Rented machines, in the order of their names.
-    pub hosts: Vec<Instance>,
+    #[serde(rename = "hosts")]
+    pub instances: Vec<Instance>,
     /// Whether machines follow after the last of this page.
     #[serde(default)]
     pub has_next: bool,
@@ -129,7 +131,7 @@
     /// Rent machines.
     ScaleOut(ScaleOutRequest),
     /// Return the machines of these names.
-    Return(Vec<String>),
+    ScaleIn(Vec<String>),
     /// Read a page of the list of rented machines.
     List {
         /// The last name of the page before; none for the first page.
--- a/crates/quartzlever-wire/src/pages.rs
+++ b/crates/quartzlever-wire/src/pages.rs
@@ -7,7 +7,7 @@
 use crate::Ranges;
 
 /// Prefix of the keys of [`PageRecord`].
-pub const PAGES: &str = "pages/";
+pub const PAGE_PREFIX: &str = "pages/";
 /// How many tasks a page stands for: as hexadecimal digits they take 256 bytes.
 pub const PAGE_TASKS: u32 = 1024;
 const BITS_PER_DIGIT: u32 = 4;
@@ -21,12 +21,12 @@
 
 /// The key of a page of a job.
 pub fn page_key(job: &str, page: u32) -> String {
-    format!("{PAGES}{job}/{page}")
+    format!("{PAGE_PREFIX}{job}/{page}")
 }
 
 /// The job and the page that a key belongs to.
 pub fn page_of_key(key: &str) -> Option<(&str, u32)> {
-    let (job, page) = key.strip_prefix(PAGES)?.rsplit_once('/')?;
+    let (job, page) = key.strip_prefix(PAGE_PREFIX)?.rsplit_once('/')?;
     Some((job, page.parse().ok()?))
 }
 
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -59,7 +59,7 @@
         /// The partition.
         partition: String,
         /// The names of the machines.
-        hosts: Vec<String>,
+        machines: Vec<String>,
     },
     /// The cancellation of a job has just been committed.
     Cancelled {
--- a/crates/quartzlever-wire/src/store.rs
+++ b/crates/quartzlever-wire/src/store.rs
@@ -53,11 +53,13 @@
 
 /// A key with its value and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct KeyValue {
     /// The key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// The value.
-    pub v: Json,
+    #[serde(rename = "v")]
+    pub value: Json,
     /// Revision of the latest change of the key.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
@@ -68,9 +70,10 @@
 
 /// A page of keys: the answer to [`StoreCall::List`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rows {
+pub struct ListPage {
     /// The keys of the page, in order.
-    pub rows: Vec<Row>,
+    #[serde(rename = "rows")]
+    pub entries: Vec<KeyValue>,
     /// Whether keys follow after the last of this page.
     #[serde(default)]
     pub has_next: bool,
@@ -124,7 +127,7 @@
 
 impl Txn {
     /// Adds the condition that a key has this modification revision, 0 for absent.
-    pub fn when(mut self, path: impl Into<String>, mod_revision: u64) -> Self {
+    pub fn if_mod_revision(mut self, path: impl Into<String>, mod_revision: u64) -> Self {
         self.conditions.push(Condition { path: path.into(), mod_revision });
         self
     }
@@ -136,7 +139,7 @@
     }
 
     /// Adds the writing of a key that is attached to a lease.
-    pub fn write_held(mut self, path: impl Into<String>, v: Json, lease: u64) -> Self {
+    pub fn write_with_lease(mut self, path: impl Into<String>, v: Json, lease: u64) -> Self {
         self.changes.push(Change::Write { write: path.into(), v, lease_id: Some(lease) });
         self
     }
@@ -380,7 +383,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineGroupRecord {
     /// The machines by name.
-    pub m: MachineRecords,
+    #[serde(rename = "m")]
+    pub machines: MachineRecords,
 }
 
 /// How many numbered names make a group of the first form, whose key does not name the size: their
@@ -396,24 +400,24 @@
     if most.is_power_of_two() { most } else { most.next_power_of_two() / 2 }
 }
 
-fn numbered(host: &str) -> Option<(&str, u64)> {
-    let stem = host.trim_end_matches(|c: char| c.is_ascii_digit());
-    host[stem.len()..].parse().ok().map(|number| (stem, number))
+fn numbered(machine: &str) -> Option<(&str, u64)> {
+    let stem = machine.trim_end_matches(|c: char| c.is_ascii_digit());
+    machine[stem.len()..].parse().ok().map(|number| (stem, number))
 }
 
 /// The key of the group of the first form that a machine's name belongs to.
-pub fn large_group_key(host: &str) -> String {
-    match numbered(host) {
+pub fn large_group_key(machine: &str) -> String {
+    match numbered(machine) {
         Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{}", number / LARGE_GROUP_SIZE),
-        None => format!("{MACHINE_PREFIX}{host}~"),
+        None => format!("{MACHINE_PREFIX}{machine}~"),
     }
 }
 
 /// The key of the group of so many machines that a machine's name belongs to.
-pub fn group_key(host: &str, size: u64) -> String {
-    match numbered(host).filter(|_| size < LARGE_GROUP_SIZE) {
+pub fn group_key(machine: &str, size: u64) -> String {
+    match numbered(machine).filter(|_| size < LARGE_GROUP_SIZE) {
         Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{size}~{}", number / size),
-        None => large_group_key(host),
+        None => large_group_key(machine),
     }
 }
 
@@ -440,7 +444,7 @@
         spot: bool,
     }
     if let Some(group) = value.parse::<MachineGroupRecord>() {
-        return Some(group.m);
+        return Some(group.machines);
     }
     let Earlier { partition, address, machine_type, zone, spot } = value.parse()?;
     let name = path.strip_prefix(MACHINE_PREFIX)?.to_owned();
@@ -518,9 +522,9 @@
     /// The present revision.
     Revision(u64),
     /// The key, if it is there.
-    Row(Option<Row>),
+    Read(Option<KeyValue>),
     /// A page of keys.
-    Rows(Rows),
+    Listed(ListPage),
     /// The transaction is in force at this revision.
     Committed(u64),
     /// Some conditions did not hold: these keys.
--- a/crates/quartzlever-wire/src/workers.rs
+++ b/crates/quartzlever-wire/src/workers.rs
@@ -88,7 +88,8 @@
     /// It failed.
     Error,
     /// It was not started: the machine has too little free capacity.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    NoCapacity,
     /// It was not started: another attempt of the task is on the machine.
     Busy,
     /// The worker does not know what became of it.
@@ -122,7 +123,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The machine's name, as the cloud gave it.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub machine: String,
     /// Address and port where the worker takes calls.
     pub address: String,
     /// Name of the machine type.
@@ -156,9 +158,9 @@
     /// Reads a heartbeat; `None` for anything malformed.
     pub fn parse(body: &[u8]) -> Option<Heartbeat> {
         let heartbeat: Heartbeat = serde_json::from_slice(body).ok()?;
-        let named = !heartbeat.host.is_empty()
-            && heartbeat.host.len() <= 100
-            && heartbeat.host.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+        let named = !heartbeat.machine.is_empty()
+            && heartbeat.machine.len() <= 100
+            && heartbeat.machine.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
         let sound =
             heartbeat.tasks.iter().all(|t| (t.phase == TaskPhase::Exited) == t.cause.is_some());
         (named && heartbeat.incarnation > 0 && sound).then_some(heartbeat)
--- a/crates/quartzlever-wire/tests/formats.rs
+++ b/crates/quartzlever-wire/tests/formats.rs
@@ -214,7 +214,7 @@
 
 #[test]
 fn peers_messages_are_framed() {
-    let request = PeerRequest::ScaledOut { partition: "one".into(), hosts: vec!["n-1".into()] };
+    let request = PeerRequest::ScaledOut { partition: "one".into(), machines: vec!["n-1".into()] };
     let mut frame = Vec::new();
     peers::send(&mut frame, &request).expect("a frame");
     assert_eq!(peers::receive::<PeerRequest>(&mut frame.as_slice()).expect("a message"), request);
@@ -231,25 +231,25 @@
 #[test]
 fn machines_share_keys_and_earlier_records_are_read() {
     use quartzlever_wire::store::{large_group_key, machine_records_in};
-    for (host, key) in [
+    for (machine, key) in [
         ("n-000000", "hosts/n-~0"),
         ("n-000063", "hosts/n-~0"),
         ("n-000064", "hosts/n-~1"),
         ("rack", "hosts/rack~"),
         ("n-99999999999999999999999", "hosts/n-99999999999999999999999~"),
     ] {
-        assert_eq!(large_group_key(host), key, "{host}");
+        assert_eq!(large_group_key(machine), key, "{machine}");
     }
     let earlier = json!({"part":"one","address":"a:1","kind":"m","zone":"z","spot":true});
     let block = json!({"m":{"n-1":["one","a:1","m","z",true],"n-2":["two","b:1","m","z",false]}});
-    for (name, path, value, hosts) in [
+    for (name, path, value, machines) in [
         ("one machine, as earlier versions wrote it", "hosts/n-1", earlier, Some(1)),
         ("a block", "hosts/n-~0", block, Some(2)),
         ("neither", "hosts/n-~0", json!([1, 2]), None),
         ("a piece of one", "hosts/n-1", json!({"part":"one"}), None),
     ] {
         let found = machine_records_in(path, &Json::of(&value));
-        assert_eq!(found.as_ref().map(|h| h.len()), hosts, "{name}");
+        assert_eq!(found.as_ref().map(|h| h.len()), machines, "{name}");
         if let Some(found) = found {
             assert_eq!(found["n-1"].partition, "one", "{name}");
         }
--- a/crates/quartzlever-wire/tests/production.rs
+++ b/crates/quartzlever-wire/tests/production.rs
@@ -53,7 +53,7 @@
             "000000130500000003000000000000006f6e6503000000",
         ),
         (
-            PeerRequest::ScaledOut { partition: "one".into(), hosts: vec!["n-1".into()] },
+            PeerRequest::ScaledOut { partition: "one".into(), machines: vec!["n-1".into()] },
             "000000220600000003000000000000006f6e65010000000000000003000000000000006e2d31",
         ),
         (
@@ -100,8 +100,8 @@
     let record: TerminalJobRecord = serde_json::from_str(over).expect("the end of a job");
     assert_eq!((record.phase, record.done), (JobPhase::Cancelled, 4));
     assert_eq!(Json::of(&record).text(), over);
-    let hosts = r#"{"m":{"n-000231":["one","10.1.0.232:9000","g8","a",true]}}"#;
-    let value: Json = serde_json::from_str(hosts).expect("a block");
+    let machines = r#"{"m":{"n-000231":["one","10.1.0.232:9000","g8","a",true]}}"#;
+    let value: Json = serde_json::from_str(machines).expect("a block");
     let found = machine_records_in("hosts/n-~3", &value).expect("machines");
     assert_eq!(found["n-000231"].address, "10.1.0.232:9000");
     assert_eq!(large_group_key("n-000231"), "hosts/n-~3");
@@ -122,11 +122,11 @@
         assert_eq!(group_size(limit), size, "{limit}");
         assert_eq!(group_key("n-000231", size), key, "{limit}");
         for number in 0..300 {
-            let (host, first) =
+            let (machine, first) =
                 (format!("n-{number:06}"), format!("n-{:06}", number / size * size));
             // All machines of a small block are in the same one of production.
-            assert_eq!(large_group_key(&host), large_group_key(&first), "{limit} {host}");
-            assert_eq!(group_key(&host, size), group_key(&first, size));
+            assert_eq!(large_group_key(&machine), large_group_key(&first), "{limit} {machine}");
+            assert_eq!(group_key(&machine, size), group_key(&first, size));
         }
     }
 }
--- a/crates/quartzlever/benches/recovery.rs
+++ b/crates/quartzlever/benches/recovery.rs
@@ -15,7 +15,7 @@
 use hdrhistogram::Histogram;
 use quartzlever_testkit::jobs::array;
 use quartzlever_testkit::program::Node;
-use quartzlever_testkit::worker_fleet::{Habits, WorkerFleet};
+use quartzlever_testkit::worker_fleet::{WorkerBehaviour, WorkerFleet};
 use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
 
@@ -102,16 +102,19 @@
         let begin = Instant::now();
         let store = Arc::new(Mutex::new(Store::default()));
         let state = http::serve_store(store.clone(), begin).expect("store");
-        let habits =
-            Habits { heartbeat_interval: 6 * SECOND, lease: 36 * SECOND, run_time: RUN_S * SECOND };
-        let crowd = WorkerFleet::start(habits, begin).expect("crowd");
+        let behaviour = WorkerBehaviour {
+            heartbeat_interval: 6 * SECOND,
+            lease: 36 * SECOND,
+            run_time: RUN_S * SECOND,
+        };
+        let crowd = WorkerFleet::start(behaviour, begin).expect("crowd");
         let mut cloud = Cloud::new(2.0, &["a"], machines);
         // Idle machines are kept for as long as one boots.
         cloud.catalogue.types[0].ready_s = 600.0;
         let (joined, left) = (crowd.clone(), crowd.clone());
         let cloud = Arc::new(Mutex::new(cloud));
-        let gone = move |host: &str| left.returned(host);
-        let cloud = http::serve_rentals(cloud, gone, move |r| joined.rented(r)).expect("cloud");
+        let gone = move |machine: &str| left.terminated(machine);
+        let cloud = http::serve_cloud(cloud, gone, move |r| joined.launched(r)).expect("cloud");
 
         let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let directory = scratch.join("recovery-bench");
--- a/crates/quartzlever/benches/resource_usage.rs
+++ b/crates/quartzlever/benches/resource_usage.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 use quartzlever_testkit::program::Node;
-use quartzlever_testkit::worker_fleet::{Habits, WorkerFleet};
+use quartzlever_testkit::worker_fleet::{WorkerBehaviour, WorkerFleet};
 use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
 use serde_json::json;
@@ -300,8 +300,8 @@
     }
 
     /// Waits until so many machines run enough, or for a while.
-    fn await_running(&self, tasks: usize, patience: Duration) {
-        let end = Instant::now() + patience;
+    fn await_running(&self, tasks: usize, timeout: Duration) {
+        let end = Instant::now() + timeout;
         while self.crowd.running().0 < tasks && Instant::now() < end {
             thread::sleep(Duration::from_millis(200));
         }
@@ -352,16 +352,22 @@
     let begin = Instant::now();
     let keys = Arc::new(Mutex::new(Store::default()));
     let store = http::serve_store(keys.clone(), begin).expect("store");
-    let habits =
-        Habits { heartbeat_interval: 6 * SECOND, lease: 36 * SECOND, run_time: RUN_S * SECOND };
-    let crowd = WorkerFleet::start(habits, begin).expect("crowd");
+    let behaviour = WorkerBehaviour {
+        heartbeat_interval: 6 * SECOND,
+        lease: 36 * SECOND,
+        run_time: RUN_S * SECOND,
+    };
+    let crowd = WorkerFleet::start(behaviour, begin).expect("crowd");
     let mut cloud = Cloud::new(MACHINE, &["a"], machines);
     // Idle machines are kept for as long as one boots.
     cloud.catalogue.types[0].ready_s = 600.0;
     let (joined, left) = (crowd.clone(), crowd.clone());
     let cloud = Arc::new(Mutex::new(cloud));
-    let cloud =
-        http::serve_rentals(cloud, move |host| left.returned(host), move |r| joined.rented(r));
+    let cloud = http::serve_cloud(
+        cloud,
+        move |machine| left.terminated(machine),
+        move |r| joined.launched(r),
+    );
     let cloud = cloud.expect("cloud");
     let names = &["one", "two", "three"][..parts];
     let config =
--- a/crates/quartzlever/src/inbox.rs
+++ b/crates/quartzlever/src/inbox.rs
@@ -185,7 +185,7 @@
     /// Asks the core for a peer's answer.
     pub fn ask_for_peer(
         &self,
-        patience: Duration,
+        timeout: Duration,
         command: impl FnOnce(RequestId) -> Command,
     ) -> Option<PeerAnswer> {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
@@ -194,6 +194,6 @@
             Item { command: command(id), waiter: Some(Waiter { id, reply: Reply::Peer(sender) }) };
         self.priority.send(item).ok()?;
         self.core.unpark();
-        receiver.recv_timeout(patience).ok()
+        receiver.recv_timeout(timeout).ok()
     }
 }
--- a/crates/quartzlever/src/node/executors/cloud.rs
+++ b/crates/quartzlever/src/node/executors/cloud.rs
@@ -83,7 +83,7 @@
         for Job { call_id, call, until } in &self.jobs {
             let allowed = self.limit.wait(KEEP, PATIENCE);
             // Whoever holds the partition by then may have found the machines alive.
-            let late = matches!(call, CloudCall::Return(_)) && self.clock.now() >= until;
+            let late = matches!(call, CloudCall::ScaleIn(_)) && self.clock.now() >= until;
             let allowed = allowed && !late;
             let result = if allowed { self.client.call(&call) } else { Err(CallError::Refused) };
             self.inbox.deliver(Command::CloudReply { call_id, result });
--- a/crates/quartzlever/src/node/executors/limit.rs
+++ b/crates/quartzlever/src/node/executors/limit.rs
@@ -29,9 +29,9 @@
         self.budget.set_rate(self.total * share * NODES_SHARE);
     }
 
-    /// Waits until one request may be made; `false` if none may within `patience`. A share of the budget,
+    /// Waits until one request may be made; `false` if none may within `timeout`. A share of the budget,
     /// `keep`, is left to others.
-    pub fn wait(&self, keep: f64, patience: Duration) -> bool {
-        self.budget.wait(1.0, keep, patience)
+    pub fn wait(&self, keep: f64, timeout: Duration) -> bool {
+        self.budget.wait(1.0, keep, timeout)
     }
 }
--- a/crates/quartzlever/src/node/executors/store.rs
+++ b/crates/quartzlever/src/node/executors/store.rs
@@ -24,7 +24,7 @@
     /// Share of the budget that is left to others.
     keep: f64,
     /// How long a call waits for the budget.
-    patience: Duration,
+    timeout: Duration,
 }
 
 const LANES: [LaneBounds; 4] = [
@@ -32,25 +32,25 @@
         call_priority: CallPriority::Lease,
         threads: 2,
         keep: 0.0,
-        patience: Duration::from_millis(2000),
+        timeout: Duration::from_millis(2000),
     },
     LaneBounds {
         call_priority: CallPriority::Watch,
         threads: 2,
         keep: 0.0,
-        patience: Duration::from_millis(2000),
+        timeout: Duration::from_millis(2000),
     },
     LaneBounds {
         call_priority: CallPriority::Work,
         threads: 4,
         keep: 0.1,
-        patience: Duration::from_millis(1500),
+        timeout: Duration::from_millis(1500),
     },
     LaneBounds {
         call_priority: CallPriority::User,
         threads: 4,
         keep: 0.25,
-        patience: Duration::from_millis(600),
+        timeout: Duration::from_millis(600),
     },
 ];
 
@@ -81,7 +81,7 @@
                     client: client.clone(),
                     limit: limit.clone(),
                     keep: bounds.keep,
-                    patience: bounds.patience,
+                    timeout: bounds.timeout,
                     inbox: inbox.clone(),
                 };
                 spawn("state", move || thread.run())?;
@@ -111,14 +111,14 @@
     client: StoreService,
     limit: SharedLimit,
     keep: f64,
-    patience: Duration,
+    timeout: Duration,
     inbox: Inbox,
 }
 
 impl LaneThread {
     fn run(self) {
         for Job { call_id, call } in &self.jobs {
-            let allowed = self.limit.wait(self.keep, self.patience);
+            let allowed = self.limit.wait(self.keep, self.timeout);
             let result = if allowed { self.client.call(&call) } else { Err(CallError::Refused) };
             self.inbox.deliver(Command::StoreReply { call_id, result });
         }
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -86,8 +86,8 @@
     let same = local.history.as_ref().is_some_and(|h| h.identity == opened.generation.identity);
     let witness = if same { witness } else { 0 };
     let identity = opened.generation.identity.clone();
-    let patience = Duration::from_micros(own.acknowledge);
-    let replication = Replication::start(identity.clone(), &settings.peers, patience)?;
+    let timeout = Duration::from_micros(own.acknowledge);
+    let replication = Replication::start(identity.clone(), &settings.peers, timeout)?;
     let journal = Journal::start(directory, &own, identity, opened.picture)?;
     journal.witness_written(witness);
     let state = Arc::new(GuardedStore {
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -367,7 +367,7 @@
     fn write_snapshot(&self, snapshot: &Snapshot) -> Result<LogFile, WriteError> {
         let directory = &self.own.directory;
         let number = directory.next_number()?;
-        let mut log = directory.write_snapshot(number, snapshot, self.settings.most_bytes / 2)?;
+        let mut log = directory.write_snapshot(number, snapshot, self.settings.max_bytes / 2)?;
         log.append(&[LogEntry::Alive { wall: wall(), witness: self.witness }])?;
         Ok(log)
     }
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -12,9 +12,10 @@
 use quartzlever_recovery::detection::{Loss, missing_records};
 use quartzlever_recovery::guard::GuardError;
 use quartzlever_recovery::identity::{
-    IDENTITY, INHERITING, Inheriting, Observed, Stamped, UNVERIFIED, WITNESSES, Witness,
+    IDENTITY_KEY, Observed, PENDING_FINAL_STATES_KEY, PendingFinalStates, Stamped,
+    UNVERIFIED_PREFIX, WITNESS_PREFIX, Witness,
 };
-use quartzlever_recovery::rebuild::{list_generation, observe, write_inherited};
+use quartzlever_recovery::rebuild::{list_generation, observe, restore_final_states};
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json};
 
@@ -90,7 +91,7 @@
         let looked = self.check_identity().and_then(|observed| {
             let is_alone = observed.unverified.len() >= self.pace.controllers;
             self.announce_verified(&observed.unverified, is_alone)?;
-            self.restore(observed.inheriting)?;
+            self.restore(observed.pending_final_states)?;
             if self.looks.is_multiple_of(LOOKS_PER_WITNESS) {
                 self.write_witness()?;
             }
@@ -130,10 +131,11 @@
             return Ok(());
         }
         self.audit()?;
-        let mut txn = Txn::default().when(IDENTITY, self.state.guard.generation.mod_revision);
+        let mut txn =
+            Txn::default().if_mod_revision(IDENTITY_KEY, self.state.guard.generation.mod_revision);
         for (node, mod_revision) in unverified {
-            let key = format!("{UNVERIFIED}{node}");
-            txn = txn.when(&key, *mod_revision).delete(key);
+            let key = format!("{UNVERIFIED_PREFIX}{node}");
+            txn = txn.if_mod_revision(&key, *mod_revision).delete(key);
         }
         // Another controller may have been first.
         self.state.client.call(&StoreCall::Txn(txn))?;
@@ -141,8 +143,11 @@
     }
 
     /// Writes inherited final states for as long as a look takes, and says so when all are there.
-    fn restore(&mut self, inheriting: Option<Stamped<Inheriting>>) -> Result<(), GuardError> {
-        let Some(inheriting) = inheriting else { return Ok(()) };
+    fn restore(
+        &mut self,
+        pending_final_states: Option<Stamped<PendingFinalStates>>,
+    ) -> Result<(), GuardError> {
+        let Some(pending_final_states) = pending_final_states else { return Ok(()) };
         let seconds = self.settings.check as f64 / 1e6;
         let mut left = ((self.pace.rate * seconds).ceil() as usize).max(1);
         while left > 0 {
@@ -151,13 +156,13 @@
                 return Ok(());
             };
             let Some((last, _)) = records.last() else {
-                return self.finish_restoring(&inheriting);
+                return self.finish_restoring(&pending_final_states);
             };
             let last = last.clone();
             left -= records.len();
             let mut store = |call: &StoreCall| self.state.client.call(call);
             let generation = &self.state.guard.generation;
-            match write_inherited(&mut store, generation, &records)? {
+            match restore_final_states(&mut store, generation, &records)? {
                 Some(update) => self.state.journal.record(update),
                 // Another controller has written some of them; the watch will tell which.
                 None => return Ok(()),
@@ -169,15 +174,18 @@
 
     /// Every final state was written by now, or another controller has written it. Those are seen by the
     /// watch; whatever is inherited still is tried again, and when nothing is, the key goes.
-    fn finish_restoring(&mut self, inheriting: &Stamped<Inheriting>) -> Result<(), GuardError> {
+    fn finish_restoring(
+        &mut self,
+        pending_final_states: &Stamped<PendingFinalStates>,
+    ) -> Result<(), GuardError> {
         self.restored_to.clear();
         if self.state.journal.inherited("", 1).is_none_or(|left| !left.is_empty()) {
             return Ok(());
         }
         let txn = Txn::default()
-            .when(IDENTITY, self.state.guard.generation.mod_revision)
-            .when(INHERITING, inheriting.mod_revision)
-            .delete(INHERITING);
+            .if_mod_revision(IDENTITY_KEY, self.state.guard.generation.mod_revision)
+            .if_mod_revision(PENDING_FINAL_STATES_KEY, pending_final_states.mod_revision)
+            .delete(PENDING_FINAL_STATES_KEY);
         self.state.client.call(&StoreCall::Txn(txn))?;
         ProgramEvent::FinalStatesWritten.log();
         Ok(())
@@ -185,9 +193,9 @@
 
     fn write_witness(&mut self) -> Result<(), GuardError> {
         let count = self.witness + 1;
-        let key = format!("{WITNESSES}{}", self.node);
+        let key = format!("{WITNESS_PREFIX}{}", self.node);
         let txn = Txn::default()
-            .when(IDENTITY, self.state.guard.generation.mod_revision)
+            .if_mod_revision(IDENTITY_KEY, self.state.guard.generation.mod_revision)
             .write(key, Json::of(&Witness { count }));
         match self.state.client.call(&StoreCall::Txn(txn)) {
             Ok(StoreReply::Committed(_)) => {
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -36,16 +36,12 @@
     identity: Identity,
     peers: Vec<Sender<Entry>>,
     /// How long an acknowledgement is waited for.
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl Replication {
     /// Starts a thread for each of the other controllers. Each lives as long as the process.
-    pub fn start(
-        identity: Identity,
-        peers: &[Peer],
-        patience: Duration,
-    ) -> io::Result<Replication> {
+    pub fn start(identity: Identity, peers: &[Peer], timeout: Duration) -> io::Result<Replication> {
         let mut queues = Vec::new();
         for Peer { node, address } in peers {
             let (sender, receiver) = bounded(MAX_WAITING);
@@ -55,7 +51,7 @@
                 .spawn(move || send_changes(address, &receiver))?;
             queues.push(sender);
         }
-        Ok(Replication { identity, peers: queues, patience })
+        Ok(Replication { identity, peers: queues, timeout })
     }
 
     /// Comes back when another controller has the changes of a transaction in its log, or when none is to be
@@ -76,7 +72,7 @@
         }
         drop(acknowledged);
         // It ends at once when every one of them has been given up.
-        let _ = first.recv_timeout(self.patience);
+        let _ = first.recv_timeout(self.timeout);
     }
 }
 
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -18,7 +18,7 @@
 use quartzlever_recovery::guard::{Guard, GuardError};
 use quartzlever_recovery::picture::{Record, Update};
 use quartzlever_recovery::rebuild::list_generation;
-use quartzlever_wire::store::{Row, StoreCall, StoreReply, TERMINAL_JOB_PREFIX};
+use quartzlever_wire::store::{KeyValue, StoreCall, StoreReply, TERMINAL_JOB_PREFIX};
 use quartzlever_wire::{CallError, Json, Micros};
 
 use crate::clock::{Clock, wall};
@@ -65,10 +65,10 @@
         }
         let mut store = |call: &StoreCall| self.client.call(call);
         match self.guard.call(&mut store, call, |key| self.is_written(key)) {
-            Ok(StoreReply::Row(None)) if self.inherited(call).is_some() => {
-                Ok(StoreReply::Row(self.inherited(call)))
+            Ok(StoreReply::Read(None)) if self.inherited(call).is_some() => {
+                Ok(StoreReply::Read(self.inherited(call)))
             }
-            Ok(StoreReply::Row(None)) if self.may_be_known_elsewhere(call) => {
+            Ok(StoreReply::Read(None)) if self.may_be_known_elsewhere(call) => {
                 Err(CallError::Unknown)
             }
             Ok(reply) => {
@@ -104,10 +104,15 @@
     }
 
     /// A final state that is not written yet, as the answer to a read of it.
-    fn inherited(&self, call: &StoreCall) -> Option<Row> {
+    fn inherited(&self, call: &StoreCall) -> Option<KeyValue> {
         let StoreCall::Get(key) = call else { return None };
         let Record { value, mod_revision } = self.inherited_record(key)?;
-        Some(Row { path: key.clone(), v: Json::from_text(&value)?, mod_revision, lease_id: None })
+        Some(KeyValue {
+            key: key.clone(),
+            value: Json::from_text(&value)?,
+            mod_revision,
+            lease_id: None,
+        })
     }
 
     /// A job is not accepted if it is over by a final state that is not written yet.
--- a/crates/quartzlever/src/server/dispatch.rs
+++ b/crates/quartzlever/src/server/dispatch.rs
@@ -18,10 +18,10 @@
 
 // Users give up after 5 s, pollers after 2 s, workers after 4 s; the core's thread looks for
 // those whose time is over now and then.
-const USER_PATIENCE: Micros = 4_500_000;
-const LOOKUP_PATIENCE: Micros = 1_700_000;
-const WORKER_PATIENCE: Micros = 3_500_000;
-const HEALTH_PATIENCE: Micros = 700_000;
+const USER_TIMEOUT: Micros = 4_500_000;
+const LOOKUP_TIMEOUT: Micros = 1_700_000;
+const WORKER_TIMEOUT: Micros = 3_500_000;
+const HEALTH_TIMEOUT: Micros = 700_000;
 
 /// Hands the requests of a connection to the core, or answers them at once.
 pub struct Dispatcher<'a> {
@@ -39,25 +39,25 @@
         match route {
             Route::Refused { status, reason } => self.socket.refuse(status, reason, close),
             Route::Ready => {
-                self.ask(Queue::Priority, HEALTH_PATIENCE, close, |id| Command::Ready { id })
+                self.ask(Queue::Priority, HEALTH_TIMEOUT, close, |id| Command::Ready { id })
             }
             Route::Hello => match Heartbeat::parse(body) {
-                Some(heartbeat) => self.ask(Queue::Priority, WORKER_PATIENCE, close, |id| {
+                Some(heartbeat) => self.ask(Queue::Priority, WORKER_TIMEOUT, close, |id| {
                     Command::Heartbeat { id, heartbeat }
                 }),
                 None => self.socket.refuse(400, "not a report", close),
             },
             Route::Submit => match JobSpec::parse(body) {
-                Ok(spec) => self.ask(Queue::Submissions, USER_PATIENCE, close, |id| {
+                Ok(spec) => self.ask(Queue::Submissions, USER_TIMEOUT, close, |id| {
                     Command::Submit { id, spec: Box::new(spec) }
                 }),
                 Err(why) => self.socket.refuse(400, &why.to_string(), close),
             },
             Route::Lookup(job) => {
-                self.ask(Queue::Questions, LOOKUP_PATIENCE, close, |id| Command::Lookup { id, job })
+                self.ask(Queue::Questions, LOOKUP_TIMEOUT, close, |id| Command::Lookup { id, job })
             }
             Route::Cancel(job) => {
-                self.ask(Queue::Questions, USER_PATIENCE, close, |id| Command::Cancel { id, job })
+                self.ask(Queue::Questions, USER_TIMEOUT, close, |id| Command::Cancel { id, job })
             }
         }
     }
@@ -66,12 +66,12 @@
     fn ask(
         &self,
         queue: Queue,
-        patience: Micros,
+        timeout: Micros,
         close: bool,
         command: impl FnOnce(u64) -> Command,
     ) -> io::Result<()> {
         let responder = self.socket.responder(close);
-        match self.inbox.ask(queue, responder, self.clock.now() + patience, command) {
+        match self.inbox.ask(queue, responder, self.clock.now() + timeout, command) {
             Ok(()) => Ok(()),
             Err(responder) => {
                 responder.abandon();
--- a/crates/quartzlever/src/settings/recovery.rs
+++ b/crates/quartzlever/src/settings/recovery.rs
@@ -55,7 +55,7 @@
     /// A log of this size is followed by a snapshot.
     pub log_bytes: u64,
     /// What all files may take.
-    pub most_bytes: u64,
+    pub max_bytes: u64,
 }
 
 impl RecoveryEntry {
@@ -83,10 +83,10 @@
             audit: duration("audit_s", self.audit_s, 600.0, Range::new(1.0, 86_400.0))?,
             snapshot: duration("snapshot_s", self.snapshot_s, 600.0, Range::new(1.0, 86_400.0))?,
             log_bytes: size("log_mb", self.log_mb, 16.0)?,
-            most_bytes: size("most_mb", self.most_mb, 1024.0)?,
+            max_bytes: size("most_mb", self.most_mb, 1024.0)?,
             directory: self.directory,
         };
-        if settings.most_bytes < 2 * settings.log_bytes {
+        if settings.max_bytes < 2 * settings.log_bytes {
             return Err(check.error("recovery.most_mb", Violation::BelowTwice("log_mb")));
         }
         Ok(settings)
--- a/crates/quartzlever/tests/recovery/testbed.rs
+++ b/crates/quartzlever/tests/recovery/testbed.rs
@@ -271,8 +271,10 @@
                 );
             }
         }
-        let inheriting = || self.store().get("recovery/inheriting").is_some();
-        self.wait("all is written", inheriting, |inheriting| !inheriting);
+        let pending_final_states = || self.store().get("recovery/inheriting").is_some();
+        self.wait("all is written", pending_final_states, |pending_final_states| {
+            !pending_final_states
+        });
         let over = |job: &String| {
             let key = format!("over/{job}");
             self.store().keys("").iter().any(|k| *k == key || k.ends_with(&format!("/{key}")))
