--- a/crates/quartzlever-core/src/autoscaling/fleet.rs
+++ b/crates/quartzlever-core/src/autoscaling/fleet.rs
@@ -82,7 +82,7 @@
     }
 
     /// Whether no machine is rented that has not reported yet, and none is asked for.
-    pub fn is_nothing_coming(&self) -> bool {
+    pub fn has_no_pending_machines(&self) -> bool {
         self.pending_instances.is_empty() && self.scale_outs.is_empty()
     }
 
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -114,7 +114,7 @@
     pub term: u64,
     pub machine: String,
     /// The attempts whose `run` the call carries.
-    pub runs: Vec<AttemptKey>,
+    pub run_attempts: Vec<AttemptKey>,
     /// A machine that nobody knew is asked whether it is there.
     pub confirms_presence: bool,
     /// Any machine is asked, to see whether workers are reached from here.
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -61,7 +61,7 @@
 
 /// A row under the prefix of the pages.
 #[derive(Debug)]
-pub(crate) enum PageRow<'a> {
+pub(crate) enum PageEntry<'a> {
     /// Its key is not the key of a page.
     NoPage,
     Unreadable,
@@ -72,13 +72,13 @@
     },
 }
 
-impl<'a> PageRow<'a> {
+impl<'a> PageEntry<'a> {
     /// Reads the key and the value of a row.
     pub fn read(entry: &'a KeyValue) -> Self {
-        let Some((job, number)) = page_of_key(&entry.key) else { return PageRow::NoPage };
+        let Some((job, number)) = page_of_key(&entry.key) else { return PageEntry::NoPage };
         match parse::<PageRecord>(entry).and_then(|record| record.tasks(number)) {
-            Some(finished) => PageRow::Page { job, number, finished },
-            None => PageRow::Unreadable,
+            Some(finished) => PageEntry::Page { job, number, finished },
+            None => PageEntry::Unreadable,
         }
     }
 }
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -52,24 +52,24 @@
     ) -> Vec<WorkerCommand> {
         const MOST: usize = 200;
         let mut commands = Vec::new();
-        for (key, slot) in &self.attempts {
+        for (key, state) in &self.attempts {
             let (task, attempt) = (key.task.clone(), key.attempt);
-            if slot.exited() {
-                let spent = slot.direct_command == DirectCommand::Settled && !slot.in_answer;
-                if slot.accounted && spent && clearable(key, slot) {
+            if state.exited() {
+                let spent = state.direct_command == DirectCommand::Settled && !state.in_answer;
+                if state.accounted && spent && clearable(key, state) {
                     commands.push(WorkerCommand::Clear { task, attempt });
                 }
-            } else if !slot.wanted && slot.phase.is_some() {
-                let saving = slot.phase == Some(TaskPhase::Saving) && slot.leeway_s > 0.0;
+            } else if !state.wanted && state.phase.is_some() {
+                let saving = state.phase == Some(TaskPhase::Saving) && state.leeway_s > 0.0;
                 if !saving {
-                    commands.push(WorkerCommand::Kill { task, attempt, leeway_s: slot.leeway_s });
+                    commands.push(WorkerCommand::Kill { task, attempt, leeway_s: state.leeway_s });
                 }
             }
         }
-        for (key, slot) in &self.attempts {
+        for (key, state) in &self.attempts {
             // A `run` without effect may be repeated. An unwanted attempt that was never reported
             // is not: it leaves the table once a later heartbeat proves that it is not there.
-            if slot.wanted && !slot.exited() && slot.phase.is_none() {
+            if state.wanted && !state.exited() && state.phase.is_none() {
                 commands.push(WorkerCommand::Run { task: key.task.clone(), attempt: key.attempt });
             }
         }
@@ -86,7 +86,7 @@
 
     /// Notes that a direct call carries all commands of this moment; gives the attempts whose `run` it carries.
     fn note_direct_commands(&mut self, now: Micros) -> Vec<AttemptKey> {
-        let mut runs = Vec::new();
+        let mut run_attempts = Vec::new();
         for (key, attempt) in &mut self.attempts {
             if attempt.exited() {
                 continue;
@@ -96,20 +96,20 @@
                 if attempt.direct_command == DirectCommand::Settled {
                     attempt.direct_command = DirectCommand::InFlight;
                 }
-                runs.push(key.clone());
+                run_attempts.push(key.clone());
             } else if !attempt.wanted {
                 attempt.kill_sent = Some(now);
             }
         }
-        runs
+        run_attempts
     }
 
     /// A direct call has ended. Without `known` its commands may still arrive.
-    fn settle_direct_call(&mut self, call_id: CallId, runs: &[AttemptKey], known: bool) {
+    fn settle_direct_call(&mut self, call_id: CallId, run_attempts: &[AttemptKey], known: bool) {
         if self.call == Some(call_id) {
             self.call = None;
         }
-        for key in runs {
+        for key in run_attempts {
             if let Some(attempt) = self.attempts.get_mut(key)
                 && attempt.direct_command == DirectCommand::InFlight
             {
@@ -197,11 +197,11 @@
     fn call_worker(&mut self, name: &str, now: Micros, until: Micros, outbox: &mut Outbox) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let address = machine.record.address.clone();
-        let mut runs = Vec::new();
+        let mut run_attempts = Vec::new();
         let call = if machine.incarnation == 0 {
             WorkerCall::Status
         } else {
-            runs = machine.note_direct_commands(now);
+            run_attempts = machine.note_direct_commands(now);
             let incarnation = Some(machine.incarnation);
             WorkerCall::Command(WorkerCommands {
                 fencing_token: self.term,
@@ -213,7 +213,7 @@
             partition: self.name.clone(),
             term: self.term,
             machine: name.to_owned(),
-            runs,
+            run_attempts,
             ..PendingWorkerCall::default()
         };
         let call_id = outbox.call_worker(address, call, pending, until);
@@ -237,7 +237,7 @@
         };
         self.call_queue.add_urgent(call.machine.clone());
         let known = !matches!(result, Err(CallError::Unknown));
-        machine.settle_direct_call(call_id, &call.runs, known);
+        machine.settle_direct_call(call_id, &call.run_attempts, known);
         match result {
             Ok(WorkerReply::Status(status) | WorkerReply::Refused(status)) => {
                 // Another machine may have come to live at the address, or somebody holds a later term.
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -68,8 +68,8 @@
     pub fn empty_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let attempts = std::mem::take(&mut machine.attempts);
-        for (AttemptKey { task, attempt }, slot) in attempts {
-            if slot.phase == Some(TaskPhase::Exited) && slot.accounted {
+        for (AttemptKey { task, attempt }, state) in attempts {
+            if state.phase == Some(TaskPhase::Exited) && state.accounted {
                 continue;
             }
             self.requeue(&task, attempt);
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -62,7 +62,7 @@
     pub placement_due_at: Option<Micros>,
     pub next_preemption_at: Micros,
     /// Jobs whose ready tasks found no room in the last placement.
-    pub short: Vec<String>,
+    pub jobs_without_capacity: Vec<String>,
     /// The fewest processors that a task of these takes.
     pub unplaced_min_cpus: f64,
     /// What is kept free, and for whom.
@@ -94,7 +94,7 @@
             next_placement_at: 0,
             placement_due_at: None,
             next_preemption_at: 0,
-            short: Vec::new(),
+            jobs_without_capacity: Vec::new(),
             unplaced_min_cpus: f64::INFINITY,
             reservations: Reservations::default(),
             saturated: false,
@@ -166,13 +166,13 @@
         let all = (Bound::Included(&first), Bound::Included(&last));
         for name in self.machines_by_job.remove(id).into_iter().flatten() {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
-            for (_, slot) in machine.attempts.range_mut::<AttemptKey, _>(all) {
-                slot.wanted = false;
-                slot.leeway_s = 0.0;
-                if slot.exited() {
-                    slot.accounted = true;
+            for (_, state) in machine.attempts.range_mut::<AttemptKey, _>(all) {
+                state.wanted = false;
+                state.leeway_s = 0.0;
+                if state.exited() {
+                    state.accounted = true;
                 } else {
-                    slot.job_terminal_since.get_or_insert(since);
+                    state.job_terminal_since.get_or_insert(since);
                     self.call_queue.add_urgent(name.clone());
                 }
             }
--- a/crates/quartzlever-core/src/router/awaited.rs
+++ b/crates/quartzlever-core/src/router/awaited.rs
@@ -44,7 +44,9 @@
                 Some(Awaited::PartitionRecords { partition })
             } else if !held.recovery_complete {
                 Some(Awaited::Recovery { partition, machines: unverified })
-            } else if ready > 0 && held.machines.is_empty() && held.autoscaling.is_nothing_coming()
+            } else if ready > 0
+                && held.machines.is_empty()
+                && held.autoscaling.has_no_pending_machines()
             {
                 Some(Awaited::Machines { partition, ready })
             } else {
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -13,7 +13,7 @@
 
 use crate::calls::{JobWrite, JobWriteAction, PageWrite, PendingStoreCall};
 use crate::events::LogEvent;
-use crate::jobs::pages::{PageRow, WriteLimits, affordable_pages};
+use crate::jobs::pages::{PageEntry, WriteLimits, affordable_pages};
 use crate::jobs::records::{self, DueWrite, PlannedWrite, WriteOutcome, terminal_job_key};
 use crate::messages::{CallPriority, LogLevel};
 use crate::router::Core;
@@ -60,12 +60,12 @@
 
     /// A page as the store has it.
     pub(crate) fn apply_page_record(&mut self, entry: &KeyValue) {
-        match PageRow::read(entry) {
-            PageRow::NoPage => {}
-            PageRow::Unreadable => {
+        match PageEntry::read(entry) {
+            PageEntry::NoPage => {}
+            PageEntry::Unreadable => {
                 self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key));
             }
-            PageRow::Page { job, number, finished } => {
+            PageEntry::Page { job, number, finished } => {
                 self.record_page(job, number, finished, entry.mod_revision);
             }
         }
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -141,7 +141,7 @@
     ) {
         self.user_requests.call_answered();
         match result {
-            Ok(StoreReply::Read(Some(row))) => self.answer_active_job(purpose, &row),
+            Ok(StoreReply::Read(Some(stored))) => self.answer_active_job(purpose, &stored),
             Ok(StoreReply::Read(None)) => {
                 let call = StoreCall::Get(terminal_job_key(purpose.job()));
                 let pending = PendingStoreCall::ReadTerminalJob { purpose };
@@ -152,10 +152,10 @@
     }
 
     /// Goes on with a request for a job that is neither done nor cancelled.
-    fn answer_active_job(&mut self, purpose: JobReadPurpose, row: &KeyValue) {
-        let record = parse::<ActiveJobRecord>(row);
+    fn answer_active_job(&mut self, purpose: JobReadPurpose, stored: &KeyValue) {
+        let record = parse::<ActiveJobRecord>(stored);
         if record.is_none() {
-            self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.key));
+            self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&stored.key));
         }
         match purpose {
             JobReadPurpose::Submit { id, job, .. } => {
@@ -171,7 +171,7 @@
             }
             JobReadPurpose::Cancel { id, job, tries } => {
                 let done = record.map_or(0, |r| r.finished.len());
-                let txn = cancellation::plan_cancellation(&job, row.mod_revision, done);
+                let txn = cancellation::plan_cancellation(&job, stored.mod_revision, done);
                 self.write_budget.spend(cancellation::CHANGES);
                 let pending = PendingStoreCall::Cancel { id, job, done, tries };
                 self.user_requests.call(StoreCall::Txn(txn), pending, &mut self.outbox);
@@ -186,10 +186,10 @@
     ) {
         self.user_requests.call_answered();
         let over = match result {
-            Ok(StoreReply::Read(Some(row))) => {
-                let over = parse::<TerminalJobRecord>(&row);
+            Ok(StoreReply::Read(Some(stored))) => {
+                let over = parse::<TerminalJobRecord>(&stored);
                 if over.is_none() {
-                    self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&row.key));
+                    self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&stored.key));
                 }
                 over
             }
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -67,7 +67,7 @@
         if !partition.machines.get(machine).is_some_and(|m| m.usable() && m.free.cpus > 0.0) {
             return;
         }
-        let short = std::mem::take(&mut partition.short);
+        let short = std::mem::take(&mut partition.jobs_without_capacity);
         for id in &short {
             // Most machines that heartbeat are full, or nearly so.
             if partition
@@ -79,7 +79,7 @@
             }
             partition.place_tasks(&self.config, id, Some(machine), now);
         }
-        partition.short = short;
+        partition.jobs_without_capacity = short;
     }
 }
 
@@ -95,7 +95,7 @@
         self.placement_wanted = false;
         self.placement_due_at = None;
         self.next_placement_at = now + PLACEMENT_INTERVAL;
-        self.short.clear();
+        self.jobs_without_capacity.clear();
         self.unplaced_min_cpus = f64::INFINITY;
         self.saturated = false;
     }
@@ -104,7 +104,7 @@
     fn note_short(&mut self, id: String) {
         let need = self.jobs.get(&id).map_or(0.0, |j| j.spec().cpus);
         self.unplaced_min_cpus = self.unplaced_min_cpus.min(need);
-        self.short.push(id);
+        self.jobs_without_capacity.push(id);
     }
 
     /// Has the queue placed at this time at the latest.
@@ -231,11 +231,11 @@
         };
         job.assign(index, machine_name, attempt);
         let key = AttemptKey { task: TaskId { job: id.to_owned(), index }, attempt };
-        let slot = Attempt {
+        let state = Attempt {
             can_wait_for_heartbeat: job.can_wait_for_heartbeat,
             ..Attempt::new(job.spec(), now)
         };
-        machine.attempts.insert(key, slot);
+        machine.attempts.insert(key, state);
         self.machines_by_job.entry(id.to_owned()).or_default().insert(machine_name.to_owned());
         machine.idle_since = None;
         self.call_queue.add_urgent(machine_name);
--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -174,7 +174,9 @@
     pub(super) fn preempt(&mut self, name: &str) {
         let now = self.now;
         let quiet = silence_limit(&self.config);
-        let Some(partition) = self.partitions.get_mut(name).filter(|p| !p.short.is_empty()) else {
+        let Some(partition) =
+            self.partitions.get_mut(name).filter(|p| !p.jobs_without_capacity.is_empty())
+        else {
             return;
         };
         if !partition.begin_preemption(now) {
@@ -182,7 +184,7 @@
         }
         let mut preemptible = Preemptible::of(partition);
         let inside = partition.teams_inside_guarantee(&self.config);
-        for id in partition.short.clone() {
+        for id in partition.jobs_without_capacity.clone() {
             let Some(job) = partition.jobs.get(&id) else { continue };
             let times = PreemptionTimes::new(&self.config, &self.run_times, job, now);
             let (spec, need, ready) = (job.spec().clone(), job.need(), job.ready.len());
@@ -280,9 +282,10 @@
 
     /// Whether some of these attempts save before they end, so that they end one after the other.
     fn takes_time_to_end(&self, machine_name: &str, attempts: &[AttemptKey]) -> bool {
-        let slots = self.machines.get(machine_name).map(|machine| &machine.attempts);
-        let slots = attempts.iter().filter_map(|key| slots.and_then(|slots| slots.get(key)));
-        slots.into_iter().any(|attempt| attempt.yields)
+        let on_machine = self.machines.get(machine_name).map(|machine| &machine.attempts);
+        let on_machine =
+            attempts.iter().filter_map(|key| on_machine.and_then(|on_machine| on_machine.get(key)));
+        on_machine.into_iter().any(|attempt| attempt.yields)
     }
 
     /// All ways to make room for tasks of the job on one machine each, the dearest first.
--- a/crates/quartzlever-core/src/scheduling/reservations.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations.rs
@@ -113,8 +113,11 @@
 
     /// Opens made room to everybody where nothing waits any more that it was made for.
     pub(super) fn release_preempted_capacity(&mut self, now: Micros) {
-        let waiting =
-            self.short.iter().filter_map(|id| self.jobs.get(id)).map(|j| j.spec().priority);
+        let waiting = self
+            .jobs_without_capacity
+            .iter()
+            .filter_map(|id| self.jobs.get(id))
+            .map(|j| j.spec().priority);
         self.reservations.release_preempted(waiting, now);
     }
 }
--- a/crates/quartzlever-recovery/src/generation.rs
+++ b/crates/quartzlever-recovery/src/generation.rs
@@ -100,14 +100,14 @@
             StoreReply::Read(entry) => {
                 StoreReply::Read(entry.and_then(|entry| self.own_entry(entry)))
             }
-            StoreReply::Listed(rows) => StoreReply::Listed(ListPage {
-                entries: rows
+            StoreReply::Listed(page) => StoreReply::Listed(ListPage {
+                entries: page
                     .entries
                     .into_iter()
                     .filter_map(|entry| self.own_entry(entry))
                     .collect(),
-                has_next: rows.has_next,
-                revision: self.revision(rows.revision),
+                has_next: page.has_next,
+                revision: self.revision(page.revision),
             }),
             StoreReply::Committed(revision) => StoreReply::Committed(self.revision(revision)),
             StoreReply::Conflict(keys) => {
--- a/crates/quartzlever-recovery/src/guard.rs
+++ b/crates/quartzlever-recovery/src/guard.rs
@@ -60,8 +60,8 @@
         let floor = self.highest.load(Ordering::SeqCst);
         let reply = store(&self.generation.to_store(call))?;
         match (call, &reply) {
-            (StoreCall::Revision, StoreReply::Listed(rows)) => {
-                let revision = self.check(&Observed::of(rows), floor)?;
+            (StoreCall::Revision, StoreReply::Listed(page)) => {
+                let revision = self.check(&Observed::of(page), floor)?;
                 return Ok(StoreReply::Revision(self.generation.revision(revision)));
             }
             (StoreCall::Get(key), StoreReply::Read(None)) if is_known(key) => {
@@ -96,7 +96,7 @@
     ) -> Result<(), GuardError> {
         let floor = self.highest.load(Ordering::SeqCst);
         match store(&StoreCall::List { prefix: IDENTITY_KEY.into(), from: None })? {
-            StoreReply::Listed(rows) => self.check(&Observed::of(&rows), floor).map(drop),
+            StoreReply::Listed(page) => self.check(&Observed::of(&page), floor).map(drop),
             _ => Err(GuardError::Call(CallError::Unknown)),
         }
     }
--- a/crates/quartzlever-recovery/src/identity.rs
+++ b/crates/quartzlever-recovery/src/identity.rs
@@ -160,9 +160,9 @@
     }
 
     /// What a listing of `recovery/`, or of the identity's key alone, shows.
-    pub fn of(rows: &ListPage) -> Observed {
-        let mut observed = Observed { revision: rows.revision, ..Observed::default() };
-        for entry in &rows.entries {
+    pub fn of(page: &ListPage) -> Observed {
+        let mut observed = Observed { revision: page.revision, ..Observed::default() };
+        for entry in &page.entries {
             if entry.key == IDENTITY_KEY {
                 observed.identity = stamped(entry);
             } else if entry.key == PENDING_FINAL_STATES_KEY {
--- a/crates/quartzlever-recovery/src/picture.rs
+++ b/crates/quartzlever-recovery/src/picture.rs
@@ -87,7 +87,7 @@
 
     /// Adds records of the generation before that are not written anew yet, at the modification revision of its end, which
     /// is before every change of this one. What is known already stays.
-    pub fn inherit(
+    pub fn carry_over(
         &mut self,
         records: impl IntoIterator<Item = (String, String)>,
         mod_revision: u64,
@@ -99,7 +99,7 @@
 
     /// Inherited records that are not written anew yet, those up to the generation's `base`, at keys after
     /// `after`.
-    pub fn inherited<'a>(
+    pub fn carried_over<'a>(
         &'a self,
         base: u64,
         after: &str,
--- a/crates/quartzlever-recovery/src/rebuild/inheritance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/inheritance.rs
@@ -59,7 +59,7 @@
     };
     if history.identity.generation == generation.identity.generation {
         // What was inherited before this process was started anew, and is not written yet.
-        inherit(picture, history.picture.inherited(base, ""), base);
+        carry_over(picture, history.picture.carried_over(base, ""), base);
         return TerminalJobs::Complete;
     }
     let known_to = history.picture.revision();
@@ -68,14 +68,14 @@
     }
     let final_states =
         history.picture.rows().iter().filter(|(key, _)| key.starts_with(TERMINAL_JOB_PREFIX));
-    inherit(picture, final_states, base);
+    carry_over(picture, final_states, base);
     TerminalJobs::Complete
 }
 
-fn inherit<'a>(
+fn carry_over<'a>(
     picture: &mut Picture,
     records: impl Iterator<Item = (&'a String, &'a Record)>,
     base: u64,
 ) {
-    picture.inherit(records.map(|(key, record)| (key.clone(), record.value.clone())), base);
+    picture.carry_over(records.map(|(key, record)| (key.clone(), record.value.clone())), base);
 }
--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -30,7 +30,7 @@
                 revision: page.revision,
             }));
         }
-        from = all.last().map(|row| row.key.clone());
+        from = all.last().map(|entry| entry.key.clone());
     }
 }
 
@@ -48,7 +48,7 @@
     loop {
         let page = read_page(access, &generation.identity.namespace, from)?;
         let has_next = page.has_next;
-        let last = page.entries.last().map(|row| row.key.clone());
+        let last = page.entries.last().map(|entry| entry.key.clone());
         let StoreReply::Listed(own) = generation.reply_from_store(StoreReply::Listed(page)) else {
             return Err(CallError::Unknown);
         };
@@ -72,9 +72,9 @@
     }
 }
 
-fn records_of(rows: ListPage) -> impl Iterator<Item = (String, Record)> {
-    rows.entries.into_iter().map(|row| {
-        let value = row.value.text().to_owned();
-        (row.key, Record { value, mod_revision: row.mod_revision })
+fn records_of(page: ListPage) -> impl Iterator<Item = (String, Record)> {
+    page.entries.into_iter().map(|entry| {
+        let value = entry.value.text().to_owned();
+        (entry.key, Record { value, mod_revision: entry.mod_revision })
     })
 }
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -251,9 +251,9 @@
         start(&mut access, &settings("two", 1), &Default::default()).is_none()
     };
     assert!(waits(&world), "a controller without a history");
-    let inherited: Vec<_> =
-        opened.picture.inherited(base, "").map(|(k, r)| (k.clone(), r.clone())).collect();
-    assert_eq!(inherited.len(), 2);
+    let carried_over: Vec<_> =
+        opened.picture.carried_over(base, "").map(|(k, r)| (k.clone(), r.clone())).collect();
+    assert_eq!(carried_over.len(), 2);
     // Two controllers write them; one that comes later changes nothing.
     for written in [true, false] {
         let mut store = |call: &StoreCall| {
@@ -261,7 +261,8 @@
             let now = world.now;
             world.store.call(now, call)
         };
-        let update = restore_final_states(&mut store, generation, &inherited).expect("an answer");
+        let update =
+            restore_final_states(&mut store, generation, &carried_over).expect("an answer");
         assert_eq!(update.is_some(), written);
     }
     assert_eq!(in_store(&world), RECORDS.len());
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -140,7 +140,7 @@
     }
 
     /// Inherited records that are not written yet, after a key; none if the journal is too slow to tell.
-    pub fn inherited(&self, after: &str, most: usize) -> Option<Vec<(String, Record)>> {
+    pub fn carried_over(&self, after: &str, most: usize) -> Option<Vec<(String, Record)>> {
         let (answer, records) = bounded(1);
         let after = after.to_owned();
         self.requests.send(Request::Inherited { after, most, answer }).ok()?;
@@ -295,8 +295,8 @@
                 let _ = answer.send(self.picture.get(&key).cloned());
             }
             Request::Inherited { after, most, answer } => {
-                let inherited = self.picture.inherited(self.identity.base, &after).take(most);
-                let _ = answer.send(inherited.map(|(k, r)| (k.clone(), r.clone())).collect());
+                let carried_over = self.picture.carried_over(self.identity.base, &after).take(most);
+                let _ = answer.send(carried_over.map(|(k, r)| (k.clone(), r.clone())).collect());
             }
             Request::Picture { answer } => {
                 let _ = answer.send(self.picture.clone());
@@ -309,9 +309,9 @@
     fn replace(&mut self, picture: Picture) {
         let base = self.identity.base;
         let before = std::mem::replace(&mut self.picture, picture);
-        let inherited = before.inherited(base, "");
-        let inherited = inherited.map(|(key, r)| (key.clone(), r.value.clone()));
-        self.picture.inherit(inherited, base);
+        let carried_over = before.carried_over(base, "");
+        let carried_over = carried_over.map(|(key, r)| (key.clone(), r.value.clone()));
+        self.picture.carry_over(carried_over, base);
     }
 
     /// Sets the mark again. Whatever was told to the program without being waited for was in the queue before
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -152,7 +152,7 @@
         let mut left = ((self.pace.rate * seconds).ceil() as usize).max(1);
         while left > 0 {
             let most = left.min(self.pace.txn_ops);
-            let Some(records) = self.state.journal.inherited(&self.restored_to, most) else {
+            let Some(records) = self.state.journal.carried_over(&self.restored_to, most) else {
                 return Ok(());
             };
             let Some((last, _)) = records.last() else {
@@ -179,7 +179,7 @@
         pending_final_states: &Stamped<PendingFinalStates>,
     ) -> Result<(), GuardError> {
         self.restored_to.clear();
-        if self.state.journal.inherited("", 1).is_none_or(|left| !left.is_empty()) {
+        if self.state.journal.carried_over("", 1).is_none_or(|left| !left.is_empty()) {
             return Ok(());
         }
         let txn = Txn::default()
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -65,8 +65,8 @@
         }
         let mut store = |call: &StoreCall| self.client.call(call);
         match self.guard.call(&mut store, call, |key| self.is_written(key)) {
-            Ok(StoreReply::Read(None)) if self.inherited(call).is_some() => {
-                Ok(StoreReply::Read(self.inherited(call)))
+            Ok(StoreReply::Read(None)) if self.carried_over(call).is_some() => {
+                Ok(StoreReply::Read(self.carried_over(call)))
             }
             Ok(StoreReply::Read(None)) if self.may_be_known_elsewhere(call) => {
                 Err(CallError::Unknown)
@@ -104,7 +104,7 @@
     }
 
     /// A final state that is not written yet, as the answer to a read of it.
-    fn inherited(&self, call: &StoreCall) -> Option<KeyValue> {
+    fn carried_over(&self, call: &StoreCall) -> Option<KeyValue> {
         let StoreCall::Get(key) = call else { return None };
         let Record { value, mod_revision } = self.inherited_record(key)?;
         Some(KeyValue {
