--- a/crates/quartzlever-testkit/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -21,7 +21,7 @@
 impl Stored {
     fn entry(&self, key: &str) -> KeyValue {
         let Stored { value, mod_revision, lease_id } = self.clone();
-        KeyValue { key: key.to_owned(), value: value, mod_revision, lease_id }
+        KeyValue { key: key.to_owned(), value, mod_revision, lease_id }
     }
 }
 
--- a/crates/quartzlever-testkit/src/worker_fleet.rs
+++ b/crates/quartzlever-testkit/src/worker_fleet.rs
@@ -37,7 +37,7 @@
 
 type Member = Arc<Mutex<Worker>>;
 
-/// A fleet of fake workers; new ones join with [`WorkerFleet::rented`].
+/// A fleet of fake workers; new ones join with [`WorkerFleet::launched`].
 pub struct WorkerFleet {
     members: Mutex<BTreeMap<u32, Member>>,
     port: u16,
