--- a/crates/quartzlever-clients/src/policy.rs
+++ b/crates/quartzlever-clients/src/policy.rs
@@ -62,7 +62,7 @@
 
 fn store_status(status: u16) -> CallError {
     match status {
-        429 => CallError::TooOften,
+        429 => CallError::Throttled,
         400..=499 | 503 => CallError::Refused,
         _ => CallError::Unknown,
     }
--- a/crates/quartzlever-clients/src/policy/tests.rs
+++ b/crates/quartzlever-clients/src/policy/tests.rs
@@ -1,4 +1,4 @@
-use quartzlever_wire::CallError::{self, Refused, TooOften, Unknown};
+use quartzlever_wire::CallError::{self, Refused, Throttled, Unknown};
 use ureq::ErrorKind;
 
 use super::{CallPolicy, transport_failure};
@@ -14,7 +14,7 @@
         (400, Refused, Refused, Refused),
         (404, Refused, Refused, Unknown),
         (409, Refused, Refused, Unknown),
-        (429, TooOften, Refused, Unknown),
+        (429, Throttled, Refused, Unknown),
         (499, Refused, Refused, Unknown),
         (500, Unknown, Refused, Unknown),
         (502, Unknown, Refused, Unknown),
--- a/crates/quartzlever-core/examples/cost.rs
+++ b/crates/quartzlever-core/examples/cost.rs
@@ -141,7 +141,7 @@
         for (n, name) in names.iter().enumerate() {
             let now = simulation.now;
             let Some(worker) = simulation.workers.get_mut(name) else { continue };
-            worker.pass(now);
+            worker.advance_to(now);
             if !(tick as usize + n).is_multiple_of(15) {
                 continue;
             }
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -49,7 +49,7 @@
     SplitGroup {
         key: String,
         small: Vec<(String, MachineRecords)>,
-        whole: bool,
+        is_complete: bool,
     },
     Watch {
         number: u64,
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -185,7 +185,7 @@
     /// A cancellation that is not in the view was confirmed after the view was read; with the
     /// renewal at the latest moment the tasks end with their lease, still within `cancel`:
     /// view + lease + drift + margin = cancel. `None` if no view can be as fresh as that.
-    fn view_room(&self) -> Option<Micros> {
+    fn achievable_view_age(&self) -> Option<Micros> {
         let kept = upper_drift_bound(self.workers.lease) + CANCEL_MARGIN;
         let room = lower_drift_bound(self.workers.cancel.checked_sub(kept)?);
         (room >= SHORTEST_VIEW).then_some(room)
@@ -193,17 +193,17 @@
 
     /// Whether leases alone end the tasks of a cancelled job in time, whatever is cut off.
     pub fn leases_meet_cancel(&self) -> bool {
-        self.view_room().is_some()
+        self.achievable_view_age().is_some()
     }
 
     /// The bound on the age of the view.
-    pub fn view_bound(&self) -> Micros {
-        self.view_room().unwrap_or(SHORTEST_VIEW)
+    pub fn max_view_age(&self) -> Micros {
+        self.achievable_view_age().unwrap_or(SHORTEST_VIEW)
     }
 
     /// How long a watch stays open, so that its answers keep the view fresh by themselves.
     pub fn watch_hold(&self) -> Micros {
-        LONGEST_WATCH.min(self.view_bound() / 3)
+        LONGEST_WATCH.min(self.max_view_age() / 3)
     }
 
     /// How long after the end of a job its tasks may be not proven gone before their machine is
--- a/crates/quartzlever-core/src/leadership/authority.rs
+++ b/crates/quartzlever-core/src/leadership/authority.rs
@@ -24,7 +24,7 @@
         let expires_at = if lease.id().is_none() || !is_caught_up {
             0
         } else {
-            lease.valid_until().min(view_as_of + config.view_bound())
+            lease.valid_until().min(view_as_of + config.max_view_age())
         };
         Authority { expires_at }
     }
--- a/crates/quartzlever-core/src/leadership/authority/tests.rs
+++ b/crates/quartzlever-core/src/leadership/authority/tests.rs
@@ -7,7 +7,7 @@
 fn neither_a_lease_nor_a_fresh_view_is_enough() {
     let mut config = core().config;
     config.workers.cancel = 40 * SECOND;
-    let bound = config.view_bound();
+    let bound = config.max_view_age();
     // A lease that was regained by a renewal sent 20 s after `NOW`.
     let renewed = || {
         let mut lease = Lease::held(1, NOW);
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -166,7 +166,7 @@
     }
 
     /// Whether the machine may get new tasks.
-    pub fn open(&self, now: Micros, quiet: Micros) -> bool {
+    pub fn accepts_tasks(&self, now: Micros, quiet: Micros) -> bool {
         self.usable() && now.saturating_sub(self.last_heartbeat_at) < quiet
     }
 
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -264,7 +264,7 @@
             Err(CallError::Unknown) => return GroupWriteOutcome::ToBeReread { lost: Vec::new() },
             // Known not to be carried out: tried again.
             Ok(StoreReply::TooLarge) => TOO_LARGE_PAUSE,
-            Ok(_) | Err(CallError::Refused | CallError::TooOften) => RETRY,
+            Ok(_) | Err(CallError::Refused | CallError::Throttled) => RETRY,
         };
         if let Some(change) = change {
             change.not_before = now + pause;
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -27,7 +27,7 @@
     /// The small groups that it writes.
     small: Vec<(String, MachineRecords)>,
     /// Whether the large group ends with it.
-    whole: bool,
+    is_complete: bool,
 }
 
 impl Ownership {
@@ -48,7 +48,9 @@
         }
         self.next_split_at = context.now + SPLIT_PAUSE;
         let Some(key) = self.group_to_split(context) else { return };
-        let Some(GroupSplit { txn, small, whole }) = plan_split(&key, context) else { return };
+        let Some(GroupSplit { txn, small, is_complete }) = plan_split(&key, context) else {
+            return;
+        };
         // It may leave the account in debt: under load that never holds as much at once, and the
         // lower limit may come at any moment.
         if !write_budget.has(WriteKind::Claim, 1) {
@@ -56,7 +58,7 @@
         }
         write_budget.spend(txn.changes.len());
         self.splitting = true;
-        let pending = PendingStoreCall::SplitGroup { key, small, whole };
+        let pending = PendingStoreCall::SplitGroup { key, small, is_complete };
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
     }
 
@@ -114,12 +116,12 @@
         known(key).is_none_or(|there| !group.iter().all(|(h, r)| there.record.get(h) == Some(r)))
     });
     let most = context.layout.max_changes;
-    let whole = groups.len() < most;
+    let is_complete = groups.len() < most;
     let mut txn = Txn::default()
         .if_mod_revision(key, *mod_revision)
         .if_mod_revision(GROUP_SIZE_KEY, context.layout.size_revision);
     let mut small = Vec::new();
-    for (key, mut group) in groups.into_iter().take(if whole { most } else { most.max(1) }) {
+    for (key, mut group) in groups.into_iter().take(if is_complete { most } else { most.max(1) }) {
         let Versioned { record: there, mod_revision } = known(&key).cloned().unwrap_or_default();
         group.extend(there);
         txn = txn
@@ -127,10 +129,10 @@
             .write(&key, Json::of(&MachineGroupRecord { machines: group.clone() }));
         small.push((key, group));
     }
-    if whole {
+    if is_complete {
         txn = txn.delete(key);
     }
-    Some(GroupSplit { txn, small, whole })
+    Some(GroupSplit { txn, small, is_complete })
 }
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
@@ -35,7 +35,7 @@
 ) -> Vec<Effect> {
     let mut outbox = Outbox::new(LogLevel::Info, now);
     let mut write_budget = WriteBudget::new(now - SECOND);
-    write_budget.pass(now, 100.0, 1);
+    write_budget.refill(now, 100.0, 1);
     let (cache, partitions) = (&core.cache, &core.partitions);
     let context = GroupContext { now, may_act, cache, partitions, layout };
     ownership.split_group(&context, &mut write_budget, &mut outbox);
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -58,7 +58,7 @@
 ) -> Vec<Effect> {
     let mut outbox = Outbox::new(LogLevel::Info, now);
     let mut write_budget = WriteBudget::new(now - SECOND);
-    write_budget.pass(now, 100.0, 1);
+    write_budget.refill(now, 100.0, 1);
     let (cache, partitions) = (&core.cache, &core.partitions);
     let context = GroupContext { now, may_act, cache, partitions, layout };
     ownership.write_changes(&context, &mut write_budget, &mut outbox);
@@ -129,7 +129,7 @@
         (Ok(StoreReply::Committed(20)), GroupWriteOutcome::Committed { mod_revision: 20 }, PAUSE),
         (Ok(StoreReply::TooLarge), GroupWriteOutcome::Failed, TOO_LARGE_PAUSE),
         (Err(CallError::Refused), GroupWriteOutcome::Failed, RETRY),
-        (Err(CallError::TooOften), GroupWriteOutcome::Failed, RETRY),
+        (Err(CallError::Throttled), GroupWriteOutcome::Failed, RETRY),
         (Err(CallError::Unknown), reread(&[]), PAUSE),
         (conflict("hosts/n-~0"), reread(&[]), PAUSE),
         (conflict("parts/one"), reread(&[owner()]), PAUSE),
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -161,7 +161,7 @@
     },
     /// The process cannot go on, for this reason.
     Terminate {
-        why: String,
+        reason: String,
     },
     /// From now on this node may use so much of what the store and the cloud allow.
     RateShare(f64),
--- a/crates/quartzlever-core/src/outbox.rs
+++ b/crates/quartzlever-core/src/outbox.rs
@@ -181,8 +181,8 @@
     }
 
     /// Ends the process.
-    pub fn terminate(&mut self, why: String) {
-        self.effects.push(Effect::Terminate { why });
+    pub fn terminate(&mut self, reason: String) {
+        self.effects.push(Effect::Terminate { reason });
     }
 
     /// What the reply to a call to the store belongs to.
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -146,7 +146,7 @@
         let leaders = self.cache.leaders();
         let sharers =
             leaders.max(if self.partitions.is_empty() { self.config.nodes.len() } else { 1 });
-        self.write_budget.pass(self.now, self.config.store_write_rps, sharers);
+        self.write_budget.refill(self.now, self.config.store_write_rps, sharers);
         let share = self.config.rate_limit_share(leaders, !self.partitions.is_empty());
         if share != self.share {
             self.share = share;
@@ -290,8 +290,8 @@
             PendingStoreCall::Cluster { write, lease } => {
                 self.cluster_answered(write, lease, &result)
             }
-            PendingStoreCall::SplitGroup { key, small, whole } => {
-                self.group_split(&key, small, whole, &result);
+            PendingStoreCall::SplitGroup { key, small, is_complete } => {
+                self.group_split(&key, small, is_complete, &result);
             }
             PendingStoreCall::Watch { number, sent } => self.watched(number, sent, result),
             PendingStoreCall::Revision { asked, sent } => self.revision_read(asked, sent, result),
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -36,7 +36,7 @@
     core.cache.set_loaded(true);
     core.config.workers.cancel = 40 * SECOND;
     // 40 s less a lease of 10 s and a margin of 3 s, with drift.
-    let bound = core.config.view_bound();
+    let bound = core.config.max_view_age();
     assert!(bound > 26 * SECOND && bound < 27 * SECOND, "{bound}");
     let at = |core: &mut Core, after: Micros| {
         core.now = NOW + after;
@@ -77,12 +77,12 @@
         let mut config = core().config;
         (config.workers.lease, config.workers.cancel) = (lease * SECOND, cancel * SECOND);
         assert_eq!(config.leases_meet_cancel(), meets, "{lease} {cancel}");
-        let latest = config.view_bound() + config.workers.lease;
+        let latest = config.max_view_age() + config.workers.lease;
         assert!(
             !meets || latest + 2 * SECOND < config.workers.cancel,
             "{lease} {cancel}: {latest}"
         );
-        assert!(config.watch_hold() < config.view_bound() / 2, "{lease} {cancel}");
+        assert!(config.watch_hold() < config.max_view_age() / 2, "{lease} {cancel}");
         let mut told = Core::new(config, 1, NOW);
         let effects = told.step(NOW, Vec::new());
         let (cancel, lease) = (cancel * SECOND, lease * SECOND);
@@ -98,7 +98,7 @@
 fn a_refused_acquisition_is_repeated_after_a_pause() {
     for (name, brings) in [
         ("refused", Err(CallError::Refused)),
-        ("too often", Err(CallError::TooOften)),
+        ("too often", Err(CallError::Throttled)),
         ("conflict", Ok(StoreReply::Conflict(vec!["parts/one".into()]))),
     ] {
         let mut core = with_cache(&[("two", "two", 6)]);
--- a/crates/quartzlever-core/src/router/ownership.rs
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -63,14 +63,14 @@
         &mut self,
         key: &str,
         small: Vec<(String, MachineRecords)>,
-        whole: bool,
+        is_complete: bool,
         result: &Result<StoreReply, CallError>,
     ) {
         let Some(mod_revision) = self.ownership.split_answered(result, self.now) else { return };
         for (key, records) in small {
             self.cache.record_group(&key, records, mod_revision);
         }
-        if whole {
+        if is_complete {
             self.cache.record_group(key, MachineRecords::new(), mod_revision + 1);
         }
     }
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -65,7 +65,7 @@
     /// Whether a task may start on this machine.
     pub fn admits(&self, machine: &Machine) -> bool {
         !self.reservations.keeps_for_another(&machine.name, &self.spec.id)
-            && machine.open(self.now, self.quiet)
+            && machine.accepts_tasks(self.now, self.quiet)
             && machine.free.fits(&self.need)
             && (self.tries_again || !self.job.failures.includes(&machine.name))
             && !machine.failures.in_doubt(self.now)
--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -302,7 +302,8 @@
     /// The attempts to stop on a machine so that a task of the job fits there, at the least lost
     /// work; none if that cannot be had.
     fn cheapest_eviction(&self, asks: &Preemption, machine_name: &str) -> Option<Eviction> {
-        let machine = self.machines.get(machine_name).filter(|m| m.open(asks.now, asks.quiet))?;
+        let machine =
+            self.machines.get(machine_name).filter(|m| m.accepts_tasks(asks.now, asks.quiet))?;
         let machine_type = self.types.as_ref()?.get(&machine.record.machine_type)?;
         if !machine_allowed(asks.spec, machine) {
             return None;
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -56,7 +56,7 @@
                 return self.move_committed(name, request, moved, mod_revision);
             }
             Ok(StoreReply::Conflict(failed)) => self.move_conflicted(name, term, moved, &failed),
-            Err(CallError::Refused | CallError::TooOften) | Ok(_) => {
+            Err(CallError::Refused | CallError::Throttled) | Ok(_) => {
                 self.take_back(name, moved);
                 if let Some(partition) = self.partitions.get_mut(name) {
                     partition.placement_wanted = true;
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -87,7 +87,7 @@
         priority: Priority,
     ) -> ThiefCapacity {
         let quiet = silence_limit(&self.config);
-        let open = partition.machines.values().filter(|m| m.open(self.now, quiet));
+        let open = partition.machines.values().filter(|m| m.accepts_tasks(self.now, quiet));
         let free = open.filter_map(|m| {
             let mut free = m.free;
             let lower = |s: &&Attempt| s.wanted && !s.exited() && s.priority > priority;
--- a/crates/quartzlever-core/src/store/limits.rs
+++ b/crates/quartzlever-core/src/store/limits.rs
@@ -76,7 +76,7 @@
                     }
                 });
             }
-            Err(CallError::TooOften) if write_budget.throttle(now) => {
+            Err(CallError::Throttled) if write_budget.throttle(now) => {
                 outbox.log(LogLevel::Error, || LogEvent::StoreThrottled);
             }
             _ => {}
--- a/crates/quartzlever-core/src/store/limits/tests.rs
+++ b/crates/quartzlever-core/src/store/limits/tests.rs
@@ -58,7 +58,7 @@
     for result in [
         Ok(StoreReply::Committed(7)),
         Ok(StoreReply::NoLease),
-        Err(CallError::TooOften),
+        Err(CallError::Throttled),
         Err(CallError::Refused),
         Err(CallError::Unknown),
     ] {
@@ -70,7 +70,7 @@
         let known = (limits.value_bytes(), limits.txn_ops(), limits.learned_value_bytes());
         assert_eq!(known, (8_000, 40, usize::MAX), "{result:?}");
         // A transaction that came too often makes all changes slower instead.
-        let is_throttled = matches!(result, Err(CallError::TooOften));
+        let is_throttled = matches!(result, Err(CallError::Throttled));
         let expected = is_throttled.then_some(LogEvent::StoreThrottled);
         assert_eq!(events(outbox.take_effects()), Vec::from_iter(expected), "{result:?}");
     }
--- a/crates/quartzlever-core/src/store/write_budget.rs
+++ b/crates/quartzlever-core/src/store/write_budget.rs
@@ -98,7 +98,7 @@
     }
 
     /// Time passes; `limit` is for all who change anything, `sharers` so many.
-    pub fn pass(&mut self, now: Micros, limit: f64, sharers: usize) {
+    pub fn refill(&mut self, now: Micros, limit: f64, sharers: usize) {
         let passed = now.saturating_sub(self.now) as f64 / SECOND as f64;
         self.now = now;
         self.allowed_share = (self.allowed_share + passed * SHARE_REGAINED_PER_SECOND).min(1.0);
--- a/crates/quartzlever-core/src/store/write_budget/tests.rs
+++ b/crates/quartzlever-core/src/store/write_budget/tests.rs
@@ -16,7 +16,7 @@
         (10.0, 3, WriteKind::Move, 24, false),
     ] {
         let mut write_budget = WriteBudget::new(0);
-        write_budget.pass(100 * SECOND, rate / USABLE_SHARE, 1);
+        write_budget.refill(100 * SECOND, rate / USABLE_SHARE, 1);
         write_budget.spend(spent);
         assert_eq!(
             write_budget.try_spend(write_kind, count),
@@ -25,11 +25,11 @@
         );
     }
     let mut write_budget = WriteBudget::new(0);
-    write_budget.pass(SECOND, 30.0, 3);
+    write_budget.refill(SECOND, 30.0, 3);
     assert!(!write_budget.exhausted());
     write_budget.spend(40);
     assert!(write_budget.exhausted());
-    write_budget.pass(5 * SECOND, 30.0, 3);
+    write_budget.refill(5 * SECOND, 30.0, 3);
     assert!(!write_budget.exhausted());
 }
 
@@ -39,9 +39,9 @@
     // (changes that were tried one by one, whether a machine may be claimed after so many seconds)
     for (tried, after, allowed) in [(1, 1, true), (40, 1, false), (40, 4, true), (4_000, 4, true)] {
         let mut write_budget = WriteBudget::new(0);
-        write_budget.pass(SECOND, 30.0, 3);
+        write_budget.refill(SECOND, 30.0, 3);
         (0..tried).for_each(|_| write_budget.spend(1));
-        write_budget.pass((1 + after) * SECOND, 30.0, 3);
+        write_budget.refill((1 + after) * SECOND, 30.0, 3);
         assert_eq!(
             write_budget.try_spend(WriteKind::Claim, 1),
             allowed,
@@ -63,14 +63,14 @@
         (WriteKind::Progress, 12, 0, false),
     ] {
         let mut write_budget = WriteBudget::new(0);
-        write_budget.pass(SECOND, 30.0, 3);
+        write_budget.refill(SECOND, 30.0, 3);
         for tenth in 1..=asked {
-            write_budget.pass(SECOND + tenth * SECOND / 10, 30.0, 3);
+            write_budget.refill(SECOND + tenth * SECOND / 10, 30.0, 3);
             // Submissions take what there is, without exhausting the account.
             write_budget.level = 0.0;
             assert!(!write_budget.try_spend(write_kind, 1));
         }
-        write_budget.pass(SECOND + (asked + after) * SECOND / 10, 30.0, 3);
+        write_budget.refill(SECOND + (asked + after) * SECOND / 10, 30.0, 3);
         assert_eq!(write_budget.exhausted(), wait, "{write_kind:?} {asked} {after}");
         write_budget.level = write_budget.rate;
         assert!(
@@ -91,22 +91,22 @@
     {
         let mut write_budget = WriteBudget::new(0);
         let mut now = 100 * SECOND;
-        write_budget.pass(now, 30.0, 1);
+        write_budget.refill(now, 30.0, 1);
         let mut news = 0;
         for _ in 0..refusals {
             now += apart * SECOND / 10;
-            write_budget.pass(now, 30.0, 1);
+            write_budget.refill(now, 30.0, 1);
             news += u32::from(write_budget.throttle(now));
         }
         let counted = if apart < 10 { 1 } else { refusals };
         assert_eq!(news, counted, "{refusals} refusals");
         for (wait, changes) in [(0, soon), (400 * SECOND, later)] {
             now += wait;
-            write_budget.pass(now, 30.0, 1);
+            write_budget.refill(now, 30.0, 1);
             // Whatever is there is taken, and nothing is owed.
             while write_budget.try_spend(WriteKind::Finish, 1) {}
             let before = write_budget.has(WriteKind::Finish, 1);
-            write_budget.pass(now + SECOND / 2, 30.0, 1);
+            write_budget.refill(now + SECOND / 2, 30.0, 1);
             now += SECOND / 2;
             let mut left = 0;
             while write_budget.try_spend(WriteKind::Finish, 1) {
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -282,11 +282,11 @@
 
     fn cluster_raised(&mut self, version: u32) {
         if version > VERSION {
-            let why = format!(
+            let reason = format!(
                 "the cluster is at version {version}, and this program knows versions up to \
                  {VERSION} only: start a newer one"
             );
-            self.outbox.terminate(why);
+            self.outbox.terminate(reason);
         } else if version > self.cluster.version {
             self.cluster.version = version;
             if self.cluster.upgrading {
--- a/crates/quartzlever-core/src/upgrade/tests.rs
+++ b/crates/quartzlever-core/src/upgrade/tests.rs
@@ -111,7 +111,8 @@
     });
     let ends = core.step(NOW + SECOND, Vec::new());
     assert!(
-        ends.iter().any(|e| matches!(e, Effect::Terminate { why } if why.contains("version 3")))
+        ends.iter()
+            .any(|e| matches!(e, Effect::Terminate { reason } if reason.contains("version 3")))
     );
 }
 
--- a/crates/quartzlever-core/tests/simulation/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -149,11 +149,11 @@
     let calm = w.now;
     w.run_time = 3 * SECOND;
     w.workers.values_mut().for_each(|worker| worker.run_time = 3 * SECOND);
-    w.pass(90 * SECOND);
+    w.run_for(90 * SECOND);
     if w.has_room() {
         assert!(w.rules.waiting().is_empty(), "{name}: {:?} wait", w.rules.waiting());
     }
-    w.pass(60 * SECOND);
+    w.run_for(60 * SECOND);
     let now = w.now;
     w.rules.unanswered(now, calm + 75 * SECOND);
     w.check_liveness(calm);
--- a/crates/quartzlever-core/tests/simulation/fault_combinations.rs
+++ b/crates/quartzlever-core/tests/simulation/fault_combinations.rs
@@ -543,7 +543,7 @@
                 if k % 3 == 0 {
                     w.cancel_until_confirmed(other(leader), &id);
                 }
-                w.pass(4 * SECOND);
+                w.run_for(4 * SECOND);
             }
         },
         came: |c, j| c.leaders > 40 && c.refused_all > 20 && j.cancellations >= 10,
@@ -719,9 +719,9 @@
                     w.look_closely(&job);
                 }
             }
-            w.pass(12 * SECOND);
+            w.run_for(12 * SECOND);
             w.calm();
-            w.pass(8 * SECOND);
+            w.run_for(8 * SECOND);
         }
         mark_healthy(&mut w, &format!("mix {seed}"));
         add(&mut counts, w.counts);
--- a/crates/quartzlever-core/tests/simulation/large_fleet.rs
+++ b/crates/quartzlever-core/tests/simulation/large_fleet.rs
@@ -41,7 +41,7 @@
 
     simulation.kill(1);
     simulation.kill(2);
-    simulation.pass(110 * SECOND);
+    simulation.run_for(110 * SECOND);
     for partition in NODES {
         assert_eq!(simulation.leader(partition), Some(0), "{partition}");
     }
--- a/crates/quartzlever-core/tests/simulation/large_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/large_jobs.rs
@@ -112,7 +112,7 @@
             w.odd_tasks_wait = false;
             w.workers.values_mut().for_each(|worker| worker.odd_tasks_wait = false);
         }
-        w.pass(90 * SECOND);
+        w.run_for(90 * SECOND);
         let end = if trouble == Cancelled { JobPhase::Cancelled } else { JobPhase::Done };
         assert_eq!(w.over(&id), Some(end), "{trouble:?}");
         assert!(w.store.keys(PAGE_PREFIX).is_empty(), "{trouble:?}: pages are left over");
--- a/crates/quartzlever-core/tests/simulation/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -58,7 +58,7 @@
         sink(w, limits);
     }
     replace(w, [0, 1, 2], Between::Nothing);
-    w.pass(6 * SECOND);
+    w.run_for(6 * SECOND);
     if moment == Moment::AfterTheUpgrade {
         sink(w, limits);
     }
@@ -107,7 +107,7 @@
             assert!(up > 30, "{name}: {up} machines: too few to fill a block");
             let unclaimed = unclaimed(&w);
             assert!(unclaimed < 4, "{name}: {unclaimed} of {up} machines belong to nobody");
-            w.pass(200 * SECOND);
+            w.run_for(200 * SECOND);
             w.check_end();
             assert!(w.rules.broken.is_empty(), "{name}: {:?}", &w.rules.broken[..1]);
             for id in w.rules.accepted() {
--- a/crates/quartzlever-core/tests/simulation/liveness.rs
+++ b/crates/quartzlever-core/tests/simulation/liveness.rs
@@ -31,7 +31,7 @@
                 "{max_spot_machines} {tasks}"
             );
         }
-        simulation.pass(240 * SECOND);
+        simulation.run_for(240 * SECOND);
         simulation.check_liveness(calm);
         assert_eq!(
             simulation.rules.broken,
@@ -158,7 +158,7 @@
             simulation.submit_until_accepted(k % names.len(), spec);
         }
         simulation.submit_until_accepted(0, &job(9, 2));
-        simulation.pass(50 * SECOND);
+        simulation.run_for(50 * SECOND);
         simulation.check_liveness(calm);
         let waiting = simulation.rules.waiting();
         if simulation.rules.broken.is_empty() && waiting.is_empty() {
--- a/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
@@ -16,7 +16,7 @@
     for k in 0..6 {
         assert_eq!(w.submit_until_accepted(k as usize % 3, &job(100 + k, 8)), 201);
     }
-    w.pass(20 * SECOND);
+    w.run_for(20 * SECOND);
     w
 }
 
@@ -43,14 +43,14 @@
         change(&mut fails_everywhere);
         w.set_fails_everywhere(&fails_everywhere.id, true);
         assert_eq!(w.submit_until_accepted(0, &fails_everywhere), 201, "{name}");
-        w.pass(15 * SECOND);
+        w.run_for(15 * SECOND);
         for (round, least) in [(0, 1), (1, 0)] {
             let before = w.starts_of(&fails_everywhere.id);
             let sound: Vec<JobSpec> = (0..4).map(|k| job(10 * (round + 2) + k, 8)).collect();
             for (k, spec) in sound.iter().enumerate() {
                 assert_eq!(w.submit_until_accepted(k % 3, spec), 201, "{name}");
             }
-            w.pass(40 * SECOND);
+            w.run_for(40 * SECOND);
             let starts = w.starts_of(&fails_everywhere.id) - before;
             assert!(starts >= least, "{name}: it is not tried any more");
             assert!(starts <= 24 + *tasks as usize * round as usize, "{name}: {starts} starts");
@@ -73,7 +73,7 @@
             Some("aborted"),
             "{name}"
         );
-        w.pass(2 * SECOND);
+        w.run_for(2 * SECOND);
         assert!(w.machines_of(&fails_everywhere.id).is_empty(), "{name}: tasks are left");
         w.check_end();
         assert_eq!(w.rules.broken, Vec::<String>::new(), "{name}");
@@ -88,10 +88,10 @@
         let spec = job(1, 40);
         w.set_fails_everywhere(&spec.id, true);
         assert_eq!(w.submit_until_accepted(0, &spec), 201);
-        w.pass(span * SECOND);
+        w.run_for(span * SECOND);
         assert_eq!(w.over(&spec.id), None, "{span}");
         w.set_fails_everywhere(&spec.id, false);
-        w.pass(60 * SECOND);
+        w.run_for(60 * SECOND);
         assert_eq!(w.over(&spec.id), Some(JobPhase::Done), "{span}");
         assert_eq!(w.rules.broken, Vec::<String>::new(), "{span}");
     }
@@ -111,9 +111,9 @@
         }
         for k in 10..22 {
             assert_eq!(w.submit_until_accepted(k as usize % 3, &job(k, 6)), 201);
-            w.pass(3 * SECOND);
+            w.run_for(3 * SECOND);
         }
-        w.pass(30 * SECOND);
+        w.run_for(30 * SECOND);
         let gone: Vec<String> = w.cloud.gone.iter().cloned().collect();
         assert_eq!(gone, [faulty], "seed {seed}");
         assert_eq!(w.rules.broken, Vec::<String>::new(), "seed {seed}");
--- a/crates/quartzlever-core/tests/simulation/on_call.rs
+++ b/crates/quartzlever-core/tests/simulation/on_call.rs
@@ -314,10 +314,10 @@
                     w.look_closely(&id);
                 }
             }
-            w.pass(12 * SECOND);
+            w.run_for(12 * SECOND);
             w.calm();
             w.boot = SECOND;
-            w.pass(8 * SECOND);
+            w.run_for(8 * SECOND);
         }
         ids.iter().for_each(|id| w.set_fails_everywhere(id, false));
         mark_healthy(&mut w, &format!("night {seed}"));
--- a/crates/quartzlever-core/tests/simulation/services.rs
+++ b/crates/quartzlever-core/tests/simulation/services.rs
@@ -129,7 +129,7 @@
             let mut spec = service(1, 4);
             change(&mut spec);
             assert_eq!(w.submit_until_accepted(seed as usize % 3, &spec), 201, "{name}");
-            w.pass(15 * SECOND);
+            w.run_for(15 * SECOND);
             let short = matches!(trouble, EndAfter(_));
             if !short {
                 assert_eq!(replicas(&w, &spec.id), 4, "{name} {seed}: up at first");
@@ -137,7 +137,7 @@
                 assert!(spread > 1 || !spec.spread, "{name} {seed}: all on one machine");
             }
             inject(&mut w, &spec.id, *trouble);
-            w.pass(45 * SECOND);
+            w.run_for(45 * SECOND);
             let up = replicas(&w, &spec.id);
             assert!(up == 4 || short, "{name} {seed}: {up} replicas are up again");
             for n in 0..3 {
@@ -152,7 +152,7 @@
                 Some("aborted"),
                 "{name} {seed}"
             );
-            w.pass(25 * SECOND);
+            w.run_for(25 * SECOND);
             assert_eq!(replicas(&w, &spec.id), 0, "{name} {seed}: gone");
             w.check_end();
             assert!(w.rules.broken.is_empty(), "{name} {seed}: {:?}", &w.rules.broken[..1]);
@@ -177,11 +177,11 @@
             spec.priority = quartzlever_wire::users::Priority::Prod;
             assert_ne!(w.submit_until_accepted(k as usize % 3, &spec), 0);
         }
-        w.pass(10 * SECOND);
+        w.run_for(10 * SECOND);
         for k in 10..14 {
             assert!(!w.rules.waiting().contains(&job(k, 1).id.as_str()), "{seed}: {k} waits");
         }
-        w.pass(140 * SECOND);
+        w.run_for(140 * SECOND);
         for k in 0..6 {
             let id = job(k, 1).id;
             assert!(w.over(&id).is_some(), "{seed}: array {k} starves");
@@ -238,7 +238,7 @@
         assert!(second < first && second <= 16, "{seed}: {starts:?} starts: no growing pauses");
         assert!(w.cloud.gone.is_empty(), "{seed}: {:?} returned", w.cloud.gone);
         // The mistake is corrected: replicas are up again.
-        w.pass(60 * SECOND);
+        w.run_for(60 * SECOND);
         assert_eq!(replicas(&w, &spec.id), 4, "{seed}");
         w.check_end();
         assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
@@ -268,14 +268,14 @@
             w.run_time = if trouble == EndAfter(0) { 0 } else { 10_000 * SECOND };
             let spec = service(1, 4);
             assert_eq!(w.submit_until_accepted(0, &spec), 201, "{trouble:?}");
-            w.pass(15 * SECOND);
+            w.run_for(15 * SECOND);
             inject(&mut w, &spec.id, trouble);
             assert_eq!(
                 w.cancel_until_confirmed(1, &spec.id).as_deref(),
                 Some("aborted"),
                 "{trouble:?}"
             );
-            w.pass(25 * SECOND);
+            w.run_for(25 * SECOND);
             let left = replicas(&w, &spec.id);
             assert_eq!(left, 0, "{trouble:?} {seed}: gone within the time for cancellations");
             for n in 0..3 {
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -361,7 +361,7 @@
     }
 
     /// Lets time pass while users ask about all their jobs now and then, at any node.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             for job in self.rules.accepted() {
@@ -425,7 +425,7 @@
         let now = self.now;
         for worker in self.workers.values_mut() {
             let (incarnation, busy) = (worker.incarnation(), !worker.running().is_empty());
-            worker.pass(now);
+            worker.advance_to(now);
             self.counts.leases_lost += usize::from(busy && worker.incarnation() > incarnation);
         }
         self.note_ends();
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -397,7 +397,7 @@
                 }
                 self.answers.insert(id, (status, body));
             }
-            Effect::Terminate { why } => self.ended = Some(why),
+            Effect::Terminate { reason } => self.ended = Some(reason),
             Effect::Log(_) | Effect::RateShare(_) => {}
         }
     }
--- a/crates/quartzlever-core/tests/simulation/sim/digest.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/digest.rs
@@ -172,9 +172,9 @@
                 self.text(node);
                 self.frame(request);
             }
-            Effect::Terminate { why } => {
+            Effect::Terminate { reason } => {
                 self.number(7);
-                self.text(why);
+                self.text(reason);
             }
             Effect::RateShare(share) => {
                 self.number(8);
@@ -256,7 +256,7 @@
 #[test]
 fn a_digest_tells_order_content_and_time_apart_and_passes_over_notes() {
     let share = |share: f64| Effect::RateShare(share);
-    let end = |why: &str| Effect::Terminate { why: why.to_owned() };
+    let end = |reason: &str| Effect::Terminate { reason: reason.to_owned() };
     let note = || Effect::Log(quartzlever_core::LogEvent::WorkersReachable);
     let digest = |node: usize, now: Micros, effects: &[Effect]| {
         let hash = Fnv::default();
--- a/crates/quartzlever-core/tests/simulation/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -99,7 +99,7 @@
             let early = w.submit(0, service(50, 2));
             assert_eq!(w.answer(early, SECOND).map(|a| a.0), Some(503), "{name}: too early");
             replace(&mut w, order, between);
-            w.pass(6 * SECOND);
+            w.run_for(6 * SECOND);
             assert!(w.store.get(CLUSTER_VERSION_KEY).is_some(), "{name}: not raised");
             let before: usize = w.store.keys("hosts/").len();
             // Limits sink at some moment from the raising on.
@@ -110,7 +110,7 @@
                 assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 0, "{name}");
             }
             assert!(w.cancel_until_confirmed(1, &job(21, 1).id).is_some(), "{name}");
-            w.pass(150 * SECOND);
+            w.run_for(150 * SECOND);
             let keys = w.store.keys("hosts/");
             let long =
                 keys.iter().filter(|k| w.store.get(k).is_some_and(|(v, _)| v.text().len() > VALUE));
@@ -151,7 +151,7 @@
             }
         }
         lower_limits(&mut w, VALUE, ops);
-        w.pass(120 * SECOND);
+        w.run_for(120 * SECOND);
         assert!(length(&w) <= Some(VALUE), "{seed}: {:?} after", length(&w));
         w.check_end();
         assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
@@ -172,7 +172,7 @@
     for k in 0..8 {
         assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 40)), 0);
     }
-    w.pass(200 * SECOND);
+    w.run_for(200 * SECOND);
     w.check_end();
     assert!(w.rules.broken.is_empty(), "{:?}", &w.rules.broken[..1]);
     for k in 0..8 {
@@ -191,5 +191,5 @@
     w.store.call(now, &StoreCall::Txn(txn)).expect("it is up");
     w.restart(0, SECOND);
     w.run(3 * SECOND);
-    assert!(w.ended.as_ref().is_some_and(|why| why.contains("version 99")), "{:?}", w.ended);
+    assert!(w.ended.as_ref().is_some_and(|reason| reason.contains("version 99")), "{:?}", w.ended);
 }
--- a/crates/quartzlever-recovery/src/detection.rs
+++ b/crates/quartzlever-recovery/src/detection.rs
@@ -80,7 +80,7 @@
 }
 
 /// Judges an observation by what `node` knew of the store; `None` if it has no history.
-pub fn judge(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Assessment {
+pub fn assess(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Assessment {
     let Some(Stamped { value: identity, mod_revision }) = &observed.identity else {
         return if known.is_some() {
             Assessment::Lost(Loss::IdentityGone)
@@ -114,10 +114,10 @@
     identity: &Identity,
     observed: &Observed,
 ) -> Option<Loss> {
-    let same_line = identity.generation == known.identity.generation
+    let same_lineage = identity.generation == known.identity.generation
         && identity.namespace == known.identity.namespace
         && identity.base == known.identity.base;
-    if !same_line {
+    if !same_lineage {
         return Some(Loss::IdentityDiffers);
     }
     let revision = observed.revision + identity.base;
--- a/crates/quartzlever-recovery/src/history.rs
+++ b/crates/quartzlever-recovery/src/history.rs
@@ -1,7 +1,7 @@
 //! The picture that the files of a directory hold, whatever is torn, corrupt or missing.
 //!
 //! This module joins a snapshot and the logs after it; it reads no file itself. Invariant: a history is marked
-//! [`History::whole`] only if the newest snapshot that can be read and every log after it were read without a
+//! [`History::is_complete`] only if the newest snapshot that can be read and every log after it were read without a
 //! gap.
 
 use quartzlever_wire::{Micros, SECOND};
@@ -37,7 +37,7 @@
     /// Time of day of the last write, in microseconds since 1970.
     pub wall: Micros,
     /// Every log after the snapshot was read without a gap.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Measured before the snapshot.
     pub write_times: WriteTimes,
 }
@@ -80,13 +80,13 @@
     /// controller left its mark that the log is written before anything is done; `wall` is the present time
     /// of day, in microseconds since 1970.
     pub fn is_verified(&self, marked: bool, wall: Micros) -> bool {
-        marked && self.whole && wall.saturating_sub(self.wall) <= PROVEN_FOR
+        marked && self.is_complete && wall.saturating_sub(self.wall) <= PROVEN_FOR
     }
 
     fn of(snapshot: Snapshot) -> History {
         let Snapshot { identity, revision, wall, write_times, rows } = snapshot;
         let picture = Picture::new(revision, rows.into_iter().collect());
-        History { identity, picture, witness: 0, wall, whole: true, write_times }
+        History { identity, picture, witness: 0, wall, is_complete: true, write_times }
     }
 
     /// Takes in a log's entries. Those of a log that continues something else are left out.
@@ -155,14 +155,14 @@
         let number = file.number;
         if let Err(error) = self.try_add_log(file) {
             self.complaints.push(format!("log {number}: {error}"));
-            self.history.whole = false;
+            self.history.is_complete = false;
         }
     }
 
     fn try_add_log(&mut self, file: &StoredFiles) -> Result<(), LogError> {
         let LogContent { entries, torn_bytes } = read_log_of(file)?;
         // Only the last log may end in the middle of an entry.
-        self.history.whole &= self.previous_end == LogEnd::Whole;
+        self.history.is_complete &= self.previous_end == LogEnd::Whole;
         self.previous_end = LogEnd::Whole;
         if torn_bytes > 0 {
             self.previous_end = LogEnd::Torn;
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -22,7 +22,7 @@
     pub rows: BTreeMap<String, Record>,
     /// The store's revisions never went back, so that its records and those of the picture can be
     /// compared by their modification revisions.
-    pub same_line: bool,
+    pub same_lineage: bool,
 }
 
 /// What becomes of the records, for operators.
@@ -68,13 +68,15 @@
     let (known, found) = (picture.get(key), survivors.rows.get(key));
     match (known, found) {
         (Some(known), Some(found))
-            if survivors.same_line && found.mod_revision > known.mod_revision =>
+            if survivors.same_lineage && found.mod_revision > known.mod_revision =>
         {
             Some(found)
         }
         (Some(known), _) => Some(known),
         // It came back, with a backup: the picture has seen its deletion.
-        (None, Some(found)) if survivors.same_line && found.mod_revision <= picture.revision() => {
+        (None, Some(found))
+            if survivors.same_lineage && found.mod_revision <= picture.revision() =>
+        {
             key.starts_with(TERMINAL_JOB_PREFIX).then_some(found)
         }
         (None, found) => found,
@@ -141,9 +143,9 @@
         let is_known =
             |key: &str| picture.get(key).is_some_and(|record| record.mod_revision <= known_to);
         let is_inherited = |key: &str| {
-            !survivors.same_line && key.starts_with(TERMINAL_JOB_PREFIX) && is_known(key)
+            !survivors.same_lineage && key.starts_with(TERMINAL_JOB_PREFIX) && is_known(key)
         };
-        let kept = |key: &str| survivors.rows.get(key).filter(|_| survivors.same_line);
+        let kept = |key: &str| survivors.rows.get(key).filter(|_| survivors.same_lineage);
         let mut changes = Vec::new();
         for (key, value) in &self.records {
             if is_inherited(key) || kept(key).is_some_and(|record| record.value == *value) {
@@ -153,7 +155,7 @@
                 changes.push(Change::Write { write: key.clone(), v, lease_id: None });
             }
         }
-        let superseded = survivors.rows.keys().filter(|_| survivors.same_line);
+        let superseded = survivors.rows.keys().filter(|_| survivors.same_lineage);
         for key in superseded.filter(|key| !self.records.contains_key(*key)) {
             changes.push(Change::Delete { delete: key.clone() });
         }
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -27,7 +27,7 @@
 use super::settings::{Local, RebuildSettings};
 use super::writer::Writer;
 use crate::access::StoreAccess;
-use crate::detection::{Assessment, Loss, judge};
+use crate::detection::{Assessment, Loss, assess};
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
@@ -101,7 +101,7 @@
 
     fn state(&self, observed: &Observed) -> Result<State, RebuildError> {
         let known = self.history.map(History::known);
-        let state = match judge(self.session.node(), known.as_ref(), observed) {
+        let state = match assess(self.session.node(), known.as_ref(), observed) {
             Assessment::ForeignCluster => return Err(RebuildError::ForeignCluster),
             Assessment::Intact(generation) => match self.missing.clone() {
                 Some(loss) => State::GivingUp { generation, loss },
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -7,7 +7,7 @@
 use super::outcome::Attempt;
 use super::session::Session;
 use crate::access::StoreAccess;
-use crate::detection::{Assessment, Known, judge};
+use crate::detection::{Assessment, Known, assess};
 use crate::generation::{GENERATION_PREFIX, Generation};
 use crate::history::History;
 use crate::identity::{Identity, Observed, Phase, Stamped};
@@ -24,10 +24,10 @@
     history: &History,
     observed: &Observed,
 ) -> Attempt<Survivors> {
-    let same_line = is_same_line(session.node(), history, observed);
+    let same_lineage = is_same_lineage(session.node(), history, observed);
     let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
     let picture = list_generation(session.access(), &generation)?;
-    Ok(Survivors { rows: picture.rows().clone(), same_line })
+    Ok(Survivors { rows: picture.rows().clone(), same_lineage })
 }
 
 /// The identity of the generation after the one that was lost.
@@ -41,7 +41,7 @@
     let last = found.map_or(0, |i| i.generation).max(history.identity.generation);
     let known = history.identity.clone();
     let next = Identity { generation: last + 1, phase: Phase::Serving, ..known };
-    if survivors.same_line {
+    if survivors.same_lineage {
         return next;
     }
     let base = found.map_or(0, |i| i.base).max(next.base);
@@ -55,14 +55,14 @@
 
 /// Whether the store's revisions went on from those that any candidate has seen, apart from the phase of the
 /// generation, which may have been given up.
-fn is_same_line(node: &str, history: &History, observed: &Observed) -> bool {
+fn is_same_lineage(node: &str, history: &History, observed: &Observed) -> bool {
     let identity = observed.identity.as_ref().map(|found| Stamped {
         value: Identity { phase: Phase::Serving, ..found.value.clone() },
         mod_revision: found.mod_revision,
     });
     let serving = Observed { identity, ..observed.clone() };
     let known: Known<'_> = history.known();
-    let is_intact = matches!(judge(node, Some(&known), &serving), Assessment::Intact(_));
+    let is_intact = matches!(assess(node, Some(&known), &serving), Assessment::Intact(_));
     is_intact && observed.revision + history.identity.base >= latest_candidate_revision(observed)
 }
 
--- a/crates/quartzlever-recovery/src/rebuild/writer.rs
+++ b/crates/quartzlever-recovery/src/rebuild/writer.rs
@@ -124,7 +124,7 @@
         known_to: u64,
     ) -> Attempt<()> {
         let mut txn = self.fenced(Vec::new());
-        if !survivors.same_line {
+        if !survivors.same_lineage {
             txn = txn.write(PENDING_FINAL_STATES_KEY, Json::of(&PendingFinalStates { known_to }));
         }
         let is_absent = |node: &&str| !self.observed.candidates.contains_key(*node);
--- a/crates/quartzlever-recovery/tests/files.rs
+++ b/crates/quartzlever-recovery/tests/files.rs
@@ -135,7 +135,7 @@
             3,
         ),
     ];
-    for (n, (snapshots, logs, keys, complete_to, whole, complaints)) in
+    for (n, (snapshots, logs, keys, complete_to, is_complete, complaints)) in
         cases.into_iter().enumerate()
     {
         let files: Vec<StoredFiles> = snapshots
@@ -149,7 +149,7 @@
         let found: Vec<&str> = history.picture.rows().keys().map(String::as_str).collect();
         assert_eq!(found, keys, "case {n}");
         assert_eq!(history.picture.revision(), complete_to, "case {n}");
-        assert_eq!(history.whole, whole, "case {n}");
+        assert_eq!(history.is_complete, is_complete, "case {n}");
         assert_eq!(loaded.complaints.len(), complaints, "case {n}: {:?}", loaded.complaints);
     }
 }
--- a/crates/quartzlever-recovery/tests/plans.rs
+++ b/crates/quartzlever-recovery/tests/plans.rs
@@ -61,16 +61,16 @@
             &[("catalogue", "p4"), ("cluster/version", "p3")],
         ),
     ];
-    for (what, picture, store, same_line, expected) in cases {
+    for (what, picture, store, same_lineage, expected) in cases {
         let picture = Picture::new(20, records("p", picture));
-        let survivors = Survivors { rows: records("s", store), same_line: *same_line };
+        let survivors = Survivors { rows: records("s", store), same_lineage: *same_lineage };
         let plan = plan(&picture, &survivors);
         let found: Vec<(&str, &str)> =
             plan.records.iter().map(|(key, v)| (key.as_str(), v.trim_matches('"'))).collect();
         assert_eq!(found, *expected, "{what}");
         // Writing the changes brings the store to exactly these records.
         let mut after: BTreeMap<String, String> = BTreeMap::new();
-        if *same_line {
+        if *same_lineage {
             after.extend(survivors.rows.iter().map(|(key, r)| (key.clone(), r.value.clone())));
         }
         for change in plan.changes(&survivors, &picture, 0) {
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -130,7 +130,7 @@
         (true, 0, false, &[], true),
         (true, 0, true, &["one", "four"], true),
     ];
-    for (marked, age, whole, up, waits) in cases {
+    for (marked, age, is_complete, up, waits) in cases {
         let world = world();
         fill(&world, RECORDS);
         let mut history = history(&world);
@@ -142,14 +142,14 @@
             };
             history.picture.apply(Update { changes: vec![change], complete_to: None });
         }
-        (history.wall, history.whole) = (START - age, *whole);
+        (history.wall, history.is_complete) = (START - age, *is_complete);
         world.borrow_mut().store.wipe();
         announce_others(&world);
         let mut local = local(&history);
         local.marked = *marked;
         let opened = opened(&world, "one", &local);
         let took = world.borrow().now - START;
-        assert_eq!(took > WORKER_LEASE, *waits, "{marked} {age} {whole} {up:?}: {took}");
+        assert_eq!(took > WORKER_LEASE, *waits, "{marked} {age} {is_complete} {up:?}: {took}");
         // A controller that was up and is away may alone know of some jobs.
         assert_eq!(opened.lacks_jobs, up.contains(&"four"), "{up:?}");
     }
--- a/crates/quartzlever-recovery/tests/rebuilding/world.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/world.rs
@@ -161,7 +161,7 @@
         picture: Picture::new(world.store.revision(), rows),
         witness: 0,
         wall: world.now,
-        whole: true,
+        is_complete: true,
         write_times: Default::default(),
     }
 }
--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -98,7 +98,7 @@
         let mut state = self.lock();
         let now = micros(self.begin);
         for worker in state.workers.values_mut() {
-            worker.pass(now);
+            worker.advance_to(now);
         }
         state.show_ends();
         let result = change(&mut state, now);
--- a/crates/quartzlever-testkit/src/http.rs
+++ b/crates/quartzlever-testkit/src/http.rs
@@ -163,7 +163,7 @@
         Ok(StoreReply::Watched(answer)) => (200, json!(answer)),
         Ok(StoreReply::TooOld) => (410, json!({})),
         Ok(StoreReply::TooLarge) => (400, json!({ "error": "too large" })),
-        Err(CallError::TooOften) => (429, json!({ "error": "too often" })),
+        Err(CallError::Throttled) => (429, json!({ "error": "too often" })),
         Err(_) => (503, json!({ "error": "trouble" })),
     }
 }
--- a/crates/quartzlever-testkit/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -208,7 +208,7 @@
         }
         if !self.in_rate(now, txn.changes.len()) {
             self.too_often += 1;
-            return Err(CallError::TooOften);
+            return Err(CallError::Throttled);
         }
         if !self.has_leases_of(txn) {
             return Ok(StoreReply::NoLease);
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -83,7 +83,7 @@
     }
 
     /// Lets time pass: ends tasks, and the incarnation when the lease has run out.
-    pub fn pass(&mut self, now: Micros) {
+    pub fn advance_to(&mut self, now: Micros) {
         if now.saturating_sub(self.renewed) > self.lease {
             self.attempts.clear();
             self.incarnation += 1;
--- a/crates/quartzlever-testkit/src/worker_fleet.rs
+++ b/crates/quartzlever-testkit/src/worker_fleet.rs
@@ -195,7 +195,7 @@
         let sent = self.now();
         let heartbeat = {
             let mut worker = member.lock().map_err(|_| gone())?;
-            worker.pass(sent);
+            worker.advance_to(sent);
             worker.heartbeat()
         };
         let head = "POST /hello HTTP/1.1\r\nHost: c\r\n";
@@ -231,7 +231,7 @@
             }
             let mut worker = member.lock().map_err(|_| gone())?;
             let now = self.now();
-            worker.pass(now);
+            worker.advance_to(now);
             if now >= next || !worker.is_reported_by(heartbeat) {
                 return Ok(true);
             }
@@ -262,7 +262,7 @@
         let member = self.member(number)?;
         let mut worker = member.lock().ok()?;
         let now = self.now();
-        worker.pass(now);
+        worker.advance_to(now);
         if first.starts_with("GET") {
             return Some(WorkerReply::Status(worker.heartbeat()));
         }
--- a/crates/quartzlever-wire/src/lib.rs
+++ b/crates/quartzlever-wire/src/lib.rs
@@ -46,7 +46,7 @@
     Refused,
     /// The call was not carried out either, since the store allows fewer in a second (429).
     #[error("too often")]
-    TooOften,
+    Throttled,
     /// The call may have been carried out, or may still be.
     #[error("outcome unknown")]
     Unknown,
--- a/crates/quartzlever/src/inbox.rs
+++ b/crates/quartzlever/src/inbox.rs
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 struct Published {
     /// The core knows nothing yet: it would turn away every worker and health check.
-    turns_away: AtomicBool,
+    rejects_requests: AtomicBool,
     /// Requests that were turned away since the core last asked.
     rejected: AtomicU32,
     /// Until then the node can take requests, as far as the core has said.
@@ -90,7 +90,7 @@
     /// Tells connections whether the core is still starting and until when the node can take
     /// requests; how many they have turned away since.
     pub fn publish(&self, starting: bool, ready_until: Micros) -> u32 {
-        self.published.turns_away.store(starting, Ordering::Relaxed);
+        self.published.rejects_requests.store(starting, Ordering::Relaxed);
         self.published.ready_until.store(ready_until, Ordering::Relaxed);
         self.published.rejected.swap(0, Ordering::Relaxed)
     }
@@ -117,7 +117,7 @@
         let (questions, questions_receiver) = bounded(MAX_QUESTIONS);
         let (submissions, submissions_receiver) = bounded(MAX_SUBMISSIONS);
         let published = Arc::new(Published {
-            turns_away: AtomicBool::new(false),
+            rejects_requests: AtomicBool::new(false),
             rejected: AtomicU32::new(0),
             ready_until: AtomicU64::new(0),
         });
@@ -133,8 +133,8 @@
     }
 
     /// Whether workers and health checks are to be turned away without asking the core.
-    pub fn turns_away(&self) -> bool {
-        let starting = self.published.turns_away.load(Ordering::Relaxed);
+    pub fn rejects_requests(&self) -> bool {
+        let starting = self.published.rejects_requests.load(Ordering::Relaxed);
         if starting {
             self.published.rejected.fetch_add(1, Ordering::Relaxed);
         }
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -160,8 +160,8 @@
                     pending.answer(id, &Status { status, retry_after_s }, &body);
                 }
             }
-            Effect::Terminate { why } => {
-                ProgramEvent::ProcessEnded { reason: &why }.log();
+            Effect::Terminate { reason } => {
+                ProgramEvent::ProcessEnded { reason: &reason }.log();
                 std::process::exit(i32::from(UNKNOWN_VERSION));
             }
             Effect::AnswerPeer { id, answer } => pending.answer_peer(id, answer),
--- a/crates/quartzlever/src/recovery/commands.rs
+++ b/crates/quartzlever/src/recovery/commands.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use quartzlever_clients::StoreClient;
-use quartzlever_recovery::detection::{Assessment, judge, missing_records};
+use quartzlever_recovery::detection::{Assessment, assess, missing_records};
 use quartzlever_recovery::format::{Snapshot, WriteTimes, read_log};
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::{History, StoredFiles, read_history};
@@ -74,7 +74,7 @@
     };
     let unusable = files.iter().filter(bad_snapshot).count();
     let history = loaded.history.ok_or(CommandError::NoHistory)?;
-    if unusable > 0 || !history.whole {
+    if unusable > 0 || !history.is_complete {
         return Err(CommandError::Unusable(unusable.max(1)));
     }
     println!("fine: complete to revision {}", history.picture.revision());
@@ -113,12 +113,12 @@
     let (directory, history) = load(path)?;
     let mut access = ClientAccess { client: StoreClient::new(state), clock: Clock::new() };
     let observed = observe(&mut access).map_err(|_| CommandError::NoAnswer)?;
-    let assessment = judge(node, Some(&history.known()), &observed);
+    let assessment = assess(node, Some(&history.known()), &observed);
     let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
     let listed = list_generation(&mut access, &generation).map_err(|_| CommandError::NoAnswer)?;
-    let same_line = matches!(assessment, Assessment::Intact(_));
+    let same_lineage = matches!(assessment, Assessment::Intact(_));
     let missing = missing_records(&history.picture, history.identity.base, listed.rows())
-        .filter(|_| same_line);
+        .filter(|_| same_lineage);
     let reason = match (&assessment, &missing) {
         (Assessment::Lost(loss), _) | (_, Some(loss)) => format!("would rebuild: {loss}"),
         (Assessment::Intact(_), None) => "would not rebuild: the records are intact".into(),
@@ -129,7 +129,7 @@
         }
     };
     println!("{reason}");
-    let survivors = Survivors { rows: listed.rows().clone(), same_line };
+    let survivors = Survivors { rows: listed.rows().clone(), same_lineage };
     println!("{}", plan(&history.picture, &survivors).summary);
     if !history.is_verified(directory.is_marked(), wall()) {
         println!("the log may lack what was done last: would wait until no task is on any machine");
--- a/crates/quartzlever/src/server/shedding.rs
+++ b/crates/quartzlever/src/server/shedding.rs
@@ -22,7 +22,7 @@
 pub fn answer_at_once(route: &Route, inbox: &Inbox, clock: Clock) -> Option<FixedAnswer> {
     match route {
         // All workers ask every second then; the core need not wake for each.
-        Route::Ready | Route::Hello if inbox.turns_away() => {
+        Route::Ready | Route::Hello if inbox.rejects_requests() => {
             Some(FixedAnswer { status: BUSY, body: BUSY_BODY })
         }
         // A late answer to a health check takes the node out of service for seconds, and each
