--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -1,14 +1,14 @@
-//! Which partitions this process leads, and until when it may act for them.
+//! Partition leadership: which partitions this process leads, and until when it may act for them.
 //!
-//! - `lease`: the lease in the store on which the keys of partitions hang.
-//! - `connectivity`: whether the store is reached from here, and from the peers.
-//! - `authority`: until when this process may act: as long as its lease and its view are sure.
-//! - `partition_keys`: takeover, eviction, hand-back, and the changes of keys that are under way.
-//! - `reachability`: whether this node hears the workers of its partitions.
-//! - `awaited`: what a controller may be found to wait for.
+//! - `lease`: the lease in the store to which the partition keys are attached.
+//! - `connectivity`: whether this node, and its peers, reach the store.
+//! - `authority`: until when this process may act: while its lease is valid and its view fresh.
+//! - `partition_keys`: takeover, eviction, hand-back, and the writes of keys that are pending.
+//! - `reachability`: whether this node receives heartbeats from the workers of its partitions.
+//! - `awaited`: the conditions that a controller may be waiting for.
 //!
-//! No component here holds a partition's queue or machines: what a lease or a key means for them are
-//! steps of the router.
+//! No component here holds a partition's queue or machines. The router applies the effect of a
+//! lease or a key on them.
 
 pub(crate) mod authority;
 pub(crate) mod awaited;
--- a/crates/quartzlever-core/src/leadership/authority.rs
+++ b/crates/quartzlever-core/src/leadership/authority.rs
@@ -1,25 +1,26 @@
-//! Until when this process may act for its partitions.
+//! The time until which this process may act for its partitions.
 //!
-//! Invariant: it acts only while its lease is surely alive *and* its view of the jobs fresh. One does
-//! not follow from the other: while the store refused a leader alone and then everybody, its lease
-//! lived on, its watch told nothing, and another node had confirmed cancellations.
+//! Invariant: the process acts only while its lease is certainly valid *and* its view of the jobs
+//! is fresh. Neither implies the other: when the store refused the calls of one leader and then
+//! those of every node, that leader's lease was still valid while its watch delivered nothing, and
+//! another node had already confirmed cancellations.
 
 use quartzlever_wire::Micros;
 
 use crate::config::Config;
 use crate::leadership::lease::Lease;
 
-/// The right to act for partitions, as it stands at present.
+/// The right to act for partitions, with the time at which it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Authority {
     expires_at: Micros,
 }
 
 impl Authority {
-    /// What follows from this lease and from a view that shows all that was committed before
+    /// Computes the authority from this lease and a view that contains everything committed before
     /// `view_as_of`.
     pub fn new(lease: &Lease, view_as_of: Micros, config: &Config) -> Self {
-        // After a time without a sure lease the view must have been read anew.
+        // After a gap in the lease, the view must be at least as recent as the regained lease.
         let is_caught_up = view_as_of >= lease.regained_at();
         let expires_at = if lease.id().is_none() || !is_caught_up {
             0
@@ -29,12 +30,13 @@
         Authority { expires_at }
     }
 
-    /// Nothing that acts for a partition may leave after this time; 0 if nothing may at all.
+    /// Returns the time after which no call that acts for a partition may be sent; 0 if none may be
+    /// sent at all.
     pub fn expires_at(self) -> Micros {
         self.expires_at
     }
 
-    /// Whether this process may act for its partitions.
+    /// Reports whether this process may act for its partitions.
     pub fn is_valid(self, now: Micros) -> bool {
         now < self.expires_at
     }
--- a/crates/quartzlever-core/src/leadership/authority/tests.rs
+++ b/crates/quartzlever-core/src/leadership/authority/tests.rs
@@ -1,14 +1,14 @@
-//! A lease and a view, each of which may end the right to act.
+//! Tests that both the lease and the view bound the authority to act.
 
 use super::*;
 use crate::testing::*;
 
 #[test]
-fn neither_a_lease_nor_a_fresh_view_is_enough() {
+fn authority_requires_both_a_valid_lease_and_a_fresh_view() {
     let mut config = core().config;
     config.workers.cancel = 40 * SECOND;
-    let bound = config.max_view_age();
-    // A lease that was regained by a renewal sent 20 s after `NOW`.
+    let max_view_age = config.max_view_age();
+    // A lease regained by a renewal that was sent 20 s after `NOW`.
     let renewed = || {
         let mut lease = Lease::held(1, NOW);
         let sent = NOW + 20 * SECOND;
@@ -17,13 +17,18 @@
         lease
     };
     let until = renewed().valid_until();
-    // (lease, the view's time, until when it may act)
+    // (name, lease, time of the view, expected expiry of the authority)
     for (name, lease, view_as_of, expires_at) in [
         ("no lease", Lease::default(), NOW, 0),
-        ("the lease ends first", Lease::held(1, NOW + SECOND), NOW, NOW + SECOND),
-        ("the view ages first", Lease::held(1, NOW + 900 * SECOND), NOW, NOW + bound),
+        ("the lease expires first", Lease::held(1, NOW + SECOND), NOW, NOW + SECOND),
+        (
+            "the view becomes too old first",
+            Lease::held(1, NOW + 900 * SECOND),
+            NOW,
+            NOW + max_view_age,
+        ),
         ("a view from before the renewal", renewed(), NOW + 20 * SECOND - 1, 0),
-        ("a view as late as the renewal", renewed(), NOW + 20 * SECOND, until),
+        ("a view from the time of the renewal", renewed(), NOW + 20 * SECOND, until),
     ] {
         let authority = Authority::new(&lease, view_as_of, &config);
         assert_eq!(authority.expires_at(), expires_at, "{name}");
--- a/crates/quartzlever-core/src/leadership/awaited.rs
+++ b/crates/quartzlever-core/src/leadership/awaited.rs
@@ -1,34 +1,37 @@
-//! What a controller waits for before it can act: for tests that find it standing still, and for logs.
+//! The conditions that a controller waits for before it can act, for the diagnostics of tests that
+//! find it making no progress, and for logs.
 //!
-//! Only the conditions; which of them are not met, the router says, since they are those of many
+//! This module defines only the conditions. The router evaluates them, since they concern many
 //! components.
 
 use std::fmt;
 
-/// A condition that is not met yet, without which a controller or one of its partitions cannot go on.
+/// An unmet condition that keeps a controller or one of its partitions from making progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Awaited {
-    /// A lease in the store that is surely alive.
+    /// A lease in the store that is certainly valid.
     Lease,
     /// The announcement of this process's version.
     Announcement,
-    /// The first reading of the records.
+    /// The first complete read of the records.
     Records,
-    /// A view of the records that is fresh enough to act on.
+    /// A view of the records fresh enough to act on.
     FreshView,
-    /// The machine types.
+    /// The catalogue of machine types.
     Catalogue,
-    /// Any partition to act for.
+    /// A partition to act for.
     Partition,
-    /// A partition's key names this process, which does not act for it.
+    /// A partition whose key names this process although the process does not act for it.
     Unattended { partition: String },
-    /// The records have not come to the acquisition of a partition.
+    /// The records up to the revision at which a partition was acquired.
     PartitionRecords { partition: String },
-    /// Machines of a partition that are not proven to be free of earlier leaders' tasks.
+    /// Verification that a partition's machines run no tasks of earlier leaders; `machines` are not
+    /// verified yet.
     Recovery { partition: String, machines: usize },
-    /// A partition has ready tasks, and no machine at hand, rented or asked for.
+    /// Machines for a partition's ready tasks: it has no machine, no pending instance and no
+    /// scale-out request.
     Machines { partition: String, ready: u32 },
-    /// Changes are owed to the account of the store's limit.
+    /// Write budget: the account for the store's write limit is in debt.
     ChangeBudget,
 }
 
@@ -36,20 +39,20 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Awaited::Lease => f.write_str("a lease"),
-            Awaited::Announcement => f.write_str("its announcement"),
+            Awaited::Announcement => f.write_str("its version announcement"),
             Awaited::Records => f.write_str("the records"),
             Awaited::FreshView => f.write_str("a fresh view"),
             Awaited::Catalogue => f.write_str("the catalogue"),
             Awaited::Partition => f.write_str("a partition"),
-            Awaited::Unattended { partition } => write!(f, "{partition}: held, not acted for"),
-            Awaited::PartitionRecords { partition } => write!(f, "{partition}: its records"),
+            Awaited::Unattended { partition } => write!(f, "{partition}: key held, not active"),
+            Awaited::PartitionRecords { partition } => write!(f, "{partition}: records"),
             Awaited::Recovery { partition, machines } => {
-                write!(f, "{partition}: proof of {machines} machines")
+                write!(f, "{partition}: verification of {machines} machines")
             }
             Awaited::Machines { partition, ready } => {
                 write!(f, "{partition}: machines for {ready} tasks")
             }
-            Awaited::ChangeBudget => f.write_str("changes that the state service allows"),
+            Awaited::ChangeBudget => f.write_str("write budget"),
         }
     }
 }
--- a/crates/quartzlever-core/src/leadership/connectivity.rs
+++ b/crates/quartzlever-core/src/leadership/connectivity.rs
@@ -1,8 +1,8 @@
-//! Whether the store is reached from this node, and from its peers.
+//! Whether the store is reachable from this node and from its peers.
 //!
-//! It decides nothing about partitions: the lease alone bounds who may act for them. It tells a store
-//! that is away for everybody from a node that alone is cut off from it, so that such a node says
-//! that it is not ready, and names no leaders out of a cache that is no longer fed.
+//! This component decides nothing about partitions: only the lease bounds who may act for them. It
+//! distinguishes an outage of the store from a node that alone is isolated from it. An isolated
+//! node reports that it is not ready, and names no leaders from a cache that is no longer updated.
 
 use quartzlever_wire::peers::PeerRequest;
 use quartzlever_wire::{Micros, SECOND};
@@ -13,46 +13,49 @@
 use crate::messages::LogLevel;
 use crate::outbox::Outbox;
 
-/// The store counts as out of reach after this time; a lease is renewed more often.
+/// The store counts as unreachable after this time without a reply. Lease renewals are more
+/// frequent, so a reachable store replies within it.
 const UNREACHABLE_AFTER: Micros = 4 * SECOND;
-/// How often the peers are asked meanwhile.
+/// Interval at which the peers are asked whether they reach the store while this node does not.
 const PEER_PROBE_INTERVAL: Micros = SECOND;
-/// How long a peer's word that the store is reached from there counts.
-const ISOLATION_LIFETIME: Micros = 3 * PEER_PROBE_INTERVAL;
+/// How long a peer's reply that it reaches the store remains valid.
+const PEER_REPLY_LIFETIME: Micros = 3 * PEER_PROBE_INTERVAL;
 
-/// When the store last answered, and what peers say of it while it does not.
+/// The time of the store's last reply, and what peers report about the store while it does not
+/// reply.
 #[derive(Debug)]
 pub(crate) struct StoreConnectivity {
     last_reply_at: Micros,
-    /// When a peer last said that it is reached from there while it is not from here.
+    /// When a peer last reported that it reaches the store while this node does not.
     isolated_at: Option<Micros>,
-    peers_asked_at: Micros,
-    /// The log was told that it is out of reach.
+    last_peer_probe_at: Micros,
+    /// Whether the current outage has been logged.
     outage_logged: bool,
 }
 
 impl StoreConnectivity {
-    /// As if the store had answered just now.
+    /// Creates the state as if the store had replied at `now`.
     pub fn new(now: Micros) -> Self {
         StoreConnectivity {
             last_reply_at: now,
             isolated_at: None,
-            peers_asked_at: 0,
+            last_peer_probe_at: 0,
             outage_logged: false,
         }
     }
 
-    /// Whether the store has answered lately.
+    /// Reports whether the store has replied within [`UNREACHABLE_AFTER`].
     pub fn is_reached(&self, now: Micros) -> bool {
         now < self.last_reply_at + UNREACHABLE_AFTER
     }
 
-    /// Whether the store answers others and not this node, as far as is known.
+    /// Reports whether, according to a recent peer reply, the store is reachable from other nodes
+    /// but not from this one.
     pub fn is_isolated(&self, now: Micros) -> bool {
-        self.isolated_at.is_some_and(|at| now < at + ISOLATION_LIFETIME)
+        self.isolated_at.is_some_and(|at| now < at + PEER_REPLY_LIFETIME)
     }
 
-    /// The store has answered.
+    /// Handles a reply of the store, which ends an outage.
     pub fn store_replied(&mut self, now: Micros, outbox: &mut Outbox) {
         let duration = now.saturating_sub(self.last_reply_at);
         self.last_reply_at = now;
@@ -62,20 +65,20 @@
         }
     }
 
-    /// A peer reaches the store while this node does not.
+    /// Handles a peer's reply that it reaches the store.
     pub fn peer_reaches_store(&mut self, now: Micros, outbox: &mut Outbox) {
-        // A late answer says nothing of the present.
+        // A reply that arrives after the outage has ended says nothing about the present.
         if self.outage_logged && self.isolated_at.replace(now).is_none() {
             outbox.log(LogLevel::Info, || LogEvent::IsolatedFromStore);
         }
     }
 
-    /// Asks the peers, while the store gives no answer, whether they reach it.
+    /// Asks the peers at intervals, while the store does not reply, whether they reach it.
     pub fn poll(&mut self, now: Micros, config: &Config, outbox: &mut Outbox) {
-        if self.is_reached(now) || now < self.peers_asked_at + PEER_PROBE_INTERVAL {
+        if self.is_reached(now) || now < self.last_peer_probe_at + PEER_PROBE_INTERVAL {
             return;
         }
-        self.peers_asked_at = now;
+        self.last_peer_probe_at = now;
         if !std::mem::replace(&mut self.outage_logged, true) {
             let duration = UNREACHABLE_AFTER;
             outbox.log(LogLevel::Info, || LogEvent::StoreUnreachable { duration });
--- a/crates/quartzlever-core/src/leadership/lease.rs
+++ b/crates/quartzlever-core/src/leadership/lease.rs
@@ -1,9 +1,10 @@
-//! The lease in the store on which all partitions of this process hang: its grant, renewal and loss.
+//! The lease in the store to which all partition keys of this process are attached: its grant,
+//! renewal and loss.
 //!
-//! Invariant: the lease counts as held only while it is surely alive, reckoned from the *sending* of
-//! the latest call that the store confirmed, less the drift of clocks and a margin. What the loss of
-//! the lease means for partitions and announcements is for the caller, who is told by
-//! [`LeaseOutcome`].
+//! Invariant: the lease counts as held only while it is certainly valid. Its validity is computed
+//! from the time at which the latest confirmed call was *sent*, less clock drift and a margin. The
+//! caller, informed by [`LeaseOutcome`], applies the loss of the lease to partitions and
+//! announcements.
 
 use quartzlever_wire::store::{StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
@@ -13,63 +14,63 @@
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
 
-/// Kept back from a lease's life for answers and calls that are on their way out.
-const MARGIN: Micros = SECOND;
-/// Wait after a grant or a renewal that failed.
+/// Subtracted from a lease's lifetime to cover replies and calls that are still being sent.
+const VALIDITY_MARGIN: Micros = SECOND;
+/// Delay after a failed grant or renewal.
 const RETRY_INTERVAL: Micros = SECOND / 2;
-/// A lease is renewed this many times in its life.
-const RENEWALS_PER_LIFE: Micros = 6;
+/// Number of renewals within one lease lifetime.
+const RENEWALS_PER_LIFETIME: Micros = 6;
 
-/// The lease of this process, if it has one.
+/// The lease of this process, if it has one, and the state of its renewal.
 #[derive(Debug, Default)]
 pub(crate) struct Lease {
     id: Option<u64>,
-    /// Until then the lease is surely alive.
+    /// The time until which the lease is certainly valid.
     valid_until: Micros,
-    /// When the renewal was sent that ended the latest time without a sure lease. The view must
-    /// have been read later: a leader that was away may have missed anything.
+    /// When the call was sent that ended the latest gap without a valid lease. The view must have
+    /// been read after this time, since a leader may have missed any change during the gap.
     regained_at: Micros,
-    /// A grant or a renewal is under way.
+    /// Whether a grant or a renewal is in flight.
     call_pending: bool,
     next_renewal_at: Micros,
 }
 
-/// What an answer of the store did to the lease.
+/// The effect of a store reply on the lease.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseOutcome {
-    /// Nothing: the call failed, or the answer is about an earlier lease.
+    /// No effect: the call failed, or the reply concerns an earlier lease.
     Unchanged,
-    /// The lease, held without a gap, lives longer.
+    /// The lease was held without a gap and is extended.
     Extended,
-    /// The lease is held again, after a time in which that was not sure.
+    /// The lease is valid again, or for the first time, after a gap.
     Regained,
-    /// The lease is gone, and with it every key that hangs on it.
+    /// The lease has ended, and with it every key attached to it.
     Ended,
 }
 
 impl Lease {
-    /// The lease by its number in the store, also when it is not sure to be alive.
+    /// Returns the lease's number in the store, also when the lease may have expired.
     pub fn id(&self) -> Option<u64> {
         self.id
     }
 
-    /// Until when the lease is surely alive, if there is one.
+    /// Returns the time until which the lease is certainly valid; 0 if there is none.
     pub fn valid_until(&self) -> Micros {
         self.valid_until
     }
 
-    /// When the call was sent that ended the latest time without a sure lease.
+    /// Returns when the call was sent that ended the latest gap without a valid lease.
     pub fn regained_at(&self) -> Micros {
         self.regained_at
     }
 
-    /// Whether this process surely holds its lease.
+    /// Reports whether this process certainly holds its lease.
     pub fn is_held(&self, now: Micros) -> bool {
         self.id.is_some() && now < self.valid_until
     }
 
-    /// Asks for a lease or renews the present one, when that is due.
+    /// Requests a lease, or renews the current one, when that is due.
     pub fn poll(&mut self, now: Micros, config: &Config, outbox: &mut Outbox) {
         if self.call_pending || now < self.next_renewal_at {
             return;
@@ -87,7 +88,7 @@
         outbox.call_store(CallPriority::Lease, call, pending);
     }
 
-    /// The store has answered the request for a lease that was sent at `sent`.
+    /// Handles the reply to a grant request that was sent at `sent`.
     pub fn granted(
         &mut self,
         now: Micros,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The store has answered the renewal of a lease that was sent at `sent`.
+    /// Handles the reply to a renewal of `lease` that was sent at `sent`.
     pub fn renewed(
         &mut self,
         now: Micros,
@@ -126,7 +127,8 @@
         }
     }
 
-    /// The store says that a lease has ended: of an earlier one that is nothing new.
+    /// Handles the store's report that a lease has ended. A report about an earlier lease has no
+    /// effect.
     pub fn ended(&mut self, now: Micros, lease: u64) -> LeaseOutcome {
         if self.id != Some(lease) {
             return LeaseOutcome::Unchanged;
@@ -143,8 +145,8 @@
             self.regained_at = sent;
         }
         let life = lower_drift_bound(config.operator.lease_life);
-        self.valid_until = self.valid_until.max(sent + life.saturating_sub(MARGIN));
-        self.next_renewal_at = sent + config.operator.lease_life / RENEWALS_PER_LIFE;
+        self.valid_until = self.valid_until.max(sent + life.saturating_sub(VALIDITY_MARGIN));
+        self.next_renewal_at = sent + config.operator.lease_life / RENEWALS_PER_LIFETIME;
         if was_held { LeaseOutcome::Extended } else { LeaseOutcome::Regained }
     }
 
--- a/crates/quartzlever-core/src/leadership/lease/tests.rs
+++ b/crates/quartzlever-core/src/leadership/lease/tests.rs
@@ -1,26 +1,26 @@
-//! Grant, renewal and loss of the lease.
+//! Tests of the grant, renewal and loss of the lease.
 
 use super::*;
 use crate::testing::*;
 
 impl Lease {
-    /// A lease that is surely alive for a while and due to be renewed at once.
+    /// Creates a lease that is valid until `valid_until` and due for renewal immediately.
     pub(crate) fn held(id: u64, valid_until: Micros) -> Lease {
         Lease { id: Some(id), valid_until, ..Lease::default() }
     }
 
-    /// Puts off or brings forward the next renewal.
+    /// Sets the time of the next renewal.
     pub(crate) fn renew_at(&mut self, next_renewal_at: Micros) {
         self.next_renewal_at = next_renewal_at;
     }
 
-    /// Changes until when the lease is surely alive.
+    /// Sets the time until which the lease is certainly valid.
     pub(crate) fn expire_at(&mut self, valid_until: Micros) {
         self.valid_until = valid_until;
     }
 }
 
-/// The calls of one poll.
+/// Returns the lease calls that one poll makes.
 fn poll(lease: &mut Lease, now: Micros, config: &Config) -> Vec<String> {
     let mut outbox = Outbox::new(LogLevel::Error, now);
     lease.poll(now, config, &mut outbox);
@@ -32,11 +32,14 @@
 }
 
 #[test]
-fn one_call_at_a_time_and_a_pause_after_a_failure() {
+fn at_most_one_lease_call_is_in_flight_and_a_failure_delays_the_next() {
     let config = core().config;
     let mut lease = Lease::default();
     assert_eq!(poll(&mut lease, NOW, &config), ["Grant { life_ms: 15000 }"]);
-    assert!(poll(&mut lease, NOW + 60 * SECOND, &config).is_empty(), "its answer is awaited");
+    assert!(
+        poll(&mut lease, NOW + 60 * SECOND, &config).is_empty(),
+        "the grant is still in flight"
+    );
     let failed = lease.granted(NOW, NOW, &config, &Err(CallError::Unknown));
     assert_eq!((failed, lease.id()), (LeaseOutcome::Unchanged, None));
     assert!(poll(&mut lease, NOW + SECOND / 2 - 1, &config).is_empty());
@@ -54,9 +57,9 @@
 }
 
 #[test]
-fn a_lease_is_reckoned_from_the_sending_of_the_call() {
+fn lease_validity_is_computed_from_the_time_the_call_was_sent() {
     let config = core().config;
-    // 15 s, less the drift of the clocks and a second.
+    // 15 s, less clock drift and a margin of one second.
     let life = lower_drift_bound(config.operator.lease_life) - SECOND;
     assert!(life > 13 * SECOND && life < 14 * SECOND, "{life}");
     let mut lease = Lease::default();
@@ -65,11 +68,11 @@
     assert_eq!((granted, lease.regained_at()), (LeaseOutcome::Regained, NOW));
     assert!(lease.is_held(NOW + life - 1) && !lease.is_held(NOW + life));
     assert_eq!(lease.valid_until(), NOW + life);
-    // (sending and answer of the renewal, in seconds; what it brings; since when the lease is held)
+    // (seconds at which the renewal is sent and answered, its outcome, second of `regained_at`)
     for (sent, answered, outcome, regained_at) in [
         (2, 3, LeaseOutcome::Extended, 0),
         (30, 31, LeaseOutcome::Regained, 30),
-        // An answer that comes too late for its own lease to be sure.
+        // The reply arrives after the validity that it confirms has passed.
         (40, 60, LeaseOutcome::Regained, 40),
     ] {
         let (sent, answered) = (NOW + sent * SECOND, NOW + answered * SECOND);
@@ -79,28 +82,32 @@
         assert_eq!(lease.valid_until(), sent + life, "{sent}");
     }
     assert!(!lease.is_held(NOW + 60 * SECOND));
-    // An earlier renewal that is answered late shortens nothing.
+    // A late reply to an earlier renewal does not shorten the validity.
     let until = lease.valid_until();
     let late = lease.renewed(until - 1, NOW, 1, &config, &Ok(StoreReply::Renewed));
     assert_eq!((late, lease.valid_until()), (LeaseOutcome::Extended, until));
 }
 
 #[test]
-fn only_the_present_lease_can_end() {
-    // (the lease that the answer is about, what became of the present one, 2)
+fn a_report_about_an_earlier_lease_does_not_end_the_current_one() {
+    // (lease that the reply concerns, outcome for the current lease 2, its number afterwards)
     for (of, outcome, id) in [(1, LeaseOutcome::Unchanged, Some(2)), (2, LeaseOutcome::Ended, None)]
     {
         let config = core().config;
-        let mut told = Lease::held(2, NOW + SECOND);
-        assert_eq!(told.ended(NOW, of), outcome);
+        let mut reported = Lease::held(2, NOW + SECOND);
+        assert_eq!(reported.ended(NOW, of), outcome);
         let mut renewed = Lease::held(2, NOW + SECOND);
         assert_eq!(renewed.renewed(NOW, NOW, of, &config, &Ok(StoreReply::NoLease)), outcome);
-        for lease in [told, renewed] {
+        for lease in [reported, renewed] {
             assert_eq!((lease.id(), lease.is_held(NOW)), (id, id.is_some()), "{of}");
         }
     }
     let mut lease = Lease::held(2, NOW + SECOND);
     lease.renew_at(NOW + 9 * SECOND);
     assert_eq!(lease.ended(NOW, 2), LeaseOutcome::Ended);
-    assert_eq!(poll(&mut lease, NOW, &core().config).len(), 1, "the next is asked for at once");
+    assert_eq!(
+        poll(&mut lease, NOW, &core().config).len(),
+        1,
+        "a new lease is requested immediately"
+    );
 }
--- a/crates/quartzlever-core/src/leadership/partition_keys.rs
+++ b/crates/quartzlever-core/src/leadership/partition_keys.rs
@@ -1,10 +1,11 @@
-//! The keys of the partitions: when this process takes one, evicts an outdated leader, asks for its own
-//! partition back, or hands one back; and the changes of keys that are under way.
+//! The partition keys: when this process acquires one, evicts an outdated leader, requests the
+//! hand-back of its own partition, or hands one back; and the writes of keys that are pending.
 //!
-//! [`PartitionKeys::decide`] says what is to be done about one key, and the caller has it carried out. A
-//! partition is acted for only after its key was written, and its key is deleted only after the
-//! process has stopped acting for it; the condition on the key's modification revision, which is the
-//! partition's fencing token, decides between two who want it. At most one change of a key is under way.
+//! [`PartitionKeys::decide`] decides what to do about one key, and the caller carries it out. The
+//! process acts for a partition only after it has written the key, and deletes the key only after
+//! it has stopped acting for the partition. Each write is conditional on the key's modification
+//! revision, which is the partition's fencing token, so of two competing processes only one
+//! succeeds. At most one write per key is pending.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,125 +18,130 @@
 use crate::calls::{PendingPeerCall, PendingStoreCall};
 use crate::config::Config;
 use crate::events::LogEvent;
-use crate::leadership::reachability::PEERS_TAKE_OVER_WITHIN;
+use crate::leadership::reachability::PEER_TAKEOVER_WINDOW;
 use crate::messages::{CallPriority, LogLevel};
 use crate::outbox::Outbox;
 use crate::store::write_budget::WriteBudget;
 
-/// After an attempt to take or give up a partition that failed. At once, again and again, they came
-/// to a hundred a second, which the limit of changes left nothing beside.
+/// Delay after a failed attempt to acquire or release a partition. Immediate retries reached 100
+/// per second, which used up the whole write limit of the store.
 const RETRY_INTERVAL: Micros = SECOND / 4;
+/// Shortest time between two evictions.
 const EVICTION_INTERVAL: Micros = SECOND / 2;
-/// Home asks for its partition this often, and counts as gone after this long without asking.
+/// Interval at which a home node requests its partition.
 const HANDBACK_REQUEST_INTERVAL: Micros = SECOND;
+/// A home node counts as gone after this time without a request.
 const HANDBACK_REQUEST_LIFETIME: Micros = 3 * SECOND;
-/// At a start the peers may only be a little slower to come up.
+/// Time after its own start during which this process acquires no absent partition of which it is
+/// not the home node: when the whole cluster starts, the home node may only be slower to come up.
 const STARTUP_GRACE: Micros = 8 * SECOND;
 
-/// A partition's key as the cache shows it.
+/// A partition's key that names a leader, as the cache shows it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HeldKey<'a> {
     pub leader: &'a PartitionRecord,
     pub mod_revision: u64,
-    /// The leader is a live process of a version that must not hold a partition any more.
+    /// Whether the leader is a live process of a version that may no longer hold a partition.
     pub is_outdated: bool,
 }
 
-/// What a decision on a key depends on beside the key itself.
+/// The inputs of a decision on a key other than the key itself.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Circumstances<'a> {
     pub now: Micros,
     pub config: &'a Config,
-    /// This node gave up a partition because it heard none of its workers.
+    /// Whether this node gave up a partition because it received no heartbeats from its workers.
     pub is_cut_from_workers: bool,
-    /// How much later than this one another node may learn of a change.
+    /// How much later than this node another node may see a change through its watch.
     pub watch_delay: Micros,
 }
 
 impl Circumstances<'_> {
-    /// Whether this node is home to a partition. While it does not hear workers, it is home to none.
+    /// Reports whether this node is a partition's home node. While it is cut off from the workers,
+    /// it is the home of none.
     fn is_home(&self, name: &str) -> bool {
         name == self.config.node && !self.is_cut_from_workers
     }
 }
 
-/// What is to be done about a partition's key. It is changed on condition of its modification
-/// revision, 0 for an absent key.
+/// The decision on a partition's key. A write is conditional on the key's modification revision,
+/// which is 0 for an absent key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyDecision<'a> {
-    /// Nothing, for now.
+    /// Leave the key as it is for now.
     Keep,
-    /// Take a partition that nobody holds, or that a former process of this node held.
+    /// Acquire a partition that has no leader, or whose leader was a former process of this node.
     Acquire { mod_revision: u64 },
-    /// Take a partition from an outdated leader.
+    /// Take over a partition from an outdated leader.
     Evict { mod_revision: u64 },
-    /// Stop acting for the partition, and give up its key.
+    /// Stop acting for the partition, then delete its key.
     Release { mod_revision: u64 },
-    /// Ask the leader for this node's own partition.
+    /// Ask the leader to hand back this node's own partition.
     RequestHandback { leader: &'a str },
 }
 
-/// What became of an attempt to take a partition.
+/// The outcome of an attempt to acquire a partition.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcquireOutcome {
-    /// The key was written at this revision, the partition's new term.
+    /// The key was written at this revision, which is the partition's new term.
     Committed { term: u64 },
-    /// The lease that the key was to hang on has ended.
+    /// The lease to which the key was to be attached has ended.
     LeaseEnded,
-    /// Another was quicker, or the outcome is unknown: the watch shows it.
+    /// Another process was faster, the call failed, or its outcome is unknown and the watch will
+    /// show it.
     Failed,
 }
 
-/// What became of an attempt to give up a partition's key.
+/// The outcome of an attempt to release a partition's key.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReleaseOutcome {
-    /// The key was given up, or is another's already.
+    /// The key was deleted, or had already changed.
     GivenUp,
-    /// Nothing was changed, or that is unknown: it is tried again.
+    /// The key was not changed, or the outcome is unknown; the release is retried.
     Failed,
 }
 
-/// A home node that asks for its partition.
+/// When a home node requested its partition: first and last time of an unbroken series.
 #[derive(Clone, Copy, Debug)]
 struct HandbackRequest {
     since: Micros,
     last: Micros,
 }
 
-/// What this process does about the keys of partitions.
+/// The state of this process's operations on partition keys.
 #[derive(Debug)]
 pub(crate) struct PartitionKeys {
-    /// What the key of a partition says that this process holds.
+    /// The record that this process writes under the keys of its partitions.
     own_record: PartitionRecord,
     started_at: Micros,
-    /// Keys that are being changed.
-    being_written: BTreeSet<String>,
-    /// When a key may be changed next whose change failed.
+    /// Partitions whose key has a pending write.
+    pending_writes: BTreeSet<String>,
+    /// The time before which a key is not written again after a failed write, by partition.
     retry_at: BTreeMap<String, Micros>,
-    /// Partitions that this process has stopped acting for, until it acquires them anew.
+    /// Partitions that this process has stopped acting for and not acquired again since.
     releasing: BTreeSet<String>,
-    /// Partitions that are being taken from a process that has not given them up.
+    /// Partitions that are being taken over from a process that has not released them.
     evicting: BTreeSet<String>,
-    /// The next one is taken this way no sooner.
+    /// The earliest time of the next eviction.
     next_eviction_at: Micros,
-    /// Since when each absent partition has been missing.
+    /// Since when the key of each absent partition has been missing.
     absent_since: BTreeMap<String, Micros>,
-    /// Home nodes that ask for their partitions, by partition.
+    /// Hand-back requests of home nodes, by partition.
     handback_requests: BTreeMap<String, HandbackRequest>,
-    /// When this node may next ask for its own.
+    /// The earliest time at which this node requests its own partition again.
     next_handback_request_at: Micros,
 }
 
 impl PartitionKeys {
-    /// No key is being changed, and none is known to be absent. `process` tells this process from
-    /// earlier ones of the same node.
+    /// Creates the state without pending writes and without known absent keys. `process`
+    /// distinguishes this process from earlier ones of the same node.
     pub fn new(node: &str, process: u64, now: Micros) -> Self {
         PartitionKeys {
             own_record: PartitionRecord { node: node.to_owned(), process },
             started_at: now,
-            being_written: BTreeSet::new(),
+            pending_writes: BTreeSet::new(),
             retry_at: BTreeMap::new(),
             releasing: BTreeSet::new(),
             evicting: BTreeSet::new(),
@@ -146,12 +152,12 @@
         }
     }
 
-    /// What the key of a partition says that this process holds.
+    /// Returns the record that this process writes under the keys of its partitions.
     pub fn own_record(&self) -> &PartitionRecord {
         &self.own_record
     }
 
-    /// What is to be done about the key of a partition, which is as the cache shows it or absent.
+    /// Decides what to do about a partition's key; `key` is `None` if the cache shows no key.
     pub fn decide<'a>(
         &mut self,
         name: &str,
@@ -168,7 +174,8 @@
         }
     }
 
-    /// A partition that nobody holds is taken at once by its home, and by others after a while.
+    /// Decides on a partition without a leader: its home node acquires it immediately, other nodes
+    /// after a delay.
     fn decide_on_absent(
         &mut self,
         name: &str,
@@ -180,11 +187,12 @@
             (0, 0)
         } else {
             let spread = rng.random_range(0..SECOND);
-            let others = if circumstances.is_cut_from_workers { PEERS_TAKE_OVER_WITHIN } else { 0 };
-            // Its home node may hear of the release later than this one.
+            let peer_window =
+                if circumstances.is_cut_from_workers { PEER_TAKEOVER_WINDOW } else { 0 };
+            // The home node may learn of the release later than this node.
             let watch_delay = circumstances.watch_delay;
             let takeover_after = circumstances.config.operator.takeover_after;
-            (takeover_after + spread + others + watch_delay, STARTUP_GRACE)
+            (takeover_after + spread + peer_window + watch_delay, STARTUP_GRACE)
         };
         let since = *self.absent_since.entry(name.to_owned()).or_insert(now);
         let due_at = (since + grace).max(self.started_at + startup_grace);
@@ -200,7 +208,7 @@
         let HeldKey { leader, mod_revision, is_outdated } = key;
         let is_own_node = leader.node == self.own_record.node;
         if is_own_node && leader.process != self.own_record.process {
-            // Our own former process held it; that process is dead.
+            // The leader was a former process of this node, which is dead.
             KeyDecision::Acquire { mod_revision }
         } else if is_outdated {
             KeyDecision::Evict { mod_revision }
@@ -221,14 +229,14 @@
         let Circumstances { now, config, .. } = *circumstances;
         name != self.own_record.node
             && self.handback_requests.get(name).is_some_and(|request| {
-                let asked_for = request.last.saturating_sub(request.since);
-                asked_for >= config.operator.handback_after
+                let requested_for = request.last.saturating_sub(request.since);
+                requested_for >= config.operator.handback_after
                     && now.saturating_sub(request.last) < HANDBACK_REQUEST_LIFETIME
             })
     }
 
-    /// Takes a partition from a live process of a version that must not hold it any more. Its key
-    /// fences it off; until it has noticed, it may still answer workers.
+    /// Takes over a partition from a live process of a version that may no longer hold it. The new
+    /// key fences off that process's writes; until it notices, it may still answer workers.
     pub fn evict(
         &mut self,
         now: Micros,
@@ -239,7 +247,7 @@
         outbox: &mut Outbox,
     ) {
         if now < self.next_eviction_at {
-            // Whether the last attempt was a success shows with the watch.
+            // The watch shows whether the last attempt succeeded.
             return;
         }
         self.next_eviction_at = now + EVICTION_INTERVAL;
@@ -247,8 +255,7 @@
         self.acquire(now, name, mod_revision, lease, write_budget, outbox);
     }
 
-    /// Writes a partition's key, to hang on this lease; without a lease that a key may hang on nothing
-    /// is written.
+    /// Writes a partition's key, attached to this lease. Writes nothing without a lease.
     pub fn acquire(
         &mut self,
         now: Micros,
@@ -273,18 +280,19 @@
         outbox.call_store(CallPriority::Lease, StoreCall::Txn(txn), pending);
     }
 
-    /// The store has answered the attempt to take a partition.
+    /// Handles the store's reply to an attempt to acquire a partition.
     pub fn acquired(
         &mut self,
         now: Micros,
         name: &str,
         result: &Result<StoreReply, CallError>,
     ) -> AcquireOutcome {
-        self.being_written.remove(name);
+        self.pending_writes.remove(name);
         match result {
             Ok(StoreReply::Committed(revision)) => AcquireOutcome::Committed { term: *revision },
             Ok(StoreReply::NoLease) => AcquireOutcome::LeaseEnded,
-            // The watch shows who was quicker, or that an unknown outcome was a success.
+            // The watch shows which process was faster, or that a write of unknown outcome
+            // succeeded.
             other => {
                 if matches!(other, Ok(StoreReply::Conflict(_))) {
                     self.evicting.remove(name);
@@ -296,7 +304,7 @@
         }
     }
 
-    /// Deletes the key of a partition that this process does not act for any more.
+    /// Deletes the key of a partition that this process no longer acts for.
     pub fn release(
         &mut self,
         now: Micros,
@@ -321,14 +329,14 @@
         outbox.call_store(CallPriority::Lease, StoreCall::Txn(txn), pending);
     }
 
-    /// The store has answered the attempt to give up a partition's key.
+    /// Handles the store's reply to an attempt to release a partition's key.
     pub fn released(
         &mut self,
         now: Micros,
         name: &str,
         result: &Result<StoreReply, CallError>,
     ) -> ReleaseOutcome {
-        self.being_written.remove(name);
+        self.pending_writes.remove(name);
         if matches!(result, Ok(StoreReply::Committed(_) | StoreReply::Conflict(_))) {
             return ReleaseOutcome::GivenUp;
         }
@@ -336,18 +344,19 @@
         ReleaseOutcome::Failed
     }
 
-    /// Whether this process has stopped acting for a partition whose key may still name it.
+    /// Reports whether this process has stopped acting for a partition whose key may still name it.
     pub fn is_releasing(&self, name: &str) -> bool {
         self.releasing.contains(name)
     }
 
-    /// Whether a partition that comes into force was taken from a live process, which may answer
-    /// workers until it notices. Told once.
+    /// Reports, once, whether a partition that this process begins to lead was taken over from a
+    /// live process, which may answer workers until it notices.
     pub fn take_eviction(&mut self, name: &str) -> bool {
         self.evicting.remove(name)
     }
 
-    /// Asks the leader of this node's own partition for it, now and then.
+    /// Asks the leader of this node's own partition to hand it back, once per
+    /// [`HANDBACK_REQUEST_INTERVAL`].
     pub fn request_handback(&mut self, now: Micros, leader: &str, outbox: &mut Outbox) {
         if now < self.next_handback_request_at {
             return;
@@ -357,7 +366,7 @@
         outbox.ask_peer(leader, request, PendingPeerCall::Notification);
     }
 
-    /// A home node asks for its partition.
+    /// Records that a home node has requested its partition.
     pub fn note_handback_request(&mut self, now: Micros, partition: &str) {
         let request = self
             .handback_requests
@@ -369,13 +378,13 @@
         request.last = now;
     }
 
-    /// Whether a partition's key may be changed now; it counts as being changed then.
+    /// Reports whether a partition's key may be written now, and if so marks its write as pending.
     fn try_begin_write(&mut self, now: Micros, name: &str) -> bool {
         let is_early = self.retry_at.get(name).is_some_and(|at| now < *at);
-        !is_early && self.being_written.insert(name.to_owned())
+        !is_early && self.pending_writes.insert(name.to_owned())
     }
 
-    /// A change of a partition's key has failed, or may have.
+    /// Delays the next write of a partition's key after one that failed or may have failed.
     fn retry_later(&mut self, now: Micros, name: &str) {
         self.retry_at.insert(name.to_owned(), now + RETRY_INTERVAL);
     }
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -1,18 +1,21 @@
-//! Whether this node hears the workers of its partitions, and what is done when a peer hears them
-//! instead.
+//! Whether this node receives heartbeats from the workers of its partitions, and the release of a
+//! partition whose heartbeats a peer receives instead.
 //!
-//! A leader that is cut from the workers alone keeps its lease at the store, so nobody
-//! takes its partitions over, and the workers, which others send back to it, lose their own leases with
-//! all that they run. Peers therefore tell a leader how many of its machines have come to them,
-//! and a leader that hears next to none of a partition's machines, while a peer hears most of them,
-//! gives the partition up: by the same release as when it is handed home, so no two are ever entitled.
-//! A peer whose word does not reach the leader leaves it at the store, where the leader's
-//! watch finds it. Where machines or a zone failed nobody hears them, and the partition stays. The node asks for its
-//! partition again only after a direct call has reached one of its machines, and each time it has to
-//! give up a partition it waits twice as long before it does.
+//! A leader that is cut off only from the workers keeps its lease in the store, so no node takes
+//! its partitions over. The workers, which other nodes redirect to it, lose their own leases and
+//! with them all the tasks they run. Peers therefore notify a leader of how many of its machines
+//! have sent them heartbeats. A leader that receives heartbeats from almost none of a partition's
+//! machines, while a peer receives them from most, gives the partition up. It uses the same release
+//! as a hand-back, so two nodes are never both entitled to act for the partition. A peer that
+//! cannot reach the leader writes its count to the store, where the leader's watch delivers it.
+//! When the machines themselves or a zone failed, no peer receives their heartbeats, and the
+//! partition stays.
 //!
-//! [`Reachability`] counts and decides; it holds no partition itself. It may never let a partition go
-//! on the word of peers alone, nor before this process has listened for long enough to know.
+//! The node requests its partition again only after a direct call has reached one of its machines.
+//! Each further release of a partition doubles the delay before that.
+//!
+//! [`Reachability`] counts and decides; it holds no partition itself. It never gives up a partition
+//! on the counts of peers alone, nor before this process has listened long enough to judge.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -33,55 +36,63 @@
 use crate::store::write_budget::WriteBudget;
 
 const CHECK_INTERVAL: Micros = SECOND;
-/// A peer's word counts as long.
+/// How long a peer's count remains valid.
 const PEER_COUNT_LIFETIME: Micros = 3 * SECOND;
-/// So few machines show nothing.
+/// Fewer machines than this are too small a sample to judge by.
 const MIN_MACHINES: usize = 3;
-/// A leader that hears more than this share of a partition's machines keeps it, and a peer must hear
-/// at least that share of them.
+/// A leader that receives heartbeats from at least this share of a partition's machines keeps it.
 const MAX_OWN_SEEN_SHARE: f64 = 0.1;
+/// A leader gives a partition up only if a peer receives heartbeats from at least this share of its
+/// machines.
 const MIN_PEER_SEEN_SHARE: f64 = 0.5;
-/// First and longest wait before a partition is asked for again, and how often its machines are tried.
-const FIRST_WAIT: Micros = 15 * SECOND;
-const LONGEST_WAIT: Micros = 600 * SECOND;
+/// Delay before the first probe after a partition was given up, unless another was given up
+/// recently.
+const INITIAL_BACKOFF: Micros = 15 * SECOND;
+/// Upper bound of that delay. Also how long after the end of the latest backoff a release starts
+/// again at [`INITIAL_BACKOFF`].
+const MAX_BACKOFF: Micros = 600 * SECOND;
+/// Interval of the probes of the home partition's machines.
 const PROBE_INTERVAL: Micros = 2 * SECOND;
-/// How long others have to take a partition that was given up before this node takes it again: by
-/// then nobody else wants it.
-pub(crate) const PEERS_TAKE_OVER_WITHIN: Micros = 10 * SECOND;
+/// How long other nodes have to acquire a partition that this node gave up before this node may
+/// acquire it again: by then no other node is going to.
+pub(crate) const PEER_TAKEOVER_WINDOW: Micros = 10 * SECOND;
 
-/// What is known of who hears which workers.
+/// Which workers' heartbeats this node and its peers receive, and the state of the probes.
 #[derive(Debug)]
 pub(crate) struct Reachability {
-    /// Since when this process has worked through all that came, without standing still.
+    /// Since when this process has handled all its input without stalling.
     listening_since: Micros,
-    /// Machines of others' partitions that came here, by partition, and when they last did.
+    /// When machines of other nodes' partitions last sent a heartbeat here, by partition and
+    /// machine.
     foreign_heartbeats: BTreeMap<String, HashMap<String, Micros>>,
-    /// How many machines of a partition held here a peer says it hears.
+    /// The number of machines that a peer receives heartbeats from, by partition held here.
     machines_seen: BTreeMap<String, PeerCount>,
-    /// This node does not hear workers; when it may ask for its partition again, if it does then.
-    cut_until: Option<Micros>,
-    /// How long the last wait was, and until when it ran.
-    wait: Micros,
-    waited_until: Micros,
+    /// Set while this node is cut off from the workers: the earliest time at which it probes
+    /// whether it reaches them again.
+    probe_not_before: Option<Micros>,
+    /// Length of the latest backoff.
+    backoff: Micros,
+    /// When the latest backoff ends or ended.
+    backoff_until: Micros,
     next_check_at: Micros,
     next_probe_at: Micros,
 }
 
-/// How many machines of a partition a peer hears, and when it said so.
+/// The number of a partition's machines that a peer receives heartbeats from, with the report time.
 #[derive(Clone, Copy, Debug)]
 struct PeerCount {
     machines: u32,
     at: Micros,
 }
 
-/// How many machines of another's partition have come here lately.
+/// The number of machines of another node's partition that sent heartbeats here recently.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ForeignMachines {
     pub partition: String,
     pub machines: u32,
 }
 
-/// When the machines of a partition held here were last heard.
+/// The times of the last heartbeats received here from the machines of a partition held here.
 #[derive(Debug)]
 pub(crate) struct OwnHeartbeats<'a, I> {
     pub partition: &'a str,
@@ -91,52 +102,53 @@
 }
 
 impl Reachability {
-    /// Nothing is known; this process listens from now on.
+    /// Creates an empty state; this process listens from `now` on.
     pub fn new(now: Micros) -> Self {
         Reachability {
             listening_since: now,
             foreign_heartbeats: BTreeMap::new(),
             machines_seen: BTreeMap::new(),
-            cut_until: None,
-            wait: 0,
-            waited_until: 0,
+            probe_not_before: None,
+            backoff: 0,
+            backoff_until: 0,
             next_check_at: 0,
             next_probe_at: 0,
         }
     }
 
-    /// Since when this process has worked through all that came, without standing still.
+    /// Returns since when this process has handled all its input without stalling.
     pub fn listening_since(&self) -> Micros {
         self.listening_since
     }
 
-    /// This process stood still or could not act: what was not heard until now shows nothing.
+    /// Restarts the listening period after this process stalled or could not act: heartbeats
+    /// missing until now say nothing about the workers.
     pub fn restart_listening(&mut self, now: Micros) {
         self.listening_since = now;
     }
 
-    /// Whether this node gave up a partition because it heard none of its workers, and has reached
-    /// none since.
+    /// Reports whether this node gave up a partition because it received no heartbeats from its
+    /// workers and has reached none of them since.
     pub fn is_cut_from_workers(&self) -> bool {
-        self.cut_until.is_some()
+        self.probe_not_before.is_some()
     }
 
-    /// A machine of a partition that another node holds has come here.
+    /// Records a heartbeat received here from a machine of a partition that another node leads.
     pub fn note_foreign_heartbeat(&mut self, now: Micros, partition: &str, machine: &str) {
         let foreign_heartbeats = self.foreign_heartbeats.entry(partition.to_owned()).or_default();
         foreign_heartbeats.insert(machine.to_owned(), now);
     }
 
-    /// A peer says how many machines of a partition it hears.
+    /// Records a peer's count of the machines of a partition that send it heartbeats.
     pub fn note_machines_seen(&mut self, now: Micros, partition: String, machines: u32) {
         let count = self.machines_seen.entry(partition).or_insert(PeerCount { machines: 0, at: 0 });
-        // Of several peers the one that hears most counts.
+        // The highest of several peers' counts is used.
         if count.machines <= machines || now.saturating_sub(count.at) > PEER_COUNT_LIFETIME {
             *count = PeerCount { machines, at: now };
         }
     }
 
-    /// What a peer has left at the store.
+    /// Applies a count that a peer has written to the store.
     pub fn apply_machines_seen_record(&mut self, now: Micros, entry: &KeyValue) {
         let name =
             entry.key.strip_prefix(MACHINES_SEEN_PREFIX).and_then(|rest| rest.rsplit_once('/'));
@@ -145,7 +157,7 @@
         }
     }
 
-    /// Whether it is time for a look at all of this; the next one is due an interval later then.
+    /// Reports whether a check is due, and if so schedules the next one an interval later.
     pub fn begin_check(&mut self, now: Micros) -> bool {
         let is_due = now >= self.next_check_at;
         if is_due {
@@ -154,23 +166,24 @@
         is_due
     }
 
-    /// What is to be told to the leaders of other partitions. Machines that have not come for two
-    /// intervals are forgotten.
+    /// Returns the counts to report to the leaders of other partitions. Forgets machines that have
+    /// sent nothing here for two heartbeat intervals.
     pub fn foreign_machines(&mut self, now: Micros, config: &Config) -> Vec<ForeignMachines> {
         let recent = config.workers.heartbeat_interval * 2;
-        let mut told = Vec::new();
+        let mut reports = Vec::new();
         self.foreign_heartbeats.retain(|partition, last_heartbeats| {
             last_heartbeats.retain(|_, at| now.saturating_sub(*at) < recent);
             if last_heartbeats.len() >= MIN_MACHINES {
                 let machines = last_heartbeats.len() as u32;
-                told.push(ForeignMachines { partition: partition.clone(), machines });
+                reports.push(ForeignMachines { partition: partition.clone(), machines });
             }
             !last_heartbeats.is_empty()
         });
-        told
+        reports
     }
 
-    /// Leaves word at the store for a leader that was not reached, on a key that hangs on this lease.
+    /// Writes a count for a leader that could not be reached to the store, under a key attached to
+    /// this lease.
     pub fn store_machines_seen(
         config: &Config,
         partition: &str,
@@ -179,16 +192,18 @@
         write_budget: &mut WriteBudget,
         outbox: &mut Outbox,
     ) {
-        // As urgent as a partition's own key, and no more often than it is told.
+        // As urgent as a partition key, and no more frequent than the notifications of the leader,
+        // so it may put the write budget into debt.
         write_budget.spend(1);
         let key = format!("{MACHINES_SEEN_PREFIX}{partition}/{}", config.node);
-        // It hangs on this node's lease, so that nothing is left of it in the end.
+        // Attached to this node's lease, so that the store deletes the key when the lease ends.
         let value = Json::of(&MachinesSeenRecord { machines });
         let txn = Txn::default().write_with_lease(key, value, lease);
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 
-    /// Whether a peer hears most machines of a partition held here while this node hears next to none.
+    /// Reports whether a peer receives heartbeats from most machines of a partition held here while
+    /// this node receives them from almost none.
     pub fn peer_sees_more_machines(
         &self,
         now: Micros,
@@ -202,7 +217,7 @@
         let Some(peer_count) = peer_count else { return false };
         let long = config.workers.heartbeat_interval * 3 / 2;
         let machines = own.last_heartbeats.len();
-        // What waits unread here may be those very reports.
+        // The heartbeats that seem missing may still wait here to be handled.
         if now < self.listening_since.max(own.acquired_at) + long || machines < MIN_MACHINES {
             return false;
         }
@@ -212,31 +227,34 @@
             && f64::from(peer_count.machines) >= machines as f64 * MIN_PEER_SEEN_SHARE
     }
 
-    /// A partition is given up because peers hear its workers.
+    /// Records that a partition is given up because a peer receives its workers' heartbeats.
     pub fn give_up(&mut self, now: Micros, partition: &str, term: u64, outbox: &mut Outbox) {
         outbox.log(LogLevel::Info, || LogEvent::WorkersUnreachable {
             partition: partition.to_owned(),
             term,
         });
         self.machines_seen.remove(partition);
-        self.lengthen_wait(now);
+        self.start_backoff(now);
     }
 
-    /// A partition that goes to and fro does so ever more seldom; after a long time without, the waits
-    /// begin anew.
-    fn lengthen_wait(&mut self, now: Micros) {
-        if self.cut_until.is_some_and(|until| now < until) {
-            // Another partition, for the same reason.
+    /// Starts a backoff after a release, unless one is still running. Repeated releases double it,
+    /// so that a partition that moves back and forth does so less and less often; [`MAX_BACKOFF`]
+    /// after the latest backoff ended it starts again at [`INITIAL_BACKOFF`].
+    fn start_backoff(&mut self, now: Micros) {
+        if self.probe_not_before.is_some_and(|until| now < until) {
+            // Another partition was given up for the same reason during the current backoff.
             return;
         }
-        let again = now < self.waited_until + LONGEST_WAIT && self.wait > 0;
-        self.wait = if again { (self.wait * 2).min(LONGEST_WAIT) } else { FIRST_WAIT };
-        self.waited_until = now + self.wait;
-        self.cut_until = Some(self.waited_until);
+        let is_repeated = now < self.backoff_until + MAX_BACKOFF && self.backoff > 0;
+        self.backoff =
+            if is_repeated { (self.backoff * 2).min(MAX_BACKOFF) } else { INITIAL_BACKOFF };
+        self.backoff_until = now + self.backoff;
+        self.probe_not_before = Some(self.backoff_until);
     }
 
-    /// While workers were not heard, calls one of the home partition's machines now and then, but
-    /// not after `until`.
+    /// Probes one of the home partition's machines, chosen at random, once per [`PROBE_INTERVAL`]
+    /// while this node is cut off from the workers and the backoff has ended. The call is not sent
+    /// after `until`.
     pub fn poll_probe<'a>(
         &mut self,
         now: Micros,
@@ -246,14 +264,15 @@
         rng: &mut SmallRng,
         outbox: &mut Outbox,
     ) {
-        if self.cut_until.is_none_or(|until| now < until) || now < self.next_probe_at {
+        if self.probe_not_before.is_none_or(|until| now < until) || now < self.next_probe_at {
             return;
         }
         self.next_probe_at = now + PROBE_INTERVAL;
         let one = machines.filter(|(_, record)| record.partition == config.node).choose(rng);
         let Some((machine, record)) = one else {
-            // Nothing to try it on, and nothing to lose.
-            self.cut_until = None;
+            // Without machines there is nothing to probe, and nothing to lose by requesting the
+            // partition too early.
+            self.probe_not_before = None;
             return;
         };
         let pending = PendingWorkerCall {
@@ -264,9 +283,9 @@
         outbox.call_worker(record.address.clone(), WorkerCall::Status, pending, until);
     }
 
-    /// A machine has answered such a call, or has not.
+    /// Handles the outcome of a probe: whether the machine answered.
     pub fn probed(&mut self, is_reached: bool, outbox: &mut Outbox) {
-        if is_reached && self.cut_until.take().is_some() {
+        if is_reached && self.probe_not_before.take().is_some() {
             outbox.log(LogLevel::Info, || LogEvent::WorkersReachable);
         }
     }
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -1,8 +1,11 @@
-//! The cluster version: what all controllers understand. Each process tells its own version on a
-//! key that hangs on its lease; when all have told, and every partition is held by one of these
-//! processes, one lasting key raises the cluster version. It never goes back. Before that nothing
-//! is written or said that an earlier version could not read. After it a process of an earlier version
-//! that comes back all the same holds no partition: the others take over what it acquires.
+//! The cluster version: the version that all controllers understand.
+//!
+//! Each process announces its own version under a key attached to its lease. When all have
+//! announced theirs, and every partition with a leader is held by one of these processes, one
+//! permanent key raises the cluster version. It never goes back. Before the raise nothing is
+//! written or sent that an earlier version could not read. After it, a process of an earlier
+//! version that starts nevertheless keeps no partition: the other controllers take over what it
+//! acquires.
 
 use std::collections::BTreeMap;
 
@@ -20,28 +23,31 @@
 use crate::store::cache::Versioned;
 use crate::store::parse;
 
-/// The version of this program. Version 1 tells nothing of itself.
+/// The version of this program. Processes of version 1 do not announce themselves.
 pub const VERSION: u32 = 2;
-/// From this version on there are jobs that run until they are cancelled, and small blocks.
-const SERVICES: u32 = 2;
-/// From this version on finished tasks of large jobs are recorded in pages.
-const PAGES: u32 = 2;
-/// The first services are expected so long after an upgrade: after the cluster version was raised, or
-/// after a process has found controllers of the first version.
-const SERVICES_EXPECTED: Micros = 180 * SECOND;
-/// After an announcement or a raising that was not answered, or came too early.
-const RETRY: Micros = SECOND / 2;
+/// First version with services, which are jobs that run until they are cancelled, and with small
+/// machine groups.
+const SERVICES_MIN_VERSION: u32 = 2;
+/// First version that records the finished tasks of large jobs in pages.
+const PAGES_MIN_VERSION: u32 = 2;
+/// How long the first services are expected after an upgrade: after the cluster version was raised,
+/// or after a process has found controllers of version 1.
+const SERVICES_EXPECTED_FOR: Micros = 180 * SECOND;
+/// Shortest time between two writes of an announcement, the cluster version or the group size, and
+/// the delay after one that failed.
+const RETRY_INTERVAL: Micros = SECOND / 2;
 
-/// What is known of the versions of all controllers.
+/// The cluster version, the announced versions of all controllers, and the agreed group size.
 #[derive(Debug)]
 pub(crate) struct Cluster {
     version: u32,
-    nodes: BTreeMap<String, (NodeRecord, u64)>,
-    /// The size of the blocks of machines that was agreed on, with its modification revision.
+    /// The announcements with their modification revisions, by node.
+    announcements: BTreeMap<String, (NodeRecord, u64)>,
+    /// The agreed size of machine groups, with the modification revision of its key.
     group_size: Option<(u64, u64)>,
     write_pending: bool,
     next_write_at: Micros,
-    /// Controllers of the first version were up when the records were read.
+    /// Whether controllers of version 1 held partitions when the records were read.
     upgrading: bool,
     services_expected_until: Micros,
 }
@@ -50,7 +56,7 @@
     fn default() -> Self {
         Cluster {
             version: 1,
-            nodes: BTreeMap::new(),
+            announcements: BTreeMap::new(),
             group_size: None,
             write_pending: false,
             next_write_at: 0,
@@ -61,30 +67,32 @@
 }
 
 impl Cluster {
-    /// Whether every controller, now and from now on, knows services and small blocks.
+    /// Reports whether every controller, now and in the future, supports services and small machine
+    /// groups.
     pub fn services(&self) -> bool {
-        self.version >= SERVICES
+        self.version >= SERVICES_MIN_VERSION
     }
 
-    /// The largest block of machines that was agreed on, if any was.
+    /// Returns the agreed maximum size of a machine group, if there is one.
     pub fn agreed_group_size(&self) -> Option<u64> {
         self.group_size.map(|(size, _)| size)
     }
 
-    /// The modification revision of that agreement, 0 if there is none. Each claim depends on it: two sizes in use at
-    /// once could give a machine two owners.
+    /// Returns the modification revision of the agreed group size, 0 if there is none. Each claim
+    /// is conditional on it: two sizes in use at once could give a machine two owners.
     pub fn group_size_revision(&self) -> u64 {
         self.group_size.map_or(0, |(_, mod_revision)| mod_revision)
     }
 
-    /// Whether the first services may come soon: their machines are to be up by then, since a boot
-    /// takes longer than a service should wait.
+    /// Reports whether the first services may be submitted soon. Machines for them are started in
+    /// advance, since a boot takes longer than a service should wait.
     pub fn expects_services(&self, now: Micros) -> bool {
         now < self.services_expected_until
     }
 
-    /// The records were read, and with them the cluster version and who holds partitions.
-    fn records_read<'a>(
+    /// Checks the leaders of all partitions, after the records were read, for controllers of
+    /// version 1.
+    fn detect_upgrade<'a>(
         &mut self,
         now: Micros,
         mut leaders: impl Iterator<Item = &'a PartitionRecord>,
@@ -92,54 +100,56 @@
         let announced = |leader: &PartitionRecord| self.has_announced(&leader.node, leader.process);
         self.upgrading = !self.services() && leaders.any(|leader| !announced(leader));
         if self.upgrading {
-            self.services_expected_until = now + SERVICES_EXPECTED;
+            self.services_expected_until = now + SERVICES_EXPECTED_FOR;
         }
     }
 
-    /// Whether every controller knows pages of finished tasks.
+    /// Reports whether every controller supports pages of finished tasks.
     pub fn pages(&self) -> bool {
-        self.version >= PAGES
+        self.version >= PAGES_MIN_VERSION
     }
 
-    /// The announcements are read anew.
+    /// Forgets all announcements before they are read again.
     pub fn forget_nodes(&mut self) {
-        self.nodes.clear();
+        self.announcements.clear();
     }
 
-    /// This node's announcement has gone with its lease.
+    /// Forgets a node's announcement, which has ended with its lease.
     pub fn forget_node(&mut self, node: &str) {
-        self.nodes.remove(node);
+        self.announcements.remove(node);
     }
 
     fn has_announced(&self, node: &str, process: u64) -> bool {
-        self.nodes.get(node).is_some_and(|(record, _)| record.process == process)
+        self.announcements.get(node).is_some_and(|(record, _)| record.process == process)
     }
 
-    fn insert_node(&mut self, node: &str, record: NodeRecord, mod_revision: u64) {
-        if self.nodes.get(node).is_none_or(|(_, known)| *known <= mod_revision) {
-            self.nodes.insert(node.to_owned(), (record, mod_revision));
+    fn insert_announcement(&mut self, node: &str, record: NodeRecord, mod_revision: u64) {
+        if self.announcements.get(node).is_none_or(|(_, known)| *known <= mod_revision) {
+            self.announcements.insert(node.to_owned(), (record, mod_revision));
         }
     }
 
-    /// Whether a partition is held by a process of the first version although the cluster version
-    /// is raised. Every later process announces itself before it acquires a partition, by a key on
-    /// the same lease, so the announcement is older than the partition's key and is there as long.
+    /// Reports whether a partition is held by a process of version 1 although the cluster version
+    /// is raised. Every process of a later version announces itself before it acquires a partition,
+    /// under a key on the same lease, so the announcement is older than the partition's key and
+    /// exists as long.
     pub fn is_outdated_leader(&self, leader: &PartitionRecord, mod_revision: u64) -> bool {
         self.services()
-            && self.nodes.get(&leader.node).is_none_or(|(record, announced)| {
+            && self.announcements.get(&leader.node).is_none_or(|(record, announced)| {
                 record.process != leader.process && *announced < mod_revision
             })
     }
 
-    /// Whether a node may ask for its partition: not one that runs the first version after the
-    /// cluster version is raised.
+    /// Reports whether a node may request its partition. After the cluster version is raised, a
+    /// node that runs version 1 may not.
     pub fn may_lead(&self, node: &str) -> bool {
-        !self.services() || self.nodes.contains_key(node)
+        !self.services() || self.announcements.contains_key(node)
     }
 }
 
 impl Core {
-    /// Tells this process's version, and raises the cluster version when all have told theirs.
+    /// Announces this process's version. Afterwards raises the cluster version when all controllers
+    /// have announced theirs, or reduces the group size when the store's limit requires it.
     pub(crate) fn poll_cluster_version(&mut self) {
         let now = self.now;
         let Some(lease) = self.lease.id().filter(|_| self.holds_lease()) else { return };
@@ -150,19 +160,22 @@
             return;
         }
         let (txn, write) = if self.has_announced() {
-            let next = self.raising().map(|txn| (txn, ClusterWrite::RaiseVersion));
-            let next =
-                next.or_else(|| self.smaller_group_size().map(|t| (t, ClusterWrite::SetGroupSize)));
+            let next = self.version_raise_txn().map(|txn| (txn, ClusterWrite::RaiseVersion));
+            let next = next.or_else(|| {
+                self.group_size_reduction_txn().map(|t| (t, ClusterWrite::SetGroupSize))
+            });
             let Some(next) = next else { return };
             next
         } else {
-            // At once, while the records are still being read: nothing is acquired before it.
+            // Immediately, also while the records are still being read: no partition is acquired
+            // before the announcement.
             let key = format!("{NODE_VERSION_PREFIX}{}", self.config.node);
-            let txn = Txn::default().write_with_lease(key, Json::of(&self.own_record()), lease);
+            let txn =
+                Txn::default().write_with_lease(key, Json::of(&self.own_announcement()), lease);
             (txn, ClusterWrite::AnnounceVersion)
         };
         self.cluster.write_pending = true;
-        self.cluster.next_write_at = now + RETRY;
+        self.cluster.next_write_at = now + RETRY_INTERVAL;
         self.write_budget.spend(1);
         self.outbox.call_store(
             CallPriority::Lease,
@@ -171,33 +184,34 @@
         );
     }
 
-    fn own_record(&self) -> NodeRecord {
+    fn own_announcement(&self) -> NodeRecord {
         NodeRecord { version: VERSION, process: self.process }
     }
 
-    /// Whether this process may acquire partitions: it has announced itself, unless it is of a
-    /// version that does not.
+    /// Reports whether this process may acquire partitions: it has announced itself, or runs a
+    /// version that does not announce itself.
     pub(crate) fn has_announced(&self) -> bool {
         self.config.version < VERSION || self.cluster.has_announced(&self.config.node, self.process)
     }
 
-    /// The transaction that raises the cluster version, if that may be tried: on condition of
-    /// every announcement and of every partition being held by a process that has announced
-    /// itself, so that no write of an earlier version can come into force any more.
-    fn raising(&self) -> Option<Txn> {
+    /// Returns the transaction that raises the cluster version, if that may be attempted. It is
+    /// conditional on every announcement and on every partition key, and each partition must have
+    /// no leader or one that has announced itself, so that no write of an earlier version can take
+    /// effect any more.
+    fn version_raise_txn(&self) -> Option<Txn> {
         if self.cluster.version >= VERSION || !self.cache.loaded() {
             return None;
         }
         let mut txn = Txn::default().if_mod_revision(CLUSTER_VERSION_KEY, 0);
         for node in &self.config.nodes {
-            let (record, mod_revision) = self.cluster.nodes.get(node)?;
+            let (record, mod_revision) = self.cluster.announcements.get(node)?;
             if record.version < VERSION {
                 return None;
             }
             txn = txn.if_mod_revision(format!("{NODE_VERSION_PREFIX}{node}"), *mod_revision);
             let partition = self.cache.partition(node);
             if let Some(Versioned { record: leader, .. }) = partition {
-                let (announced, _) = self.cluster.nodes.get(&leader.node)?;
+                let (announced, _) = self.cluster.announcements.get(&leader.node)?;
                 if announced.process != leader.process {
                     return None;
                 }
@@ -210,9 +224,9 @@
         Some(txn.write(CLUSTER_VERSION_KEY, Json::of(&ClusterRecord { version: VERSION })))
     }
 
-    /// The transaction that makes blocks of machines smaller, if the store has turned out to
-    /// take less than the settings say.
-    fn smaller_group_size(&self) -> Option<Txn> {
+    /// Returns the transaction that reduces the size of machine groups, if the store has turned out
+    /// to accept smaller values than the settings say.
+    fn group_size_reduction_txn(&self) -> Option<Txn> {
         let size = group_size(self.limits.value_bytes());
         if !self.cluster.services() || size >= self.group_size() {
             return None;
@@ -222,6 +236,8 @@
         Some(txn.write(GROUP_SIZE_KEY, Json::of(&GroupSizeRecord { size })))
     }
 
+    /// Handles the store's reply to a write of an announcement, the cluster version or the group
+    /// size.
     pub(crate) fn cluster_answered(
         &mut self,
         write: ClusterWrite,
@@ -230,31 +246,31 @@
     ) {
         self.cluster.write_pending = false;
         match (write, result) {
-            // What was announced on an earlier lease has gone with it.
+            // An announcement under an earlier lease has ended with that lease.
             (ClusterWrite::AnnounceVersion, Ok(StoreReply::Committed(mod_revision)))
                 if self.lease.id() == Some(lease) =>
             {
-                let (node, record) = (self.config.node.clone(), self.own_record());
-                self.cluster.insert_node(&node, record, *mod_revision);
+                let (node, record) = (self.config.node.clone(), self.own_announcement());
+                self.cluster.insert_announcement(&node, record, *mod_revision);
             }
-            // The watch tells of what was written.
+            // The watch delivers what was written.
             (_, Ok(StoreReply::Committed(_))) => {}
             (_, Ok(StoreReply::NoLease)) => self.lease_ended(lease),
-            _ => self.cluster.next_write_at = self.now + RETRY,
+            _ => self.cluster.next_write_at = self.now + RETRY_INTERVAL,
         }
     }
 
-    /// The records were read, and with them the cluster version and who holds partitions.
+    /// Checks, after the records were read, whether an upgrade from version 1 is in progress.
     pub(crate) fn look_for_upgrade(&mut self) {
         let leaders = self.cache.partitions().values().map(|held| &held.record);
-        self.cluster.records_read(self.now, leaders);
+        self.cluster.detect_upgrade(self.now, leaders);
     }
 
-    /// A record of versions, as the store has it.
+    /// Applies a record of the cluster version, the group size or an announcement from the store.
     pub(crate) fn apply_cluster_record(&mut self, entry: &KeyValue) {
         if entry.key == CLUSTER_VERSION_KEY {
             match parse::<ClusterRecord>(entry) {
-                Some(record) => self.cluster_raised(record.version),
+                Some(record) => self.apply_cluster_version(record.version),
                 None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
             }
         } else if entry.key == GROUP_SIZE_KEY {
@@ -266,21 +282,27 @@
             }
         } else if let Some(node) = entry.key.strip_prefix(NODE_VERSION_PREFIX) {
             match parse::<NodeRecord>(entry) {
-                Some(record) => self.cluster.insert_node(node, record, entry.mod_revision),
+                Some(record) => self.cluster.insert_announcement(node, record, entry.mod_revision),
                 None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
             }
         }
     }
 
+    /// Forgets a node's announcement whose key was deleted at this revision.
     pub(crate) fn cluster_deleted(&mut self, path: &str, mod_revision: u64) {
         if let Some(node) = path.strip_prefix(NODE_VERSION_PREFIX)
-            && self.cluster.nodes.get(node).is_some_and(|(_, s)| *s <= mod_revision)
+            && self
+                .cluster
+                .announcements
+                .get(node)
+                .is_some_and(|(_, announced)| *announced <= mod_revision)
         {
-            self.cluster.nodes.remove(node);
+            self.cluster.announcements.remove(node);
         }
     }
 
-    fn cluster_raised(&mut self, version: u32) {
+    /// Applies a raised cluster version. Terminates the process if it does not know the version.
+    fn apply_cluster_version(&mut self, version: u32) {
         if version > VERSION {
             let reason = format!(
                 "the cluster is at version {version}, and this program knows versions up to \
@@ -290,7 +312,7 @@
         } else if version > self.cluster.version {
             self.cluster.version = version;
             if self.cluster.upgrading {
-                self.cluster.services_expected_until = self.now + SERVICES_EXPECTED;
+                self.cluster.services_expected_until = self.now + SERVICES_EXPECTED_FOR;
             }
             self.outbox.log(LogLevel::Info, || LogEvent::ClusterVersionRaised { version });
         }
