--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -1,4 +1,5 @@
-//! The one owner of all state of a process.
+//! The controller's state machine: owns all state of the process and dispatches every command to
+//! the component that it concerns.
 
 mod awaited;
 mod heartbeats;
@@ -45,16 +46,16 @@
 use crate::store::write_budget::WriteBudget;
 use crate::upgrade::Cluster;
 
-/// All state of a controller.
+/// Holds all state of a controller process; [`Core::step`] advances it.
 pub struct Core {
     pub(crate) config: Config,
     pub(crate) rng: SmallRng,
-    /// Tells this process from earlier ones of the same node.
+    /// Distinguishes this process from earlier processes of the same node.
     pub(crate) process: u64,
     pub(crate) now: Micros,
-    /// Time of day minus steady time.
+    /// Time of day minus monotonic time; `None` until the first tick.
     pub(crate) wall_offset: Option<i64>,
-    /// Calls under way, answers, and everything else that leaves.
+    /// Calls in flight, answers, and all other effects.
     pub(crate) outbox: Outbox,
     pub(crate) lease: Lease,
     pub(crate) cache: Cache,
@@ -64,7 +65,7 @@
     pub(crate) store_connectivity: StoreConnectivity,
     pub(crate) cluster: Cluster,
     pub(crate) pages: Pages,
-    /// What the store takes, as far as is known.
+    /// Known limits of the store on values and transactions.
     pub(crate) limits: StoreLimits,
     pub(crate) reachability: Reachability,
     pub(crate) write_budget: WriteBudget,
@@ -75,28 +76,29 @@
     pub(crate) types: Option<Types>,
     pub(crate) cloud: crate::autoscaling::Cloud,
     pub(crate) terminal_jobs: TerminalJobs,
-    pub(crate) mod_revisions: LatestRevisions,
+    pub(crate) latest_revisions: LatestRevisions,
     user_requests: UserRequests,
     pub(crate) stealing: Stealing,
     pub(crate) run_times: RunTimes,
-    /// This node's part of the limits of the store and the cloud.
-    share: f64,
-    /// When all machines are looked at next, and all jobs for what is to be written.
+    /// This node's share of the rate limits of the store and the cloud.
+    rate_share: f64,
     next_machine_check_at: Micros,
     next_job_write_at: Micros,
     next_group_write_at: Micros,
 }
 
-/// Shortest time between two looks at all machines, at all jobs for what is to be written, and at
-/// the blocks of machines that are to change.
-const CHECK_INTERVAL: Micros = SECOND;
+/// Minimum time between two checks of all machines.
+const MACHINE_CHECK_INTERVAL: Micros = SECOND;
+/// Minimum time between two scans of all jobs for due writes.
 const JOB_WRITE_INTERVAL: Micros = SECOND / 5;
+/// Minimum time between two scans of the machine groups for due writes.
 const GROUP_WRITE_INTERVAL: Micros = SECOND / 10;
-/// Why everybody is turned away until the cache is there.
+/// The reason for rejecting requests until the cache is loaded.
 pub(crate) const STARTING: &str = "starting";
 
 impl Core {
-    /// A controller that has just started. `seed` must differ between processes of one node.
+    /// Creates a controller that has just started. `seed` must differ between processes of one
+    /// node.
     pub fn new(config: Config, seed: u64, now: Micros) -> Self {
         let mut core = Core {
             stealing: Stealing::new(&config),
@@ -123,10 +125,10 @@
             types: None,
             cloud: crate::autoscaling::Cloud::default(),
             terminal_jobs: TerminalJobs::default(),
-            mod_revisions: LatestRevisions::default(),
+            latest_revisions: LatestRevisions::default(),
             user_requests: UserRequests::default(),
             run_times: RunTimes::default(),
-            share: 0.0,
+            rate_share: 0.0,
             next_machine_check_at: 0,
             next_job_write_at: 0,
             next_group_write_at: 0,
@@ -139,21 +141,22 @@
         core
     }
 
-    /// Works through a batch and says what is to be done.
+    /// Processes a batch of commands and returns the effects to carry out.
     pub fn step(&mut self, now: Micros, mut commands: Vec<Command>) -> Vec<Effect> {
         self.now = self.now.max(now);
-        // A node without a partition changes little, and those with partitions share what there is.
+        // Leaders divide the write limit among themselves. A node without a partition writes little
+        // and takes an equal share among all nodes.
         let leaders = self.cache.leaders();
         let sharers =
             leaders.max(if self.partitions.is_empty() { self.config.nodes.len() } else { 1 });
         self.write_budget.refill(self.now, self.config.store_write_rps, sharers);
         let share = self.config.rate_limit_share(leaders, !self.partitions.is_empty());
-        if share != self.share {
-            self.share = share;
+        if share != self.rate_share {
+            self.rate_share = share;
             self.outbox.set_rate_share(share);
         }
-        // What workers and users say concerns no partition's leader.
-        let concerns_leaders = commands.is_empty()
+        // Commands from workers and users do not change which process leads a partition.
+        let affects_leadership = commands.is_empty()
             || commands.iter().any(|c| {
                 !matches!(
                     c,
@@ -172,7 +175,7 @@
         self.poll_cache();
         self.poll_cluster_version();
         self.poll_reachability();
-        if concerns_leaders {
+        if affects_leadership {
             self.poll_leadership();
         }
         self.decide();
@@ -196,23 +199,23 @@
                     let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
                     self.limits.learn(self.now, size, &result, budget, outbox);
                 }
-                if let Some(waiting) = self.outbox.take_store_call(call_id) {
-                    self.dispatch_store_reply(waiting, result);
+                if let Some(pending) = self.outbox.take_store_call(call_id) {
+                    self.dispatch_store_reply(pending, result);
                 }
             }
             Command::CloudReply { call_id, result } => {
-                if let Some(work) = self.outbox.take_cloud_call(call_id) {
-                    self.dispatch_cloud_reply(work, result);
+                if let Some(pending) = self.outbox.take_cloud_call(call_id) {
+                    self.dispatch_cloud_reply(pending, result);
                 }
             }
             Command::WorkerReply { call_id, result } => {
-                if let Some(wait) = self.outbox.take_worker_call(call_id) {
-                    self.dispatch_worker_reply(call_id, wait, result);
+                if let Some(pending) = self.outbox.take_worker_call(call_id) {
+                    self.dispatch_worker_reply(call_id, pending, result);
                 }
             }
             Command::PeerReply { call_id, result } => {
-                if let Some(work) = self.outbox.take_peer_call(call_id) {
-                    self.dispatch_peer_reply(work, result);
+                if let Some(pending) = self.outbox.take_peer_call(call_id) {
+                    self.dispatch_peer_reply(pending, result);
                 }
             }
             Command::Tick { wall, behind } => {
@@ -224,29 +227,30 @@
         }
     }
 
-    /// Shortest time between two calls of a kind that may use this share of all requests.
+    /// Returns the minimum time between two store calls of a kind that may use `share` of this
+    /// node's requests.
     pub(crate) fn min_interval_for(&self, share: f64) -> Micros {
-        let rate = self.config.store_rps * share * self.share;
+        let rate = self.config.store_rps * share * self.rate_share;
         quartzlever_wire::micros_from_secs(1.0 / rate.max(0.1))
     }
 
-    /// The present time of day.
+    /// Returns the current time of day, in microseconds since 1970.
     pub(crate) fn wall(&self) -> Micros {
         (self.now as i64 + self.wall_offset.unwrap_or(0)).max(0) as Micros
     }
 
-    /// Whether nothing of the service is known yet, so that every worker and every health check is
-    /// turned away.
+    /// Reports whether the cache is not loaded and no partition is led yet, so that all heartbeats
+    /// and health checks are rejected.
     pub fn starting(&self) -> bool {
         !self.cache.loaded() && self.partitions.is_empty()
     }
 
-    /// Whether something is to be placed at a certain time, or as soon as may be.
+    /// Reports whether any partition has a placement requested or scheduled for a certain time.
     pub fn awaits_time(&self) -> bool {
         self.partitions.values().any(|p| p.placement_wanted || p.placement_due_at.is_some())
     }
 
-    /// So many were turned away for that reason without asking.
+    /// Counts requests that were rejected with `STARTING` before they reached the core.
     pub fn count_rejected(&mut self, count: u32) {
         self.outbox.count_rejected(503, STARTING, count);
     }
@@ -259,22 +263,22 @@
         }
     }
 
-    /// Whether this node can take requests.
+    /// Reports whether this node can serve users' requests.
     pub fn is_ready(&self) -> bool {
-        // A node without a partition can still look up, cancel and accept into another's partition; it is
-        // of no use only while it has no picture of the service at all.
-        // One that alone is refused by the store can do nothing for users whom others
-        // could serve; in an outage all go on, since nobody could do better.
-        let alone = self.store_connectivity.is_isolated(self.now);
-        self.cache.loaded() && self.wall_offset.is_some() && !alone
+        // A node without a partition still looks up jobs, cancels them, and accepts them into
+        // another node's partition, so it is ready once its cache is loaded. A node that alone is
+        // cut off from the store is not ready, because its peers can serve the users instead. In an
+        // outage for all nodes every node stays ready, since no other could do better.
+        let is_isolated = self.store_connectivity.is_isolated(self.now);
+        self.cache.loaded() && self.wall_offset.is_some() && !is_isolated
     }
 
     fn dispatch_store_reply(
         &mut self,
-        waiting: PendingStoreCall,
+        pending: PendingStoreCall,
         result: Result<StoreReply, CallError>,
     ) {
-        match waiting {
+        match pending {
             PendingStoreCall::Ignored => {}
             PendingStoreCall::Grant { sent } => self.lease_granted(sent, &result),
             PendingStoreCall::Renew { sent, lease } => self.lease_renewed(sent, lease, &result),
@@ -282,7 +286,7 @@
                 self.acquired(&partition, lease, &result)
             }
             PendingStoreCall::Release { partition, mod_revision } => {
-                self.released(&partition, mod_revision, &result)
+                self.release_replied(&partition, mod_revision, &result)
             }
             PendingStoreCall::List { listing, section } => {
                 self.page_listed(listing, section, result)
@@ -293,16 +297,16 @@
             PendingStoreCall::SplitGroup { key, small, is_complete } => {
                 self.group_split(&key, small, is_complete, &result);
             }
-            PendingStoreCall::Watch { number, sent } => self.watched(number, sent, result),
+            PendingStoreCall::Watch { number, sent } => self.watch_replied(number, sent, result),
             PendingStoreCall::Revision { asked, sent } => self.revision_read(asked, sent, result),
             PendingStoreCall::ReadCatalogue => self.catalogue_read(result),
             PendingStoreCall::ReadActiveJob { purpose } => self.active_job_read(purpose, result),
             PendingStoreCall::ReadTerminalJob { purpose } => {
                 self.terminal_job_read(purpose, result)
             }
-            PendingStoreCall::Accept { id, record } => self.accept_answered(id, *record, &result),
+            PendingStoreCall::Accept { id, record } => self.accept_replied(id, *record, &result),
             PendingStoreCall::Cancel { id, job, done, tries } => {
-                self.cancel_answered(id, job, done, tries, &result);
+                self.cancel_replied(id, job, done, tries, &result);
             }
             PendingStoreCall::JobWrite(write) => self.job_written(*write, result),
             PendingStoreCall::Reread { partition, term, job } => {
@@ -321,30 +325,30 @@
 
     fn dispatch_cloud_reply(
         &mut self,
-        work: PendingCloudCall,
+        pending: PendingCloudCall,
         result: Result<CloudReply, CallError>,
     ) {
-        self.cloud_replied(work, result);
+        self.cloud_replied(pending, result);
     }
 
     fn dispatch_worker_reply(
         &mut self,
         call_id: CallId,
-        wait: PendingWorkerCall,
+        pending: PendingWorkerCall,
         result: Result<WorkerReply, CallError>,
     ) {
-        self.worker_replied(call_id, wait, result);
+        self.worker_replied(call_id, pending, result);
     }
 
     fn dispatch_peer_reply(
         &mut self,
-        work: PendingPeerCall,
+        pending: PendingPeerCall,
         result: Result<PeerAnswer, CallError>,
     ) {
-        self.peer_replied(work, result);
+        self.peer_replied(pending, result);
     }
 
-    /// Ends a partition's recovery once every machine is proven.
+    /// Ends a partition's recovery once every one of its machines is verified.
     pub(crate) fn complete_recovery(&mut self, name: &str) {
         if let Some(partition) = self.partitions.get_mut(name)
             && partition.try_complete_recovery()
@@ -357,15 +361,16 @@
         }
     }
 
-    /// All decisions of this moment.
+    /// Makes all decisions that are due: checks, placements, calls to workers, writes, scaling and
+    /// stealing.
     fn decide(&mut self) {
         let names: Vec<String> = self.partitions.keys().cloned().collect();
-        let look = self.now >= self.next_machine_check_at;
-        if look {
-            self.next_machine_check_at = self.now + CHECK_INTERVAL;
+        let machine_check_due = self.now >= self.next_machine_check_at;
+        if machine_check_due {
+            self.next_machine_check_at = self.now + MACHINE_CHECK_INTERVAL;
         }
         for name in &names {
-            if look {
+            if machine_check_due {
                 self.check_machines(name);
             }
             self.complete_recovery(name);
@@ -393,6 +398,7 @@
         self.outbox.log_rejected(self.now);
     }
 
+    /// Returns the partition if this process leads it under `term`.
     pub(crate) fn partition_at_term(&mut self, name: &str, term: u64) -> Option<&mut Partition> {
         self.partitions.get_mut(name).filter(|p| p.term == term)
     }
--- a/crates/quartzlever-core/src/router/heartbeats.rs
+++ b/crates/quartzlever-core/src/router/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats and replies, step by step through the components that they concern.
+//! Handles heartbeats and replies of workers.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::workers::{Heartbeat, WorkerReply};
@@ -17,7 +17,7 @@
         OwnershipView { node: &self.config.node, cache: &self.cache, partitions: &self.partitions }
     }
 
-    /// A worker reports.
+    /// Handles a heartbeat: answers it, redirects the worker to its leader, or claims the machine.
     pub(crate) fn handle_heartbeat(&mut self, id: RequestId, heartbeat: Heartbeat) {
         let launched_for = |machine: &str| self.cloud.launched_for(machine);
         match self.ownership_view().route(&heartbeat.machine, launched_for) {
@@ -38,25 +38,30 @@
         }
     }
 
+    /// Returns the node that leads `partition`, if the cache shows a node other than this one.
     pub(crate) fn other_leader_of(&self, partition: &str) -> Option<&str> {
         self.ownership_view().other_leader_of(partition)
     }
 
+    /// Redirects a worker to the leader of its partition, or rejects the heartbeat if none is
+    /// known.
     fn redirect(&mut self, id: RequestId, partition: &str) {
-        // Without the store the cache tells of leaders that may be none any more. Two such
-        // nodes sent workers to and fro between them, past the one that had taken over, until
-        // 809 machines were given up; turned away without a name, a worker tries one after the other.
-        let fresh = self.store_connectivity.is_reached(self.now);
-        match self.other_leader_of(partition).filter(|_| fresh) {
+        // While the store is unreachable, the cache may name a former leader. Two such nodes
+        // redirected workers to each other, past the node that had taken over, until 809 machines
+        // were given up. A worker that is rejected without the name of a leader tries the
+        // controllers in turn.
+        let store_reachable = self.store_connectivity.is_reached(self.now);
+        match self.other_leader_of(partition).filter(|_| store_reachable) {
             Some(node) => {
                 let leader = node.to_owned();
                 self.outbox.answer(id, 421, Answer::Leader { leader });
             }
-            // Held here but not yet known as a machine of it, or by nobody.
+            // This node leads the partition but has not added the machine yet, or nobody leads it.
             None => self.outbox.reject_retryable(id, 503, "not entitled"),
         }
     }
 
+    /// Claims an unclaimed machine, after a presence check if no heartbeat of it was expected.
     fn claim(&mut self, id: RequestId, heartbeat: Heartbeat, launched_for: Option<&str>) {
         let claimant =
             self.ownership_view().claimant_of(&heartbeat.machine, launched_for, self.may_act());
@@ -70,17 +75,18 @@
         }
     }
 
-    /// A machine that nobody knew was asked whether it is there.
-    fn presence_answered(
+    /// Handles the reply to a presence check: claims the machine if it confirmed its presence.
+    fn presence_replied(
         &mut self,
         call: &PendingWorkerCall,
         result: Result<WorkerReply, CallError>,
     ) {
         match self.presence_checks.answered(&call.machine, result) {
             Some(PresenceOutcome::Present { id, status }) => {
-                let held =
+                let is_led =
                     self.partitions.get(&call.partition).is_some_and(|p| p.term == call.term);
-                if held && self.may_act() && self.cache.machine_record(&status.machine).is_none() {
+                if is_led && self.may_act() && self.cache.machine_record(&status.machine).is_none()
+                {
                     let owner =
                         PartitionTerm { partition: call.partition.clone(), term: call.term };
                     self.request_ownership(id, status, owner);
@@ -95,7 +101,7 @@
         }
     }
 
-    /// A heartbeat of a machine of a partition that is held here.
+    /// Applies a heartbeat from a machine of a partition led here, and answers it with commands.
     fn handle_own_heartbeat(&mut self, id: RequestId, name: &str, heartbeat: &Heartbeat) {
         let now = self.now;
         if !self.may_act() {
@@ -108,14 +114,14 @@
             return self.outbox.reject_retryable(id, 503, "not entitled");
         };
         let (run_times, source) = (&mut self.run_times, StatusSource::Heartbeat);
-        let newer = partition.apply_heartbeat(&self.config, run_times, heartbeat, source, now);
+        let is_newer = partition.apply_heartbeat(&self.config, run_times, heartbeat, source, now);
         self.complete_recovery(name);
         self.place(name);
         self.fill(name, &heartbeat.machine);
         let cache = &self.cache;
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        let is_over = |job: &str| !cache.is_active_job(job);
-        match partition.answer_to(heartbeat, newer, is_over, now) {
+        let is_terminal = |job: &str| !cache.is_active_job(job);
+        match partition.answer_to(heartbeat, is_newer, is_terminal, now) {
             Some(commands) => {
                 self.outbox.answer_until(id, Answer::WorkerCommands(commands), until);
             }
@@ -123,7 +129,8 @@
         }
     }
 
-    /// Looks at all machines of a partition: those that are surely empty, and those to be asked.
+    /// Checks all machines of a partition: those silent for a full lease are taken as empty, and
+    /// those that run service replicas and are late with a heartbeat are probed.
     pub(super) fn check_machines(&mut self, name: &str) {
         let (now, may_act, until) = (self.now, self.may_act(), self.authority_expires_at());
         let Some(partition) = self.partitions.get_mut(name) else { return };
@@ -133,7 +140,7 @@
         }
     }
 
-    /// Calls workers of a partition.
+    /// Sends the due calls to workers of a partition.
     pub(super) fn call_workers(&mut self, name: &str) {
         let until = self.authority_expires_at();
         if let Some(partition) = self.partitions.get_mut(name) {
@@ -141,7 +148,7 @@
         }
     }
 
-    /// A worker has replied, or a call to it has failed.
+    /// Handles a worker's reply, or the failure of the call.
     pub(super) fn worker_replied(
         &mut self,
         call_id: CallId,
@@ -149,10 +156,10 @@
         result: Result<WorkerReply, CallError>,
     ) {
         if call.probe {
-            return self.probed(result.is_ok());
+            return self.probe_replied(result.is_ok());
         }
         if call.confirms_presence {
-            return self.presence_answered(&call, result);
+            return self.presence_replied(&call, result);
         }
         let Some(partition) =
             self.partitions.get_mut(&call.partition).filter(|p| p.term == call.term)
--- a/crates/quartzlever-core/src/router/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -1,18 +1,24 @@
-//! Heartbeats of machines that are not known here, through the whole controller.
+//! Tests heartbeats of unknown and foreign machines, through the whole controller.
 
 use crate::leadership::connectivity::StoreConnectivity;
 use crate::testing::*;
 
 #[test]
-fn a_machine_that_nobody_knows_is_asked_before_it_is_claimed() {
+fn an_unknown_machine_is_claimed_only_after_a_presence_check() {
     let alive =
         |machine_name: &str| Ok(WorkerReply::Status(heartbeat_from(machine_name, 1, 9, 0, &[])));
-    // (whether its first heartbeat is expected, what it says when it is asked, whether it is claimed)
-    for (name, expected, says, claimed) in [
-        ("rented and coming up", true, None, true),
-        ("there, though nobody knew", false, Some(alive("n-9")), true),
-        ("gone, and a copy came late", false, Some(Err(CallError::Unknown)), false),
-        ("another lives at its address", false, Some(alive("n-8")), false),
+    // (whether its first heartbeat is expected, its reply to the presence check, whether it is
+    // claimed)
+    for (name, expected, reply, claimed) in [
+        ("launched and starting", true, None, true),
+        ("unexpected, and present", false, Some(alive("n-9")), true),
+        (
+            "terminated, and a copy of its heartbeat came late",
+            false,
+            Some(Err(CallError::Unknown)),
+            false,
+        ),
+        ("another machine has its address", false, Some(alive("n-8")), false),
     ] {
         let mut core = core();
         core.cache.set_loaded(true);
@@ -23,7 +29,7 @@
         }
         let first = Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-9", 1, 1, 0, &[]) };
         let mut effects = core.step(NOW, vec![first]);
-        let asked = effects.iter().find_map(|e| match e {
+        let check = effects.iter().find_map(|e| match e {
             Effect::Worker { call_id, call: WorkerCall::Status, address, .. }
                 if address == "n-9:9000" =>
             {
@@ -31,8 +37,8 @@
             }
             _ => None,
         });
-        assert_eq!(asked.is_some(), says.is_some(), "{name}: asked");
-        if let (Some(call_id), Some(result)) = (asked, says) {
+        assert_eq!(check.is_some(), reply.is_some(), "{name}: presence check");
+        if let (Some(call_id), Some(result)) = (check, reply) {
             effects.extend(core.step(NOW, vec![Command::WorkerReply { call_id, result }]));
         }
         effects.extend(core.step(NOW + SECOND, Vec::new()));
@@ -44,16 +50,17 @@
             _ => false,
         });
         assert_eq!(written, claimed, "{name}: claimed");
-        let turned = effects.iter().any(|e| matches!(e, Effect::Answer { id: 1, status: 503, .. }));
-        assert_eq!(turned, !claimed, "{name}: turned away");
+        let rejected =
+            effects.iter().any(|e| matches!(e, Effect::Answer { id: 1, status: 503, .. }));
+        assert_eq!(rejected, !claimed, "{name}: rejected");
     }
 }
 
 #[test]
-fn only_who_reaches_the_state_service_names_a_holder() {
-    // (seconds since the store last answered, who holds partition "two" by the copy; the
-    // status that a worker of that partition gets)
-    for (quiet, leader, status) in
+fn only_a_node_that_reaches_the_store_redirects_to_a_leader() {
+    // (seconds since the store last replied, leader of partition "two" in the cache, status that a
+    // worker of that partition gets)
+    for (silent, leader, status) in
         [(1, "two", 421), (3, "two", 421), (5, "two", 503), (1, "one", 503)]
     {
         let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
@@ -63,12 +70,12 @@
             9,
         );
         core.store_connectivity = StoreConnectivity::new(NOW);
-        let come = Command::Heartbeat { id: 4, heartbeat: idle_heartbeat("n-7", 3, 6) };
-        let effects = core.step(NOW + quiet * SECOND, vec![come]);
+        let command = Command::Heartbeat { id: 4, heartbeat: idle_heartbeat("n-7", 3, 6) };
+        let effects = core.step(NOW + silent * SECOND, vec![command]);
         let answer = effects.iter().find_map(|e| match e {
             Effect::Answer { id: 4, status, .. } => Some(*status),
             _ => None,
         });
-        assert_eq!(answer, Some(status), "{quiet} s, {leader}");
+        assert_eq!(answer, Some(status), "{silent} s, {leader}");
     }
 }
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -1,9 +1,9 @@
-//! The steps that keep the records of jobs: taking them in from the store, writing what has changed,
-//! and reading again what another leader has changed.
+//! Keeps job records up to date: applies records from the store, writes changed ones, and rereads
+//! those that another leader has changed.
 //!
-//! Here a record meets all that it concerns: the cache, the partitions held by this process, the
-//! pages, the final states. What is decided is decided in `jobs`; the steps hand it on, in an order
-//! that matters: a final state is noted before anything older can be taken in.
+//! Every record is applied to the cache, the partitions led by this process, the pages and the
+//! final states. The decisions are made in `jobs`. The order of the steps matters: a final state is
+//! recorded before an older record of the same job can be applied.
 
 use quartzlever_wire::store::{
     ActiveJobRecord, KeyValue, StoreCall, StoreReply, TerminalJobRecord,
@@ -21,15 +21,15 @@
 use crate::store::parse;
 use crate::store::write_budget::WriteKind;
 
-/// After a write that failed, or that wrote pages only, the next one of the job waits this long.
-const WRITE_RETRY: Micros = SECOND / 2;
+/// Delay before the next write of a job after a write that failed or that wrote only pages.
+const WRITE_RETRY_DELAY: Micros = SECOND / 2;
 
 impl Core {
-    /// Takes a job's record into every partition held here.
+    /// Applies a job's record to the cache and to every loaded partition that it concerns.
     pub(crate) fn reconcile_job(&mut self, mut record: ActiveJobRecord, mod_revision: u64) {
-        // A watch may tell of earlier writes after this process has ended the job itself.
+        // A watch may deliver earlier writes after this process has ended the job itself.
         if self.terminal_jobs.get(&record.job.id).is_some()
-            || !self.mod_revisions.saw(&record.job.id, mod_revision)
+            || !self.latest_revisions.saw(&record.job.id, mod_revision)
         {
             return;
         }
@@ -47,18 +47,18 @@
         self.cache.record_active_job(record, mod_revision);
     }
 
-    /// A job is done or cancelled for good.
-    pub(crate) fn job_terminated(&mut self, id: &str, over: TerminalJobRecord) {
-        self.terminal_jobs.put(id, over);
+    /// Records that a job is done or cancelled, and drops it from the partitions led here.
+    pub(crate) fn job_terminated(&mut self, id: &str, terminal: TerminalJobRecord) {
+        self.terminal_jobs.put(id, terminal);
         self.cache.active_job_ended(id);
-        // It ended after the view was read that this process had until now.
+        // The view still showed the job as active, so it ended no earlier than that view was read.
         let since = self.cache.view_as_of().min(self.now);
         for partition in self.partitions.values_mut() {
             partition.drop_job(id, since);
         }
     }
 
-    /// A page as the store has it.
+    /// Applies a page record from the store.
     pub(crate) fn apply_page_record(&mut self, entry: &KeyValue) {
         match PageEntry::read(entry) {
             PageEntry::NoPage => {}
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A page is in force at a modification revision.
+    /// Records a page that was committed at a modification revision.
     fn record_page(&mut self, job: &str, number: u32, finished: Ranges, mod_revision: u64) {
         self.cache.add_finished(job, &finished);
         for partition in self.partitions.values_mut().filter(|partition| partition.loaded) {
@@ -82,7 +82,7 @@
         self.pages.insert(job, number, finished, mod_revision);
     }
 
-    /// Removes pages of jobs that are over. One node does so: the leader of the first partition.
+    /// Removes pages of ended jobs. Only one node does so: the leader of the first partition.
     pub(super) fn remove_leftover_pages(&mut self) {
         if !self.pages.may_remove(self.now) || !self.may_act() {
             return;
@@ -103,15 +103,15 @@
         );
     }
 
-    /// Writes what has changed of the jobs, each job at most once at a time: ends first, then what
-    /// has waited longest, as far as the account of changes allows.
+    /// Writes the changed job records within the write budget, with at most one write in flight per
+    /// job: ends of jobs first, then the writes that have been due longest.
     pub(super) fn write_jobs(&mut self) {
         let now = self.now;
         let mut due: Vec<DueWrite> = Vec::new();
-        let progress = self.write_budget.has(WriteKind::Progress, 1);
+        let may_write_progress = self.write_budget.has(WriteKind::Progress, 1);
         for (name, partition) in self.partitions.iter_mut().filter(|(_, p)| p.active()) {
             let jobs = partition.jobs.iter().map(|(id, job)| (id, &**job));
-            for id in records::collect_due(name, jobs, progress, now, &mut due) {
+            for id in records::collect_due(name, jobs, may_write_progress, now, &mut due) {
                 partition.jobs.swap_remove(&id);
             }
         }
@@ -127,15 +127,17 @@
     fn write_job(&mut self, name: &str, id: &str) {
         let now = self.now;
         let pause = self.config.operator.progress_write;
-        let room = WriteLimits {
+        let limits = WriteLimits {
             value_bytes: self.limits.value_bytes(),
             pages: affordable_pages(&self.write_budget, self.limits.txn_ops()),
         };
-        let paging = self.cluster.pages();
+        let paging_supported = self.cluster.pages();
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        let (term, leader) = (partition.term, partition.txn());
+        let (term, leader_txn) = (partition.term, partition.txn());
         let Some(job) = partition.jobs.get_mut(id) else { return };
-        let Some(planned) = records::plan_write(leader, job, &self.pages, paging, room) else {
+        let Some(planned) =
+            records::plan_write(leader_txn, job, &self.pages, paging_supported, limits)
+        else {
             return job.postpone_write(now + 2 * pause);
         };
         job.begin_write(now + pause);
@@ -156,12 +158,13 @@
         );
     }
 
+    /// Handles the reply to the write of a job.
     pub(crate) fn job_written(&mut self, write: JobWrite, result: Result<StoreReply, CallError>) {
         let JobWrite { partition: name, term, job: id, action, recorded, pages } = write;
         let outcome = WriteOutcome::of(&result, &name);
         if let WriteOutcome::Committed { mod_revision } = outcome {
             if action != JobWriteAction::PagesOnly {
-                self.mod_revisions.saw(&id, mod_revision);
+                self.latest_revisions.saw(&id, mod_revision);
             }
             for PageWrite { number, finished } in pages {
                 self.record_page(&id, number, finished, mod_revision);
@@ -185,11 +188,11 @@
                 self.reread_job(&name, term, &id);
             }
             (WriteOutcome::Committed { .. }, JobWriteAction::PagesOnly)
-            | (WriteOutcome::Failed, _) => job.retry_write(now + WRITE_RETRY),
+            | (WriteOutcome::Failed, _) => job.retry_write(now + WRITE_RETRY_DELAY),
         }
     }
 
-    /// The record of a job is in force with newly finished tasks.
+    /// Handles the commit of a job's record with newly finished tasks.
     fn progress_written(&mut self, name: &str, id: &str, recorded: &Ranges, mod_revision: u64) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let Some(job) = partition.jobs.get_mut(id) else { return };
@@ -197,17 +200,19 @@
         let record = (job.mod_revision() == mod_revision).then(|| job.record.clone());
         partition.placement_wanted |= placement_wanted;
         if let Some(record) = record {
-            // So the watch, which tells of it too, brings nothing new.
+            // Applied here, so that the watch event of the same write changes nothing.
             self.reconcile_job(record, mod_revision);
         }
     }
 
+    /// Reads a job's record again after a write found that it had changed.
     pub(crate) fn reread_job(&mut self, partition: &str, term: u64, job: &str) {
-        let waiting =
+        let pending =
             PendingStoreCall::Reread { partition: partition.into(), term, job: job.into() };
-        self.outbox.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), waiting);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), pending);
     }
 
+    /// Handles the reread of an active job; without a record, reads the job's final state.
     pub(crate) fn active_job_reread(
         &mut self,
         name: &str,
@@ -227,7 +232,7 @@
             }
             Ok(StoreReply::Read(None)) => {
                 job.begin_reread();
-                let waiting = PendingStoreCall::RereadTerminalJob {
+                let pending = PendingStoreCall::RereadTerminalJob {
                     partition: name.into(),
                     term,
                     job: id.to_owned(),
@@ -235,15 +240,16 @@
                 self.outbox.call_store(
                     CallPriority::Work,
                     StoreCall::Get(terminal_job_key(id)),
-                    waiting,
+                    pending,
                 );
             }
             _ => {
-                job.retry_write(now + WRITE_RETRY);
+                job.retry_write(now + WRITE_RETRY_DELAY);
             }
         }
     }
 
+    /// Handles the reread of a job's final state.
     pub(crate) fn terminal_job_reread(
         &mut self,
         name: &str,
@@ -253,15 +259,15 @@
     ) {
         let now = self.now;
         if let Ok(StoreReply::Read(Some(entry))) = &result
-            && let Some(over) = parse::<TerminalJobRecord>(entry)
+            && let Some(terminal) = parse::<TerminalJobRecord>(entry)
         {
-            return self.job_terminated(id, over);
+            return self.job_terminated(id, terminal);
         }
         if let Some(partition) = self.partition_at_term(name, term)
             && let Some(job) = partition.jobs.get_mut(id)
         {
             job.end_write();
-            job.retry_write(now + WRITE_RETRY);
+            job.retry_write(now + WRITE_RETRY_DELAY);
         }
     }
 }
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -1,7 +1,7 @@
-//! Steps of leadership that concern more than one component: what the lease, and the keys that are
-//! taken and given up, mean for the partitions that this process acts for.
+//! Applies changes of the lease and of the partition keys to the partitions that this process
+//! leads.
 //!
-//! The state and the decisions are those of `leadership::lease`, `leadership::authority` and
+//! The state and the decisions belong to `leadership::lease`, `leadership::authority` and
 //! `leadership::partition_keys`.
 
 use quartzlever_wire::store::StoreReply;
@@ -20,7 +20,7 @@
 use crate::store::watch::{WATCH_PAUSE, WATCH_SHARE};
 
 impl Core {
-    /// Whether this process surely holds its lease.
+    /// Reports whether this process certainly still holds its lease.
     pub(crate) fn holds_lease(&self) -> bool {
         self.lease.is_held(self.now)
     }
@@ -29,21 +29,23 @@
         Authority::new(&self.lease, self.cache.view_as_of(), &self.config)
     }
 
-    /// Until when this process may act for its partitions.
+    /// Returns the time until which this process may act for its partitions.
     pub(crate) fn authority_expires_at(&self) -> Micros {
         self.authority().expires_at()
     }
 
-    /// Whether this process may act for its partitions.
+    /// Reports whether this process may act for its partitions.
     pub(crate) fn may_act(&self) -> bool {
         self.authority().is_valid(self.now)
     }
 
+    /// Handles the reply to the request for a lease that was sent at `sent`.
     pub(crate) fn lease_granted(&mut self, sent: Micros, result: &Result<StoreReply, CallError>) {
         let outcome = self.lease.granted(self.now, sent, &self.config, result);
         self.apply_lease_outcome(outcome);
     }
 
+    /// Handles the reply to the renewal of a lease that was sent at `sent`.
     pub(crate) fn lease_renewed(
         &mut self,
         sent: Micros,
@@ -54,7 +56,7 @@
         self.apply_lease_outcome(outcome);
     }
 
-    /// The store says that a lease has ended.
+    /// Handles the store's notice that a lease has ended.
     pub(crate) fn lease_ended(&mut self, lease: u64) {
         let outcome = self.lease.ended(self.now, lease);
         self.apply_lease_outcome(outcome);
@@ -64,12 +66,13 @@
         match outcome {
             LeaseOutcome::Unchanged | LeaseOutcome::Extended => {}
             LeaseOutcome::Regained => {
-                // The store may have been away, and its leases with their full time again: nobody is
-                // called silent for what was not answered meanwhile.
+                // After an outage the store may grant leases their full lifetime again. Machines
+                // whose heartbeats were not answered meanwhile must not count as silent.
                 self.reachability.restart_listening(self.now);
             }
             LeaseOutcome::Ended => {
-                // The lease is gone, and with it the announcement and every partition.
+                // The node's announcement and its partition keys were attached to the lease and are
+                // gone with it.
                 self.cluster.forget_node(&self.config.node);
                 let partitions = self.partitions.len();
                 self.outbox.log(LogLevel::Info, || LogEvent::LeaseLost { partitions });
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Stops acting for a partition, unless it was lost and taken again since that term.
+    /// Stops leading a partition, unless it was lost and acquired again under a later term.
     pub(crate) fn lose_partition(&mut self, name: &str, term: u64) {
         if self.partitions.get(name).is_some_and(|p| p.term == term) {
             self.partitions.remove(name);
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Takes, asks for and hands back partitions.
+    /// Loads, acquires, requests and releases partitions as their keys require.
     pub(crate) fn poll_leadership(&mut self) {
         self.load_partitions();
         if !self.cache.loaded() || !self.holds_lease() {
@@ -131,14 +134,14 @@
         }
     }
 
-    /// Stops acting for a partition and then gives up its key.
+    /// Stops leading a partition and then releases its key.
     pub(crate) fn release(&mut self, name: &str, mod_revision: u64) {
         self.partitions.remove(name);
         let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
         self.partition_keys.release(self.now, name, mod_revision, budget, outbox);
     }
 
-    /// The store has answered the attempt to take a partition with a key on this lease.
+    /// Handles the reply to the acquisition of a partition whose key is attached to `lease`.
     pub(crate) fn acquired(
         &mut self,
         name: &str,
@@ -158,10 +161,13 @@
         }
     }
 
-    /// A partition's key was given up, or is another's already. The cache lags behind, and a
-    /// partition that it still shows as ours was released again and again: 700 changes in a row, in
-    /// which the limit of changes, and with it every submission, was lost.
-    pub(crate) fn released(
+    /// Handles the reply to the release of a partition's key.
+    ///
+    /// A key that was released, or that another process holds, is removed from the cache at once.
+    /// The cache lags behind the store, and a partition that it still showed as led here was
+    /// released repeatedly: 700 writes in a row used up the write limit, and every submission was
+    /// lost.
+    pub(crate) fn release_replied(
         &mut self,
         name: &str,
         mod_revision: u64,
@@ -175,7 +181,7 @@
         }
     }
 
-    /// Starts acting as a partition's leader: reads its jobs and machines first.
+    /// Starts leading a partition; its jobs and machines are loaded before any decision is made.
     pub(crate) fn begin_leadership(&mut self, name: &str, term: u64) {
         if self.partition_keys.is_releasing(name)
             || self.partitions.get(name).is_some_and(|p| p.term >= term)
@@ -193,8 +199,8 @@
         self.partitions.insert(name.to_owned(), partition);
     }
 
-    /// Partitions whose acquisition the cache has come to begin their work from it: what an earlier
-    /// leader wrote is in it, and it can write no more.
+    /// Loads the partitions whose acquisition the cache has reached. The cache then holds
+    /// everything that an earlier leader wrote, and the earlier leader can no longer write.
     fn load_partitions(&mut self) {
         if !self.cache.loaded() {
             return;
@@ -212,8 +218,8 @@
         }
     }
 
-    /// A home node asks for its partition: one that runs the first version after the cluster version
-    /// is raised asks in vain.
+    /// Handles a home node's request for its partition. The request is ignored if the node runs the
+    /// first version and the cluster version has been raised.
     pub(crate) fn handback_requested(&mut self, partition: &str) {
         if self.cluster.may_lead(partition) {
             self.partition_keys.note_handback_request(self.now, partition);
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -1,14 +1,14 @@
-//! Partitions that change hands, and how long they are acted for.
+//! Tests the transfer of partitions, and how long a leader may act.
 
 use crate::testing::*;
 
 #[test]
 fn a_partition_is_handed_back_once() {
-    // (what the release brings, how many more releases follow within a second)
-    for (name, brings, more) in [
-        ("given up", Ok(StoreReply::Committed(20)), 0),
-        ("another's already", Ok(StoreReply::Conflict(vec!["parts/two".into()])), 0),
-        ("not carried out", Err(CallError::Refused), 1),
+    // (reply to the release, number of further releases within a second)
+    for (name, reply, more) in [
+        ("released", Ok(StoreReply::Committed(20)), 0),
+        ("held by another already", Ok(StoreReply::Conflict(vec!["parts/two".into()])), 0),
+        ("not applied", Err(CallError::Refused), 1),
         ("unknown", Err(CallError::Unknown), 1),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "one", 6)]);
@@ -16,19 +16,20 @@
             core.partition_keys.note_handback_request(NOW - second * SECOND, "two");
         }
         let first = changes(&core.step(NOW, Vec::new()), "parts/two");
-        assert_eq!(first.len(), 1, "{name}: asked for long enough");
-        // The cache does not know of it yet; the home node still asks.
-        let result = Command::StoreReply { call_id: first[0], result: brings };
-        let mut again = changes(&core.step(NOW + SECOND / 20, vec![result]), "parts/two");
+        assert_eq!(first.len(), 1, "{name}: requested for long enough");
+        // The cache has not seen the release yet, and the home node still requests its partition.
+        let result = Command::StoreReply { call_id: first[0], result: reply };
+        let mut further = changes(&core.step(NOW + SECOND / 20, vec![result]), "parts/two");
         for step in 2..20 {
-            again.extend(changes(&core.step(NOW + step * SECOND / 20, Vec::new()), "parts/two"));
+            further.extend(changes(&core.step(NOW + step * SECOND / 20, Vec::new()), "parts/two"));
         }
-        assert_eq!(again.len(), more, "{name}");
+        assert_eq!(further.len(), more, "{name}");
     }
 }
 
-/// The sending of a read counts, once the cache has come as far; a lease that is surely alive is not
-/// enough, nor is a fresh view from before the lease was renewed after a time without.
+/// The age of a view counts from the sending of the read, once the cache has reached the revision
+/// that it returned. A valid lease alone is not enough, nor is a fresh view from before a lapsed
+/// lease was renewed.
 #[test]
 fn a_leader_acts_only_on_a_fresh_view() {
     let watched = |revision| Ok(StoreReply::Watched(WatchAnswer { revision, log: Vec::new() }));
@@ -43,29 +44,31 @@
         core.may_act()
     };
     assert!(at(&mut core, bound - 1) && !at(&mut core, bound));
-    // The watch was sent 5 s after the view, and tells nothing new.
-    core.watched(1, NOW + 5 * SECOND, watched(12));
+    // The watch was sent 5 s after the view, and reports no change.
+    core.watch_replied(1, NOW + 5 * SECOND, watched(12));
     assert!(at(&mut core, 5 * SECOND + bound - 1) && !at(&mut core, 5 * SECOND + bound));
-    // A read of the revision counts from its sending, but only once the cache has come to it.
+    // A read of the revision counts from its sending, but only once the cache has reached that
+    // revision.
     core.revision_read(Vec::new(), NOW + 9 * SECOND, Ok(StoreReply::Revision(14)));
     assert!(!at(&mut core, 5 * SECOND + bound));
-    core.watched(2, NOW + 6 * SECOND, watched(13));
+    core.watch_replied(2, NOW + 6 * SECOND, watched(13));
     assert!(!at(&mut core, 6 * SECOND + bound));
-    core.watched(3, NOW + 7 * SECOND, watched(14));
+    core.watch_replied(3, NOW + 7 * SECOND, watched(14));
     assert!(at(&mut core, 9 * SECOND + bound - 1));
-    // Renewed after a time without a sure lease: the view must be newer than that renewal.
+    // The lease is renewed after it lapsed: the view must be newer than that renewal.
     core.lease.expire_at(NOW);
     core.now = NOW + 20 * SECOND;
     core.lease_renewed(NOW + 19 * SECOND, 1, &Ok(StoreReply::Renewed));
-    assert!(core.holds_lease() && !core.may_act(), "the view is from before the renewal");
+    assert!(core.holds_lease() && !core.may_act(), "the view predates the renewal");
     core.revision_read(Vec::new(), NOW + 19 * SECOND, Ok(StoreReply::Revision(14)));
     assert!(core.may_act());
 }
 
-/// The bound holds for whatever the settings say; where it cannot, that is said.
+/// The maximum view age plus the worker lease stays below the cancellation deadline for all
+/// settings; where it cannot, the controller logs so at its start.
 #[test]
-fn views_leases_and_cancellations_add_up() {
-    // (lease, cancel in seconds, whether leases alone do)
+fn view_age_and_worker_lease_fit_within_the_cancellation_deadline() {
+    // (lease and cancel in seconds, whether the lease alone meets cancel)
     for (lease, cancel, meets) in [
         (34, 64, true),
         (36, 56, true),
@@ -83,22 +86,23 @@
             "{lease} {cancel}: {latest}"
         );
         assert!(config.watch_hold() < config.max_view_age() / 2, "{lease} {cancel}");
-        let mut told = Core::new(config, 1, NOW);
-        let effects = told.step(NOW, Vec::new());
+        let mut new_core = Core::new(config, 1, NOW);
+        let effects = new_core.step(NOW, Vec::new());
         let (cancel, lease) = (cancel * SECOND, lease * SECOND);
         let event = LogEvent::CancelTooShortForLease { cancel, lease };
-        let named = effects.iter().any(|e| matches!(e, Effect::Log(told) if *told == event));
-        assert_eq!(named, !meets, "{lease} {cancel}");
+        let logged = effects.iter().any(|e| matches!(e, Effect::Log(found) if *found == event));
+        assert_eq!(logged, !meets, "{lease} {cancel}");
     }
 }
 
-/// Its own partition is absent, and the store refuses what it is asked: each refusal was
-/// followed by the next attempt at once, a hundred a second, and each counted against the limit of changes.
+/// The node's own partition is absent, and the store refuses its acquisition. Each refusal was
+/// followed by the next attempt at once, a hundred per second, each of which counted against the
+/// write limit.
 #[test]
-fn a_refused_acquisition_is_repeated_after_a_pause() {
-    for (name, brings) in [
+fn a_failed_acquisition_is_retried_after_a_delay() {
+    for (name, reply) in [
         ("refused", Err(CallError::Refused)),
-        ("too often", Err(CallError::Throttled)),
+        ("throttled", Err(CallError::Throttled)),
         ("conflict", Ok(StoreReply::Conflict(vec!["parts/one".into()]))),
     ] {
         let mut core = with_cache(&[("two", "two", 6)]);
@@ -110,7 +114,7 @@
             let effects = core.step(now, std::mem::take(&mut answers));
             for call_id in changes(&effects, "parts/one") {
                 attempts += 1;
-                answers.push(Command::StoreReply { call_id, result: brings.clone() });
+                answers.push(Command::StoreReply { call_id, result: reply.clone() });
             }
         }
         assert!((4..=9).contains(&attempts), "{name}: {attempts} attempts in 2 s");
--- a/crates/quartzlever-core/src/router/lookups.rs
+++ b/crates/quartzlever-core/src/router/lookups.rs
@@ -1,4 +1,5 @@
-//! The answering of lookups: from the cache once it is new enough, else by reading the job.
+//! Answers lookups of jobs: from the cache once it is recent enough, otherwise by reading the
+//! record.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::Micros;
@@ -10,39 +11,42 @@
 use crate::store::lookups::REVISION_SHARE;
 
 impl Core {
+    /// Handles a lookup: answers a job that is known to have ended, and queues any other lookup.
     pub(super) fn lookup(&mut self, id: RequestId, job: String) {
-        if let Some(over) = self.terminal_jobs.get(&job).cloned() {
-            return self.answer_terminal_job(id, &job, &over);
+        if let Some(terminal) = self.terminal_jobs.get(&job).cloned() {
+            return self.answer_terminal_job(id, &job, &terminal);
         }
         if !self.lookups.ask(self.now, id, job) {
             self.outbox.reject_retryable(id, 503, "busy");
         }
     }
 
-    /// Asks for the revision, and answers what the cache is new enough for.
+    /// Requests the store's revision for the waiting lookups, answers those for which the cache is
+    /// recent enough, and reads the jobs of those that have waited too long.
     pub(super) fn poll_lookups(&mut self) {
-        let (now, pause) = (self.now, self.min_interval_for(REVISION_SHARE));
-        self.lookups.poll(now, pause, &mut self.outbox);
-        while let Some(asked) = self.lookups.take_answerable(&self.cache) {
-            for one in asked {
-                self.answer_from_cache(one);
+        let (now, min_interval) = (self.now, self.min_interval_for(REVISION_SHARE));
+        self.lookups.poll(now, min_interval, &mut self.outbox);
+        while let Some(lookups) = self.lookups.take_answerable(&self.cache) {
+            for lookup in lookups {
+                self.answer_from_cache(lookup);
             }
         }
-        while let Some(asked) = self.lookups.take_overdue(now) {
-            for one in asked {
-                self.read_for_user(JobReadPurpose::Lookup { id: one.id, job: one.job });
+        while let Some(lookups) = self.lookups.take_overdue(now) {
+            for lookup in lookups {
+                self.read_for_user(JobReadPurpose::Lookup { id: lookup.id, job: lookup.job });
             }
         }
     }
 
-    /// The revision was read, or not: for questions, or for the age of the view alone.
+    /// Handles the reply to a read of the revision, which served `lookups` or, if that is empty,
+    /// only the freshness of the view.
     pub(crate) fn revision_read(
         &mut self,
-        asked: Vec<PendingLookup>,
+        lookups: Vec<PendingLookup>,
         sent: Micros,
         result: Result<StoreReply, CallError>,
     ) {
-        if asked.is_empty() {
+        if lookups.is_empty() {
             self.cache.view_read_answered();
         } else {
             self.lookups.read_answered();
@@ -50,22 +54,26 @@
         match result {
             Ok(StoreReply::Revision(revision)) => {
                 self.cache.read_revision(revision, sent);
-                if !asked.is_empty() {
-                    self.lookups.wait_for(revision, asked);
+                if !lookups.is_empty() {
+                    self.lookups.wait_for(revision, lookups);
                 }
             }
             _ => {
-                for one in asked {
-                    self.outbox.reject_retryable(one.id, 503, "the state service gives no answer");
+                for lookup in lookups {
+                    self.outbox.reject_retryable(
+                        lookup.id,
+                        503,
+                        "the state service gives no answer",
+                    );
                 }
             }
         }
     }
 
-    fn answer_from_cache(&mut self, asked: PendingLookup) {
-        let PendingLookup { id, job, .. } = asked;
-        if let Some(over) = self.terminal_jobs.get(&job).cloned() {
-            return self.answer_terminal_job(id, &job, &over);
+    fn answer_from_cache(&mut self, lookup: PendingLookup) {
+        let PendingLookup { id, job, .. } = lookup;
+        if let Some(terminal) = self.terminal_jobs.get(&job).cloned() {
+            return self.answer_terminal_job(id, &job, &terminal);
         }
         match self.cache.active_job(&job) {
             Some(known) => {
--- a/crates/quartzlever-core/src/router/ownership.rs
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -1,4 +1,4 @@
-//! Claims of machines and the groups that they are in, step by step through the components that they concern.
+//! Claims and releases machines, and writes the groups that hold their records.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::store::{KeyValue, MachineRecords, StoreReply, machine_records_in};
@@ -22,12 +22,12 @@
         GroupLayout::new(&agreement, &self.config, &self.limits, self.cache.revision())
     }
 
-    /// How many machines share a key that is written now.
+    /// Returns how many machines share a group key that is written now.
     pub(crate) fn group_size(&self) -> u64 {
         self.group_layout().size
     }
 
-    /// An unclaimed machine is to be claimed for a partition held here.
+    /// Queues the claim of an unclaimed machine for a partition led here.
     pub(crate) fn request_ownership(
         &mut self,
         id: RequestId,
@@ -38,14 +38,14 @@
         self.ownership.request(id, heartbeat, owner, &layout, self.now);
     }
 
-    /// A returned machine's record is no longer wanted.
+    /// Queues the removal of a terminated machine's record.
     pub(crate) fn release_ownership(&mut self, machine: &str, partition: &str, term: u64) {
         let owner = PartitionTerm { partition: partition.to_owned(), term };
         let layout = self.group_layout();
         self.ownership.release(machine, owner, &self.cache, &layout);
     }
 
-    /// Writes groups of machines that have to change, and splits one that is too large.
+    /// Writes the groups with queued changes, and splits a group that is too large.
     pub(super) fn write_groups(&mut self) {
         let context = GroupContext {
             now: self.now,
@@ -58,7 +58,7 @@
         self.ownership.split_group(&context, &mut self.write_budget, &mut self.outbox);
     }
 
-    /// A step of splitting a group has been answered.
+    /// Handles the reply to a step of splitting a group.
     pub(super) fn group_split(
         &mut self,
         key: &str,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The write of a group has been answered.
+    /// Handles the reply to the write of a group.
     pub(super) fn group_written(
         &mut self,
         write: GroupWrite,
@@ -85,9 +85,10 @@
             GroupWriteOutcome::Committed { mod_revision } => {
                 let GroupWrite { key, records, added, .. } = write;
                 self.apply_group_change(&key, records, mod_revision);
-                // An event of a later change may have been quicker: then these are known already.
+                // The watch may have delivered a later change first; the machines are known already
+                // then.
                 for machine in &added {
-                    self.settle_claim(&key, machine);
+                    self.complete_claim(&key, machine);
                 }
                 self.ownership.forget_if_settled(&key);
             }
@@ -101,20 +102,22 @@
         }
     }
 
-    /// A group has been read again.
+    /// Handles the reply to the reread of a group.
     pub(super) fn group_read(&mut self, key: &str, result: Result<StoreReply, CallError>) {
         let is_read = matches!(result, Ok(StoreReply::Read(_)));
         self.ownership.read_answered(key, is_read, self.now);
         match result {
             Ok(StoreReply::Read(Some(entry))) => self.apply_group_record(&entry, true),
-            // The watch tells of its removal, at which modification revision it cannot be written any more.
+            // The watch reports the deletion with its revision; 0 applies whatever revision is
+            // cached. No write conditioned on the deleted group's modification revision can commit
+            // any more.
             Ok(StoreReply::Read(None)) => self.apply_group_change(key, MachineRecords::new(), 0),
             _ => {}
         }
     }
 
-    /// Takes in a group as the store has it. `is_change` says that a machine which was not
-    /// known before has been claimed since.
+    /// Applies a group's record from the store. `is_change` means that machines which were not
+    /// known before are newly claimed; otherwise the record only fills the cache.
     pub(crate) fn apply_group_record(&mut self, entry: &KeyValue, is_change: bool) {
         let Some(records) = machine_records_in(&entry.key, &entry.value) else {
             return self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key));
@@ -126,7 +129,7 @@
         }
     }
 
-    /// A group has changed.
+    /// Applies a changed group to the cache and to the partitions led here.
     pub(crate) fn apply_group_change(
         &mut self,
         key: &str,
@@ -134,8 +137,10 @@
         mod_revision: u64,
     ) {
         let now = self.now;
-        let Some(new) = self.cache.record_group(key, records, mod_revision) else { return };
-        for (machine, record) in new {
+        let Some(new_machines) = self.cache.record_group(key, records, mod_revision) else {
+            return;
+        };
+        for (machine, record) in new_machines {
             for partition in self.partitions.values_mut() {
                 if partition.name == record.partition {
                     partition.add_claimed_machine(&machine, &record, mod_revision, now);
@@ -144,12 +149,12 @@
                     partition.autoscaling.pending_instances.arrived(&machine, types, now);
                 }
             }
-            self.settle_claim(key, &machine);
+            self.complete_claim(key, &machine);
         }
     }
 
-    /// The machine belongs to somebody now: answers the heartbeats that waited for that.
-    fn settle_claim(&mut self, key: &str, machine: &str) {
+    /// Answers the heartbeats that waited for the claim of a machine, now that it has an owner.
+    fn complete_claim(&mut self, key: &str, machine: &str) {
         let Some(claim) = self.ownership.take_claim(key, machine) else { return };
         for id in claim.ids {
             self.handle_heartbeat(id, claim.heartbeat.clone());
--- a/crates/quartzlever-core/src/router/ownership/tests.rs
+++ b/crates/quartzlever-core/src/router/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! Claims of machines, through the whole controller.
+//! Tests claims of machines, through the whole controller.
 
 use super::*;
 use crate::testing::*;
@@ -7,9 +7,9 @@
 };
 
 #[test]
-fn a_block_write_of_unknown_outcome_claims_once() {
-    // (what the write brings, what the block is read as after that; machines in the end)
-    let block = |names: &[&str]| {
+fn a_group_write_of_unknown_outcome_claims_once() {
+    // (reply to the write, the group that is read back afterwards, final number of machines)
+    let group = |names: &[&str]| {
         let record = |n: &&str| {
             let mut record = core().partitions["one"].machines["n-1"].record.clone();
             record.address = format!("{n}:9000");
@@ -17,10 +17,10 @@
         };
         serde_json::json!(MachineGroupRecord { machines: names.iter().map(record).collect() })
     };
-    for (name, brings, found, machines) in [
-        ("in force", Ok(StoreReply::Committed(20)), None, 2),
-        ("unknown, and it was carried out", Err(CallError::Unknown), Some(block(&["n-9"])), 2),
-        ("unknown, and it was not", Err(CallError::Unknown), Some(block(&["n-8"])), 3),
+    for (name, reply, found, machines) in [
+        ("committed", Ok(StoreReply::Committed(20)), None, 2),
+        ("unknown, and it was applied", Err(CallError::Unknown), Some(group(&["n-9"])), 2),
+        ("unknown, and it was not applied", Err(CallError::Unknown), Some(group(&["n-8"])), 3),
     ] {
         let mut core = core();
         core.cache.set_loaded(true);
@@ -41,18 +41,17 @@
             })
         };
         let Some(call_id) = txn(&core.step(NOW + SECOND, Vec::new())) else { panic!("{name}") };
-        let effects =
-            core.step(NOW + SECOND, vec![Command::StoreReply { call_id, result: brings }]);
-        if let Some(v) = found {
+        let effects = core.step(NOW + SECOND, vec![Command::StoreReply { call_id, result: reply }]);
+        if let Some(value) = found {
             let call_id = effects.iter().find_map(|e| match e {
                 Effect::Store { call_id, call: StoreCall::Get(_), .. } => Some(*call_id),
                 _ => None,
             });
             let Some(call_id) = call_id else { panic!("{name}: not read back") };
-            let path = large_group_key("n-9");
+            let key = large_group_key("n-9");
             let entry = quartzlever_wire::store::KeyValue {
-                key: path,
-                value: quartzlever_wire::Json::of(&v),
+                key,
+                value: quartzlever_wire::Json::of(&value),
                 mod_revision: 21,
                 lease_id: None,
             };
@@ -69,17 +68,18 @@
     }
 }
 
-/// A claim in the large block that an earlier write brings late, after the machine was claimed for
-/// another partition in its small block, counts for nothing, whichever is seen first.
+/// A late write of the larger group may claim a machine that has since been claimed for another
+/// partition in its smaller group. The claim in the larger group is ignored, whichever of the two
+/// is seen first.
 #[test]
-fn a_machine_in_two_blocks_belongs_to_the_small_one() {
+fn a_machine_in_two_groups_belongs_to_the_smaller_one() {
     for (large, small) in [("hosts/n-~3", "hosts/n-~16~14"), ("hosts/n-~16~14", "hosts/n-~4~57")] {
-        in_two_blocks(large, small);
+        check_smaller_group_wins(large, small);
     }
 }
 
-fn in_two_blocks(large: &str, small: &str) {
-    let block = |partition: &str| {
+fn check_smaller_group_wins(large: &str, small: &str) {
+    let group = |partition: &str| {
         Json::of(&MachineGroupRecord {
             machines: MachineRecords::from([(
                 "n-000231".to_owned(),
@@ -87,41 +87,45 @@
             )]),
         })
     };
-    let entry = |path: &str, partition: &str, mod_revision| KeyValue {
-        key: path.into(),
-        value: block(partition),
+    let entry = |key: &str, partition: &str, mod_revision| KeyValue {
+        key: key.into(),
+        value: group(partition),
         mod_revision,
         lease_id: None,
     };
     for order in [[0, 1], [1, 0]] {
-        for news in [true, false] {
+        for is_change in [true, false] {
             let mut core = core();
-            let rows = [entry(small, "two", 20), entry(large, "one", 21)];
+            let entries = [entry(small, "two", 20), entry(large, "one", 21)];
             for n in order {
-                core.apply_group_record(&rows[n], news && order == [0, 1]);
+                core.apply_group_record(&entries[n], is_change && order == [0, 1]);
             }
             let owner = core.cache.machine_record("n-000231").map(|r| r.partition.clone());
             assert_eq!(owner.as_deref(), Some("two"), "{order:?}");
-            assert!(!core.partitions["one"].machines.contains_key("n-000231"), "{order:?} {news}");
+            assert!(
+                !core.partitions["one"].machines.contains_key("n-000231"),
+                "{order:?} {is_change}"
+            );
             assert_eq!(core.cache.machines_of("one").count(), 0, "{order:?}");
             assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
-            // The end of the large block leaves the small one's machine where it is.
+            // Deleting the larger group leaves the machine of the smaller one in place.
             core.apply_group_change(large, MachineRecords::new(), 22);
             assert_eq!(core.cache.machines_of("two").count(), 1, "{order:?}");
         }
     }
 }
 
-/// While controllers might use different sizes of blocks a machine could get two owners. So a claim
-/// has the agreement on the size as a condition, and waits until all earlier claims are known.
+/// While controllers use different group sizes, a machine could get two owners. A claim is
+/// therefore conditioned on the agreement on the size, and waits until all earlier claims are
+/// known.
 #[test]
-fn a_claim_depends_on_the_agreed_size_of_blocks() {
-    // (agreed size and its modification revision, how far the cache has come, the key that is written)
+fn a_claim_depends_on_the_agreed_group_size() {
+    // (agreed size and its modification revision, revision of the cache, the key that is written)
     for (agreed, revision, key) in [
         (None, 30, Some("hosts/n-~16~14")),
         (Some((4, 20)), 30, Some("hosts/n-~4~57")),
         (Some((4, 31)), 30, None),
-        // It only ever sinks: the settings' own size is smaller.
+        // The size in use only decreases: the one that follows from the settings is smaller.
         (Some((32, 20)), 30, Some("hosts/n-~16~14")),
     ] {
         let mut core = core();
@@ -131,14 +135,9 @@
         core.lease.renew_at(NOW + 900 * SECOND);
         core.apply_cluster_record(&raised_version(10));
         if let Some((size, mod_revision)) = agreed {
-            let v = Json::of(&GroupSizeRecord { size });
-            let path = GROUP_SIZE_KEY.into();
-            core.apply_cluster_record(&KeyValue {
-                key: path,
-                value: v,
-                mod_revision,
-                lease_id: None,
-            });
+            let value = Json::of(&GroupSizeRecord { size });
+            let key = GROUP_SIZE_KEY.into();
+            core.apply_cluster_record(&KeyValue { key, value, mod_revision, lease_id: None });
         }
         core.request_ownership(
             1,
--- a/crates/quartzlever-core/src/router/reachability.rs
+++ b/crates/quartzlever-core/src/router/reachability.rs
@@ -1,7 +1,7 @@
-//! Steps of reachability that concern more than one component: telling leaders which of their
-//! machines come here, and giving up partitions whose workers a peer hears.
+//! Notifies leaders of their machines whose heartbeats arrive here, and gives up partitions whose
+//! heartbeats a peer receives instead of this node.
 //!
-//! The counts and the decisions are those of `leadership::reachability`.
+//! The counts and the decisions belong to `leadership::reachability`.
 
 use quartzlever_wire::peers::PeerRequest;
 use quartzlever_wire::store::KeyValue;
@@ -12,8 +12,8 @@
 use crate::router::Core;
 
 impl Core {
-    /// Tells leaders which of their machines come here, gives up partitions that a peer hears better,
-    /// and tries whether workers can be reached again.
+    /// Notifies leaders of their machines that send heartbeats here, gives up partitions of which a
+    /// peer sees more machines, and probes whether workers are reachable again.
     pub(crate) fn poll_reachability(&mut self) {
         if !self.reachability.begin_check(self.now) {
             return;
@@ -35,8 +35,8 @@
     }
 
     fn notify_machines_seen(&mut self) {
-        for told in self.reachability.foreign_machines(self.now, &self.config) {
-            let ForeignMachines { partition, machines } = told;
+        for foreign in self.reachability.foreign_machines(self.now, &self.config) {
+            let ForeignMachines { partition, machines } = foreign;
             if let Some(node) = self.other_leader_of(&partition).map(str::to_owned) {
                 let request = PeerRequest::MachinesSeen { partition: partition.clone(), machines };
                 let pending = PendingPeerCall::MachinesSeen { partition, machines };
@@ -63,25 +63,26 @@
         }
     }
 
-    /// The leader was not reached: it is told by way of the store.
+    /// Stores the number of machines seen for a leader that could not be reached, which learns of
+    /// it through its watch.
     pub(crate) fn store_machines_seen(&mut self, partition: &str, machines: u32) {
         let Some(lease) = self.lease.id().filter(|_| self.may_act()) else { return };
         let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
         Reachability::store_machines_seen(&self.config, partition, machines, lease, budget, outbox);
     }
 
-    /// What a peer has left at the store.
+    /// Applies a peer's record of the machines that it sees.
     pub(crate) fn apply_machines_seen_record(&mut self, entry: &KeyValue) {
         self.reachability.apply_machines_seen_record(self.now, entry);
     }
 
-    /// A machine of a partition that another node holds has come here.
+    /// Records a heartbeat from a machine of a partition that another node leads.
     pub(crate) fn note_foreign_heartbeat(&mut self, partition: &str, machine: &str) {
         self.reachability.note_foreign_heartbeat(self.now, partition, machine);
     }
 
-    /// A call to try whether workers are reached was answered, or was not.
-    pub(crate) fn probed(&mut self, is_reached: bool) {
+    /// Handles the outcome of a probe of whether workers are reachable.
+    pub(crate) fn probe_replied(&mut self, is_reached: bool) {
         self.reachability.probed(is_reached, &mut self.outbox);
     }
 }
--- a/crates/quartzlever-core/src/router/reachability/tests.rs
+++ b/crates/quartzlever-core/src/router/reachability/tests.rs
@@ -1,24 +1,25 @@
-//! A node that does not hear the workers of its partitions, and peers that do.
+//! Tests a node that receives no heartbeats from its partitions' workers, and peers that do.
 
 use quartzlever_wire::store::MACHINES_SEEN_PREFIX;
 
 use crate::testing::*;
 
 #[test]
-fn a_partition_goes_to_the_peer_that_hears_its_workers() {
-    // (seconds since the leader heard anything, how many machines it hears now, how many a peer
-    // says it hears, whether the leader stood still; whether it gives the partition up), of ten
-    for (name, quiet, hears, peer, behind, given_up) in [
-        ("cut from the workers alone", 4, 0, 9, false, true),
-        ("a few hear it still", 4, 1, 9, false, false),
+fn a_partition_is_given_up_when_a_peer_receives_its_heartbeats() {
+    // The partition has ten machines. (seconds since the leader last received a heartbeat, how many
+    // machines send heartbeats now, how many a peer reports, whether the leader was stalled,
+    // whether it gives the partition up)
+    for (name, silent, own, peer, behind, given_up) in [
+        ("only this node is cut off from the workers", 4, 0, 9, false, true),
+        ("some heartbeats still arrive", 4, 1, 9, false, false),
         ("a zone or the machines failed", 4, 0, 0, false, false),
-        ("few come to the peer", 4, 0, 4, false, false),
-        ("it stood still, its reports are unread", 4, 0, 9, true, false),
-        ("too early to say", 1, 0, 9, false, false),
+        ("few reach the peer", 4, 0, 4, false, false),
+        ("the leader was stalled, with heartbeats unprocessed", 4, 0, 9, true, false),
+        ("too early to tell", 1, 0, 9, false, false),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         with_ten_machines(&mut core, NOW);
-        let now = NOW + quiet * SECOND;
+        let now = NOW + silent * SECOND;
         let mut commands = vec![
             Command::Tick { wall: NOW, behind },
             Command::PeerRequest {
@@ -26,27 +27,28 @@
                 request: PeerRequest::MachinesSeen { partition: "one".into(), machines: peer },
             },
         ];
-        for n in 1..=hears {
+        for n in 1..=own {
             let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
             commands.push(Command::Heartbeat { id: 10 + n, heartbeat });
         }
-        let gives = changes(&core.step(now, commands), "parts/one");
-        assert_eq!(gives.len(), usize::from(given_up), "{name}");
-        assert_eq!(core.partitions.contains_key("one"), !given_up, "{name}: no two are entitled");
+        let releases = changes(&core.step(now, commands), "parts/one");
+        assert_eq!(releases.len(), usize::from(given_up), "{name}");
+        assert_eq!(core.partitions.contains_key("one"), !given_up, "{name}: at most one leader");
     }
 }
 
 #[test]
-fn a_peer_tells_the_leader_whom_it_hears() {
-    // (machines of the peer's partition that come here, whether the leader is told)
-    for (machines, told) in [(2, None), (3, Some(3)), (7, Some(7))] {
+fn a_peer_reports_foreign_heartbeats_to_their_leader() {
+    // (machines of the leader's partition that send heartbeats here, the number that it is notified
+    // of)
+    for (machines, notified) in [(2, None), (3, Some(3)), (7, Some(7))] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
         let records: MachineRecords =
             names.iter().map(|n| (n.clone(), machine_record_of(n, "two"))).collect();
         core.apply_group_change(&large_group_key("n-101"), records, 9);
-        let come = names.iter().take(machines).enumerate();
-        let heartbeats = come.map(|(n, name)| Command::Heartbeat {
+        let senders = names.iter().take(machines).enumerate();
+        let heartbeats = senders.map(|(n, name)| Command::Heartbeat {
             id: n as u64,
             heartbeat: idle_heartbeat(name, 3, 6),
         });
@@ -59,15 +61,15 @@
             } => (node == "two" && partition == "two").then_some(*machines),
             _ => None,
         });
-        assert_eq!(found, told, "{machines}");
+        assert_eq!(found, notified, "{machines}");
     }
 }
 
 #[test]
-fn a_leader_that_no_peer_reaches_is_told_by_the_store() {
-    // (whether the leader is reached; whether word is left, and then heeded by a leader that
-    // hears nothing)
-    for (reached, left) in [(true, false), (false, true)] {
+fn an_unreachable_leader_is_notified_through_the_store() {
+    // (whether the leader is reached, whether the notice is stored instead; a leader that receives
+    // no heartbeats then acts on it)
+    for (reached, stored) in [(true, false), (false, true)] {
         let mut peer = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
         let records: MachineRecords =
@@ -78,13 +80,13 @@
             heartbeat: idle_heartbeat(name, 3, 6),
         });
         let effects = peer.step(NOW, heartbeats.collect());
-        let told = effects.iter().find_map(|e| match e {
+        let notice = effects.iter().find_map(|e| match e {
             Effect::Peer { call_id, request: PeerRequest::MachinesSeen { .. }, .. } => {
                 Some(*call_id)
             }
             _ => None,
         });
-        let Some(call_id) = told else { panic!("nothing is told") };
+        let Some(call_id) = notice else { panic!("the leader is not notified") };
         let result = if reached { Ok(PeerAnswer::Nothing) } else { Err(CallError::Refused) };
         let effects = peer.step(NOW, vec![Command::PeerReply { call_id, result }]);
         let event = effects.iter().find_map(|e| match e {
@@ -98,9 +100,10 @@
             },
             _ => None,
         });
-        assert_eq!(event.is_some(), left, "reached {reached}");
+        assert_eq!(event.is_some(), stored, "reached {reached}");
         let Some(event) = event else { continue };
-        // The partition is called "two" there; the leader here is node one with partition "one".
+        // The notice is about partition "two"; the leader under test is node "one" with partition
+        // "one".
         let Event::Write { write, v, .. } = event else { continue };
         let write = write.replacen("two", "one", 1);
         let mut leader = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
@@ -123,15 +126,15 @@
 }
 
 #[test]
-fn a_partition_given_up_comes_home_once_workers_are_reached() {
-    // (seconds since it was given up, whether a call reaches a machine, whether another holds the
-    // partition; whether home asks for it, whether home takes it)
-    for (name, after, reaches, held, asks, takes) in [
-        ("soon after, nobody has it yet", 4, false, false, false, false),
-        ("nobody wants it", 14, false, false, false, true),
-        ("still cut", 40, false, true, false, false),
-        ("reached again", 40, true, true, true, false),
-        ("reached at once: not to and fro", 4, true, true, false, false),
+fn a_partition_given_up_returns_home_once_workers_are_reachable() {
+    // (seconds since it was given up, whether a probe reaches a machine, whether another node holds
+    // the partition, whether the home node requests it, whether the home node acquires it)
+    for (name, after, reaches, held, requests, acquires) in [
+        ("soon after, nobody holds it yet", 4, false, false, false, false),
+        ("nobody acquires it", 14, false, false, false, true),
+        ("still cut off", 40, false, true, false, false),
+        ("reachable again", 40, true, true, true, false),
+        ("reachable at once: not back and forth", 4, true, true, false, false),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         with_ten_machines(&mut core, NOW - 10 * SECOND);
@@ -148,12 +151,12 @@
         let effects = core.step(NOW, vec![Command::PeerRequest { id: 1, request }]);
         let call_ids = changes(&effects, "parts/one");
         assert_eq!(call_ids.len(), 1, "{name}: given up");
-        let mut told = vec![Command::StoreReply {
+        let mut commands = vec![Command::StoreReply {
             call_id: call_ids[0],
             result: Ok(StoreReply::Committed(20)),
         }];
-        told.extend(commit_announcement(&effects));
-        let (mut asked, mut taken) = (false, false);
+        commands.extend(commit_announcement(&effects));
+        let (mut requested, mut acquired) = (false, false);
         for step in 1..=after * 4 {
             let now = NOW + step * SECOND / 4;
             core.lease.expire_at(now + 10 * SECOND);
@@ -161,25 +164,25 @@
                 let record = PartitionRecord { node: "two".into(), process: 77 };
                 core.cache.record_partition("one", record, 21);
             }
-            let effects = core.step(now, std::mem::take(&mut told));
-            told.extend(commit_announcement(&effects));
+            let effects = core.step(now, std::mem::take(&mut commands));
+            commands.extend(commit_announcement(&effects));
             for effect in effects {
                 match effect {
                     Effect::Worker { call_id, call: WorkerCall::Status, .. } => {
                         let heartbeat = WorkerReply::Status(idle_heartbeat("n-1", 30 + step, 21));
                         let result = if reaches { Ok(heartbeat) } else { Err(CallError::Unknown) };
-                        told.push(Command::WorkerReply { call_id, result });
+                        commands.push(Command::WorkerReply { call_id, result });
                     }
                     Effect::Peer { request: PeerRequest::HandBack { partition }, .. } => {
-                        asked |= partition == "one";
+                        requested |= partition == "one";
                     }
                     Effect::Store { call: StoreCall::Txn(txn), .. } => {
-                        taken |= txn.conditions.iter().any(|c| c.path == "parts/one");
+                        acquired |= txn.conditions.iter().any(|c| c.path == "parts/one");
                     }
                     _ => {}
                 }
             }
         }
-        assert_eq!((asked, taken), (asks, takes), "{name}");
+        assert_eq!((requested, acquired), (requests, acquires), "{name}");
     }
 }
--- a/crates/quartzlever-core/src/router/store_changes.rs
+++ b/crates/quartzlever-core/src/router/store_changes.rs
@@ -1,5 +1,5 @@
-//! What the store tells of its records, by a watch or a listing, handed to the components that it concerns
-//! in the order in which it is told.
+//! Applies records that a watch or a listing delivers to the components that they concern, in the
+//! order of delivery.
 
 use quartzlever_wire::store::{
     ACTIVE_JOB_PREFIX, ActiveJobRecord, KeyValue, MachineRecords, PartitionRecord, StoreReply,
@@ -15,19 +15,20 @@
 use crate::store::watch::WATCH_SHARE;
 
 impl Core {
-    /// Keeps the cache of the records, and the watch that feeds it.
+    /// Keeps the cache loaded and fresh: begins a listing while it is not loaded, otherwise polls
+    /// the watch and the age of the view.
     pub(super) fn poll_cache(&mut self) {
         if !self.cache.loaded() {
             return self.listing.begin(self.now, &mut self.outbox);
         }
-        let pause = self.min_interval_for(WATCH_SHARE);
-        self.watch.poll(self.now, &self.config, pause, &self.cache, &mut self.outbox);
+        let min_interval = self.min_interval_for(WATCH_SHARE);
+        self.watch.poll(self.now, &self.config, min_interval, &self.cache, &mut self.outbox);
         let regained_at = self.lease.regained_at();
         self.cache.poll_view(self.now, &self.config, regained_at, &mut self.outbox);
     }
 
-    /// A watch has answered, or failed.
-    pub(crate) fn watched(
+    /// Handles the reply to a watch, or its failure.
+    pub(crate) fn watch_replied(
         &mut self,
         number: u64,
         sent: Micros,
@@ -36,21 +37,21 @@
         let Some(answer) = self.watch.answered(self.now, number, result, &mut self.cache) else {
             return;
         };
-        // An earlier watch may answer after a later one: what it tells is known then.
+        // An earlier watch may answer after a later one; its events are known already then.
         let known = self.cache.revision();
         for event in answer.log {
-            // Whether it is news depends on what came before it.
+            // Whether an event is new depends on the events applied before it.
             let event = StoreEvent::watched(event, known, &self.cache, &self.terminal_jobs);
             if let Some(event) = event {
                 self.apply_store_event(event);
             }
         }
         self.cache.advance(answer.revision);
-        // It tells all that was committed before it was opened, at least.
+        // The answer includes at least everything that was committed before the watch was sent.
         self.cache.read_revision(answer.revision, sent);
     }
 
-    /// A page of the records was read, or not.
+    /// Handles a page of a listing, or its failure.
     pub(crate) fn page_listed(
         &mut self,
         number: u64,
@@ -61,7 +62,7 @@
             return;
         };
         if let Some(revision) = page.begins_at {
-            // The watch will begin at the revision of the first page.
+            // The watch starts at the revision of the first page.
             self.cache.reset(revision);
             self.pages.clear();
         }
@@ -76,7 +77,7 @@
         if let Some(sent) = self.listing.proceed(section, page.next, &mut self.outbox) {
             self.look_for_upgrade();
             self.cache.listing_complete(sent);
-            self.close_gap();
+            self.reconcile_after_listing();
         }
     }
 
@@ -114,8 +115,8 @@
         }
     }
 
-    /// A job's record as the store has it. One that cannot be read is left alone: its
-    /// job stays known, since lookups read what the cache does not have.
+    /// Applies a job's record from the store. An unreadable record is left alone: its job counts as
+    /// active, and lookups read the store for jobs that the cache does not have.
     fn apply_job_record(&mut self, entry: &KeyValue) {
         match parse::<ActiveJobRecord>(entry) {
             Some(record) => self.reconcile_job(record, entry.mod_revision),
@@ -128,28 +129,29 @@
         }
     }
 
-    /// A partition is held by a process, which may be this one.
+    /// Applies the record of a partition's leader, which may be this process.
     pub(crate) fn apply_partition_record(
         &mut self,
         name: &str,
         record: PartitionRecord,
         mod_revision: u64,
     ) {
-        let mine = record.process == self.process && record.node == self.config.node;
+        let is_own = record.process == self.process && record.node == self.config.node;
         if !self.cache.record_partition(name, record, mod_revision) {
             return;
         }
         if self.partitions.get(name).is_some_and(|p| p.term < mod_revision) {
-            // Somebody took the partition over, or a later acquisition of ours came into force.
+            // Another process took the partition over, or a later acquisition of this one
+            // committed.
             self.partitions.remove(name);
         }
-        if mine {
+        if is_own {
             self.begin_leadership(name, mod_revision);
         }
     }
 
-    /// Partitions that are held here although their keys were gone when the listing began, or
-    /// another's: that was among the changes that were missed.
+    /// Drops partitions led here whose keys were deleted or held by another process when the
+    /// listing began: the watch had missed that change.
     fn drop_lost_partitions(&mut self) {
         let revision = self.cache.revision();
         let is_lost = |name: &str, term: u64| {
@@ -169,22 +171,23 @@
         }
     }
 
-    /// The cache was made anew: partitions that were held before may have missed changes.
-    fn close_gap(&mut self) {
+    /// Reconciles the partitions led here with a newly listed cache, since the watch may have
+    /// missed changes before the listing.
+    fn reconcile_after_listing(&mut self) {
         let now = self.now;
         self.drop_lost_partitions();
-        // What was there at the revision at which the listing began, and is not listed, is over:
-        // its tasks end here and now, since the view counts as fresh from here on. Which end it
-        // came to is read when somebody asks.
+        // A job whose record is no newer than the revision of the listing, and that is not listed,
+        // has ended. Its tasks are stopped now, since the view counts as fresh from here on. Its
+        // final state is read when a user asks for it.
         let revision = self.cache.revision();
         for partition in self.partitions.values_mut().filter(|p| p.active()) {
-            let over: Vec<String> = partition
+            let ended: Vec<String> = partition
                 .jobs
                 .iter()
                 .filter(|(id, job)| job.mod_revision() <= revision && !self.cache.is_active_job(id))
                 .map(|(id, _)| id.clone())
                 .collect();
-            for id in over {
+            for id in ended {
                 partition.drop_job(&id, now);
             }
             let name = partition.name.clone();
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -1,8 +1,8 @@
-//! The steps of users' requests: submissions, cancellations, and the reads that answer them.
+//! Handles users' submissions and cancellations, and the reads of jobs that answer requests.
 //!
-//! What is decided is decided in `jobs`. Here a request meets the final states that are known, the
-//! cache and the partitions held by this process. Every answer of the store to a call that was made
-//! for a user first gives its place among the calls under way free.
+//! The decisions are made in `jobs`. The steps here check a request against the known final states,
+//! the cache and the partitions led by this process. Every reply of the store to a call made for a
+//! user first frees the call's slot among the users' calls in flight.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::peers::PeerRequest;
@@ -24,7 +24,8 @@
 use crate::router::Core;
 use crate::store::parse;
 
-const NO_ANSWER: &str = "the state service gives no answer";
+/// The reason for rejecting a request that the store did not answer.
+const NO_STORE_REPLY: &str = "the state service gives no answer";
 
 impl Core {
     fn answer_phase(&mut self, id: RequestId, status: u16, job: &str, phase: JobPhase) {
@@ -35,57 +36,64 @@
         &mut self,
         id: RequestId,
         job: &str,
-        over: &TerminalJobRecord,
+        terminal: &TerminalJobRecord,
     ) {
-        lookups::answer_terminal_job(id, job, over, &mut self.outbox);
+        lookups::answer_terminal_job(id, job, terminal, &mut self.outbox);
     }
 
-    /// What a user is told of a job that is neither done nor cancelled.
+    /// Returns the user's view of a job that is neither done nor cancelled.
     pub(crate) fn view_active_job(&self, record: &ActiveJobRecord) -> JobView {
-        let here = self.partitions.values().filter_map(|p| p.jobs.get(&record.job.id));
-        lookups::view_active_job(record, here.map(|job| job.assignments.len()).sum())
+        let local_jobs = self.partitions.values().filter_map(|p| p.jobs.get(&record.job.id));
+        lookups::view_active_job(record, local_jobs.map(|job| job.assignments.len()).sum())
     }
 
-    /// Reads a job for a new request, unless too many calls of users are under way.
+    /// Reads a job for a new request, or rejects the request if too many users' calls are in
+    /// flight.
     pub(crate) fn read_for_user(&mut self, purpose: JobReadPurpose) {
         self.user_requests.read_or_reject(purpose, &mut self.outbox);
     }
 
-    /// Reads a job for a request under way.
-    fn read(&mut self, purpose: JobReadPurpose) {
+    /// Reads a job for a request that was already admitted.
+    fn read_job(&mut self, purpose: JobReadPurpose) {
         self.user_requests.read(purpose, &mut self.outbox);
     }
 
+    /// Handles a submission: accepts the job, or reads it if it may exist already or is refused.
     pub(super) fn submit(&mut self, id: RequestId, spec: Box<JobSpec>) {
-        if let Some(over) = self.terminal_jobs.get(&spec.id) {
-            let phase = over.phase;
+        if let Some(terminal) = self.terminal_jobs.get(&spec.id) {
+            let phase = terminal.phase;
             return self.answer_phase(id, 200, &spec.id, phase);
         }
         if !self.user_requests.admits_submission(&self.write_budget) {
             return self.outbox.reject_retryable(id, 429, "busy");
         }
         let types = self.types.as_ref().map(|t| t.values());
-        let fits = feasibility(&self.config, types, &spec);
-        let refusal = submission::refusal(fits, &spec, self.cluster.services());
+        let feasibility = feasibility(&self.config, types, &spec);
+        let refusal = submission::refusal(feasibility, &spec, self.cluster.services());
         let entry = self.choose_entry(&spec);
         let (Some(entry), None) = (entry, refusal) else {
             let refuse = refusal == Some(Refusal::Permanent);
-            return self.read(JobReadPurpose::Submit { id, job: spec.id.clone(), refuse });
+            return self.read_job(JobReadPurpose::Submit { id, job: spec.id.clone(), refuse });
         };
         let (wall, value_bytes) = (self.wall(), self.limits.value_bytes());
         let planned = submission::plan_acceptance(&spec, entry, wall, value_bytes);
         let Some(Acceptance { txn, record }) = planned else {
-            // Nothing could ever be kept of such a job; a known one is still answered as known.
-            return self.read(JobReadPurpose::Submit { id, job: spec.id.clone(), refuse: true });
+            // The record of such a job can never be stored; a job that exists is still answered as
+            // such.
+            return self.read_job(JobReadPurpose::Submit {
+                id,
+                job: spec.id.clone(),
+                refuse: true,
+            });
         };
         self.write_budget.spend(1);
         let pending = PendingStoreCall::Accept { id, record };
         self.user_requests.call(StoreCall::Txn(txn), pending, &mut self.outbox);
     }
 
-    /// The partition that a new job enters.
+    /// Chooses the partition that a new job enters.
     fn choose_entry(&mut self, spec: &JobSpec) -> Option<Entry> {
-        let own = if self.may_act() {
+        let own_partition = if self.may_act() {
             let home = self.partitions.get(&self.config.node);
             home.or_else(|| self.partitions.values().next())
         } else {
@@ -94,13 +102,15 @@
         let choice = EntryChoice {
             config: &self.config,
             cache: &self.cache,
-            own: own.map(|partition| LedPartition { name: &partition.name, term: partition.term }),
+            own: own_partition
+                .map(|partition| LedPartition { name: &partition.name, term: partition.term }),
             leads: |partition: &str| self.partitions.contains_key(partition),
         };
         choice.choose(spec, &mut self.rng)
     }
 
-    pub(super) fn accept_answered(
+    /// Handles the reply to the transaction that accepts a job.
+    pub(super) fn accept_replied(
         &mut self,
         id: RequestId,
         record: ActiveJobRecord,
@@ -110,15 +120,17 @@
         let job = record.job.id.clone();
         match AcceptOutcome::of(result) {
             AcceptOutcome::Committed { mod_revision } => {
-                // Whichever node holds the partition hears of it by the watch; here it may start now.
+                // Other leaders learn of the job from their watch; here its tasks may start now.
                 self.reconcile_job(record, mod_revision);
-                // It may be over by now, and a user may have been told so at another node.
-                match self.terminal_jobs.get(&job).map(|over| over.phase) {
+                // The job may have ended already, and another node may have told a user so.
+                match self.terminal_jobs.get(&job).map(|terminal| terminal.phase) {
                     Some(phase) => self.answer_phase(id, 200, &job, phase),
                     None => self.answer_phase(id, 201, &job, JobPhase::Queued),
                 }
             }
-            AcceptOutcome::Known => self.read(JobReadPurpose::Submit { id, job, refuse: false }),
+            AcceptOutcome::Known => {
+                self.read_job(JobReadPurpose::Submit { id, job, refuse: false })
+            }
             AcceptOutcome::PartitionChanged => {
                 self.outbox.reject_retryable(id, 503, "the part has changed hands");
             }
@@ -126,14 +138,16 @@
         }
     }
 
+    /// Handles a cancellation: answers a job that is known to have ended, and reads any other job.
     pub(super) fn cancel(&mut self, id: RequestId, job: String) {
-        if let Some(over) = self.terminal_jobs.get(&job) {
-            let phase = over.phase;
+        if let Some(terminal) = self.terminal_jobs.get(&job) {
+            let phase = terminal.phase;
             return self.answer_phase(id, 200, &job, phase);
         }
         self.read_for_user(JobReadPurpose::Cancel { id, job, tries: 0 });
     }
 
+    /// Handles the reply to the read of an active job; without a record, reads the final state.
     pub(super) fn active_job_read(
         &mut self,
         purpose: JobReadPurpose,
@@ -147,11 +161,11 @@
                 let pending = PendingStoreCall::ReadTerminalJob { purpose };
                 self.user_requests.call(call, pending, &mut self.outbox);
             }
-            _ => self.outbox.reject_retryable(purpose.request(), 503, NO_ANSWER),
+            _ => self.outbox.reject_retryable(purpose.request(), 503, NO_STORE_REPLY),
         }
     }
 
-    /// Goes on with a request for a job that is neither done nor cancelled.
+    /// Answers or continues a request for a job that is neither done nor cancelled.
     fn answer_active_job(&mut self, purpose: JobReadPurpose, stored: &KeyValue) {
         let record = parse::<ActiveJobRecord>(stored);
         if record.is_none() {
@@ -179,37 +193,38 @@
         }
     }
 
+    /// Handles the reply to the read of a job's final state.
     pub(super) fn terminal_job_read(
         &mut self,
         purpose: JobReadPurpose,
         result: Result<StoreReply, CallError>,
     ) {
         self.user_requests.call_answered();
-        let over = match result {
+        let terminal = match result {
             Ok(StoreReply::Read(Some(stored))) => {
-                let over = parse::<TerminalJobRecord>(&stored);
-                if over.is_none() {
+                let parsed = parse::<TerminalJobRecord>(&stored);
+                if parsed.is_none() {
                     self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&stored.key));
                 }
-                over
+                parsed
             }
             Ok(StoreReply::Read(None)) => return self.answer_unknown_job(&purpose),
             _ => None,
         };
-        let Some(over) = over else {
-            return self.outbox.reject_retryable(purpose.request(), 503, NO_ANSWER);
+        let Some(terminal) = terminal else {
+            return self.outbox.reject_retryable(purpose.request(), 503, NO_STORE_REPLY);
         };
         let job = purpose.job().to_owned();
-        self.job_terminated(&job, over.clone());
+        self.job_terminated(&job, terminal.clone());
         match purpose {
-            JobReadPurpose::Lookup { id, .. } => self.answer_terminal_job(id, &job, &over),
+            JobReadPurpose::Lookup { id, .. } => self.answer_terminal_job(id, &job, &terminal),
             JobReadPurpose::Submit { id, .. } | JobReadPurpose::Cancel { id, .. } => {
-                self.answer_phase(id, 200, &job, over.phase);
+                self.answer_phase(id, 200, &job, terminal.phase);
             }
         }
     }
 
-    /// Answers a request for a job that is neither live nor over.
+    /// Answers a request for a job that has neither an active nor a terminal record.
     fn answer_unknown_job(&mut self, purpose: &JobReadPurpose) {
         match *purpose {
             JobReadPurpose::Submit { id, refuse: true, .. } => {
@@ -224,7 +239,8 @@
         }
     }
 
-    pub(super) fn cancel_answered(
+    /// Handles the reply to the transaction that cancels a job.
+    pub(super) fn cancel_replied(
         &mut self,
         id: RequestId,
         job: String,
@@ -240,14 +256,14 @@
                 self.answer_phase(id, 200, &job, JobPhase::Cancelled);
             }
             CancelOutcome::ReadAgain => {
-                self.read(JobReadPurpose::Cancel { id, job, tries: tries + 1 })
+                self.read_job(JobReadPurpose::Cancel { id, job, tries: tries + 1 })
             }
             CancelOutcome::Failed => self.outbox.reject_retryable(id, 503, "not written"),
         }
     }
 
-    /// Tells the leaders of a job that was just cancelled, so that its tasks end sooner where the
-    /// watch is late. Nothing rests on it.
+    /// Notifies the other leaders of a job that was just cancelled, so that its tasks stop sooner
+    /// where the watch lags. Correctness does not depend on it.
     fn notify_cancelled(&mut self, job: &str, done: u32) {
         let Some(known) = self.cache.active_job(job) else { return };
         let leaders = cancellation::other_leaders(&known.record, |name| self.other_leader_of(name));
--- a/crates/quartzlever-core/src/router/user_requests/tests.rs
+++ b/crates/quartzlever-core/src/router/user_requests/tests.rs
@@ -1,11 +1,11 @@
-//! Which partition a new job enters.
+//! Tests the choice of a new job's partition, and requests for jobs with unreadable records.
 
 use crate::testing::*;
 
 #[test]
-fn a_node_without_a_part_accepts_into_anothers() {
-    // (whether this node holds its partition, who holds partitions by its copy; the condition of the
-    // acceptance beside the job's own keys, none if the job is not accepted at all)
+fn a_node_without_a_partition_accepts_jobs_into_another_partition() {
+    // (whether this node leads its partition; the partitions in its cache with leader and term; the
+    // condition of the acceptance beside the job's own keys, `None` if the job is not accepted)
     type Case<'a> = (bool, &'a [(&'a str, &'a str, u64)], Option<(&'a str, u64)>);
     let cases: &[Case] = &[
         (true, &[("one", "one", 5), ("two", "two", 6)], Some(("parts/one", 5))),
@@ -13,9 +13,9 @@
         (false, &[("two", "two", 6)], Some(("parts/two", 6))),
         (false, &[], None),
     ];
-    for (n, (holds_lease, partitions, condition)) in cases.iter().enumerate() {
+    for (n, (leads, partitions, condition)) in cases.iter().enumerate() {
         let mut core = with_cache(partitions);
-        if !holds_lease {
+        if !leads {
             core.partitions.clear();
         }
         let submit = Command::Submit { id: 9, spec: Box::new(spec(2)) };
@@ -36,8 +36,9 @@
 }
 
 #[test]
-fn a_job_enters_a_part_that_has_far_less_where_the_processor_is_short() {
-    // (machines that the processor serves, tasks of the own partition, of the other; the partition that a job enters)
+fn a_job_enters_a_much_less_loaded_partition_once_the_own_one_exceeds_its_capacity() {
+    // (machines that the controller's processor can serve, tasks of its own partition, tasks of the
+    // other partition, the partition that the job enters)
     for (machine_capacity, own, other, enters) in [
         (100, 0, 0, "one"),
         (100, 90, 0, "one"),
@@ -56,7 +57,7 @@
         new.id = "req-9".into();
         let submit = Command::Submit { id: 1, spec: Box::new(new) };
         let effects = core.step(NOW, vec![submit]);
-        // Every job is written on condition of the term of the partition that it enters.
+        // The write of a job is conditioned on the term of the partition that it enters.
         let term = effects.iter().find_map(|e| match e {
             Effect::Store { call: StoreCall::Txn(txn), .. } => {
                 let mut terms = txn.conditions.iter().filter(|c| c.path.starts_with("parts/"));
@@ -73,12 +74,12 @@
     }
 }
 
-/// A record that cannot be read is logged by its key, and its job is neither unknown nor refused.
+/// An unreadable record is logged by its key, and its job is neither unknown nor refused.
 #[test]
-fn a_job_whose_record_cannot_be_read_stays_known() {
-    type Ask = fn(RequestId) -> Command;
+fn a_job_with_an_unreadable_record_stays_known() {
+    type MakeRequest = fn(RequestId) -> Command;
     let job = || "req-1".to_owned();
-    let asks: [(&str, Ask); 3] = [
+    let requests: [(&str, MakeRequest); 3] = [
         ("lookup", |id| Command::Lookup { id, job: "req-1".into() }),
         ("repeated submission", |id| {
             let mut spec = spec(2);
@@ -87,8 +88,8 @@
         }),
         ("cancellation", |id| Command::Cancel { id, job: "req-1".into() }),
     ];
-    // (whether its end is what cannot be read, question, status)
-    for (over, ask, status) in [
+    // (whether the terminal record is the unreadable one, index of the request, status)
+    for (terminal, request, status) in [
         (false, 0, 200),
         (false, 1, 200),
         (false, 2, 200),
@@ -98,24 +99,26 @@
     ] {
         let mut core = core();
         core.cache.set_loaded(true);
-        let (what, make) = asks[ask];
-        let (mut batch, mut answer, mut logged) = (vec![make(9)], None, false);
+        let (name, make_request) = requests[request];
+        let (mut batch, mut answer, mut logged) = (vec![make_request(9)], None, false);
         for step in 0..12 {
             let effects = core.step(NOW + step * SECOND / 10, std::mem::take(&mut batch));
             for effect in effects {
                 match effect {
                     Effect::Store { call_id, call, .. } => {
-                        let entry = |path: &str| KeyValue {
-                            key: path.into(),
+                        let entry = |key: &str| KeyValue {
+                            key: key.into(),
                             value: Json::of(&"not a record"),
                             mod_revision: 7,
                             lease_id: None,
                         };
                         let reply = match &call {
-                            StoreCall::Get(key) if *key == format!("live/{}", job()) && !over => {
+                            StoreCall::Get(key)
+                                if *key == format!("live/{}", job()) && !terminal =>
+                            {
                                 StoreReply::Read(Some(entry(key)))
                             }
-                            StoreCall::Get(key) if key.starts_with("over/") && over => {
+                            StoreCall::Get(key) if key.starts_with("over/") && terminal => {
                                 StoreReply::Read(Some(entry(key)))
                             }
                             StoreCall::Get(_) => StoreReply::Read(None),
@@ -127,13 +130,13 @@
                     }
                     Effect::Answer { id: 9, status, .. } => answer = Some(status),
                     Effect::Log(LogEvent::UnreadableRecord { key }) => {
-                        let record = if over { "over" } else { "live" };
-                        logged |= key == format!("{record}/{}", job());
+                        let prefix = if terminal { "over" } else { "live" };
+                        logged |= key == format!("{prefix}/{}", job());
                     }
                     _ => {}
                 }
             }
         }
-        assert_eq!((answer, logged), (Some(status), true), "{what}, over {over}");
+        assert_eq!((answer, logged), (Some(status), true), "{name}, terminal {terminal}");
     }
 }
