--- a/crates/quartzlever-core/src/jobs.rs
+++ b/crates/quartzlever-core/src/jobs.rs
@@ -1,15 +1,16 @@
-//! Jobs: what users ask for, and the record of each job.
+//! Jobs as users submit them, and the stored record of each job.
 //!
 //! - `feasibility`: whether a job can ever run.
-//! - `user_requests`: the calls to the store that are made for users, and their number.
-//! - `submission`: which partition a new job enters, and the transaction that accepts it.
-//! - `cancellation`: the transaction that ends a job, and who is told.
-//! - `lookups`: what users are told of a job.
-//! - `partition_job`: a job as the leader of one partition knows it.
+//! - `user_requests`: the store calls made for users, and the limit on their number.
+//! - `submission`: the choice of the partition that a new job enters, and the transaction that
+//!   accepts it.
+//! - `cancellation`: the transaction that cancels a job, and which leaders are notified.
+//! - `lookups`: answers to users about a job.
+//! - `partition_job`: the state of a job at the leader of one partition.
 //! - `records`: when and how the record of a job is written.
 //! - `pages`: finished tasks of large jobs.
 //!
-//! None of them knows the core: the steps that carry out what they decide are in the router.
+//! These modules do not depend on the core: the router carries out what they decide.
 
 pub(crate) mod cancellation;
 pub(crate) mod feasibility;
--- a/crates/quartzlever-core/src/jobs/cancellation.rs
+++ b/crates/quartzlever-core/src/jobs/cancellation.rs
@@ -1,8 +1,8 @@
-//! Cancellations: the transaction that ends a job, and who is told of it.
+//! Cancellations: the transaction that cancels a job, and which leaders are notified.
 //!
-//! Pure: the steps of the router send what is planned here. A job is cancelled by one transaction that
-//! removes its record, at the modification revision that was read, and writes its final state. So a
-//! job that is over never changes its final state, and no later write brings its record back.
+//! Pure functions; the router sends what is planned here. One transaction removes the record of the
+//! job, on condition of the modification revision that was read, and writes its final state. So the
+//! final state of a job never changes, and no later write can restore its record.
 
 use quartzlever_wire::store::{ActiveJobRecord, StoreReply, TerminalJobRecord, Txn};
 use quartzlever_wire::users::JobPhase;
@@ -11,17 +11,17 @@
 use crate::jobs::records::terminal_job_key;
 use crate::store::active_job_key;
 
-/// A record that changes each time between its read and the cancellation is read so often again.
-const MAX_CANCEL_ATTEMPTS: u32 = 6;
-/// How many changes a cancellation takes.
+/// How often a record is read again that changes each time between its read and the cancellation.
+const MAX_CANCEL_RETRIES: u32 = 6;
+/// Number of changes in the transaction of a cancellation.
 pub(crate) const CHANGES: usize = 2;
 
-/// The final state of a cancelled job of which so many tasks had finished.
+/// Returns the final state of a cancelled job with `done` finished tasks.
 pub(crate) fn cancelled(done: u32) -> TerminalJobRecord {
     TerminalJobRecord { phase: JobPhase::Cancelled, done }
 }
 
-/// The transaction that cancels a job whose record was read at a modification revision.
+/// Returns the transaction that cancels a job whose record was read at `mod_revision`.
 pub(crate) fn plan_cancellation(job: &str, mod_revision: u64, done: u32) -> Txn {
     let active_key = active_job_key(job);
     Txn::default()
@@ -30,28 +30,28 @@
         .write(terminal_job_key(job), Json::of(&cancelled(done)))
 }
 
-/// What became of a cancellation.
+/// The outcome of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CancelOutcome {
     Committed,
-    /// The record has changed meanwhile, and is read again.
+    /// The record has changed since it was read, and has to be read again.
     ReadAgain,
-    /// It was not carried out, or may not have been.
+    /// The transaction was not carried out, or its outcome is unknown.
     Failed,
 }
 
 impl CancelOutcome {
-    /// The outcome by the store's answer, after so many tries before.
+    /// Derives the outcome from the store's reply, after `tries` earlier attempts.
     pub fn of(result: &Result<StoreReply, CallError>, tries: u32) -> Self {
         match result {
             Ok(StoreReply::Committed(_)) => CancelOutcome::Committed,
-            Ok(StoreReply::Conflict(_)) if tries < MAX_CANCEL_ATTEMPTS => CancelOutcome::ReadAgain,
+            Ok(StoreReply::Conflict(_)) if tries < MAX_CANCEL_RETRIES => CancelOutcome::ReadAgain,
             _ => CancelOutcome::Failed,
         }
     }
 }
 
-/// The other nodes that lead partitions of a job, each once.
+/// Returns the other nodes that lead partitions of a job, without duplicates.
 pub(crate) fn other_leaders<'a>(
     record: &ActiveJobRecord,
     other_leader_of: impl Fn(&str) -> Option<&'a str>,
--- a/crates/quartzlever-core/src/jobs/lookups/tests.rs
+++ b/crates/quartzlever-core/src/jobs/lookups/tests.rs
@@ -1,4 +1,4 @@
-//! What users are told of a job.
+//! The phase that users see of a job.
 
 use quartzlever_wire::Ranges;
 
@@ -6,7 +6,7 @@
 use crate::testing::record;
 
 #[test]
-fn a_job_runs_once_a_task_has_begun_anywhere() {
+fn a_job_is_running_once_any_of_its_tasks_has_started() {
     for (started, finished, running, phase) in [
         (false, 0, 0, JobPhase::Queued),
         (true, 0, 0, JobPhase::Running),
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -1,13 +1,14 @@
 //! Finished tasks of large jobs, recorded in pages of fixed task ranges.
 //!
-//! A job's record under `live/` lists its finished tasks as ranges, which outgrow a value where
-//! tasks end in a bad order. Then the worst of them move to pages, each a key of its own. That a
-//! task has finished stays true for good, so pages only grow while the job lives, and whatever has
-//! been seen of them may be joined with any view of the record: a late view knows less, never
-//! anything wrong. Every page is written on condition of the record's modification revision, so none can appear
-//! after the job is done or cancelled; what is left of such jobs is removed later.
+//! A job's record under `live/` lists its finished tasks as ranges, which can exceed the size limit
+//! of a value if tasks finish in an unfavourable order. Then the tasks that take the most text move
+//! to pages, each under a key of its own. A finished task never becomes unfinished, so pages only
+//! grow while the job is active, and any known content of pages may be joined with any revision of
+//! the record: an outdated view lists fewer tasks, never wrong ones. Every page is written on
+//! condition of the record's modification revision, so none can appear after the job is done or
+//! cancelled. The leftover pages of such jobs are removed later.
 //!
-//! `Pages` owns what is known of all pages, plans how progress is recorded, and removes leftovers.
+//! `Pages` caches all known pages, plans how progress is recorded, and removes leftover pages.
 
 use std::collections::BTreeMap;
 
@@ -22,58 +23,57 @@
 use crate::store::parse;
 use crate::store::write_budget::{WriteBudget, WriteKind};
 
-/// Leftover pages are removed no more often, so that the watch can tell of the last removal.
-const REMOVE_PAUSE: Micros = 2 * SECOND;
+/// Minimum interval between removals of leftover pages, so that the watch can deliver the previous
+/// removal first.
+const MIN_REMOVAL_INTERVAL: Micros = 2 * SECOND;
 
-/// A page as the store has it.
+/// A page as last read from the store.
 #[derive(Clone, Debug)]
 struct Page {
     finished: Ranges,
     mod_revision: u64,
 }
 
-/// The pages of all jobs, as far as they are known.
+/// The known pages of all jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Pages {
     jobs: BTreeMap<String, BTreeMap<u32, Page>>,
     remove_after: Micros,
 }
 
-/// What one transaction may take of a job's progress.
+/// Limits on one transaction that records a job's progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WriteLimits {
-    /// The largest value.
+    /// The largest size of a value, in bytes.
     pub value_bytes: usize,
-    /// How many pages may be written beside the record.
+    /// How many pages may be written in addition to the record.
     pub pages: usize,
 }
 
-/// How a job's progress is written next.
+/// The next write of a job's progress.
 #[derive(Debug, PartialEq)]
 pub(crate) struct ProgressWrite {
-    /// The record as it will be stored; none if only pages are written since it does not fit yet.
+    /// The record as it will be stored; `None` if it does not fit yet and only pages are written.
     pub record: Option<ActiveJobRecord>,
-    /// Pages that are written.
+    /// The pages to write.
     pub pages: Vec<PageWrite>,
-    /// The newly finished tasks that are recorded by this.
+    /// The newly finished tasks that the write records.
     pub recorded: Ranges,
 }
 
-/// A row under the prefix of the pages.
+/// A parsed key and value under the key prefix of the pages.
 #[derive(Debug)]
 pub(crate) enum PageEntry<'a> {
-    /// Its key is not the key of a page.
+    /// The key is not the key of a page.
     NoPage,
+    /// The value is not the record of that page.
     Unreadable,
-    Page {
-        job: &'a str,
-        number: u32,
-        finished: Ranges,
-    },
+    /// The finished tasks of a page.
+    Page { job: &'a str, number: u32, finished: Ranges },
 }
 
 impl<'a> PageEntry<'a> {
-    /// Reads the key and the value of a row.
+    /// Parses the key and the value of an entry.
     pub fn read(entry: &'a KeyValue) -> Self {
         let Some((job, number)) = page_of_key(&entry.key) else { return PageEntry::NoPage };
         match parse::<PageRecord>(entry).and_then(|record| record.tasks(number)) {
@@ -84,7 +84,7 @@
 }
 
 impl Pages {
-    /// Takes in a page as it is at a revision; a later one may be known already.
+    /// Stores a page as of a modification revision, unless the same or a later one is known.
     pub fn insert(&mut self, job: &str, number: u32, finished: Ranges, mod_revision: u64) {
         let pages = self.jobs.entry(job.to_owned()).or_default();
         if pages.get(&number).is_none_or(|known| known.mod_revision < mod_revision) {
@@ -92,7 +92,8 @@
         }
     }
 
-    /// The page with this key was removed at a revision.
+    /// Removes the page with this key, which was deleted at `mod_revision`, unless a later revision
+    /// of the page is known.
     pub fn remove(&mut self, path: &str, mod_revision: u64) {
         let Some((job, number)) = page_of_key(path) else { return };
         let Some(pages) = self.jobs.get_mut(job) else { return };
@@ -104,12 +105,12 @@
         }
     }
 
-    /// All pages are read anew.
+    /// Forgets all pages before they are listed again.
     pub fn clear(&mut self) {
         self.jobs.clear();
     }
 
-    /// The finished tasks of a job that are recorded in pages.
+    /// Returns the finished tasks of a job that are recorded in pages.
     pub fn finished_of(&self, job: &str) -> Ranges {
         let mut finished = Ranges::default();
         for page in self.jobs.get(job).into_iter().flat_map(BTreeMap::values) {
@@ -118,8 +119,8 @@
         finished
     }
 
-    /// Joins a record with all that is known to have finished of its job: the pages, and what the
-    /// known record lists.
+    /// Adds to a record all tasks of its job that are known to have finished: those in pages and
+    /// those listed in the known record. Does nothing for a job without pages.
     pub fn join_finished(&self, record: &mut ActiveJobRecord, known: Option<&ActiveJobRecord>) {
         let job = &record.job.id;
         if !record.paged && !self.has(job) {
@@ -132,14 +133,15 @@
         }
     }
 
-    /// Whether there are pages, and leftover ones may be removed by now.
+    /// Reports whether any pages are known and the minimum interval since the last removal has
+    /// passed.
     pub fn may_remove(&self, now: Micros) -> bool {
         now >= self.remove_after && !self.jobs.is_empty()
     }
 
-    /// Removes pages of one job that is over, as far as the account of changes allows, on condition
-    /// that the job is not live. `leader` is a transaction that only the leader of the first partition
-    /// gets into force.
+    /// Removes pages of one job that has ended, if the write budget allows, on condition that the
+    /// job has no active record. `leader` is a transaction conditional on the term of the first
+    /// partition, so that only its leader can commit it.
     pub fn remove_leftovers(
         &mut self,
         now: Micros,
@@ -161,7 +163,7 @@
         if !budget.try_spend(WriteKind::GarbageCollection, removed) {
             return;
         }
-        self.remove_after = now + REMOVE_PAUSE;
+        self.remove_after = now + MIN_REMOVAL_INTERVAL;
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 
@@ -169,12 +171,12 @@
         self.jobs.contains_key(job)
     }
 
-    /// The modification revision of a page, 0 if it does not exist.
+    /// Returns the modification revision of a page, or 0 if it does not exist.
     fn mod_revision(&self, job: &str, number: u32) -> u64 {
         self.jobs.get(job).and_then(|pages| pages.get(&number)).map_or(0, |page| page.mod_revision)
     }
 
-    /// A record as it is stored: without the finished tasks that pages hold.
+    /// Returns a record as it is stored: without the finished tasks that pages hold.
     pub fn stored_form(&self, record: &ActiveJobRecord) -> ActiveJobRecord {
         let mut stored = record.clone();
         if self.has(&record.job.id) {
@@ -184,53 +186,55 @@
         stored
     }
 
-    /// Decides how newly finished tasks of a job are recorded, `record` being what is recorded
-    /// already. None if nothing can be written that fits.
+    /// Plans how newly finished tasks of a job are recorded; `record` lists those recorded already.
+    /// Returns `None` if no write fits the limits.
     pub fn plan(
         &self,
         record: &ActiveJobRecord,
         new: &Ranges,
-        room: WriteLimits,
+        limits: WriteLimits,
     ) -> Option<ProgressWrite> {
         let stored = self.stored_form(record);
         let unpaged = stored.finished.clone();
+        // The record without finished tasks; the rest of the value is available for their ranges.
         let mut bare = ActiveJobRecord { finished: Ranges::default(), ..stored };
-        let text_room =
-            |bare: &ActiveJobRecord| room.value_bytes.checked_sub(Json::of(bare).text().len());
+        let ranges_limit =
+            |bare: &ActiveJobRecord| limits.value_bytes.checked_sub(Json::of(bare).text().len());
         let all = unpaged.union(new);
-        if text_length(&all) <= text_room(&bare)? {
+        if text_bytes(&all) <= ranges_limit(&bare)? {
             let record = Some(ActiveJobRecord { finished: all, ..bare });
             return Some(ProgressWrite { record, pages: Vec::new(), recorded: new.clone() });
         }
         bare.paged = true;
-        let most = text_room(&bare)?;
-        let chosen = longest_pages(&all, most / 2, room.pages);
-        let (rest, recorded) = if text_length(&without(&all, &chosen)) <= most {
+        let max_bytes = ranges_limit(&bare)?;
+        let chosen = longest_pages(&all, max_bytes / 2, limits.pages);
+        let (rest, recorded) = if text_bytes(&without(&all, &chosen)) <= max_bytes {
             (without(&all, &chosen), new.clone())
         } else {
             (without(&unpaged, &chosen), new.minus(&without(new, &chosen)))
         };
-        if !chosen.is_empty() && text_length(&rest) <= most {
-            let pages = self.with_content(&bare.job.id, &chosen, &all);
+        if !chosen.is_empty() && text_bytes(&rest) <= max_bytes {
+            let pages = self.page_writes(&bare.job.id, &chosen, &all);
             return Some(ProgressWrite {
                 record: Some(ActiveJobRecord { finished: rest, ..bare }),
                 pages,
                 recorded,
             });
         }
-        // The stored record itself has outgrown the limit. What it lists goes to pages first; only
-        // that, so that no task counts as recorded without a new modification revision of the record.
-        let chosen = longest_pages(&unpaged, most / 2, room.pages + 1);
-        let pages = self.with_content(&bare.job.id, &chosen, &unpaged);
+        // The stored record itself exceeds the limit. The tasks that it lists go to pages first,
+        // and no others, so that no task counts as recorded without a new modification revision of
+        // the record.
+        let chosen = longest_pages(&unpaged, max_bytes / 2, limits.pages + 1);
+        let pages = self.page_writes(&bare.job.id, &chosen, &unpaged);
         let write = ProgressWrite { record: None, pages, recorded: Ranges::default() };
-        (room.pages > 0 && !chosen.is_empty()).then_some(write)
+        (limits.pages > 0 && !chosen.is_empty()).then_some(write)
     }
 
-    /// Pages with what they hold already and what comes to it.
-    fn with_content(&self, job: &str, numbers: &[u32], more: &Ranges) -> Vec<PageWrite> {
+    /// Returns writes of the numbered pages with their known tasks and those of `added`.
+    fn page_writes(&self, job: &str, numbers: &[u32], added: &Ranges) -> Vec<PageWrite> {
         let known = self.jobs.get(job);
         let content = |number: &u32| {
-            let mut finished = tasks_of_page(more, *number);
+            let mut finished = tasks_of_page(added, *number);
             if let Some(page) = known.and_then(|pages| pages.get(number)) {
                 finished.add(&page.finished);
             }
@@ -239,7 +243,8 @@
         numbers.iter().map(content).collect()
     }
 
-    /// Adds the writes of pages to a transaction, on condition of what is known of them.
+    /// Adds page writes to a transaction, each on condition of the page's known modification
+    /// revision.
     pub fn add_to(&self, mut txn: Txn, job: &str, pages: &[PageWrite]) -> Txn {
         for PageWrite { number, finished } in pages {
             let key = page_key(job, *number);
@@ -251,18 +256,19 @@
     }
 }
 
-/// How many pages may be written beside a record now.
+/// Returns how many pages the write budget and the limit of changes per transaction allow in
+/// addition to a record.
 pub(crate) fn affordable_pages(budget: &WriteBudget, txn_ops: usize) -> usize {
     let affordable = |pages: &usize| budget.has(WriteKind::Progress, *pages);
     (1..txn_ops).rev().find(affordable).unwrap_or(0)
 }
 
-/// How long a set is as text.
-fn text_length(tasks: &Ranges) -> usize {
+/// Returns the length of a set in its text form, in bytes.
+fn text_bytes(tasks: &Ranges) -> usize {
     tasks.to_string().len()
 }
 
-/// A set without the tasks of these pages.
+/// Returns a set without the tasks of the given pages.
 fn without(tasks: &Ranges, pages: &[u32]) -> Ranges {
     let mut rest = tasks.clone();
     for page in pages {
@@ -271,21 +277,21 @@
     rest
 }
 
-/// The pages whose tasks take the most text, as many as bring the rest within `wanted` bytes, if
-/// that many may be chosen.
-fn longest_pages(tasks: &Ranges, wanted: usize, most: usize) -> Vec<u32> {
+/// Returns the pages whose tasks take the most text: as many as are needed to bring the text of the
+/// remaining tasks down to `target_bytes` bytes, but at most `max_pages`.
+fn longest_pages(tasks: &Ranges, target_bytes: usize, max_pages: usize) -> Vec<u32> {
     let mut lengths: BTreeMap<u32, usize> = BTreeMap::new();
     for range in tasks.ranges() {
         for page in page_of_task(range.start)..=page_of_task(range.end - 1) {
-            lengths.entry(page).or_insert_with(|| text_length(&tasks_of_page(tasks, page)) + 1);
+            lengths.entry(page).or_insert_with(|| text_bytes(&tasks_of_page(tasks, page)) + 1);
         }
     }
     let mut total: usize = lengths.values().sum();
     let mut by_length: Vec<(u32, usize)> = lengths.into_iter().collect();
     by_length.sort_by_key(|(page, length)| (std::cmp::Reverse(*length), *page));
     let mut chosen = Vec::new();
-    for (page, length) in by_length.into_iter().take(most) {
-        if total <= wanted {
+    for (page, length) in by_length.into_iter().take(max_pages) {
+        if total <= target_bytes {
             break;
         }
         total -= length;
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -1,17 +1,18 @@
-//! Progress of large jobs under limits that sink, with crashes, takeovers and late writes between.
+//! Progress of large jobs under lowered limits, interrupted by crashes, takeovers and late writes.
 
 use quartzlever_testkit::Store;
 use quartzlever_wire::pages::{PAGE_TASKS, PageRecord, page_key, page_of_key};
 use quartzlever_wire::store::{PARTITION_PREFIX, Txn};
 
 use super::{PageWrite, Pages, ProgressWrite, WriteLimits};
-use crate::jobs::records::{PlannedWrite, progress_of_job};
+use crate::jobs::records::{PlannedWrite, plan_progress};
 use crate::testing::*;
 
 const ID: &str = "req-1";
-const ACTIVE_JOB_PREFIX: &str = "live/req-1";
-/// More than any conversion here needs.
-const MOST_WRITES: usize = 600;
+const ACTIVE_JOB_KEY: &str = "live/req-1";
+/// More writes than any conversion in these tests needs; reaching it means that no progress is
+/// made.
+const MAX_WRITES: usize = 600;
 
 fn every_second(tasks: u32) -> Ranges {
     (0..tasks).filter(|task| task % 2 == 0).collect()
@@ -32,19 +33,18 @@
     }
 }
 
-/// A store with an accepted job, of which so much is recorded in the record itself.
+/// Returns a store with an accepted job whose record lists these finished tasks.
 fn store_with_job(tasks: u32, finished: &Ranges) -> Store {
     let mut store = Store::default();
     let mut record = record_of(1, tasks, "one");
     record.finished = finished.clone();
-    commit(&mut store, Txn::default().write(ACTIVE_JOB_PREFIX, Json::of(&record)))
-        .expect("accepted");
+    commit(&mut store, Txn::default().write(ACTIVE_JOB_KEY, Json::of(&record))).expect("accepted");
     store
 }
 
-/// All tasks that the store knows to have finished.
+/// Returns all finished tasks that are recorded in the store.
 fn recorded(store: &Store) -> Ranges {
-    let (active, _) = store.get(ACTIVE_JOB_PREFIX).expect("the job is live");
+    let (active, _) = store.get(ACTIVE_JOB_KEY).expect("the job is active");
     let mut finished = active.parse::<ActiveJobRecord>().expect("a record").finished;
     for key in store.keys("pages/") {
         let (_, number) = page_of_key(&key).expect("the key of a page");
@@ -56,12 +56,12 @@
 }
 
 impl Leader {
-    /// Takes the partition over and reads everything anew, as after a crash.
+    /// Takes over the partition and reads everything from the store, as after a crash.
     fn take_over(store: &mut Store) -> Leader {
         let leader = PartitionRecord { node: "one".into(), process: store.revision() };
         let key = format!("{PARTITION_PREFIX}one");
         let term = commit(store, Txn::default().write(key, Json::of(&leader))).expect("acquired");
-        let (value, mod_revision) = store.get(ACTIVE_JOB_PREFIX).expect("the job is live");
+        let (value, mod_revision) = store.get(ACTIVE_JOB_KEY).expect("the job is active");
         let mut record = value.parse::<ActiveJobRecord>().expect("a record");
         let mut pages = Pages::default();
         for key in store.keys("pages/") {
@@ -74,12 +74,12 @@
         Leader { pages, record, mod_revision, term }
     }
 
-    fn plan(&self, new: &Ranges, room: WriteLimits) -> Option<(Txn, PlannedWrite)> {
-        let progress = self.pages.plan(&self.record, new, room)?;
+    fn plan(&self, new: &Ranges, limits: WriteLimits) -> Option<(Txn, PlannedWrite)> {
+        let progress = self.pages.plan(&self.record, new, limits)?;
         let txn = Txn::default()
             .if_mod_revision(format!("{PARTITION_PREFIX}one"), self.term)
-            .if_mod_revision(ACTIVE_JOB_PREFIX, self.mod_revision);
-        let planned = progress_of_job(txn, ID, progress, &self.pages);
+            .if_mod_revision(ACTIVE_JOB_KEY, self.mod_revision);
+        let planned = plan_progress(txn, ID, progress, &self.pages);
         Some((planned.txn.clone(), planned))
     }
 
@@ -95,7 +95,7 @@
     }
 }
 
-fn room(value_bytes: usize, ops: usize) -> WriteLimits {
+fn limits(value_bytes: usize, ops: usize) -> WriteLimits {
     WriteLimits { value_bytes, pages: ops - 1 }
 }
 
@@ -109,84 +109,89 @@
         (store.value_limit, store.ops_limit) = (value_bytes, ops);
         let mut leader = Leader::take_over(&mut store);
         let mut writes = 0;
-        // They end a few pages at a time, and each is written until nothing is left.
+        // Tasks finish in ten batches; each batch is written until nothing is left of it.
         for batch in 0..10 {
             let mut new = all.within(batch * tasks / 10..(batch + 1) * tasks / 10);
             while !new.is_empty() {
-                let planned = leader.plan(&new, room(value_bytes, ops));
-                let (txn, write) = planned.expect("something can be written");
+                let planned = leader.plan(&new, limits(value_bytes, ops));
+                let (txn, write) = planned.expect("a write fits the limits");
                 new.subtract(&write.recorded);
-                let mod_revision = commit(&mut store, txn).expect("it fits");
+                let mod_revision = commit(&mut store, txn).expect("committed");
                 leader.committed(write, mod_revision);
                 writes += 1;
-                assert!(writes < MOST_WRITES, "{value_bytes} {ops}: no end");
+                assert!(writes < MAX_WRITES, "{value_bytes} {ops}: too many writes");
             }
         }
         assert!(recorded(&store) == all, "{value_bytes} {ops}");
         let next = Leader::take_over(&mut store);
         assert!(next.record.finished == all, "{value_bytes} {ops}");
-        assert_eq!(store.too_large, 0, "{value_bytes} {ops}: nothing too large was tried");
+        assert_eq!(store.too_large, 0, "{value_bytes} {ops}: too large a transaction was sent");
     }
 }
 
-/// What happens at a step of a conversion.
+/// A fault injected at one step of a conversion.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    LimitsSink,
+    LimitsLowered,
     /// The leader crashes before the write, or right after it.
     CrashBefore,
     CrashAfter,
-    /// The write comes into force only after the next leader has taken over.
+    /// The write reaches the store only after the next leader has taken over.
     LateWrite,
 }
 
-/// An outgrown record is converted a few pages at a time. Whatever happens at whichever step, what
-/// was recorded stays recorded, what counts as recorded is, and the rest follows.
+/// A record that exceeds the limit is converted to pages over several writes. With each fault at
+/// each step, no recorded task may be lost, the leader's view must match the store, and all tasks
+/// must be recorded in the end.
 #[test]
-fn a_conversion_survives_trouble_at_every_step() {
+fn a_conversion_survives_each_fault_at_every_step() {
     use Fault::*;
     const TASKS: u32 = 6 * PAGE_TASKS;
     let (old, mut all) = (every_second(3 * PAGE_TASKS), every_second(TASKS));
-    // Tasks of the pages that are converted end meanwhile.
+    // More tasks of the pages that are being converted finish during the conversion.
     for page in 0..3 {
         all.add(&Ranges::of(page * PAGE_TASKS..page * PAGE_TASKS + 40));
     }
-    for trouble in [LimitsSink, CrashBefore, CrashAfter, LateWrite] {
+    for fault in [LimitsLowered, CrashBefore, CrashAfter, LateWrite] {
         for at in 0.. {
-            let name = format!("{trouble:?} at step {at}");
+            let name = format!("{fault:?} at step {at}");
             let (mut value_bytes, mut ops) = (1024, 4);
             let mut store = store_with_job(TASKS, &old);
             let mut leader = Leader::take_over(&mut store);
             let (mut step, mut known) = (0, old.clone());
             while recorded(&store) != all {
-                assert!(step < MOST_WRITES, "{name}: no end");
-                if trouble == LimitsSink && step == at {
+                assert!(step < MAX_WRITES, "{name}: too many writes");
+                if fault == LimitsLowered && step == at {
                     (value_bytes, ops) = (600, 2);
                 }
                 (store.value_limit, store.ops_limit) = (value_bytes, ops);
                 let new = all.minus(&leader.record.finished);
-                let planned = leader.plan(&new, room(value_bytes, ops));
-                let (txn, write) = planned.expect("something can be written");
-                if trouble == LateWrite && step == at {
+                let planned = leader.plan(&new, limits(value_bytes, ops));
+                let (txn, write) = planned.expect("a write fits the limits");
+                if fault == LateWrite && step == at {
                     leader = Leader::take_over(&mut store);
                     let late = commit(&mut store, txn);
                     assert!(matches!(late, Err(StoreReply::Conflict(_))), "{name}: {late:?}");
-                } else if trouble == CrashBefore && step == at {
+                } else if fault == CrashBefore && step == at {
                     leader = Leader::take_over(&mut store);
                 } else {
                     known.add(&write.recorded);
                     let before = recorded(&store);
                     let mod_revision =
                         commit(&mut store, txn).unwrap_or_else(|e| panic!("{name}: {e:?}"));
-                    // Others would not notice what is new without a new modification revision of the record.
+                    // Without a new modification revision of the record, other leaders would miss
+                    // newly recorded tasks.
                     let silent = write.action == JobWriteAction::PagesOnly;
                     assert!(!silent || recorded(&store) == before, "{name}: step {step}");
                     leader.committed(write, mod_revision);
-                    if trouble == CrashAfter && step == at {
+                    if fault == CrashAfter && step == at {
                         leader = Leader::take_over(&mut store);
                     }
                 }
-                assert!(known.minus(&recorded(&store)).is_empty(), "{name}: step {step} lost some");
+                assert!(
+                    known.minus(&recorded(&store)).is_empty(),
+                    "{name}: step {step} lost recorded tasks"
+                );
                 assert!(leader.record.finished == recorded(&store), "{name}: step {step}");
                 step += 1;
             }
@@ -197,67 +202,67 @@
     }
 }
 
-/// A leader that has read the record again, but has not heard yet of a page that another leader has
-/// written with it, does not overwrite that page.
+/// A leader that has read the record again, but has not yet received a page that another leader
+/// wrote in the same transaction, must not overwrite that page.
 #[test]
-fn a_late_view_of_a_page_overwrites_nothing() {
+fn an_outdated_view_of_a_page_overwrites_nothing() {
     let mut store = store_with_job(PAGE_TASKS, &Ranges::default());
     let mut first = Leader::take_over(&mut store);
     let mut second = Leader { pages: Pages::default(), record: first.record.clone(), ..first };
     let evens = every_second(PAGE_TASKS);
-    let (txn, write) = first.plan(&evens, room(1024, 4)).expect("it is written");
+    let (txn, write) = first.plan(&evens, limits(1024, 4)).expect("a write fits the limits");
     assert_eq!((write.action, write.pages.len()), (JobWriteAction::Record, 1));
-    let mod_revision = commit(&mut store, txn).expect("in force");
+    let mod_revision = commit(&mut store, txn).expect("committed");
     first.committed(write, mod_revision);
     second.mod_revision = mod_revision;
     let odds = Ranges::first(PAGE_TASKS).minus(&evens);
-    let (late, _) = second.plan(&odds, room(1024, 4)).expect("it is tried");
+    let (late, _) = second.plan(&odds, limits(1024, 4)).expect("a write is planned");
     assert!(matches!(commit(&mut store, late), Err(StoreReply::Conflict(_))));
     assert!(recorded(&store) == evens);
 }
 
-/// Ending a job is one transaction, whatever it has of pages, and no late write brings any back.
+/// A job with pages is cancelled by one transaction that leaves the pages, and a late progress
+/// write can neither add pages nor restore the record.
 #[test]
-fn a_job_that_is_over_gets_no_pages() {
+fn an_ended_job_gets_no_new_pages() {
     let all = every_second(6 * PAGE_TASKS);
     let mut store = store_with_job(6 * PAGE_TASKS, &all);
     let mut leader = Leader::take_over(&mut store);
-    let (txn, write) = leader.plan(&Ranges::default(), room(1024, 4)).expect("a first step");
-    let mod_revision = commit(&mut store, txn).expect("in force");
+    let (txn, write) = leader.plan(&Ranges::default(), limits(1024, 4)).expect("a first step");
+    let mod_revision = commit(&mut store, txn).expect("committed");
     leader.committed(write, mod_revision);
-    let (late, _) = leader.plan(&Ranges::of(1..2), room(1024, 4)).expect("a second step");
-    let over = TerminalJobRecord { phase: JobPhase::Cancelled, done: 0 };
-    let cancel = Txn::default()
-        .if_mod_revision(ACTIVE_JOB_PREFIX, leader.mod_revision)
-        .delete(ACTIVE_JOB_PREFIX);
-    commit(&mut store, cancel.write("over/req-1", Json::of(&over))).expect("cancelled");
+    let (late, _) = leader.plan(&Ranges::of(1..2), limits(1024, 4)).expect("a second step");
+    let final_state = TerminalJobRecord { phase: JobPhase::Cancelled, done: 0 };
+    let cancel =
+        Txn::default().if_mod_revision(ACTIVE_JOB_KEY, leader.mod_revision).delete(ACTIVE_JOB_KEY);
+    commit(&mut store, cancel.write("over/req-1", Json::of(&final_state))).expect("cancelled");
     let before = store.keys("pages/");
     assert!(!before.is_empty());
     assert!(matches!(commit(&mut store, late), Err(StoreReply::Conflict(_))));
     assert_eq!(store.keys("pages/"), before);
-    assert!(store.get(ACTIVE_JOB_PREFIX).is_none());
+    assert!(store.get(ACTIVE_JOB_KEY).is_none());
 }
 
 #[test]
-fn what_cannot_be_made_smaller_is_not_tried() {
+fn no_write_is_planned_that_exceeds_the_limits() {
     let pages = Pages::default();
     let mut record = record_of(1, 100, "one");
     let new = every_second(100);
     let bare = Json::of(&record).text().len();
-    // (bytes of a value, pages that may be written, whether something is)
-    for (value_bytes, most_pages, written) in
+    // (limit of a value in bytes; page limit; whether a write is planned)
+    for (value_bytes, max_pages, written) in
         [(bare - 1, 3, false), (bare + 20, 0, false), (bare + 20, 1, true), (bare + 400, 0, true)]
     {
-        let room = WriteLimits { value_bytes, pages: most_pages };
-        let plan = pages.plan(&record, &new, room);
-        assert_eq!(plan.is_some(), written, "{value_bytes} {most_pages}: {plan:?}");
+        let limits = WriteLimits { value_bytes, pages: max_pages };
+        let plan = pages.plan(&record, &new, limits);
+        assert_eq!(plan.is_some(), written, "{value_bytes} {max_pages}: {plan:?}");
     }
-    // A small job keeps to its record: no page is written without need.
+    // A small job uses its record alone: no page is written without need.
     record.finished = Ranges::of(0..4);
     let small = Ranges::of(6..8);
-    let room = WriteLimits { value_bytes: 1024, pages: 9 };
+    let limits = WriteLimits { value_bytes: 1024, pages: 9 };
     let Some(ProgressWrite { record: Some(stored), pages, recorded }) =
-        pages.plan(&record, &small, room)
+        pages.plan(&record, &small, limits)
     else {
         panic!("it fits")
     };
@@ -270,13 +275,13 @@
     KeyValue { key: page_key(ID, number), value: v, mod_revision, lease_id: None }
 }
 
-/// Two leaders may record the last tasks in different pages without knowing of each other: whoever
-/// learns that all are done ends the job, also one that has no task of it any more, or that has just
-/// taken over.
+/// Two leaders may record the last tasks in different pages without knowing of each other. Any
+/// leader that learns that all tasks are done has to end the job, including one that has no tasks
+/// of it left or has just taken over.
 #[test]
-fn a_job_whose_last_task_another_holder_recorded_is_ended() {
+fn a_job_whose_last_task_another_leader_recorded_is_ended() {
     for (name, own_tasks, taken_over) in
-        [("its own are done", 0..2, false), ("it has just taken over", 0..2, true)]
+        [("own tasks done", 0..2, false), ("just taken over", 0..2, true)]
     {
         let mut core = core();
         core.cache.set_loaded(true);
@@ -290,7 +295,10 @@
         } else {
             core.reconcile_job(record, 10);
             let before = core.step(NOW + SECOND, Vec::new());
-            assert!(!format!("{before:?}").contains("over/req-1"), "{name}: not yet");
+            assert!(
+                !format!("{before:?}").contains("over/req-1"),
+                "{name}: ended with unfinished tasks"
+            );
             core.apply_page_record(&page_event(0, &Ranges::of(2..4), 11));
         }
         let effects = core.step(NOW + 2 * SECOND, Vec::new());
@@ -298,7 +306,7 @@
     }
 }
 
-/// A record that comes without what has moved to a page not seen yet never makes a finished task
+/// Finished tasks that have moved from the record to a page not received yet must not become
 /// unfinished.
 #[test]
 fn a_finished_task_stays_finished_in_every_view() {
@@ -306,20 +314,20 @@
     let mut first = record("0-3", "");
     first.finished = Ranges::of(0..2);
     core.reconcile_job(first.clone(), 10);
-    // The finished tasks have moved to a page, whose event is still under way.
+    // The finished tasks have moved to a page whose watch event has not arrived yet.
     let moved = ActiveJobRecord { finished: Ranges::default(), paged: true, ..first };
     core.reconcile_job(moved, 11);
     let ready = |core: &Core| core.partitions["one"].jobs[ID].ready.to_string();
     assert_eq!(ready(&core), "2-3");
     core.apply_page_record(&page_event(0, &Ranges::of(0..3), 11));
-    assert_eq!(ready(&core), "3", "what the page tells beyond that counts too");
+    assert_eq!(ready(&core), "3", "the page lists one more finished task");
 }
 
-/// Pages of a job that is over are removed by one node, within the account of changes, and only on
-/// condition that the job is not live.
+/// Pages of an ended job are removed by the leader of the first partition alone, within the write
+/// budget, and on condition that the job has no active record.
 #[test]
 fn leftover_pages_are_removed() {
-    // (whether the job is live, whether this node holds the first partition, removed)
+    // (whether the job is active; whether this node leads the first partition; pages removed)
     for (active, first, removed) in [(false, true, 2), (true, true, 0), (false, false, 0)] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         if !first {
@@ -340,13 +348,13 @@
         };
         let found = txns(core.step(NOW + SECOND, Vec::new()));
         let count: usize = found.iter().map(|txn| txn.changes.len()).sum();
-        assert_eq!(count, removed, "live {active}, first {first}: {found:?}");
+        assert_eq!(count, removed, "active {active}, first {first}: {found:?}");
         let mod_revisions: Vec<u64> =
             found.iter().flat_map(|t| &t.conditions).map(|c| c.mod_revision).collect();
         let wanted = if removed > 0 { vec![5, 0, 8, 9] } else { vec![] };
         assert_eq!(
             mod_revisions, wanted,
-            "on condition of the partition, no live job, and the pages"
+            "conditions: the partition's term, no active job, the pages' revisions"
         );
     }
 }
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -1,11 +1,11 @@
-//! A job as the leader of one partition knows it.
+//! The state of a job at the leader of one partition.
 //!
-//! Each task that the partition owns is in one place only: ready, awaiting recovery, moving, on a
-//! machine, or finished. What the record lists as finished is never run again, and the record is
-//! written by one call at a time. While the outcome of a move is unknown, its tasks stay cut from
-//! the queue. A record of an older modification revision than the known one is never taken in.
+//! Each task that the partition owns is in exactly one state: ready, awaiting recovery, moving, on
+//! a machine, or finished. A task that the record lists as finished is never run again, and the
+//! record is written by one call at a time. While the outcome of a move is unknown, its tasks stay
+//! out of the queue. A record that is not newer than the known modification revision is ignored.
 //!
-//! Nothing here calls anything: the methods change the job and say what follows from that.
+//! Nothing here makes calls: the methods change the job and return what has to follow.
 
 mod moves;
 mod record_writes;
@@ -22,79 +22,85 @@
 
 pub use record_writes::RecordStep;
 
-/// A machine that a job failed on is tried again after this time where nothing of the job runs.
-const FORGIVEN_AFTER: Micros = 20 * SECOND;
+/// Delay after a job's last failure before the machines that it failed on are tried again, if no
+/// task of the job is running.
+const FAILED_MACHINE_RETRY_DELAY: Micros = 20 * SECOND;
 
-/// Where a task may be.
+/// The machine and attempt that a task is assigned to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The machine that it was given to.
+    /// Name of the machine.
     pub machine: String,
-    /// The number of the attempt.
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
 /// A job with tasks in this partition.
 #[derive(Clone, Debug)]
 pub struct PartitionJob {
-    /// The record as it was last taken in or written.
+    /// The record as last read or written.
     pub record: ActiveJobRecord,
     mod_revision: u64,
-    /// May be placed at once.
+    /// Tasks that may be placed now.
     pub ready: Ranges,
-    /// May have been started by an earlier leader; waits for the recovery barrier.
+    /// Tasks that an earlier leader may have started; they wait for the recovery barrier.
     awaiting_recovery: Ranges,
-    /// Cut off for a thief, the move not committed yet.
+    /// Tasks cut from the queue for a thief, whose move is not committed yet.
     moving: Ranges,
-    /// On a machine, or possibly so.
+    /// Tasks that are, or may be, on a machine.
     pub assignments: BTreeMap<u32, Assignment>,
-    /// Reported done, not recorded yet.
+    /// Tasks reported as done but not recorded yet.
     pub finished: Ranges,
-    /// A write of this job's record, or a read after a conflict, is under way.
+    /// Whether a write of this job's record, or a read after a conflict, is in flight.
     writing: bool,
-    /// An earlier write of unknown outcome may still come into force; only another write at the
-    /// same modification revision can settle that.
+    /// Whether an earlier write of unknown outcome may still be committed. Another write at the
+    /// same modification revision, or a newer record while no write is in flight, rules that out.
     write_outcome_unknown: bool,
+    /// The earliest time of the next write of the record.
     write_not_before: Micros,
+    /// Whether the record is to be written even without newly finished tasks.
     needs_write: bool,
-    /// When the submission was made, by the steady clock.
+    /// Time of the submission, on the monotonic clock.
     pub since: Micros,
-    /// When it should be done, by the steady clock.
+    /// When the job should be done, on the monotonic clock.
     pub due: Option<Micros>,
-    /// Attempts that failed here.
+    /// Failed attempts in this partition.
     pub failures: JobFailures,
-    /// Tasks of the job that were done here.
+    /// Number of tasks that were done in this partition.
     pub succeeded: u32,
-    /// After failures nothing of it is started before this time.
+    /// After failures, the earliest time at which tasks may be started again.
     pub no_start_before: Micros,
-    /// Tasks that were stopped for others once; they are not stopped again.
+    /// Tasks that were preempted once; they are not preempted again.
     pub preempted: Ranges,
-    /// Its tasks lose nothing by starting with their machine's next heartbeat.
+    /// Whether starting a task only with its machine's next heartbeat costs the job nothing.
     pub can_wait_for_heartbeat: bool,
 }
 
-/// The partition that holds the job, as far as that decides what becomes of its tasks.
+/// The state of the job's partition that decides whether its tasks are ready.
 #[derive(Clone, Copy, Debug)]
 pub struct PartitionContext<'a> {
-    /// The name of the partition.
+    /// Name of the partition.
     pub partition: &'a str,
-    /// The term under which it is held.
+    /// Current term of the partition.
     pub term: u64,
-    /// Whether every machine is known to hold nothing that an earlier leader started unseen.
+    /// Whether recovery is complete: no machine can hold an unknown attempt of an earlier leader.
     pub recovery_complete: bool,
 }
 
-/// What follows from a record that was taken in.
+/// The effects of applying a record to a job.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RecordTaken {
-    /// Tasks have come into the queue.
+pub struct RecordEffects {
+    /// Tasks were added to the queue.
     pub placement_wanted: bool,
-    /// This partition has nothing to do with the job any more.
+    /// The partition may forget the job.
     pub nothing_left_here: bool,
 }
 
 impl PartitionJob {
-    /// A job that has just come to be known, without any task yet.
+    /// Creates a job without any tasks; [`take_record`](Self::take_record) adds those of the
+    /// partition.
+    ///
+    /// `now` is on the monotonic clock, `wall` is the time of day in microseconds since 1970.
     pub fn new(record: ActiveJobRecord, now: Micros, wall: Micros) -> Self {
         let age = wall.saturating_sub(record.since);
         let since = now.saturating_sub(age);
@@ -121,57 +127,59 @@
         }
     }
 
-    /// Whether a record concerns a partition that does not know the job yet.
+    /// Reports whether a record is relevant to a partition that does not know the job yet.
     pub fn concerns(record: &ActiveJobRecord, partition: &str) -> bool {
-        ends_here(record, partition) || !record.owned_by(partition).is_empty()
+        may_have_to_end(record, partition) || !record.owned_by(partition).is_empty()
     }
 
-    /// Takes in the record as the store has it, if it is newer than the known one. `team_limited` says
-    /// whether the job's team may use only so much.
+    /// Applies a record read from the store if it is newer than the known one. `team_limited` tells
+    /// whether the job's team has resource limits.
     pub fn take_record(
         &mut self,
         record: ActiveJobRecord,
         mod_revision: u64,
         context: PartitionContext<'_>,
         team_limited: bool,
-    ) -> RecordTaken {
-        let mut taken = RecordTaken::default();
+    ) -> RecordEffects {
+        let mut effects = RecordEffects::default();
         if mod_revision <= self.mod_revision {
-            return taken;
+            return effects;
         }
         let owned = record.owned_by(context.partition);
         let fresh = record.entered_under(context.partition, context.term);
         self.record = record;
         self.mod_revision = mod_revision;
         if !self.writing {
-            // The record has moved on, so the doubtful write can no longer come into force.
-            taken.placement_wanted = self.settle_unknown_outcome();
+            // The record has a newer revision, so the write of unknown outcome can no longer
+            // commit.
+            effects.placement_wanted = self.settle_unknown_outcome();
         }
-        let new = owned.minus(&self.known());
-        let at_once = if context.recovery_complete {
+        let new = owned.minus(&self.tracked_tasks());
+        let startable = if context.recovery_complete {
             new.clone()
         } else if team_limited {
-            // The team's limit counts what an earlier leader may have started.
+            // Tasks that an earlier leader may have started count towards the team's limit.
             Ranges::default()
         } else {
             new.intersect(&fresh)
         };
-        self.awaiting_recovery.add(&new.minus(&at_once));
-        self.ready.add(&at_once);
+        self.awaiting_recovery.add(&new.minus(&startable));
+        self.ready.add(&startable);
         self.ready = self.ready.intersect(&owned);
         self.awaiting_recovery = self.awaiting_recovery.intersect(&owned);
         self.moving = self.moving.intersect(&owned);
         self.finished = self.finished.intersect(&owned);
-        taken.placement_wanted |= !self.ready.is_empty() && !at_once.is_empty();
-        taken.nothing_left_here =
-            self.idle() && owned.is_empty() && !ends_here(&self.record, context.partition);
-        taken
+        effects.placement_wanted |= !self.ready.is_empty() && !startable.is_empty();
+        effects.nothing_left_here =
+            self.idle() && owned.is_empty() && !may_have_to_end(&self.record, context.partition);
+        effects
     }
 
-    /// A page of the job, which another leader may have written, records these tasks as finished.
+    /// Applies a page of the job, possibly written by another leader: its tasks have finished.
     pub fn take_page(&mut self, number: u32, finished: &Ranges) {
         self.record.paged = true;
-        // Most pages are of this leader's own writing: a look at the page's tasks alone is cheap.
+        // Most pages were written by this leader and add nothing; comparing only the tasks of this
+        // page is cheap.
         let new = finished.minus(&tasks_of_page(&self.record.finished, number));
         self.record.finished.add(&new);
         self.ready.subtract(&new);
@@ -180,8 +188,11 @@
         self.finished.subtract(&new);
     }
 
-    /// Puts a task whose attempt is surely on no machine back into the queue, if it is still the
-    /// partition's and not finished. Whether it came back.
+    /// Puts a task whose attempt is known to be on no machine back into the queue, if the partition
+    /// still owns it and it has not finished. Returns whether it was put back.
+    ///
+    /// While recovery is incomplete, a task that an earlier leader may have started waits for the
+    /// recovery barrier instead of becoming ready.
     pub fn requeue(&mut self, index: u32, attempt: u64, context: PartitionContext<'_>) -> bool {
         if self.assignments.get(&index).is_none_or(|p| p.attempt != attempt) {
             return false;
@@ -191,8 +202,8 @@
         if !owned.contains(index) || self.finished.contains(index) {
             return false;
         }
-        // Seen to have ended here, but before the barrier opens another machine could still
-        // hold an attempt of an earlier leader.
+        // This attempt has ended, but until recovery completes another machine could still hold an
+        // attempt of an earlier leader.
         let fresh = self.record.entered_under(context.partition, context.term).contains(index);
         if context.recovery_complete || fresh {
             self.ready.insert(index);
@@ -202,33 +213,35 @@
         true
     }
 
-    /// No machine holds anything that an earlier leader started: what waited for that is ready.
+    /// Makes the tasks that waited for the recovery barrier ready: no machine holds an unknown
+    /// attempt of an earlier leader.
     pub fn complete_recovery(&mut self) {
-        let held = std::mem::take(&mut self.awaiting_recovery);
-        self.ready.add(&held);
+        let recovered = std::mem::take(&mut self.awaiting_recovery);
+        self.ready.add(&recovered);
     }
 
-    /// Gives a ready task to a machine.
+    /// Assigns a ready task to a machine.
     pub fn assign(&mut self, index: u32, machine: &str, attempt: u64) {
         self.ready.remove(index);
         self.assignments.insert(index, Assignment { machine: machine.to_owned(), attempt });
     }
 
-    /// Takes up an attempt that a machine reports and nobody here knows of, if its task is the
-    /// partition's, and neither finished nor on a machine nor moving. Whether it was taken up.
+    /// Adopts an unknown attempt that a machine reports, if the partition owns its task and the
+    /// task is neither finished nor on a machine nor moving. Returns whether it was adopted.
     pub fn adopt(&mut self, index: u32, machine: &str, attempt: u64, partition: &str) -> bool {
-        let free = self.record.owned_by(partition).contains(index)
+        let adoptable = self.record.owned_by(partition).contains(index)
             && !self.assignments.contains_key(&index)
             && !self.finished.contains(index)
             && !self.moving.contains(index);
-        if free {
+        if adoptable {
             self.awaiting_recovery.remove(index);
             self.assign(index, machine, attempt);
         }
-        free
+        adoptable
     }
 
-    /// Notes that a task is done; if it is the partition's, it counts once the record says so.
+    /// Notes that a task is done. A task of this partition is kept in `finished` until it is
+    /// recorded; any other is recorded by the leader of its own partition.
     pub fn finish(&mut self, index: u32, partition: &str, now: Micros) {
         self.ready.remove(index);
         self.awaiting_recovery.remove(index);
@@ -242,28 +255,28 @@
         }
     }
 
-    /// What was submitted.
+    /// Returns the submitted specification.
     pub fn spec(&self) -> &JobSpec {
         &self.record.job
     }
 
-    /// What a task takes of a machine.
+    /// Returns the resources that one task requires.
     pub fn need(&self) -> Resources {
         Resources::required_by(&self.record.job)
     }
 
-    /// Whether its tasks run until it is cancelled.
+    /// Reports whether the job is a service, whose replicas run until it is cancelled.
     pub fn service(&self) -> bool {
         self.record.job.is_service()
     }
 
-    /// Whether it is idle-time work that saves its progress when it is stopped, so that it loses next to nothing.
+    /// Reports whether the job is best-effort work that writes checkpoints; see [`yields`].
     pub fn yields(&self) -> bool {
         yields(&self.record.job)
     }
 
-    /// All tasks that this partition answers for, as far as it knows.
-    fn known(&self) -> Ranges {
+    /// Returns all tasks that this partition tracks, in any state.
+    fn tracked_tasks(&self) -> Ranges {
         let mut all = self.ready.union(&self.awaiting_recovery);
         all.add(&self.moving);
         all.add(&self.finished);
@@ -271,39 +284,40 @@
         all
     }
 
-    /// The record, with whether the job has begun.
-    pub fn begun_record(&self) -> ActiveJobRecord {
+    /// Returns the record, marked as started if any task was assigned or has finished.
+    pub fn record_with_start(&self) -> ActiveJobRecord {
         let mut record = self.record.clone();
         record.started |= !self.assignments.is_empty();
         record.started |= !record.finished.is_empty() || !self.finished.is_empty();
         record
     }
 
-    /// Whether this partition may have to end the job although it has no task of it any more: others
-    /// may have recorded the last tasks in pages without knowing of each other.
-    pub fn may_end_here(&self, partition: &str) -> bool {
-        ends_here(&self.record, partition)
+    /// Reports whether this partition may have to end the job although it owns no tasks of it any
+    /// more: other leaders may have recorded the last tasks in pages without knowing of each other.
+    pub fn may_have_to_end_job(&self, partition: &str) -> bool {
+        may_have_to_end(&self.record, partition)
     }
 
-    /// Whether the last tasks have finished, recorded or not.
+    /// Reports whether all tasks of the job have finished, recorded or not.
     pub fn all_finished(&self) -> bool {
         self.record.finished.len() + self.finished.len() >= self.record.job.tasks
     }
 
-    /// A replica of the service has run for a while: it works, and earlier failures count no more.
+    /// Notes that a replica of the service has run long enough to count as working, and forgets
+    /// earlier failures.
     pub fn mark_healthy(&mut self) {
         self.succeeded = self.succeeded.max(1);
         self.failures.forget();
     }
 
-    /// Whether the job fails wherever it is tried. A service may do so after it has run well: what
-    /// failed before that is forgotten by then.
+    /// Reports whether the job fails on every machine that it is tried on. A service may do so even
+    /// after it has run well, since its failures before that were forgotten.
     pub fn fails_everywhere(&self) -> bool {
         (self.succeeded == 0 || self.service()) && self.failures.blame_job()
     }
 
-    /// How many of its ready tasks may be placed now: one that fails wherever it is tried is tried with
-    /// few at once, so that it costs the machines next to nothing until it is cancelled.
+    /// Returns how many ready tasks may be placed now. A job that fails everywhere gets at most
+    /// `MAX_TRIAL_TASKS` tasks at a time, so that it uses few resources until it is cancelled.
     pub fn placeable(&self) -> u32 {
         if self.fails_everywhere() && !self.service() {
             MAX_TRIAL_TASKS.saturating_sub(self.assignments.len() as u32).min(self.ready.len())
@@ -312,16 +326,17 @@
         }
     }
 
-    /// When the machines that it failed on are tried again although it has not failed on as many as a
-    /// mistaken job: nothing of it runs, and there may be no others to be had. Where all machines had
-    /// failed for a while, a service stayed away for good after they were sound again.
+    /// Returns when the machines that the job failed on may be tried again, although it does not
+    /// fail everywhere: no task of it is running, and there may be no other machines. Without this,
+    /// a service whose attempts had failed on all machines was never placed again after the
+    /// machines recovered.
     pub fn forgives_at(&self) -> Option<Micros> {
         let waits =
             !self.failures.is_empty() && self.assignments.is_empty() && !self.fails_everywhere();
-        waits.then(|| self.failures.last() + FORGIVEN_AFTER)
+        waits.then(|| self.failures.last() + FAILED_MACHINE_RETRY_DELAY)
     }
 
-    /// Whether the work of this partition on the job is over and recorded.
+    /// Reports whether this partition has no unfinished or unrecorded work on the job.
     pub fn idle(&self) -> bool {
         self.ready.is_empty()
             && self.awaiting_recovery.is_empty()
@@ -333,13 +348,14 @@
     }
 }
 
-/// Whether tasks of a job give way to any other work at next to no loss.
+/// Reports whether tasks of a job can be preempted by any other work at almost no loss: best-effort
+/// work that writes checkpoints.
 pub fn yields(job: &JobSpec) -> bool {
     job.priority == Priority::BestEffort && job.checkpoint_s > 0.0
 }
 
-/// Whether a partition may have to end a job of which it need not own any task.
-fn ends_here(record: &ActiveJobRecord, partition: &str) -> bool {
+/// Reports whether a partition may have to end a job even if it owns no tasks of it.
+fn may_have_to_end(record: &ActiveJobRecord, partition: &str) -> bool {
     record.paged && record.is_shared_by(partition)
 }
 
--- a/crates/quartzlever-core/src/jobs/partition_job/record_writes.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/record_writes.rs
@@ -1,32 +1,32 @@
-//! When the record of a partition's job is written, and what an answer to a write changes of the job.
+//! When the record of a partition's job is written, and how replies to writes change the job.
 //!
-//! One write or read of the record is under way at a time. A task leaves `finished` only once a
-//! committed write has recorded it.
+//! At most one write or read of the record is in flight. A task leaves `finished` only once a
+//! committed write or a page has recorded it, or the partition no longer owns it.
 
 use quartzlever_wire::{Micros, Ranges};
 
 use crate::jobs::partition_job::PartitionJob;
 
-/// What is to be done about the record of a job.
+/// The next step for the record of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordStep {
-    /// Nothing now.
+    /// Do nothing now.
     Wait,
-    /// This partition has nothing to do with the job any more.
+    /// Forget the job: this partition has no part in it any more.
     Forget,
-    /// What has finished, or that the job has begun, is to be written.
+    /// Write the finished tasks, or that the job has started.
     WriteProgress,
-    /// All tasks have finished: the job is to be ended.
-    WriteEnd,
+    /// End the job, all of whose tasks have finished.
+    WriteFinalState,
 }
 
 impl PartitionJob {
-    /// The modification revision of the record.
+    /// Returns the known modification revision of the record.
     pub fn mod_revision(&self) -> u64 {
         self.mod_revision
     }
 
-    /// What is to be done about the record now.
+    /// Returns the next step for the record.
     pub fn next_record_step(&self, partition: &str, now: Micros) -> RecordStep {
         if self.writing || now < self.write_not_before {
             return RecordStep::Wait;
@@ -35,57 +35,58 @@
             return match self.write_outcome_unknown || self.needs_write || !self.finished.is_empty()
             {
                 false => RecordStep::Wait,
-                true if self.all_finished() => RecordStep::WriteEnd,
+                true if self.all_finished() => RecordStep::WriteFinalState,
                 true => RecordStep::WriteProgress,
             };
         }
-        match self.may_end_here(partition) {
-            true if self.all_finished() => RecordStep::WriteEnd,
+        match self.may_have_to_end_job(partition) {
+            true if self.all_finished() => RecordStep::WriteFinalState,
             false if self.record.owned_by(partition).is_empty() => RecordStep::Forget,
             _ => RecordStep::Wait,
         }
     }
 
-    /// The record is not written again before this time.
+    /// Returns the earliest time of the next write of the record.
     pub fn write_not_before(&self) -> Micros {
         self.write_not_before
     }
 
-    /// Nothing of the progress can be written now; it is tried again at this time.
+    /// Postpones the write of the record, because no progress can be written now.
     pub fn postpone_write(&mut self, until: Micros) {
         self.write_not_before = until;
     }
 
-    /// A write of the record begins; the next one not before this time.
+    /// Notes that a write of the record is sent; the next one may not start before `next`.
     pub fn begin_write(&mut self, next: Micros) {
         self.writing = true;
         self.needs_write = false;
         self.write_not_before = next;
     }
 
-    /// The record is read again, and not written meanwhile.
+    /// Notes that the record is being read again; it is not written until the read is answered.
     pub fn begin_reread(&mut self) {
         self.writing = true;
     }
 
-    /// The write, or the read, has been answered.
+    /// Notes that the write or the read was answered.
     pub fn end_write(&mut self) {
         self.writing = false;
     }
 
-    /// The record is to be written again, not before this time.
+    /// Schedules another write of the record at `not_before` at the earliest.
     pub fn retry_write(&mut self, not_before: Micros) {
         self.needs_write = true;
         self.write_not_before = not_before;
     }
 
-    /// Has the record say that the job has begun. No progress is ever written of a service, so that
-    /// others would call it queued.
+    /// Schedules a write that marks the job as started, unless its record says so already. Progress
+    /// is never written for a service, so without this other nodes would report it as queued.
     pub fn record_start(&mut self) {
         self.needs_write |= !self.record.started;
     }
 
-    /// The record is in force with newly finished tasks. Whether tasks returned to the queue.
+    /// Applies a committed write of newly finished tasks. Returns whether tasks of a move of
+    /// unknown outcome returned to the queue.
     pub fn progress_written(&mut self, recorded: &Ranges, mod_revision: u64) -> bool {
         self.finished.subtract(recorded);
         if mod_revision > self.mod_revision {
@@ -93,16 +94,17 @@
             self.record.finished.add(recorded);
             self.record.started = true;
         }
-        // Ours came into force at that modification revision, so the doubtful one never will.
+        // This write was committed at that modification revision, so the write of unknown outcome
+        // never will be.
         self.settle_unknown_outcome()
     }
 
-    /// Whether no write of the record is under way or of unknown outcome.
+    /// Reports whether no write of the record is in flight or of unknown outcome.
     pub fn is_record_settled(&self) -> bool {
         !self.writing && !self.write_outcome_unknown
     }
 
-    /// Whether an earlier write may still come into force.
+    /// Reports whether an earlier write of unknown outcome may still be committed.
     pub fn is_write_outcome_unknown(&self) -> bool {
         self.write_outcome_unknown
     }
--- a/crates/quartzlever-core/src/jobs/partition_job/tests.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/tests.rs
@@ -1,27 +1,27 @@
-//! What becomes of a job's tasks as records, pages and answers to writes come in.
+//! The states of a job's tasks as records, pages and replies to writes arrive.
 
 use super::*;
 use crate::testing::{NOW, record};
 
-const HOLDER: PartitionContext<'_> =
+const CONTEXT: PartitionContext<'_> =
     PartitionContext { partition: "one", term: 5, recovery_complete: true };
 
 fn ranges(text: &str) -> Ranges {
     text.parse().unwrap_or_default()
 }
 
-/// A job of four tasks, these of them in partition "one", known as of revision 10.
-fn job(mine: &str) -> PartitionJob {
-    let other = Ranges::first(4).minus(&ranges(mine)).to_string();
-    let record = record(mine, &other);
+/// Returns a job of four tasks with a record at revision 10; `own` are those of partition "one".
+fn job(own: &str) -> PartitionJob {
+    let other = Ranges::first(4).minus(&ranges(own)).to_string();
+    let record = record(own, &other);
     let mut job = PartitionJob::new(record.clone(), NOW, NOW);
-    job.take_record(record, 10, HOLDER, false);
+    job.take_record(record, 10, CONTEXT, false);
     job
 }
 
 #[test]
 fn tasks_of_a_new_record_are_ready_unless_an_earlier_leader_may_have_started_them() {
-    // (recovery complete, team limited, term; ready, awaiting recovery)
+    // (recovery complete; team limited; term; tasks ready; tasks awaiting recovery)
     for (recovery_complete, team_limited, term, ready, awaiting) in [
         (true, false, 5, "0-3", ""),
         (true, true, 9, "0-3", ""),
@@ -32,26 +32,26 @@
         let record = record("0-3", "");
         let mut job = PartitionJob::new(record.clone(), NOW, NOW);
         let context = PartitionContext { partition: "one", term, recovery_complete };
-        let taken = job.take_record(record, 10, context, team_limited);
+        let effects = job.take_record(record, 10, context, team_limited);
         let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
         let name = format!("{recovery_complete} {team_limited} {term}");
         assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
-        assert_eq!(taken.placement_wanted, !ready.is_empty(), "{name}");
-        assert!(!taken.nothing_left_here, "{name}");
+        assert_eq!(effects.placement_wanted, !ready.is_empty(), "{name}");
+        assert!(!effects.nothing_left_here, "{name}");
     }
 }
 
 #[test]
-fn an_older_record_changes_nothing() {
+fn a_record_that_is_not_newer_changes_nothing() {
     let mut job = job("0-1");
-    assert_eq!(job.take_record(record("0-3", ""), 10, HOLDER, false), RecordTaken::default());
+    assert_eq!(job.take_record(record("0-3", ""), 10, CONTEXT, false), RecordEffects::default());
     assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-1".into(), 10));
-    let taken = job.take_record(record("", "0-3"), 11, HOLDER, false);
-    assert!(taken.nothing_left_here && job.ready.is_empty());
+    let effects = job.take_record(record("", "0-3"), 11, CONTEXT, false);
+    assert!(effects.nothing_left_here && job.ready.is_empty());
 }
 
 #[test]
-fn a_move_ends_with_each_task_in_one_place() {
+fn a_move_ends_with_each_task_in_one_state() {
     type End = fn(&mut PartitionJob, &Ranges);
     let ends: [(&str, End, &str, usize); 4] = [
         ("undone", |job, cut| job.move_undone(cut), "0-3", 0),
@@ -71,58 +71,62 @@
     }
 }
 
-/// Only a write at the same modification revision, or a newer record while no write is under way,
-/// shows that a move of unknown outcome never comes into force.
+/// Only a write at the same modification revision, or a newer record while no write is in flight,
+/// shows that a move of unknown outcome can no longer be committed.
 #[test]
-fn a_move_of_unknown_outcome_stays_cut_until_it_is_settled() {
-    let doubtful = || {
+fn tasks_of_a_move_of_unknown_outcome_stay_out_of_the_queue_until_it_is_settled() {
+    let with_unknown_outcome = || {
         let mut job = job("0-3");
         let cut = job.ready.cut_last(2);
         job.begin_move(&cut);
         job.move_outcome_unknown(NOW);
         job
     };
-    let mut job = doubtful();
+    let mut job = with_unknown_outcome();
     assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteProgress);
     job.begin_write(NOW + 1);
-    let taken = job.take_record(record("0-3", ""), 11, HOLDER, false);
-    assert_eq!((taken.placement_wanted, job.ready.to_string()), (false, "0-1".into()));
+    let effects = job.take_record(record("0-3", ""), 11, CONTEXT, false);
+    assert_eq!((effects.placement_wanted, job.ready.to_string()), (false, "0-1".into()));
     job.end_write();
     assert!(job.progress_written(&Ranges::default(), 12));
     assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-3".into(), 12));
-    let mut job = doubtful();
-    let taken = job.take_record(record("0-2", "3"), 11, HOLDER, false);
-    assert_eq!((taken.placement_wanted, job.ready.to_string()), (true, "0-2".into()));
+    let mut job = with_unknown_outcome();
+    let effects = job.take_record(record("0-2", "3"), 11, CONTEXT, false);
+    assert_eq!((effects.placement_wanted, job.ready.to_string()), (true, "0-2".into()));
     assert!(job.is_record_settled());
 }
 
 #[test]
-fn the_record_is_written_when_there_is_something_to_say() {
+fn the_record_is_written_only_when_something_has_changed() {
     let mut job = job("0-3");
     assert_eq!(job.next_record_step("one", NOW), RecordStep::Wait);
     job.record_start();
     assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteProgress);
     job.begin_write(NOW + 5);
-    assert_eq!(job.next_record_step("one", NOW + 5), RecordStep::Wait, "once at a time");
+    assert_eq!(job.next_record_step("one", NOW + 5), RecordStep::Wait, "one write at a time");
     job.end_write();
     assert_eq!(job.next_record_step("one", NOW + 5), RecordStep::Wait, "nothing new");
     for index in 0..4 {
         job.ready.remove(index);
         job.finish(index, "one", NOW);
     }
-    assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteEnd, "the end waits for nothing");
+    assert_eq!(
+        job.next_record_step("one", NOW),
+        RecordStep::WriteFinalState,
+        "the final state is not delayed"
+    );
     job.postpone_write(NOW + 9);
     assert_eq!(job.next_record_step("one", NOW + 8), RecordStep::Wait);
-    assert_eq!(job.next_record_step("one", NOW + 9), RecordStep::WriteEnd);
+    assert_eq!(job.next_record_step("one", NOW + 9), RecordStep::WriteFinalState);
 }
 
-/// Others may have recorded the last tasks in pages without knowing of each other.
+/// Other leaders may have recorded the last tasks in pages without knowing of each other.
 #[test]
-fn a_holder_without_tasks_ends_a_job_with_pages_or_forgets_it() {
+fn a_leader_without_unfinished_tasks_ends_a_job_with_pages_or_forgets_it() {
     for (paged, finished, step) in [
         (false, "", RecordStep::Forget),
         (true, "0-1", RecordStep::Wait),
-        (true, "0-3", RecordStep::WriteEnd),
+        (true, "0-3", RecordStep::WriteFinalState),
     ] {
         let mut job = job("0-1");
         let mut record = record("0-1", "2-3");
@@ -130,13 +134,13 @@
         if !paged {
             record = crate::testing::record("", "0-3");
         }
-        job.take_record(record, 11, HOLDER, false);
+        job.take_record(record, 11, CONTEXT, false);
         assert_eq!(job.next_record_step("one", NOW), step, "{paged} {finished}");
     }
 }
 
 #[test]
-fn a_page_takes_finished_tasks_from_wherever_they_were() {
+fn a_page_removes_its_finished_tasks_from_every_other_state() {
     let mut job = job("0-3");
     let cut = job.ready.cut_last(1);
     job.begin_move(&cut);
@@ -148,12 +152,13 @@
     assert_eq!(job.record.finished.to_string(), "0-1,3");
 }
 
-/// Before the barrier opens another machine could still hold an attempt of an earlier leader.
+/// Until recovery completes another machine could still hold an attempt of an earlier leader, so a
+/// task that such a leader may have started waits.
 #[test]
-fn a_task_returns_to_the_queue_unless_it_is_finished_or_anothers() {
-    // (number of the attempt that ended, whether the task is finished, recovery complete, term;
-    // whether the task comes back, ready, awaiting recovery)
-    for (ended, finished, recovery_complete, term, comes_back, ready, awaiting) in [
+fn a_task_returns_to_the_queue_unless_it_is_finished_or_owned_by_another_partition() {
+    // (number of the attempt that ended; whether the task is finished; recovery complete; term;
+    // whether the task is put back; tasks ready; tasks awaiting recovery)
+    for (ended, finished, recovery_complete, term, requeued, ready, awaiting) in [
         (7, false, true, 5, true, "0-3", ""),
         (7, false, false, 5, true, "0-3", ""),
         (7, false, false, 9, true, "1-3", "0"),
@@ -168,30 +173,31 @@
         }
         let context = PartitionContext { partition: "one", term, recovery_complete };
         let name = format!("{ended} {finished} {recovery_complete} {term}");
-        assert_eq!(job.requeue(0, ended, context), comes_back, "{name}");
+        assert_eq!(job.requeue(0, ended, context), requeued, "{name}");
         assert_eq!(job.assignments.is_empty(), ended == 7, "{name}");
         let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
         assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
         job.complete_recovery();
-        assert_eq!(job.ready.to_string(), if comes_back { "0-3" } else { "1-3" }, "{name}");
+        assert_eq!(job.ready.to_string(), if requeued { "0-3" } else { "1-3" }, "{name}");
     }
     let mut job = job("0-3");
     job.ready.remove(0);
     job.assignments.insert(0, Assignment { machine: "n-1".into(), attempt: 7 });
-    job.take_record(record("1-3", "0"), 11, HOLDER, false);
-    assert!(!job.requeue(0, 7, HOLDER), "another partition's by now");
+    job.take_record(record("1-3", "0"), 11, CONTEXT, false);
+    assert!(!job.requeue(0, 7, CONTEXT), "now owned by another partition");
     assert_eq!(job.ready.to_string(), "1-3");
 }
 
-/// A machine that a new leader hears of for the first time may run any task, or an old one again.
+/// The first heartbeat of a machine to a new leader may report an attempt of any task, including
+/// one that is finished, assigned elsewhere or moving.
 #[test]
-fn a_reported_attempt_is_taken_up_only_if_its_task_is_free() {
+fn a_reported_attempt_is_adopted_only_if_its_task_has_no_other_state() {
     let mut job = job("0-3");
     let cut = job.ready.cut_last(1);
     job.begin_move(&cut);
     job.finish(0, "one", NOW);
     job.assign(1, "n-1", 7);
-    for (index, partition, taken_up) in [
+    for (index, partition, adopted) in [
         (0, "one", false),
         (1, "one", false),
         (2, "two", false),
@@ -199,14 +205,14 @@
         (2, "one", true),
         (2, "one", false),
     ] {
-        assert_eq!(job.adopt(index, "n-2", 8, partition), taken_up, "{index} {partition}");
+        assert_eq!(job.adopt(index, "n-2", 8, partition), adopted, "{index} {partition}");
     }
     assert!(job.ready.is_empty() && job.is_moving(3));
     let machines: Vec<&str> = job.assignments.values().map(|p| p.machine.as_str()).collect();
     assert_eq!(machines, ["n-1", "n-2"]);
 }
 
-/// Another partition's task that ends here is theirs to record.
+/// A task of another partition that finishes here is recorded by the leader of that partition.
 #[test]
 fn only_own_tasks_count_as_finished() {
     let mut job = job("0-1");
--- a/crates/quartzlever-core/src/jobs/records.rs
+++ b/crates/quartzlever-core/src/jobs/records.rs
@@ -1,9 +1,10 @@
-//! The records of jobs: which are to be written, and the transactions that write them.
+//! Job records: which are due to be written, and the transactions that write them.
 //!
-//! Pure: what is planned here is sent, and its answer taken in, by the steps of the router. Every
-//! transaction is on condition of the partition's key, so that only its present leader gets it into
-//! force, and of the modification revision of the job's record. No finished task is ever left out of
-//! a record that listed it, and a task counts as recorded only by what a committed transaction says.
+//! Pure functions; the router sends what is planned here and applies the reply. Every transaction
+//! is conditional on the partition's key, so that only its current leader can commit it, and on the
+//! modification revision of the job's record. A record never drops a finished task that it has
+//! listed, unless a page holds it, and a task counts as recorded only once a committed transaction
+//! records it.
 
 use quartzlever_wire::store::{
     ActiveJobRecord, PARTITION_PREFIX, StoreReply, TERMINAL_JOB_PREFIX, TerminalJobRecord, Txn,
@@ -17,12 +18,13 @@
 use crate::store::active_job_key;
 use crate::store::write_budget::WriteKind;
 
-/// The key of the final state of a job.
+/// Returns the key of the final state of a job.
 pub fn terminal_job_key(id: &str) -> String {
     format!("{TERMINAL_JOB_PREFIX}{id}")
 }
 
-/// A job whose record is to be written, in the order of what is written first.
+/// A job whose record is due to be written. Sorts by priority: the kind of write first, then the
+/// longest overdue.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueWrite {
     pub write_kind: WriteKind,
@@ -32,14 +34,14 @@
 }
 
 impl DueWrite {
-    /// How many changes the write takes without its pages.
+    /// Returns the number of changes that the write takes without its pages.
     pub fn changes(&self) -> usize {
         if self.write_kind == WriteKind::Finish { 2 } else { 1 }
     }
 }
 
-/// Adds the due writes of the jobs of a partition to `due`, those of mere progress only if
-/// `may_write_progress`, and gives the jobs that it has nothing to do with any more.
+/// Adds the due writes of a partition's jobs to `due`, and returns the jobs that the partition may
+/// forget. Writes of progress are included only if `may_write_progress` is set.
 pub(crate) fn collect_due<'a>(
     partition: &str,
     jobs: impl Iterator<Item = (&'a String, &'a PartitionJob)>,
@@ -57,7 +59,7 @@
             }
             RecordStep::WriteProgress if !may_write_progress => continue,
             RecordStep::WriteProgress => WriteKind::Progress,
-            RecordStep::WriteEnd => WriteKind::Finish,
+            RecordStep::WriteFinalState => WriteKind::Finish,
         };
         due.push(DueWrite {
             write_kind,
@@ -69,29 +71,29 @@
     forgotten
 }
 
-/// What became of a transaction that changes the record of a job.
+/// The outcome of a transaction that changes the record of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WriteOutcome {
     Committed {
         mod_revision: u64,
     },
-    /// The partition is another leader's.
+    /// Another leader has the partition.
     PartitionLost,
-    /// The record, or a page, is not what it was held to be.
+    /// The record or a page is at another modification revision than expected.
     RecordChanged,
-    /// It was not carried out, or may not have been.
+    /// The transaction was not carried out, or its outcome is unknown.
     Failed,
 }
 
 impl WriteOutcome {
-    /// The outcome of a leader's transaction by the store's answer.
+    /// Derives the outcome of a transaction of the partition's leader from the store's reply.
     pub fn of(result: &Result<StoreReply, CallError>, partition: &str) -> Self {
-        let fences = |key: &String| key.strip_prefix(PARTITION_PREFIX) == Some(partition);
+        let is_partition_key = |key: &String| key.strip_prefix(PARTITION_PREFIX) == Some(partition);
         match result {
             Ok(StoreReply::Committed(mod_revision)) => {
                 WriteOutcome::Committed { mod_revision: *mod_revision }
             }
-            Ok(StoreReply::Conflict(failed)) if failed.iter().any(fences) => {
+            Ok(StoreReply::Conflict(failed)) if failed.iter().any(is_partition_key) => {
                 WriteOutcome::PartitionLost
             }
             Ok(StoreReply::Conflict(_)) => WriteOutcome::RecordChanged,
@@ -100,51 +102,54 @@
     }
 }
 
-/// A planned transaction, and what it will have done.
+/// A planned transaction, and what it records once committed.
 #[derive(Debug)]
 pub(crate) struct PlannedWrite {
     pub txn: Txn,
     pub action: JobWriteAction,
-    /// The newly finished tasks that it records.
+    /// The newly finished tasks that the transaction records.
     pub recorded: Ranges,
-    /// The pages that it writes.
+    /// The pages that the transaction writes.
     pub pages: Vec<PageWrite>,
 }
 
-/// Plans the write of a job that is due: its end, or as much of its progress as fits. `leader` is a
-/// transaction that only the partition's leader gets into force, `paging` whether all controllers
-/// know pages. None if nothing can be written that fits.
+/// Plans the due write of a job: its final state, or as much of its progress as fits the limits.
+/// Returns `None` if no write fits.
+///
+/// `leader` is a transaction conditional on the partition's term, so that only its leader can
+/// commit it. `paging` tells whether all controllers support pages.
 pub(crate) fn plan_write(
     leader: Txn,
     job: &PartitionJob,
     pages: &Pages,
     paging: bool,
-    room: WriteLimits,
+    limits: WriteLimits,
 ) -> Option<PlannedWrite> {
     let id = &job.spec().id;
     let base = leader.if_mod_revision(active_job_key(id), job.mod_revision());
     if job.all_finished() {
-        return Some(end_of_job(base, job));
+        return Some(plan_final_state(base, job));
     }
     let progress = if paging {
-        pages.plan(&job.begun_record(), &job.finished, room)
+        pages.plan(&job.record_with_start(), &job.finished, limits)
     } else {
-        progress_without_pages(job, room.value_bytes)
+        plan_progress_without_pages(job, limits.value_bytes)
     };
-    progress.map(|progress| progress_of_job(base, id, progress, pages))
+    progress.map(|progress| plan_progress(base, id, progress, pages))
 }
 
-fn end_of_job(txn: Txn, job: &PartitionJob) -> PlannedWrite {
+fn plan_final_state(txn: Txn, job: &PartitionJob) -> PlannedWrite {
     let spec = job.spec();
-    let over = TerminalJobRecord { phase: JobPhase::Done, done: spec.tasks };
-    let txn =
-        txn.delete(active_job_key(&spec.id)).write(terminal_job_key(&spec.id), Json::of(&over));
+    let final_state = TerminalJobRecord { phase: JobPhase::Done, done: spec.tasks };
+    let txn = txn
+        .delete(active_job_key(&spec.id))
+        .write(terminal_job_key(&spec.id), Json::of(&final_state));
     let recorded = job.finished.clone();
     PlannedWrite { txn, action: JobWriteAction::End, recorded, pages: Vec::new() }
 }
 
-/// Makes a transaction record the progress of a job.
-pub(crate) fn progress_of_job(
+/// Adds the writes of a job's progress to a transaction.
+pub(crate) fn plan_progress(
     txn: Txn,
     id: &str,
     progress: ProgressWrite,
@@ -159,17 +164,19 @@
     PlannedWrite { txn, action, recorded, pages }
 }
 
-/// While a controller may be of the first version, a record keeps what fits: too many gaps are not
-/// recorded until other tasks have finished between. What is not recorded is not cleared on the
-/// machines either.
-fn progress_without_pages(job: &PartitionJob, value_bytes: usize) -> Option<ProgressWrite> {
-    let mut record = job.begun_record();
+/// Plans a progress write without pages, which controllers of the first version cannot read.
+///
+/// The record lists as many finished tasks as fit. If there are too many gaps, the rest is recorded
+/// only once tasks in between have finished, and until then it is not cleared on the machines
+/// either.
+fn plan_progress_without_pages(job: &PartitionJob, value_bytes: usize) -> Option<ProgressWrite> {
+    let mut record = job.record_with_start();
     let recorded = record.finished.clone();
     record.finished.add(&job.finished);
     let mut recorded_now = job.finished.clone();
     let mut length = Json::of(&record).text().len();
     if length > value_bytes {
-        recorded_now = fitting(&mut record, &recorded, &recorded_now, value_bytes);
+        recorded_now = add_fitting_ranges(&mut record, &recorded, &recorded_now, value_bytes);
         length = Json::of(&record).text().len();
         if recorded_now.is_empty() && (length > value_bytes || !job.is_write_outcome_unknown()) {
             return None;
@@ -178,24 +185,25 @@
     Some(ProgressWrite { record: Some(record), pages: Vec::new(), recorded: recorded_now })
 }
 
-/// Puts as much of what has finished into a record as keeps it within a value's limit, the longest
-/// ranges first, and gives what that is.
-fn fitting(
+/// Adds finished tasks to a record, the longest ranges first, as long as its value stays within
+/// `max_bytes`. Returns the tasks added. `recorded` are the tasks recorded already.
+fn add_fitting_ranges(
     record: &mut ActiveJobRecord,
     recorded: &Ranges,
     finished: &Ranges,
-    most: usize,
+    max_bytes: usize,
 ) -> Ranges {
-    /// So many ranges are tried: they fill gaps or are long, and the rest can wait.
-    const TRIED: usize = 64;
+    /// How many ranges are tried: these are long or fill gaps, and the rest can wait.
+    const MAX_RANGES_TRIED: usize = 64;
     record.finished = recorded.clone();
-    let room = most.saturating_sub(Json::of(&*record).text().len() - recorded.to_string().len());
+    let ranges_limit =
+        max_bytes.saturating_sub(Json::of(&*record).text().len() - recorded.to_string().len());
     let mut ranges: Vec<Ranges> = finished.ranges().map(Ranges::of).collect();
     ranges.sort_by_key(|r| std::cmp::Reverse(r.len()));
     let (mut kept, mut recorded_now) = (recorded.clone(), Ranges::default());
-    for range in ranges.into_iter().take(TRIED) {
+    for range in ranges.into_iter().take(MAX_RANGES_TRIED) {
         let with = kept.union(&range);
-        if with.to_string().len() <= room {
+        if with.to_string().len() <= ranges_limit {
             kept = with;
             recorded_now.add(&range);
         }
--- a/crates/quartzlever-core/src/jobs/records/tests.rs
+++ b/crates/quartzlever-core/src/jobs/records/tests.rs
@@ -1,18 +1,19 @@
-//! What is written of a job's record.
+//! Which job records are written, in which order, and on which conditions.
 
 use super::*;
 use crate::jobs::partition_job::PartitionContext;
 use crate::testing::*;
 
-/// A record with more gaps than a value holds keeps what fits, the longest ranges first; the rest
-/// stays on the machines until it fits.
+/// A record with more gaps than fit in a value lists what fits, the longest ranges first. The rest
+/// is not recorded, and so not cleared on the machines, until it fits.
 #[test]
 fn as_much_progress_is_recorded_as_a_value_holds() {
-    // (limit of a value, finished before, finished since, whether all, some or nothing is recorded)
+    // (limit of a value in bytes; finished before; finished since; whether all of that is recorded;
+    // whether any of it is)
     let gaps: String = (0..400).map(|n| format!("{},", 2 * n)).collect();
     let gaps = gaps.trim_end_matches(',');
     let long = format!("{gaps},1000-1999");
-    for (n, (most, before, since, all, some)) in [
+    for (n, (max_bytes, before, since, all, some)) in [
         (16 * 1024, "", gaps, true, true),
         (2 * 1024, "", "0-1999", true, true),
         (1_200, "", gaps, false, true),
@@ -27,16 +28,16 @@
         record.finished = ranges(before);
         let (recorded, finished) = (record.finished.clone(), ranges(since));
         record.finished.add(&finished);
-        let told = if Json::of(&record).text().len() > most {
-            fitting(&mut record, &recorded, &finished, most)
+        let added = if Json::of(&record).text().len() > max_bytes {
+            add_fitting_ranges(&mut record, &recorded, &finished, max_bytes)
         } else {
             finished.clone()
         };
-        assert_eq!((told == finished, !told.is_empty()), (all, some), "{n}: {told}");
-        assert!(Json::of(&record).text().len() <= most || !some, "{n}");
-        assert_eq!(record.finished, recorded.union(&told), "{n}");
+        assert_eq!((added == finished, !added.is_empty()), (all, some), "{n}: {added}");
+        assert!(Json::of(&record).text().len() <= max_bytes || !some, "{n}");
+        assert_eq!(record.finished, recorded.union(&added), "{n}");
         if since == long && !all {
-            assert!(told.contains(1_500), "{n}: the long range goes first");
+            assert!(added.contains(1_500), "{n}: the long range is added first");
         }
     }
 }
@@ -50,10 +51,10 @@
     job
 }
 
-/// Ends come before progress, and of each what has waited longest; a job without any task here is
-/// forgotten.
+/// Final states are written before progress, and within each kind the longest overdue first. A job
+/// without tasks in the partition is forgotten.
 #[test]
-fn ends_are_written_first_and_then_what_has_waited_longest() {
+fn final_states_are_written_first_and_then_the_longest_overdue() {
     let job_with = |id: &str, finished: u32, since: Micros| {
         let mut job = partition_job(id, "0-3");
         for index in 0..finished {
@@ -81,13 +82,13 @@
         let found: Vec<&str> = due.iter().map(|write| write.job.as_str()).collect();
         assert_eq!(found.join(" "), order, "{may_write_progress}");
         assert_eq!(forgotten, ["e"]);
-        assert_eq!(due[0].changes(), 2, "the record goes and the final state comes");
+        assert_eq!(due[0].changes(), 2, "one deletes the record, one writes the final state");
     }
 }
 
 #[test]
 fn every_write_is_on_condition_of_the_partition_and_the_record() {
-    let room = WriteLimits { value_bytes: 16 * 1024, pages: 4 };
+    let limits = WriteLimits { value_bytes: 16 * 1024, pages: 4 };
     for (finished, paging, action, changes) in [
         (2, true, JobWriteAction::Record, 1),
         (2, false, JobWriteAction::Record, 1),
@@ -100,7 +101,7 @@
             job.finish(index, "one", NOW);
         }
         let leader = Txn::default().if_mod_revision("parts/one", 5);
-        let planned = plan_write(leader, &job, &Pages::default(), paging, room);
+        let planned = plan_write(leader, &job, &Pages::default(), paging, limits);
         let PlannedWrite { txn, action: planned_action, recorded, .. } = planned.expect("it fits");
         let conditions: Vec<(&str, u64)> =
             txn.conditions.iter().map(|c| (c.path.as_str(), c.mod_revision)).collect();
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn an_answer_tells_whether_the_partition_or_the_record_has_changed() {
+fn a_conflict_tells_whether_the_partition_or_the_record_has_changed() {
     let conflict = |keys: &[&str]| {
         Ok(StoreReply::Conflict(keys.iter().map(|key| (*key).to_owned()).collect()))
     };
--- a/crates/quartzlever-core/src/jobs/submission.rs
+++ b/crates/quartzlever-core/src/jobs/submission.rs
@@ -1,10 +1,10 @@
 //! Submissions: which partition a new job enters, whether it is accepted, and the transaction that
 //! accepts it.
 //!
-//! Pure: the steps of the router send what is planned here. A job is accepted by one transaction, on
-//! condition that it is neither live nor over, so that a repeated submission is an idempotent request,
-//! and on condition of the term of the partition that it enters, so that whoever leads it then hears
-//! of it.
+//! Pure functions; the router sends what is planned here. One transaction accepts a job. Its
+//! conditions are that the job has neither an active record nor a final state, which makes a
+//! repeated submission idempotent, and that the partition that it enters still has the expected
+//! term, so that the leader of that term learns of the job.
 
 use std::collections::BTreeMap;
 
@@ -23,27 +23,28 @@
 use crate::store::active_job_key;
 use crate::store::cache::Cache;
 
-/// Why a job is not accepted, unless it is known already.
+/// Why a new job is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// It can never run.
+    /// The job can never run.
     Permanent,
-    /// That cannot be decided yet.
+    /// Whether the job can run cannot be decided yet.
     Temporary,
 }
 
-/// Whether a job is refused; `services` says whether all controllers know services.
+/// Returns why a job is refused, or `None` if it is accepted. `services` tells whether all
+/// controllers support services.
 pub(crate) fn refusal(feasibility: Feasibility, spec: &JobSpec, services: bool) -> Option<Refusal> {
     match feasibility {
-        // An earlier version could not read its record.
+        // A controller of an earlier version could not read the record of a service.
         Feasibility::Fits if spec.is_service() && !services => Some(Refusal::Temporary),
         Feasibility::Fits => None,
         Feasibility::Never => Some(Refusal::Permanent),
-        Feasibility::Unsure => Some(Refusal::Temporary),
+        Feasibility::Unknown => Some(Refusal::Temporary),
     }
 }
 
-/// The partition that a new job enters, with its term; 0 if nobody leads it.
+/// The partition that a new job enters, and its term, which is 0 if the partition has no leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
     pub partition: String,
@@ -57,22 +58,25 @@
     pub term: u64,
 }
 
-/// What the choice of the partition that a new job enters rests on.
+/// The inputs for choosing the partition that a new job enters.
 pub(crate) struct EntryChoice<'a, Leads> {
     pub config: &'a Config,
     pub cache: &'a Cache,
-    /// The partition here that new jobs enter first; none if this process may not act for any.
+    /// The preferred partition of this process; `None` if it may not act for any.
     pub own: Option<LedPartition<'a>>,
-    /// Whether this process leads a partition.
+    /// Reports whether this process leads the named partition.
     pub leads: Leads,
 }
 
 impl<Leads: Fn(&str) -> bool> EntryChoice<'_, Leads> {
-    /// The partition that a job enters. None if no partition is known to have a leader.
+    /// Returns the partition that a job enters, or `None` if no partition is known to have a
+    /// leader.
+    ///
+    /// All jobs of a limited team enter the same partition, so that one leader enforces the limit.
     pub fn choose(&self, spec: &JobSpec, rng: &mut SmallRng) -> Option<Entry> {
         if self.config.is_team_limited(&spec.team) {
             let partition = self.config.partition_of_team(&spec.team);
-            let term = self.cache.partition(partition).map_or(0, |held| held.mod_revision);
+            let term = self.cache.partition(partition).map_or(0, |leader| leader.mod_revision);
             return Some(Entry { partition: partition.to_owned(), term });
         }
         if let Some(LedPartition { name, term }) = self.own {
@@ -81,48 +85,55 @@
                     .unwrap_or_else(|| Entry { partition: name.to_owned(), term }),
             );
         }
-        // A node without a partition, such as one that is back and waits for its own, accepts into
-        // another's: the write has that partition's term as its condition, and the watch tells the leader.
-        let held: Vec<_> = self.cache.partitions().iter().collect();
-        held.choose(rng)
-            .map(|(name, held)| Entry { partition: (*name).clone(), term: held.mod_revision })
+        // A node without a partition, such as a restarted one that waits to get its own back,
+        // accepts jobs into the partition of another node: the write is conditional on that
+        // partition's term, and its leader learns of the job by the watch.
+        let led: Vec<_> = self.cache.partitions().iter().collect();
+        led.choose(rng)
+            .map(|(name, leader)| Entry { partition: (*name).clone(), term: leader.mod_revision })
     }
 
-    /// A partition of another node that a new job enters instead of this one, which has more tasks than
-    /// its processor could serve machines for, while the other has less than half. Each task
-    /// brings a machine at the most, and a partition never gives machines away: of three controllers one
-    /// had two thirds of them and went under, with the others at a quarter of their share.
+    /// Returns the partition of another node that a new job enters instead of `own`: the one with
+    /// the fewest tasks, if `own` has more tasks than its controller can serve machines
+    /// (`machine_capacity`) and the other has less than half as many.
+    ///
+    /// Each task brings at most one machine, and machines are never transferred to another
+    /// partition. Without this rule one of three controllers had two thirds of the machines and was
+    /// overloaded while the others were at a quarter of their share.
     fn less_loaded(&self, own: &str) -> Option<Entry> {
         let others = || {
-            self.cache.partitions().iter().filter(|(name, held)| {
-                *name != own && held.record.node == **name && !(self.leads)(name)
+            self.cache.partitions().iter().filter(|(name, leader)| {
+                // Each partition is named after the node that it belongs to.
+                *name != own && leader.record.node == **name && !(self.leads)(name)
             })
         };
         others().next()?;
         let mut tasks: BTreeMap<&str, usize> = BTreeMap::new();
-        for known in self.cache.active_jobs().values() {
-            for share in &known.record.shares {
-                // What is finished counts until the job is over: nothing hangs on it.
+        for job in self.cache.active_jobs().values() {
+            for share in &job.record.shares {
+                // Finished tasks count until the job ends; this estimate need not be exact.
                 *tasks.entry(share.partition.as_str()).or_default() += share.tasks.len() as usize;
             }
         }
-        let of = |partition: &str| tasks.get(partition).copied().unwrap_or(0);
-        if of(own) <= self.config.machine_capacity {
+        let tasks_of = |partition: &str| tasks.get(partition).copied().unwrap_or(0);
+        if tasks_of(own) <= self.config.machine_capacity {
             return None;
         }
-        let (name, held) = others().min_by_key(|(name, _)| of(name))?;
-        (of(name) < of(own) / 2).then(|| Entry { partition: name.clone(), term: held.mod_revision })
+        let (name, leader) = others().min_by_key(|(name, _)| tasks_of(name))?;
+        (tasks_of(name) < tasks_of(own) / 2)
+            .then(|| Entry { partition: name.clone(), term: leader.mod_revision })
     }
 }
 
-/// The transaction that accepts a job, and the record that it writes.
+/// The transaction that accepts a job, with the record that it writes.
 #[derive(Debug)]
 pub(crate) struct Acceptance {
     pub txn: Txn,
     pub record: Box<ActiveJobRecord>,
 }
 
-/// Plans the acceptance of a job into a partition. None if its record is larger than a value may be.
+/// Plans the acceptance of a job into a partition. Returns `None` if its record exceeds
+/// `value_bytes`, the store's limit for a value.
 pub(crate) fn plan_acceptance(
     spec: &JobSpec,
     entry: Entry,
@@ -147,22 +158,22 @@
     Some(Acceptance { txn: txn.write(active_key, value), record: Box::new(record) })
 }
 
-/// What became of the acceptance of a job.
+/// The outcome of the transaction that accepts a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptOutcome {
     Committed {
         mod_revision: u64,
     },
-    /// The job is live or over: the submission is a repeated one.
+    /// The job has an active record or a final state: the submission is a repeated one.
     Known,
-    /// The partition has another leader than at the choice.
+    /// The term of the partition has changed since it was chosen.
     PartitionChanged,
-    /// It was not carried out, or may not have been.
+    /// The transaction was not carried out, or its outcome is unknown.
     Failed,
 }
 
 impl AcceptOutcome {
-    /// The outcome by the store's answer.
+    /// Derives the outcome from the store's reply.
     pub fn of(result: &Result<StoreReply, CallError>) -> Self {
         match result {
             Ok(StoreReply::Committed(mod_revision)) => {
--- a/crates/quartzlever-core/src/jobs/submission/tests.rs
+++ b/crates/quartzlever-core/src/jobs/submission/tests.rs
@@ -1,11 +1,11 @@
-//! Which partition a new job enters, and on which conditions it is accepted.
+//! Which partition a new job enters, and the conditions on which it is accepted.
 
 use rand::SeedableRng;
 
 use super::*;
 use crate::testing::*;
 
-/// A cache in which these nodes hold partitions: name, node, term.
+/// Returns a cache in which nodes lead partitions, given as (partition, node, term).
 fn cache(partitions: &[(&str, &str, u64)]) -> Cache {
     let mut cache = Cache::default();
     for (name, node, term) in partitions {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_job_enters_the_own_partition_or_any_that_is_led() {
+fn a_job_enters_the_own_partition_or_else_any_with_a_leader() {
     let own = Some(LedPartition { name: "one", term: 5 });
     let (free, both) = (spec(2), cache(&[("one", "one", 5), ("two", "two", 6)]));
     assert_eq!(choose(&both, &config(), own, &free), Some(("one".into(), 5)));
@@ -37,9 +37,9 @@
     assert_eq!(choose(&Cache::default(), &config(), None, &free), None);
 }
 
-/// The team's limit counts what one leader knows of.
+/// A team's limit is enforced by the one leader that knows all its jobs.
 #[test]
-fn all_jobs_of_a_limited_team_enter_one_partition_whoever_leads_it() {
+fn all_jobs_of_a_limited_team_enter_one_partition_whichever_node_leads_it() {
     let limited = JobSpec { team: "tight".into(), ..spec(2) };
     let home = config().partition_of_team("tight").to_owned();
     let away = if home == "one" { "two" } else { "one" };
@@ -51,9 +51,10 @@
 }
 
 #[test]
-fn a_job_enters_another_partition_only_if_that_has_far_less_and_is_at_home() {
+fn a_job_enters_another_partition_only_if_it_has_far_fewer_tasks_and_is_led_by_its_own_node() {
     let own = Some(LedPartition { name: "one", term: 5 });
-    // (tasks of the own partition, of the other; the node of the other; what a job enters)
+    // (tasks of the own partition; tasks of the other; node that leads the other; partition
+    // entered)
     for (tasks, other, node, enters) in [
         (100, 0, "two", "one"),
         (101, 0, "two", "two"),
@@ -73,13 +74,13 @@
 }
 
 #[test]
-fn a_job_is_refused_for_good_only_if_it_can_never_run() {
+fn a_job_is_permanently_refused_only_if_it_can_never_run() {
     let service = JobSpec { shape: Shape::Service, ..spec(2) };
     for (feasibility, job, services, refused) in [
         (Feasibility::Fits, &spec(2), false, None),
         (Feasibility::Fits, &service, true, None),
         (Feasibility::Fits, &service, false, Some(Refusal::Temporary)),
-        (Feasibility::Unsure, &spec(2), true, Some(Refusal::Temporary)),
+        (Feasibility::Unknown, &spec(2), true, Some(Refusal::Temporary)),
         (Feasibility::Never, &service, false, Some(Refusal::Permanent)),
     ] {
         assert_eq!(refusal(feasibility, job, services), refused, "{feasibility:?} {services}");
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn a_conflict_tells_a_repeated_submission_from_another_leader() {
+fn a_conflict_distinguishes_a_repeated_submission_from_a_changed_leader() {
     let conflict = |keys: &[&str]| {
         Ok(StoreReply::Conflict(keys.iter().map(|key| (*key).to_owned()).collect()))
     };
