--- a/crates/quartzlever-core/src/machines/attempt.rs
+++ b/crates/quartzlever-core/src/machines/attempt.rs
@@ -1,8 +1,8 @@
-//! An attempt of a task that is on a machine, or may be: what was ordered, what was reported, and what may
-//! still be under way to the worker.
+//! An attempt of a task that is or may be on a machine: the commands sent for it, the state the worker
+//! reported, and the commands that may still be in flight.
 //!
-//! An attempt is held as long as anything could still start it or show it. It decides nothing itself: commands
-//! are made in [`super::commands`], and its end is taken account of in [`super::attempt_outcomes`].
+//! An attempt is kept as long as a command could still start it or a heartbeat could still list it. This module
+//! holds state only: [`super::commands`] creates the commands, and [`super::attempt_outcomes`] processes the end.
 
 use quartzlever_wire::users::{JobSpec, Priority};
 use quartzlever_wire::workers::{Cause, TaskPhase};
@@ -12,63 +12,68 @@
 use crate::jobs::partition_job::yields;
 use crate::machines::resources::Resources;
 
-/// What became of the last direct call that carried an attempt's `run`.
+/// The outcome of the last direct call that carried an attempt's `run` command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DirectCommand {
-    /// None was made, or it was answered.
+    /// No call was made, or its outcome is known.
     Settled,
     InFlight,
-    /// It was given up and may still arrive, minutes late. Such an attempt is never cleared in
-    /// this incarnation: a cleared attempt would be started again by the late command.
+    /// The call timed out and the command may still arrive, minutes late. Such an attempt is never
+    /// cleared in this incarnation: the late command would start a cleared attempt again.
     OutcomeUnknown,
 }
 
-/// An attempt that is on a machine, or may be.
+/// An attempt that is or may be on a machine.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub need: Resources,
     pub priority: Priority,
-    /// Team and class of the job; empty for an attempt of a job that is not known here.
+    /// Team of the job; empty if the job is not known here.
     pub team: String,
+    /// Class of the job; empty if the job is not known here.
     pub class: String,
     pub image: String,
+    /// Run time that the job's owner estimated.
     pub expect: Micros,
-    /// When the command was first given, or the attempt first seen.
+    /// When the attempt was placed here or first seen in a heartbeat.
     pub since: Micros,
-    /// When it was first reported running.
+    /// When a heartbeat first reported it as running.
     pub running_since: Option<Micros>,
     pub phase: Option<TaskPhase>,
     pub cause: Option<Cause>,
+    /// Whether it should run; an unwanted attempt is killed.
     pub wanted: bool,
+    /// Seconds that it may take to save its progress when it is killed.
     pub leeway_s: f64,
     pub direct_command: DirectCommand,
-    /// The answer to a heartbeat carries its `run`, and no later heartbeat has come: the answer may
-    /// still be under way. Answers and direct commands go by different connections, so that a
-    /// late answer would start the attempt again if it were killed and cleared meanwhile.
+    /// Whether the answer to a heartbeat carries its `run` and no later heartbeat has arrived, so that the
+    /// answer may still be in flight. Answers and direct commands use different connections, so a late
+    /// answer would start the attempt again if it had been killed and cleared in the meantime.
     pub in_answer: bool,
-    /// Its end has been taken account of.
+    /// Whether its end has been processed.
     pub accounted: bool,
-    /// The command was handed to the worker's address at least once.
+    /// Whether its `run` command was sent to the worker's address at least once.
     pub sent: bool,
-    /// It is idle-time work that saves its progress when it is stopped, so that it loses next to nothing.
+    /// Whether it is a best-effort task with checkpoints, which loses almost nothing when preempted.
     pub yields: bool,
-    /// It is a replica of a service.
+    /// Whether it is a replica of a service.
     pub service: bool,
-    /// Since when its job may have been over, at the earliest.
+    /// Earliest time at which its job may have ended.
     pub job_terminal_since: Option<Micros>,
-    /// Its start need not be told by a call: the answer to the next heartbeat is soon enough.
+    /// Whether its `run` may wait for the answer to the next heartbeat instead of a direct call.
     pub can_wait_for_heartbeat: bool,
+    /// When a direct call last carried its `kill`.
     pub kill_sent: Option<Micros>,
 }
 
 impl Attempt {
-    /// Whether it was reported to have ended.
+    /// Reports whether the worker reported it as exited.
     pub fn exited(&self) -> bool {
         self.phase == Some(TaskPhase::Exited)
     }
 
-    /// Notes what the job says of the attempt.
-    pub fn describe(&mut self, job: &JobSpec) {
+    /// Copies the details that the attempt takes from its job.
+    pub fn set_job_details(&mut self, job: &JobSpec) {
         self.need = Resources::required_by(job);
         self.priority = job.priority;
         self.service = job.is_service();
@@ -79,8 +84,8 @@
         self.expect = micros_from_secs(job.expect_s);
     }
 
-    /// An attempt of which nothing is known yet.
-    pub(super) fn blank(now: Micros) -> Self {
+    /// Returns an attempt whose job and state are not known yet.
+    pub(super) fn without_job(now: Micros) -> Self {
         Attempt {
             need: Resources::default(),
             priority: Priority::BestEffort,
@@ -106,10 +111,10 @@
         }
     }
 
-    /// A new attempt of a job's task.
+    /// Returns a new attempt of one of the job's tasks.
     pub fn new(job: &JobSpec, now: Micros) -> Self {
-        let mut attempt = Attempt::blank(now);
-        attempt.describe(job);
+        let mut attempt = Attempt::without_job(now);
+        attempt.set_job_details(job);
         attempt
     }
 }
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -1,7 +1,7 @@
-//! What the run and the end of an attempt say: of its task, of its job, and of the machine it was on.
+//! Effects of an attempt's run and end on its task, its job and its machine.
 //!
-//! Each end is taken account of once. A task is put back into the queue only here, in reconciliation and with a
-//! machine that is surely empty; a machine is blamed only by its record of failures.
+//! Each end is processed once. A task is requeued only here, in reconciliation and when its machine is known to be
+//! empty. A machine is found faulty only from its failure record.
 
 use quartzlever_wire::workers::{Cause, TaskId, TaskStatus};
 use quartzlever_wire::{Micros, SECOND};
@@ -15,38 +15,38 @@
 use crate::partition::Partition;
 use crate::scheduling::RunTimes;
 
-/// A replica that has run for so long works, whatever ended it.
+/// A replica that has run for longer than this counts as healthy, whatever the cause of its end.
 const REPLICA_HEALTHY_AFTER: Micros = 30 * SECOND;
 
-/// Run times of a machine's last tasks that are kept.
+/// Number of recent relative run times kept per machine.
 const MAX_RECENT_PACES: usize = 8;
 
-/// An attempt whose end a heartbeat shows for the first time.
+/// An attempt that a heartbeat reports as exited for the first time.
 pub(super) struct EndedAttempt<'a> {
     pub machine: &'a str,
-    pub seen: &'a TaskStatus,
-    /// When its start was decided.
-    pub placed: Micros,
-    /// For how long it ran, if it was ever seen to run.
-    pub ran: Option<Micros>,
+    pub status: &'a TaskStatus,
+    /// When it was placed.
+    pub placed_at: Micros,
+    /// How long it ran; `None` if it was never reported as running.
+    pub run_time: Option<Micros>,
     pub class: String,
     pub expect: Micros,
 }
 
-/// A replica has ended, which says nothing of its machine. One that ran well goes on at once, one
-/// that should not have ended so soon after a pause.
-fn note_replica_end(job: &mut PartitionJob, ended: &EndedAttempt, now: Micros) {
-    if ended.ran.is_some_and(|ran| ran > REPLICA_HEALTHY_AFTER) {
+/// Records the end of a replica, which does not count against its machine. A healthy replica is restarted
+/// at once, one that ended too soon after the retry delay.
+fn record_replica_end(job: &mut PartitionJob, ended: &EndedAttempt, now: Micros) {
+    if ended.run_time.is_some_and(|run_time| run_time > REPLICA_HEALTHY_AFTER) {
         job.mark_healthy();
     } else {
-        job.failures.note_round(ended.placed, now);
-        job.no_start_before = now + job.failures.pause();
+        job.failures.record_round(ended.placed_at, now);
+        job.no_start_before = now + job.failures.retry_delay();
     }
 }
 
 impl Partition {
-    /// An attempt is reported to run.
-    pub(super) fn attempt_runs(
+    /// Processes a heartbeat that reports an attempt as running.
+    pub(super) fn handle_running_attempt(
         &mut self,
         config: &Config,
         machine_name: &str,
@@ -83,44 +83,44 @@
         }
     }
 
-    /// An attempt has ended: takes account of it, and puts its task back into the queue unless it is done.
-    pub(super) fn attempt_ended(
+    /// Processes the end of an attempt, and requeues its task unless the task is done.
+    pub(super) fn handle_ended_attempt(
         &mut self,
         config: &Config,
         run_times: &mut RunTimes,
         ended: &EndedAttempt,
         now: Micros,
     ) {
-        let seen = ended.seen;
-        let job = self.jobs.get_mut(&seen.task.job);
+        let status = ended.status;
+        let job = self.jobs.get_mut(&status.task.job);
         if let Some(job) = job.filter(|job| job.service())
-            && (ended.ran.is_some_and(|ran| ran > REPLICA_HEALTHY_AFTER)
-                || seen.cause == Some(Cause::Done))
+            && (ended.run_time.is_some_and(|run_time| run_time > REPLICA_HEALTHY_AFTER)
+                || status.cause == Some(Cause::Done))
         {
-            note_replica_end(job, ended, now);
-            return self.requeue(&seen.task, seen.attempt);
+            record_replica_end(job, ended, now);
+            return self.requeue(&status.task, status.attempt);
         }
-        match seen.cause {
-            Some(Cause::Done) => return self.task_done(run_times, ended, now),
+        match status.cause {
+            Some(Cause::Done) => return self.handle_done_task(run_times, ended, now),
             Some(Cause::Halted) => {}
             Some(Cause::Error) | Some(Cause::Other) | None => {
-                self.attempt_failed(config, ended, now)
+                self.handle_failed_attempt(config, ended, now)
             }
             Some(Cause::NoCapacity | Cause::Busy | Cause::Unknown) => {
-                if let Some(job) = self.jobs.get_mut(&seen.task.job) {
+                if let Some(job) = self.jobs.get_mut(&status.task.job) {
                     job.no_start_before = now + SECOND;
                 }
             }
         }
-        self.requeue(&seen.task, seen.attempt);
+        self.requeue(&status.task, status.attempt);
     }
 
-    fn task_done(&mut self, run_times: &mut RunTimes, ended: &EndedAttempt, now: Micros) {
-        let task = &ended.seen.task;
+    fn handle_done_task(&mut self, run_times: &mut RunTimes, ended: &EndedAttempt, now: Micros) {
+        let task = &ended.status.task;
         if let Some(machine) = self.machines.get_mut(ended.machine) {
-            machine.failures.forget();
-            if let Some(ran) = ended.ran.filter(|_| ended.expect > 0) {
-                let pace = (ran.saturating_mul(1000) / ended.expect).min(1_000_000) as u32;
+            machine.failures.reset();
+            if let Some(run_time) = ended.run_time.filter(|_| ended.expect > 0) {
+                let pace = (run_time.saturating_mul(1000) / ended.expect).min(1_000_000) as u32;
                 machine.pace.push(run_times.relative(&ended.class, pace));
                 run_times.learn(&ended.class, pace);
                 if machine.pace.len() > MAX_RECENT_PACES {
@@ -128,46 +128,47 @@
                 }
             }
         }
-        let is_first = self.jobs.get(&task.job).is_some_and(|job| job.succeeded == 0);
+        let is_first_success = self.jobs.get(&task.job).is_some_and(|job| job.succeeded == 0);
         self.finish(&task.job, task.index, now);
-        if is_first {
-            self.job_runs_well(&task.job);
+        if is_first_success {
+            self.record_success_elsewhere(&task.job);
         }
         if let Some(job) = self.jobs.get_mut(&task.job)
-            && job.assignments.get(&task.index).is_some_and(|p| p.attempt == ended.seen.attempt)
+            && job.assignments.get(&task.index).is_some_and(|p| p.attempt == ended.status.attempt)
         {
             job.assignments.remove(&task.index);
         }
     }
 
-    fn attempt_failed(&mut self, config: &Config, ended: &EndedAttempt, now: Micros) {
-        let id = &ended.seen.task.job;
+    fn handle_failed_attempt(&mut self, config: &Config, ended: &EndedAttempt, now: Micros) {
+        let id = &ended.status.task.job;
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let was_mistaken = job.fails_everywhere();
-        job.failures.note(ended.machine, ended.placed, ended.ran.unwrap_or(0), now);
-        let (runs_well, several) = (job.succeeded > 0, job.failures.on_several());
-        if several {
-            // A mistaken job fails everywhere: it must not hammer the machines.
-            job.no_start_before = now + job.failures.pause();
+        let failed_everywhere_before = job.fails_everywhere();
+        job.failures.note(ended.machine, ended.placed_at, ended.run_time.unwrap_or(0), now);
+        let (has_succeeded, on_multiple_machines) =
+            (job.succeeded > 0, job.failures.on_multiple_machines());
+        if on_multiple_machines {
+            // A faulty job fails on every machine: the delay limits the load that its restarts cause.
+            job.no_start_before = now + job.failures.retry_delay();
         }
-        let has_turned = job.fails_everywhere() && !was_mistaken;
-        if has_turned && config.log_level >= LogLevel::Info {
+        let newly_fails_everywhere = job.fails_everywhere() && !failed_everywhere_before;
+        if newly_fails_everywhere && config.log_level >= LogLevel::Info {
             let (partition, job) = (self.name.clone(), id.clone());
             self.log_events.push(LogEvent::JobFailsEverywhere { partition, job });
         }
         if let Some(machine) = self.machines.get_mut(ended.machine) {
-            machine.failures.note(id, runs_well, several, now);
+            machine.failures.record_failure(id, has_succeeded, on_multiple_machines, now);
         }
-        if several && !runs_well {
-            // It says nothing of the machines that it failed on before either.
-            self.update_failure_records(id, |failures| failures.failed_elsewhere(id));
+        if on_multiple_machines && !has_succeeded {
+            // The job's earlier failures no longer count against their machines either.
+            self.update_failure_records(id, |failures| failures.record_failure_elsewhere(id));
         }
     }
 
-    /// Whether an attempt of a job that failed everywhere has shown by now that it runs.
+    /// Stops treating a job as failing everywhere once one of its attempts has outlasted the failed ones.
     pub(crate) fn try_to_clear(&mut self, config: &Config, id: &str, now: Micros) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.fails_everywhere()) else { return };
-        // A heartbeat may show a start or a failure an interval late.
+        // A heartbeat may report a start or a failure one interval late.
         let margin = config.workers.heartbeat_interval * 2;
         for (index, place) in &job.assignments {
             let key = AttemptKey {
@@ -179,26 +180,26 @@
                 .filter(|attempt| !attempt.exited())
                 .and_then(|attempt| attempt.running_since);
             if let Some(since) = since {
-                job.failures.runs(now.saturating_sub(since), margin);
+                job.failures.record_running_for(now.saturating_sub(since), margin);
             }
         }
         if !job.fails_everywhere() {
-            self.job_runs_well(id);
+            self.record_success_elsewhere(id);
         }
     }
 
-    /// A job that may have failed on some machines has run well on another.
-    fn job_runs_well(&mut self, id: &str) {
-        self.update_failure_records(id, |failures| failures.runs_elsewhere(id));
+    /// Records on the machines where a job failed that it has run well on another machine.
+    fn record_success_elsewhere(&mut self, id: &str) {
+        self.update_failure_records(id, |failures| failures.record_success_elsewhere(id));
         self.placement_wanted = true;
     }
 
-    /// Tells the machines that a job failed on what has become of it elsewhere.
-    fn update_failure_records(&mut self, id: &str, tell: impl Fn(&mut MachineFailures)) {
+    /// Updates the failure record of each machine on which a job failed.
+    fn update_failure_records(&mut self, id: &str, update: impl Fn(&mut MachineFailures)) {
         let Some(job) = self.jobs.get(id) else { return };
         for machine_name in job.failures.machines() {
             if let Some(machine) = self.machines.get_mut(machine_name) {
-                tell(&mut machine.failures);
+                update(&mut machine.failures);
             }
         }
     }
--- a/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
@@ -1,26 +1,26 @@
-//! What the end of an attempt says of its task, its job and its machine, as a table.
+//! Effects of an attempt's end on its task, its job and its machine, as tables.
 
 use super::EndedAttempt;
 use crate::testing::*;
 
-/// A partition whose job has one task started on n-1, and the number of that attempt.
-fn with_attempt(shape: Shape) -> (Core, u64) {
+/// Returns a core whose partition has one task started on n-1, and the number of that attempt.
+fn core_with_attempt(shape: Shape) -> (Core, u64) {
     let mut core = core();
     let job = JobSpec { shape, ..spec(4) };
     let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(4) };
     core.reconcile_job(ActiveJobRecord::new(job, NOW, vec![share]), 10);
-    let partition = core.partitions.get_mut("one").expect("it is held");
+    let partition = core.partitions.get_mut("one").expect("partition one is led here");
     partition.start("req-1", 0, "n-1", NOW);
     let attempt = partition.jobs["req-1"].assignments[&0].attempt;
     (core, attempt)
 }
 
 #[test]
-fn the_end_of_an_attempt_is_taken_account_of_by_its_cause() {
+fn the_cause_of_an_attempts_end_decides_requeueing_delay_and_suspicion() {
     use Shape::{Batch, Service};
-    // (the kind of job, the cause of the end, for how many seconds it ran; whether the task is back in the queue,
-    // whether the job waits before its next start, whether the machine is suspect)
-    for (shape, cause, ran, queued, waits, suspect) in [
+    // (job shape, cause of the end, run time in seconds; whether the task is requeued, whether the job waits
+    // before its next start, whether the machine is suspect)
+    for (shape, cause, run_time, queued, waits, suspect) in [
         (Batch, Some(Cause::Done), 5, false, false, false),
         (Batch, Some(Cause::Halted), 5, true, false, false),
         (Batch, Some(Cause::Error), 5, true, false, true),
@@ -29,18 +29,18 @@
         (Batch, Some(Cause::NoCapacity), 0, true, true, false),
         (Batch, Some(Cause::Busy), 0, true, true, false),
         (Batch, Some(Cause::Unknown), 0, true, true, false),
-        // A replica is never done: it goes on at once if it ran well, after a pause otherwise.
+        // A replica is never done: it restarts at once if it was healthy, after a delay otherwise.
         (Service, Some(Cause::Done), 5, true, true, false),
         (Service, Some(Cause::Done), 31, true, false, false),
         (Service, Some(Cause::Error), 5, true, false, true),
         (Service, Some(Cause::Error), 31, true, false, false),
         (Service, Some(Cause::NoCapacity), 0, true, true, false),
     ] {
-        let (mut core, attempt) = with_attempt(shape);
+        let (mut core, attempt) = core_with_attempt(shape);
         let config = core.config.clone();
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         let now = NOW + 40 * SECOND;
-        let seen = TaskStatus {
+        let status = TaskStatus {
             task: TaskId { job: "req-1".into(), index: 0 },
             attempt,
             phase: TaskPhase::Exited,
@@ -49,16 +49,16 @@
         };
         let ended = EndedAttempt {
             machine: "n-1",
-            seen: &seen,
-            placed: NOW,
-            ran: (ran > 0).then_some(ran * SECOND),
+            status: &status,
+            placed_at: NOW,
+            run_time: (run_time > 0).then_some(run_time * SECOND),
             class: spec(1).class,
             expect: 5 * SECOND,
         };
-        partition.attempt_ended(&config, &mut RunTimes::default(), &ended, now);
-        let case = format!("{shape:?} {cause:?} {ran}");
+        partition.handle_ended_attempt(&config, &mut RunTimes::default(), &ended, now);
+        let case = format!("{shape:?} {cause:?} {run_time}");
         let job = &partition.jobs["req-1"];
-        assert!(job.assignments.is_empty(), "{case}: it is nowhere any more");
+        assert!(job.assignments.is_empty(), "{case}: its assignment is removed");
         assert_eq!(job.ready.contains(0), queued, "{case}: queued");
         assert_eq!(job.finished.contains(0), !queued, "{case}: finished");
         assert_eq!(job.no_start_before > now, waits, "{case}: waits");
@@ -66,14 +66,15 @@
     }
 }
 
-/// An end that is reported late, of an attempt whose task was started anew elsewhere, frees nothing.
+/// The end of an attempt may be reported after its task was started again elsewhere; the current attempt
+/// keeps its assignment.
 #[test]
-fn the_end_of_an_earlier_attempt_leaves_the_present_one() {
+fn a_late_end_of_an_earlier_attempt_does_not_free_the_current_one() {
     for cause in [Some(Cause::Halted), Some(Cause::Error), Some(Cause::NoCapacity)] {
-        let (mut core, attempt) = with_attempt(Shape::Batch);
+        let (mut core, attempt) = core_with_attempt(Shape::Batch);
         let config = core.config.clone();
-        let partition = core.partitions.get_mut("one").expect("it is held");
-        let seen = TaskStatus {
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
+        let status = TaskStatus {
             task: TaskId { job: "req-1".into(), index: 0 },
             attempt: attempt - 1,
             phase: TaskPhase::Exited,
@@ -81,9 +82,15 @@
             kept: None,
         };
         let (class, expect) = (spec(1).class, 5 * SECOND);
-        let ended =
-            EndedAttempt { machine: "n-1", seen: &seen, placed: NOW, ran: None, class, expect };
-        partition.attempt_ended(&config, &mut RunTimes::default(), &ended, NOW + SECOND);
+        let ended = EndedAttempt {
+            machine: "n-1",
+            status: &status,
+            placed_at: NOW,
+            run_time: None,
+            class,
+            expect,
+        };
+        partition.handle_ended_attempt(&config, &mut RunTimes::default(), &ended, NOW + SECOND);
         let job = &partition.jobs["req-1"];
         assert_eq!(job.assignments[&0].attempt, attempt, "{cause:?}");
         assert!(!job.ready.contains(0), "{cause:?}");
--- a/crates/quartzlever-core/src/machines/call_queue.rs
+++ b/crates/quartzlever-core/src/machines/call_queue.rs
@@ -1,7 +1,7 @@
-//! Which machines of a partition are to be called, rather than told with the answer to their next heartbeat.
+//! The machines of a partition that get a direct call instead of waiting for the answer to their next heartbeat.
 //!
-//! Owns the machines that may have something to be told at once, and those that no report has proven yet. It only
-//! says whom to call: what a call carries is decided in [`super::commands`].
+//! Owns the set of machines that may have urgent commands and the set of machines that have not shown this term's
+//! fencing token. It only selects the machines: [`super::commands`] decides what a call carries.
 
 use std::collections::BTreeSet;
 
@@ -10,55 +10,55 @@
 use crate::machines::machine::Machine;
 use crate::table::Table;
 
-/// Machines that are to be called.
+/// Machines that are waiting for a direct call.
 #[derive(Debug, Default)]
 pub struct CallQueue {
-    /// Machines that may have something to be told at once.
+    /// Machines that may have urgent commands.
     urgent: BTreeSet<String>,
-    /// Machines that no report has proven yet, while the barrier is closed.
+    /// Machines that have not shown this term's fencing token, until recovery is complete.
     unfenced: BTreeSet<String>,
 }
 
-/// How many calls may be under way.
+/// Limits on the number of worker calls in flight, and the present number.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallLimits {
-    /// Calls with something urgent.
+    /// Calls in flight up to which urgent calls are made.
     pub urgent: usize,
-    /// Calls that fence machines.
+    /// Calls in flight up to which fencing calls are made.
     pub fencing: usize,
-    /// Calls that are under way already.
+    /// Calls in flight at present.
     pub in_flight: usize,
 }
 
 impl CallQueue {
-    /// A machine may have something to be told at once.
+    /// Adds a machine that may have urgent commands.
     pub fn add_urgent(&mut self, machine: impl Into<String>) {
         self.urgent.insert(machine.into());
     }
 
-    /// A machine may still heed an earlier leader.
+    /// Adds a machine that may still accept commands of an earlier leader.
     pub(super) fn add_unfenced(&mut self, machine: &str) {
         self.unfenced.insert(machine.to_owned());
     }
 
-    /// A machine has shown this term's fencing token.
+    /// Removes a machine that has shown this term's fencing token from the fencing calls.
     pub(super) fn fenced(&mut self, machine: &str) {
         self.unfenced.remove(machine);
     }
 
-    /// Every machine is proven.
+    /// Cancels all fencing calls, as every machine is verified.
     pub(super) fn all_verified(&mut self) {
         self.unfenced.clear();
     }
 
-    /// A machine is gone.
+    /// Removes a machine that left the partition.
     pub(super) fn forget(&mut self, machine: &str) {
         self.urgent.remove(machine);
         self.unfenced.remove(machine);
     }
 
-    /// The machines that are called now: first those that have something urgent to be told, then those that have
-    /// to be fenced, as far as the calls under way leave room.
+    /// Returns the machines to call now, within the limits: first those with urgent commands, then those to fence.
+    /// Drops machines without urgent commands from the urgent set.
     pub(super) fn due(
         &mut self,
         machines: &Table<Machine>,
@@ -70,10 +70,11 @@
                 .get(machine)
                 .is_some_and(|m| m.fenced && m.incarnation > 0 && m.has_urgent_commands())
         });
-        let callable = |machine: &&String| machines.get(*machine).is_some_and(|m| m.callable(now));
-        let room = |most: usize| most.saturating_sub(limits.in_flight);
-        let urgent = self.urgent.iter().filter(callable).take(room(limits.urgent));
-        let unfenced = self.unfenced.iter().filter(callable).take(room(limits.fencing));
+        let can_be_called =
+            |machine: &&String| machines.get(*machine).is_some_and(|m| m.can_be_called(now));
+        let remaining = |limit: usize| limit.saturating_sub(limits.in_flight);
+        let urgent = self.urgent.iter().filter(can_be_called).take(remaining(limits.urgent));
+        let unfenced = self.unfenced.iter().filter(can_be_called).take(remaining(limits.fencing));
         urgent.chain(unfenced).cloned().collect()
     }
 
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -1,9 +1,9 @@
-//! Which commands a machine gets, with the answer to its heartbeat or by a direct call.
+//! Commands sent to a machine, in the answer to its heartbeat or by a direct call.
 //!
-//! A 200 renews the worker's lease and with it the life of whatever it runs, so every answer carries the kills that
-//! it may carry. An attempt is cleared only when its end is taken account of and no command that could start it
-//! again is under way: neither in an answer nor in a direct call of unknown outcome. Every command carries the
-//! partition's term as its fencing token.
+//! A 200 renews the worker's lease, which keeps everything that it runs alive, so every answer carries all kills
+//! that are allowed at that point. An attempt is cleared only after its end has been processed and while no command
+//! that could start it again is in flight, neither in an answer nor in a direct call of unknown outcome. Every
+//! command carries the partition's term as its fencing token.
 
 use quartzlever_wire::workers::{
     Cause, Heartbeat, TaskPhase, TaskStatus, WorkerCall, WorkerCommand, WorkerCommands, WorkerReply,
@@ -21,42 +21,43 @@
 use crate::partition::Partition;
 use crate::scheduling::RunTimes;
 
-/// Wait after a direct call that brought nothing.
-const CALL_RETRY: Micros = 3 * SECOND;
-/// As long, while the machine holds up a recovery.
-const FENCING_CALL_RETRY: Micros = SECOND;
-/// Direct calls under way at once, so that hung machines do not block the others. A call takes some
-/// milliseconds, so thousands of machines are through in seconds; those that hang, 2 s each, would hold
-/// up the rest for minutes, but the others come by themselves within a heartbeat interval.
+/// Delay before the next direct call to a machine after one that failed.
+const CALL_RETRY_DELAY: Micros = 3 * SECOND;
+/// The same delay for a machine that is not verified yet and so delays the partition's recovery.
+const FENCING_CALL_RETRY_DELAY: Micros = SECOND;
+/// Maximum number of direct calls in flight, high enough that hung machines do not block the others. A call takes a
+/// few milliseconds, so thousands of machines are reached in seconds. Hung machines, at 2 s each, could delay
+/// the rest for minutes, but the rest send a heartbeat by themselves within one interval.
 const MAX_WORKER_CALLS: usize = 32;
-/// As many, to fence machines, while most of them will still report by themselves.
+/// Maximum number of calls in flight to fence machines while most of them are still due to send a heartbeat.
 const MAX_EARLY_FENCING_CALLS: usize = 24;
 
-/// So many ended attempts are cleared for themselves alone.
+/// Minimum number of `clear` commands that an answer carries without any other command.
 const MIN_CLEARS_IN_ANSWER: usize = 4;
 
-/// What a direct call brought.
+/// Result of a direct call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DirectCallOutcome {
-    /// The worker's status, which was taken in: the machine may have room now.
+    /// The worker's status was received and applied; the machine may have free capacity now.
     StatusReceived,
-    NothingLearned,
+    NoStatus,
 }
 
 impl Machine {
-    /// The commands that bring the worker to what is wanted. `clearable` says whether an
-    /// exited attempt is accounted for.
+    /// Returns the commands that bring the worker to the wanted state, kills first. `may_clear` reports whether an
+    /// exited attempt may be removed from the worker.
     pub fn commands(
         &self,
-        clearable: impl Fn(&AttemptKey, &Attempt) -> bool,
+        may_clear: impl Fn(&AttemptKey, &Attempt) -> bool,
     ) -> Vec<WorkerCommand> {
-        const MOST: usize = 200;
+        const MAX_COMMANDS: usize = 200;
         let mut commands = Vec::new();
         for (key, state) in &self.attempts {
             let (task, attempt) = (key.task.clone(), key.attempt);
             if state.exited() {
-                let spent = state.direct_command == DirectCommand::Settled && !state.in_answer;
-                if state.accounted && spent && clearable(key, state) {
+                let no_run_in_flight =
+                    state.direct_command == DirectCommand::Settled && !state.in_answer;
+                if state.accounted && no_run_in_flight && may_clear(key, state) {
                     commands.push(WorkerCommand::Clear { task, attempt });
                 }
             } else if !state.wanted && state.phase.is_some() {
@@ -67,25 +68,26 @@
             }
         }
         for (key, state) in &self.attempts {
-            // A `run` without effect may be repeated. An unwanted attempt that was never reported
-            // is not: it leaves the table once a later heartbeat proves that it is not there.
+            // Repeating a `run` that the worker has already executed has no effect. An unwanted attempt that was
+            // never reported gets no command: it is removed once a later heartbeat proves that the worker does
+            // not have it.
             if state.wanted && !state.exited() && state.phase.is_none() {
                 commands.push(WorkerCommand::Run { task: key.task.clone(), attempt: key.attempt });
             }
         }
-        // Whatever does not fit, what has to end goes first.
-        commands.sort_by_key(|o| !matches!(o, WorkerCommand::Kill { .. }));
-        commands.truncate(MOST);
+        // Kills go first, so that the limit cuts off other commands before them.
+        commands.sort_by_key(|command| !matches!(command, WorkerCommand::Kill { .. }));
+        commands.truncate(MAX_COMMANDS);
         commands
     }
 
-    /// Whether a direct call may be made now.
-    pub(super) fn callable(&self, now: Micros) -> bool {
+    /// Reports whether a direct call may be made now.
+    pub(super) fn can_be_called(&self, now: Micros) -> bool {
         self.call.is_none() && !self.scaling_in && now >= self.no_call_before
     }
 
-    /// Notes that a direct call carries all commands of this moment; gives the attempts whose `run` it carries.
-    fn note_direct_commands(&mut self, now: Micros) -> Vec<AttemptKey> {
+    /// Records that a direct call carries all current commands, and returns the attempts whose `run` it carries.
+    fn record_direct_commands(&mut self, now: Micros) -> Vec<AttemptKey> {
         let mut run_attempts = Vec::new();
         for (key, attempt) in &mut self.attempts {
             if attempt.exited() {
@@ -104,8 +106,13 @@
         run_attempts
     }
 
-    /// A direct call has ended. Without `known` its commands may still arrive.
-    fn settle_direct_call(&mut self, call_id: CallId, run_attempts: &[AttemptKey], known: bool) {
+    /// Records the end of a direct call. Unless its outcome is known, its commands may still arrive.
+    fn settle_direct_call(
+        &mut self,
+        call_id: CallId,
+        run_attempts: &[AttemptKey],
+        outcome_known: bool,
+    ) {
         if self.call == Some(call_id) {
             self.call = None;
         }
@@ -113,23 +120,25 @@
             if let Some(attempt) = self.attempts.get_mut(key)
                 && attempt.direct_command == DirectCommand::InFlight
             {
-                attempt.direct_command =
-                    if known { DirectCommand::Settled } else { DirectCommand::OutcomeUnknown };
+                attempt.direct_command = if outcome_known {
+                    DirectCommand::Settled
+                } else {
+                    DirectCommand::OutcomeUnknown
+                };
             }
         }
     }
 
-    /// A direct call brought nothing.
-    fn note_failed_call(&mut self, now: Micros) {
-        let pause = if self.verified { CALL_RETRY } else { FENCING_CALL_RETRY };
-        self.no_call_before = now + pause;
+    /// Records that a direct call failed, and sets the time of the next one.
+    fn record_failed_call(&mut self, now: Micros) {
+        let delay = if self.verified { CALL_RETRY_DELAY } else { FENCING_CALL_RETRY_DELAY };
+        self.no_call_before = now + delay;
         self.failed_calls += 1;
     }
 }
 
 impl Partition {
-    /// Calls workers that have something urgent to be told, or have to be fenced; a call is not made any more
-    /// after `until`.
+    /// Calls workers that have urgent commands or must be fenced. The calls are not sent after `until`.
     pub(crate) fn call_workers(
         &mut self,
         config: &Config,
@@ -150,21 +159,22 @@
         }
     }
 
-    /// Heartbeats that come by themselves fence most machines; calls are for the rest. A call is
-    /// dearer than a heartbeat, so a processor that is short of time for both waits for reports.
+    /// Returns the number of calls in flight up to which fencing calls are made. Most machines are fenced by their own
+    /// heartbeats and only the rest need a call. A call costs more than a heartbeat, so a processor that lacks time
+    /// for both first waits half an interval for heartbeats.
     fn max_fencing_calls(&self, config: &Config, now: Micros) -> usize {
         let since = now.saturating_sub(self.acquired);
         let heartbeat_interval = config.workers.heartbeat_interval;
-        let short = self.machines.len() > config.machine_capacity / 2;
+        let near_capacity = self.machines.len() > config.machine_capacity / 2;
         match since {
-            _ if short && since < heartbeat_interval / 2 => 0,
+            _ if near_capacity && since < heartbeat_interval / 2 => 0,
             _ if since < heartbeat_interval * 3 / 2 => MAX_EARLY_FENCING_CALLS,
             _ => MAX_WORKER_CALLS,
         }
     }
 
-    /// Asks machines with replicas of services that are late with their heartbeat whether they are
-    /// there: a replica on a dead machine runs nowhere, and silence alone shows it late.
+    /// Calls machines that run service replicas and whose heartbeat is late. A replica on a dead machine is out of
+    /// service until its failure is noticed, and waiting for the lease to expire takes longer than a call.
     pub(crate) fn probe_late_service_machines(
         &mut self,
         config: &Config,
@@ -176,24 +186,24 @@
             return;
         }
         let late = config.late_heartbeat_after();
-        let asked: Vec<String> = self
+        let to_probe: Vec<String> = self
             .machines
             .values()
             .filter(|m| {
                 m.verified
                     && now.saturating_sub(m.last_heartbeat_at) > late
-                    && m.callable(now)
+                    && m.can_be_called(now)
                     && m.serves()
             })
             .map(|m| m.name.clone())
             .take(MAX_WORKER_CALLS.saturating_sub(outbox.worker_calls_in_flight()))
             .collect();
-        for machine in asked {
+        for machine in to_probe {
             self.call_worker(&machine, now, until, outbox);
         }
     }
 
-    /// Calls a worker: with its commands, or for its status alone while no incarnation of it is known.
+    /// Calls a worker with its commands, or only for its status while its incarnation is unknown.
     fn call_worker(&mut self, name: &str, now: Micros, until: Micros, outbox: &mut Outbox) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let address = machine.record.address.clone();
@@ -201,7 +211,7 @@
         let call = if machine.incarnation == 0 {
             WorkerCall::Status
         } else {
-            run_attempts = machine.note_direct_commands(now);
+            run_attempts = machine.record_direct_commands(now);
             let incarnation = Some(machine.incarnation);
             WorkerCall::Command(WorkerCommands {
                 fencing_token: self.term,
@@ -222,7 +232,7 @@
         }
     }
 
-    /// A direct call of this partition under its present term has ended.
+    /// Processes the end of a direct call that this partition made under its current term.
     pub(crate) fn worker_replied(
         &mut self,
         config: &Config,
@@ -233,30 +243,31 @@
         now: Micros,
     ) -> DirectCallOutcome {
         let Some(machine) = self.machines.get_mut(&call.machine) else {
-            return DirectCallOutcome::NothingLearned;
+            return DirectCallOutcome::NoStatus;
         };
         self.call_queue.add_urgent(call.machine.clone());
-        let known = !matches!(result, Err(CallError::Unknown));
-        machine.settle_direct_call(call_id, &call.run_attempts, known);
+        let outcome_known = !matches!(result, Err(CallError::Unknown));
+        machine.settle_direct_call(call_id, &call.run_attempts, outcome_known);
         match result {
             Ok(WorkerReply::Status(status) | WorkerReply::Refused(status)) => {
-                // Another machine may have come to live at the address, or somebody holds a later term.
+                // Another machine may have taken over the address, or another controller has a later term.
                 if status.machine != call.machine || status.fencing_token > call.term {
-                    machine.no_call_before = now + CALL_RETRY;
-                    return DirectCallOutcome::NothingLearned;
+                    machine.no_call_before = now + CALL_RETRY_DELAY;
+                    return DirectCallOutcome::NoStatus;
                 }
                 self.apply_heartbeat(config, run_times, &status, StatusSource::DirectReply, now);
                 DirectCallOutcome::StatusReceived
             }
             Err(_) => {
-                machine.note_failed_call(now);
+                machine.record_failed_call(now);
                 self.refresh(&call.machine);
-                DirectCallOutcome::NothingLearned
+                DirectCallOutcome::NoStatus
             }
         }
     }
 
-    /// The answer to a heartbeat, `is_newer` than what was known or not; `None` if the machine is not there.
+    /// Returns the answer to a heartbeat; `None` if the partition does not have the machine. `is_newer` says
+    /// whether the heartbeat was newer than the known state, and `is_over` reports whether a job has ended.
     pub(crate) fn answer_to(
         &mut self,
         heartbeat: &Heartbeat,
@@ -265,8 +276,8 @@
         now: Micros,
     ) -> Option<WorkerCommands> {
         let machine = self.machines.get_mut(&heartbeat.machine)?;
-        // A late heartbeat's answer is dropped by the worker; the lease is taken as renewed all
-        // the same, which errs on the safe side.
+        // The worker drops the answer to a late heartbeat. Its lease is taken as renewed all the same, which is the
+        // safe assumption.
         machine.last_answered_at = now;
         let commands = if is_newer {
             self.commands_for(&heartbeat.machine, true)
@@ -276,56 +287,57 @@
         Some(WorkerCommands { fencing_token: self.term, incarnation: None, commands })
     }
 
-    /// The commands for a machine; notes which `run`s they carry if they are the answer to a
-    /// report.
-    pub fn commands_for(&mut self, name: &str, answer: bool) -> Vec<WorkerCommand> {
+    /// Returns the commands for a machine and records the `run`s among them as sent. `in_answer` says whether the
+    /// answer to a heartbeat carries them.
+    pub fn commands_for(&mut self, name: &str, in_answer: bool) -> Vec<WorkerCommand> {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
         let mut commands = machine.commands(|key, attempt| {
-            // The result of a finished task is kept on the machine until its end is recorded.
+            // The machine keeps a finished task until the job's record in the store lists it as finished.
             attempt.cause != Some(Cause::Done)
                 || jobs
                     .get(&key.task.job)
                     .is_none_or(|job| job.service() || job.record.finished.contains(key.task.index))
         });
-        // Whatever an answer orders makes the worker report again at once. What has ended does no
-        // harm where it is, so it goes with the next order that does something, or a few together.
-        let clears = |o: &WorkerCommand| matches!(o, WorkerCommand::Clear { .. });
-        if answer && commands.len() < MIN_CLEARS_IN_ANSWER && commands.iter().all(clears) {
+        // Any command in an answer makes the worker send another heartbeat at once. An exited attempt does no harm
+        // on the worker, so its `clear` waits for another kind of command or for a few more clears.
+        let is_clear = |command: &WorkerCommand| matches!(command, WorkerCommand::Clear { .. });
+        if in_answer && commands.len() < MIN_CLEARS_IN_ANSWER && commands.iter().all(is_clear) {
             commands.clear();
         }
         for attempt in machine.attempts.values_mut() {
             if attempt.wanted && attempt.phase.is_none() {
                 attempt.sent = true;
-                attempt.in_answer |= answer;
+                attempt.in_answer |= in_answer;
             }
         }
         commands
     }
 
-    /// What an answer has to end although nothing new is learned from its heartbeat: the answer renews
-    /// the worker's lease, and with it the life of whatever it runs. An attempt whose job is over,
-    /// or which is unwanted, may be killed however old the heartbeat is.
+    /// Returns the kills that the answer to an outdated heartbeat carries, as the answer still renews the worker's
+    /// lease and so keeps everything that it runs alive. An attempt that is unwanted or whose job has ended may be
+    /// killed however old the heartbeat is.
     pub fn kills_for(
         &self,
         heartbeat: &Heartbeat,
-        over: impl Fn(&str) -> bool,
+        is_over: impl Fn(&str) -> bool,
     ) -> Vec<WorkerCommand> {
         let attempts = self.machines.get(&heartbeat.machine).map(|m| &m.attempts);
-        let unwanted = |t: &TaskStatus| {
+        let is_unwanted = |t: &TaskStatus| {
             let key = AttemptKey { task: t.task.clone(), attempt: t.attempt };
             attempts.and_then(|s| s.get(&key)).is_some_and(|s| !s.wanted && s.leeway_s <= 0.0)
         };
-        let ends = |t: &&TaskStatus| {
+        let must_end = |t: &&TaskStatus| {
             t.phase != TaskPhase::Exited
-                && (unwanted(t) || (!self.jobs.contains_key(&t.task.job) && over(&t.task.job)))
+                && (is_unwanted(t)
+                    || (!self.jobs.contains_key(&t.task.job) && is_over(&t.task.job)))
         };
         let kill = |t: &TaskStatus| WorkerCommand::Kill {
             task: t.task.clone(),
             attempt: t.attempt,
             leeway_s: 0.0,
         };
-        heartbeat.tasks.iter().filter(ends).map(kill).collect()
+        heartbeat.tasks.iter().filter(must_end).map(kill).collect()
     }
 }
 
--- a/crates/quartzlever-core/src/machines/commands/tests.rs
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -1,4 +1,4 @@
-//! Commands in answers and direct calls, as tables.
+//! Commands in heartbeat answers and direct calls, as tables.
 
 use crate::machines::attempt::{Attempt, AttemptKey, DirectCommand};
 use crate::machines::machine::Machine;
@@ -6,10 +6,10 @@
 use crate::testing::*;
 
 #[test]
-fn an_attempt_is_cleared_only_when_its_run_is_spent() {
-    // Whether the answer to a heartbeat carries the `run`, whether a direct call does that is given
-    // up, and whether a later heartbeat comes; what may be cleared.
-    for (answer, given_up, unsolicited, clear) in [
+fn an_attempt_is_cleared_only_when_no_run_command_is_in_flight() {
+    // (whether a heartbeat answer carries the `run`, whether a direct call of unknown outcome carries it, whether
+    // a later heartbeat arrives; whether the attempt is cleared)
+    for (in_answer, outcome_unknown, later_heartbeat, expected) in [
         (false, false, false, true),
         (true, false, false, false),
         (true, false, true, true),
@@ -31,8 +31,8 @@
         );
         partition.start("req-1", 0, "n-1", NOW);
         let attempt = partition.jobs["req-1"].assignments[&0].attempt;
-        assert_eq!(partition.commands_for("n-1", answer).len(), 1);
-        if given_up {
+        assert_eq!(partition.commands_for("n-1", in_answer).len(), 1);
+        if outcome_unknown {
             let Some(machine) = partition.machines.get_mut("n-1") else { unreachable!() };
             machine
                 .attempts
@@ -47,7 +47,7 @@
             StatusSource::DirectReply,
             NOW,
         );
-        if unsolicited {
+        if later_heartbeat {
             partition.apply_heartbeat(
                 &config,
                 &mut run_times,
@@ -59,15 +59,19 @@
         let cleared = partition
             .commands_for("n-1", false)
             .iter()
-            .any(|o| matches!(o, WorkerCommand::Clear { .. }));
-        assert_eq!(cleared, clear, "answer {answer} given up {given_up} hello {unsolicited}");
+            .any(|command| matches!(command, WorkerCommand::Clear { .. }));
+        assert_eq!(
+            cleared, expected,
+            "in answer {in_answer}, outcome unknown {outcome_unknown}, later heartbeat {later_heartbeat}"
+        );
     }
 }
 
 #[test]
-fn what_has_ended_is_cleared_along_with_other_orders() {
-    // (ended attempts, whether a task is to start, in the answer to a heartbeat; orders, clears)
-    for (ended, starts, answer, commands, clears) in [
+fn ended_attempts_are_cleared_in_batches_or_with_other_commands() {
+    // (ended attempts, whether a task is to start, whether the commands go in the answer to a heartbeat; commands,
+    // clears among them)
+    for (ended, starts, in_answer, commands, clears) in [
         (1, false, true, 0, 0),
         (1, true, true, 2, 1),
         (1, false, false, 1, 1),
@@ -93,23 +97,30 @@
             let attempt = partition.jobs["req-1"].assignments[&index].attempt;
             list.push((attempt, TaskPhase::Exited, Some(Cause::Halted)));
         }
-        let mut told = heartbeat_with(2, &list);
-        for (index, task) in told.tasks.iter_mut().enumerate() {
+        let mut heartbeat = heartbeat_with(2, &list);
+        for (index, task) in heartbeat.tasks.iter_mut().enumerate() {
             task.task.index = index as u32;
         }
-        partition.apply_heartbeat(&config, &mut run_times, &told, StatusSource::Heartbeat, NOW);
+        partition.apply_heartbeat(
+            &config,
+            &mut run_times,
+            &heartbeat,
+            StatusSource::Heartbeat,
+            NOW,
+        );
         if starts {
             partition.start("req-1", 9, "n-1", NOW);
         }
-        let found = partition.commands_for("n-1", answer);
-        let cleared = found.iter().filter(|o| matches!(o, WorkerCommand::Clear { .. })).count();
-        assert_eq!((found.len(), cleared), (commands, clears), "{ended} {starts} {answer}");
+        let found = partition.commands_for("n-1", in_answer);
+        let cleared =
+            found.iter().filter(|command| matches!(command, WorkerCommand::Clear { .. })).count();
+        assert_eq!((found.len(), cleared), (commands, clears), "{ended} {starts} {in_answer}");
     }
 }
 
 #[test]
-fn a_call_is_made_for_what_cannot_wait_for_a_report() {
-    // (machines that the processor serves, seconds within which a task should start; whether its start is called)
+fn a_call_is_made_for_a_start_that_cannot_wait_for_a_heartbeat() {
+    // (machines that the processor can serve, seconds within which a task should start; whether a call is made)
     for (machine_capacity, within, called) in
         [(100, None, true), (1, None, false), (1, Some(2), true)]
     {
@@ -123,7 +134,7 @@
             .into_iter()
             .collect();
         if let Some(partition) = core.partitions.get_mut("one") {
-            // A second machine, so that the partition has more than half of what the processor serves.
+            // With a second machine the partition has more than half of the processor's capacity.
             let record = MachineRecord {
                 partition: "one".into(),
                 address: "n-2:9000".into(),
@@ -146,13 +157,13 @@
         assert_eq!(
             core.partitions["one"].jobs["req-1"].assignments.len(),
             1,
-            "it is placed all the same"
+            "the task is placed in either case"
         );
     }
 }
 
-/// The orders in the answer to a heartbeat.
-fn commands_to(core: &mut Core, heartbeat: Heartbeat) -> Vec<WorkerCommand> {
+/// Sends a heartbeat and returns the commands in its answer.
+fn commands_in_answer(core: &mut Core, heartbeat: Heartbeat) -> Vec<WorkerCommand> {
     let now = core.now + SECOND;
     let effects = core.step(now, vec![Command::Heartbeat { id: 77, heartbeat }]);
     let commands = effects.into_iter().find_map(|e| match e {
@@ -161,16 +172,16 @@
         }
         _ => None,
     });
-    commands.expect("the report is answered").commands
+    commands.expect("the heartbeat is answered 200").commands
 }
 
-/// A 200 renews the lease of whatever runs on the worker: without the kill in the answer to a new
-/// leader's first heartbeat, or to one that a direct call had overtaken, a cancelled task on a machine
-/// that could not be reached from then on lived for one more lease.
+/// A 200 renews the worker's lease and so the life of everything that it runs. Without the kill in the answer to
+/// the first heartbeat that a new leader gets, or to one that a direct call has overtaken, a cancelled task would
+/// run for one more lease on a machine that becomes unreachable right after.
 #[test]
 fn every_answer_that_renews_a_lease_carries_its_kills() {
-    // (the heartbeat is from before the takeover, it is older than what is known, the job is live,
-    // whether the attempt that it lists is killed)
+    // (whether the heartbeat is from before the takeover, whether it is older than the known state, whether the
+    // job is active; whether the listed attempt is killed)
     for (before, older, active, killed) in [
         (true, false, false, true),
         (true, false, true, false),
@@ -182,15 +193,18 @@
         if active {
             core.reconcile_job(record("0-3", ""), 4);
         }
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.add_machine("n-2", machine_record_of("n-2", "one"), !before, NOW);
         if older {
-            commands_to(&mut core, heartbeat_from("n-2", 1, 9, 5, &[]));
+            commands_in_answer(&mut core, heartbeat_from("n-2", 1, 9, 5, &[]));
         }
         let fencing_token = if before { 4 } else { 5 };
-        let commands = commands_to(&mut core, heartbeat_from("n-2", 1, 3, fencing_token, &[7]));
-        let kills =
-            commands.iter().filter(|o| matches!(o, WorkerCommand::Kill { attempt: 7, .. })).count();
+        let commands =
+            commands_in_answer(&mut core, heartbeat_from("n-2", 1, 3, fencing_token, &[7]));
+        let kills = commands
+            .iter()
+            .filter(|command| matches!(command, WorkerCommand::Kill { attempt: 7, .. }))
+            .count();
         assert_eq!(
             kills == 1,
             killed,
@@ -199,36 +213,36 @@
     }
 }
 
-/// What must not wait for a place among many orders goes first.
+/// A list of commands is truncated, so kills must not be queued behind the others.
 #[test]
-fn kills_go_before_all_other_orders() {
+fn kills_are_sent_before_all_other_commands() {
     let mut core = core();
     let attempts: Vec<u64> = (1..=260).collect();
     let mut heartbeat = heartbeat_from("n-1", 1, 1, 5, &attempts);
     for task in &mut heartbeat.tasks[..250] {
         (task.phase, task.cause) = (TaskPhase::Exited, Some(Cause::Halted));
     }
-    let commands = commands_to(&mut core, heartbeat);
-    let kills = commands.iter().take_while(|o| matches!(o, WorkerCommand::Kill { .. })).count();
+    let commands = commands_in_answer(&mut core, heartbeat);
+    let kills =
+        commands.iter().take_while(|command| matches!(command, WorkerCommand::Kill { .. })).count();
     assert_eq!(kills, 10);
     assert!(commands.len() > 10 && commands.len() < 260, "{}", commands.len());
 }
 
-/// While a task saves, a kill with a leeway says nothing new; one without ends the saving.
+/// While a task saves its progress, another kill with a leeway is redundant; one without ends the saving.
 #[test]
-fn a_kill_is_withheld_while_a_task_saves() {
-    // (the phase that was reported, whether the attempt is wanted, the seconds that it may take to save; what the
-    // machine is told)
+fn a_kill_with_leeway_is_not_repeated_while_a_task_saves() {
+    // (reported phase, whether the attempt is wanted, seconds that it may take to save; expected command)
     let kill = |leeway_s| Some(WorkerCommand::Kill { task: task(), attempt: 7, leeway_s });
     let run = Some(WorkerCommand::Run { task: task(), attempt: 7 });
-    for (phase, wanted, leeway_s, told) in [
+    for (phase, wanted, leeway_s, expected) in [
         (Some(TaskPhase::Running), false, 0.0, kill(0.0)),
         (Some(TaskPhase::Running), false, 5.0, kill(5.0)),
         (Some(TaskPhase::Pulling), false, 5.0, kill(5.0)),
         (Some(TaskPhase::Saving), false, 5.0, None),
         (Some(TaskPhase::Saving), false, 0.0, kill(0.0)),
         (Some(TaskPhase::Exited), false, 0.0, None),
-        // Never reported: it leaves the table once a heartbeat proves that it is not there.
+        // Never reported: it is removed once a heartbeat proves that the worker does not have it.
         (None, false, 0.0, None),
         (Some(TaskPhase::Running), true, 0.0, None),
         (None, true, 0.0, run),
@@ -237,7 +251,7 @@
         let attempt = Attempt { phase, wanted, leeway_s, ..Attempt::new(&spec(1), NOW) };
         machine.attempts.insert(AttemptKey { task: task(), attempt: 7 }, attempt);
         let commands = machine.commands(|_, _| true);
-        assert_eq!(commands, Vec::from_iter(told), "{phase:?} {wanted} {leeway_s}");
+        assert_eq!(commands, Vec::from_iter(expected), "{phase:?} {wanted} {leeway_s}");
     }
 }
 
@@ -245,38 +259,38 @@
     TaskId { job: "req-1".into(), index: 0 }
 }
 
-/// (how the call ended; what is known of its `run`, whether the machine is called again at once)
 #[test]
 fn a_call_of_unknown_outcome_may_still_start_its_attempts() {
     use DirectCommand::{OutcomeUnknown, Settled};
     let status = |machine: &str, token| heartbeat_from(machine, 1, 3, token, &[]);
-    for (name, result, known, callable) in [
+    // (case, result of the call; state of its `run`, whether the machine may be called again at once)
+    for (name, result, expected, can_be_called) in [
         ("accepted", Ok(WorkerReply::Status(status("n-1", 5))), Settled, true),
         ("refused", Ok(WorkerReply::Refused(status("n-1", 5))), Settled, true),
         ("another machine", Ok(WorkerReply::Status(status("n-8", 5))), Settled, false),
         ("a later term", Ok(WorkerReply::Refused(status("n-1", 6))), Settled, false),
-        ("surely not arrived", Err(CallError::Refused), Settled, false),
+        ("certainly not executed", Err(CallError::Refused), Settled, false),
         ("unknown", Err(CallError::Unknown), OutcomeUnknown, false),
     ] {
         let mut core = core();
         core.reconcile_job(record("0-3", ""), 10);
         ready_machine(&mut core);
         let config = core.config.clone();
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.start("req-1", 0, "n-1", NOW);
         let mut outbox = Outbox::new(LogLevel::Info, NOW);
         partition.call_workers(&config, NOW, NOW + 1, &mut outbox);
         let effects = outbox.take_effects();
         let [Effect::Worker { call_id, until, .. }] = &effects[..] else { panic!("{effects:?}") };
-        assert_eq!(*until, NOW + 1, "{name}: not after the authority ends");
-        let call = outbox.take_worker_call(*call_id).expect("it is under way");
-        let command = |partition: &Partition| {
+        assert_eq!(*until, NOW + 1, "{name}: no call after the end of the leader's authority");
+        let call = outbox.take_worker_call(*call_id).expect("the call is in flight");
+        let direct_command = |partition: &Partition| {
             partition.machines["n-1"].attempts.values().next().map(|attempt| attempt.direct_command)
         };
-        assert_eq!(command(partition), Some(DirectCommand::InFlight), "{name}");
+        assert_eq!(direct_command(partition), Some(DirectCommand::InFlight), "{name}");
         let run_times = &mut RunTimes::default();
         partition.worker_replied(&config, run_times, *call_id, &call, result, NOW);
-        assert_eq!(command(partition), Some(known), "{name}");
-        assert_eq!(partition.machines["n-1"].callable(NOW), callable, "{name}");
+        assert_eq!(direct_command(partition), Some(expected), "{name}");
+        assert_eq!(partition.machines["n-1"].can_be_called(NOW), can_be_called, "{name}");
     }
 }
--- a/crates/quartzlever-core/src/machines/failures.rs
+++ b/crates/quartzlever-core/src/machines/failures.rs
@@ -1,179 +1,187 @@
-//! What failed tasks say: of their job, of the machine that they failed on, or of neither yet.
+//! Failure records that attribute failed tasks to their job or to the machine.
 //!
-//! Tasks that fail on several machines speak against their job. Tasks of several jobs that fail on one machine, or
-//! of a job that runs well elsewhere, speak against the machine. Which of the two it is shows when the task
-//! has been tried on other machines, so a machine is not blamed before that could happen.
+//! Failures on several machines count against the job. Failures of several jobs on one machine, or of a job that
+//! runs well elsewhere, count against the machine. The two cases can be told apart only once the tasks have been
+//! tried on other machines, so a machine is not found faulty before there was time for that.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzlever_wire::{Micros, SECOND};
 
-/// A job that failed on so many machines, and ran well on none, is taken as mistaken itself.
+/// Number of machines on which a job must fail, having run well on none, to be at fault itself.
 const FAILS_EVERYWHERE_AFTER_MACHINES: usize = 3;
-/// Wait after the first round of failures; each round doubles it, so many times at the most.
-const FIRST_PAUSE: Micros = SECOND;
-const MOST_DOUBLINGS: u32 = 5;
-/// A job that fails everywhere is tried with so many tasks at once.
+/// Retry delay after the first round of failures; each further round doubles it.
+const INITIAL_RETRY_DELAY: Micros = SECOND;
+/// Maximum number of doublings of the retry delay.
+const MAX_RETRY_DELAY_DOUBLINGS: u32 = 5;
+/// Number of tasks that a job that fails everywhere may run at once.
 pub const MAX_TRIAL_TASKS: u32 = 1;
-/// Failures in a row that make a machine suspect.
-const SUSPECT_AFTER: u32 = 2;
-/// Tasks that failed on one machine only have been tried on another by then, image and all.
-const TRIED_ELSEWHERE_AFTER: Micros = 20 * SECOND;
+/// Number of failures without a success in between after which a machine may be found faulty.
+const MIN_FAILURES_FOR_FAULT: u32 = 2;
+/// Time within which a task that failed on one machine has been tried on another, including the image pull.
+const RETRY_ELSEWHERE_WINDOW: Micros = 20 * SECOND;
 
 /// The failed tasks of one job in a partition.
 #[derive(Clone, Debug, Default)]
 pub struct JobFailures {
     machines: BTreeSet<String>,
-    /// Times that the job was tried and failed; what was placed together fails in one round.
+    /// Rounds of failures; attempts that were placed together fail in one round.
     rounds: u32,
-    round_began: Micros,
-    last: Micros,
-    /// How long the longest failed attempt was seen to run.
-    longest_run: Micros,
-    /// An attempt has run for much longer than any that failed.
-    outran_failures: bool,
+    round_started_at: Micros,
+    last_failure_at: Micros,
+    /// Longest reported run time of a failed attempt.
+    longest_failed_run: Micros,
+    /// Whether an attempt has run for much longer than any that failed.
+    outlasted_failures: bool,
 }
 
 impl JobFailures {
-    /// An attempt that was placed at `placed` has failed after running for `ran`.
-    pub fn note(&mut self, machine: &str, placed: Micros, ran: Micros, now: Micros) {
-        self.note_round(placed, now);
+    /// Records the failure of an attempt that was placed at `placed_at` and ran for `run_time`.
+    pub fn note(&mut self, machine: &str, placed_at: Micros, run_time: Micros, now: Micros) {
+        self.record_round(placed_at, now);
         self.machines.insert(machine.to_owned());
-        self.longest_run = self.longest_run.max(ran);
+        self.longest_failed_run = self.longest_failed_run.max(run_time);
     }
 
-    /// The same where the failure says nothing of the machine.
-    pub fn note_round(&mut self, placed: Micros, now: Micros) {
-        if self.rounds == 0 || placed > self.round_began {
+    /// Records a failure that does not count against its machine.
+    pub fn record_round(&mut self, placed_at: Micros, now: Micros) {
+        if self.rounds == 0 || placed_at > self.round_started_at {
             self.rounds += 1;
-            self.round_began = now;
-            self.outran_failures = false;
+            self.round_started_at = now;
+            self.outlasted_failures = false;
         }
-        self.last = now;
+        self.last_failure_at = now;
     }
 
-    /// Whether nothing has failed.
+    /// Reports whether no task has failed on a machine.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
 
-    /// Whether a task failed on this machine.
+    /// Reports whether a task failed on this machine.
     pub fn includes(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
-    /// The machines on which tasks failed.
+    /// Returns the machines on which tasks failed.
     pub fn machines(&self) -> impl Iterator<Item = &String> {
         self.machines.iter()
     }
 
-    /// Whether tasks failed on more machines than one.
-    pub fn on_several(&self) -> bool {
+    /// Reports whether tasks failed on more than one machine.
+    pub fn on_multiple_machines(&self) -> bool {
         self.machines.len() > 1
     }
 
-    /// When the last task failed.
+    /// Returns the time of the last failure.
     pub fn last(&self) -> Micros {
-        self.last
+        self.last_failure_at
     }
 
-    /// How long the job waits before it is tried again.
-    pub fn pause(&self) -> Micros {
-        FIRST_PAUSE << self.rounds.saturating_sub(1).min(MOST_DOUBLINGS)
+    /// Returns how long the job waits before its next start.
+    pub fn retry_delay(&self) -> Micros {
+        INITIAL_RETRY_DELAY << self.rounds.saturating_sub(1).min(MAX_RETRY_DELAY_DOUBLINGS)
     }
 
-    /// Whether the failures speak against the job, as long as no task of it was done.
+    /// Reports whether the failures count against the job. The caller checks that no task of it has succeeded.
     pub fn blame_job(&self) -> bool {
-        self.machines.len() >= FAILS_EVERYWHERE_AFTER_MACHINES && !self.outran_failures
+        self.machines.len() >= FAILS_EVERYWHERE_AFTER_MACHINES && !self.outlasted_failures
     }
 
-    /// An attempt of the job has run for so long by now: if that is longer by `margin` than any that
-    /// failed, it was the machines that failed.
-    pub fn runs(&mut self, ran: Micros, margin: Micros) {
-        self.outran_failures |= ran > self.longest_run + margin;
+    /// Records that an attempt of the job is still running after `run_time`. If that exceeds the longest failed
+    /// run by more than `margin`, the failures do not count against the job.
+    pub fn record_running_for(&mut self, run_time: Micros, margin: Micros) {
+        self.outlasted_failures |= run_time > self.longest_failed_run + margin;
     }
 
-    /// Earlier failures count no more.
+    /// Clears the record, so that earlier failures no longer count.
     pub fn forget(&mut self) {
         *self = JobFailures::default();
     }
 }
 
-/// Where else a job that failed on a machine was tried.
+/// What is known of a job on other machines, after it failed on one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Elsewhere {
+enum OutcomeElsewhere {
     NotTried,
     Failed,
     RunsWell,
 }
 
-/// The tasks that failed on one machine, since the last one that was done there.
+/// The tasks that failed on one machine since the last one that completed there.
 #[derive(Clone, Debug, Default)]
 pub struct MachineFailures {
     count: u32,
-    first: Micros,
-    jobs: BTreeMap<String, Elsewhere>,
+    first_failure_at: Micros,
+    jobs: BTreeMap<String, OutcomeElsewhere>,
 }
 
 impl MachineFailures {
-    /// A task of a job has failed here.
-    pub fn note(&mut self, job: &str, runs_well: bool, failed_elsewhere: bool, now: Micros) {
+    /// Records that a task of a job has failed on this machine.
+    pub fn record_failure(
+        &mut self,
+        job: &str,
+        runs_elsewhere: bool,
+        failed_elsewhere: bool,
+        now: Micros,
+    ) {
         if self.count == 0 {
-            self.first = now;
+            self.first_failure_at = now;
         }
         self.count += 1;
-        let elsewhere = match (runs_well, failed_elsewhere) {
-            (true, _) => Elsewhere::RunsWell,
-            (false, true) => Elsewhere::Failed,
-            (false, false) => Elsewhere::NotTried,
+        let elsewhere = match (runs_elsewhere, failed_elsewhere) {
+            (true, _) => OutcomeElsewhere::RunsWell,
+            (false, true) => OutcomeElsewhere::Failed,
+            (false, false) => OutcomeElsewhere::NotTried,
         };
         self.jobs.insert(job.to_owned(), elsewhere);
     }
 
-    /// A job that failed here has failed on another machine as well.
-    pub fn failed_elsewhere(&mut self, job: &str) {
+    /// Records that a job that failed here has failed on another machine as well.
+    pub fn record_failure_elsewhere(&mut self, job: &str) {
         if let Some(elsewhere) = self.jobs.get_mut(job)
-            && *elsewhere == Elsewhere::NotTried
+            && *elsewhere == OutcomeElsewhere::NotTried
         {
-            *elsewhere = Elsewhere::Failed;
+            *elsewhere = OutcomeElsewhere::Failed;
         }
     }
 
-    /// A job that failed here runs well on another machine.
-    pub fn runs_elsewhere(&mut self, job: &str) {
+    /// Records that a job that failed here runs well on another machine.
+    pub fn record_success_elsewhere(&mut self, job: &str) {
         if let Some(elsewhere) = self.jobs.get_mut(job) {
-            *elsewhere = Elsewhere::RunsWell;
+            *elsewhere = OutcomeElsewhere::RunsWell;
         }
     }
 
-    /// A task was done here.
-    pub fn forget(&mut self) {
+    /// Clears the record after a task has completed here.
+    pub fn reset(&mut self) {
         *self = MachineFailures::default();
     }
 
-    /// Whether anything failed here that may be the machine's fault.
+    /// Reports whether any failure here may be the machine's fault.
     pub fn is_suspect(&self) -> bool {
-        self.jobs.values().any(|elsewhere| *elsewhere != Elsewhere::Failed)
+        self.jobs.values().any(|elsewhere| *elsewhere != OutcomeElsewhere::Failed)
     }
 
-    /// Whether it is the machine that fails.
+    /// Reports whether the failures count against the machine.
     pub fn blame_machine(&self, now: Micros) -> bool {
-        let verified = self.count >= SUSPECT_AFTER
-            && self.jobs.values().any(|elsewhere| *elsewhere == Elsewhere::RunsWell);
-        verified || (self.several_only_here() && self.had_time(now))
+        let runs_elsewhere = self.count >= MIN_FAILURES_FOR_FAULT
+            && self.jobs.values().any(|elsewhere| *elsewhere == OutcomeElsewhere::RunsWell);
+        runs_elsewhere || (self.several_jobs_failed_only_here() && self.retry_window_elapsed(now))
     }
 
-    /// Whether it may be the machine or the jobs: nothing more is given to it until that has shown.
+    /// Reports whether the failures may be due to either the machine or the jobs. The machine gets no new tasks
+    /// until that is decided.
     pub fn in_doubt(&self, now: Micros) -> bool {
-        self.several_only_here() && !self.had_time(now)
+        self.several_jobs_failed_only_here() && !self.retry_window_elapsed(now)
     }
 
-    fn several_only_here(&self) -> bool {
-        self.jobs.values().filter(|elsewhere| **elsewhere == Elsewhere::NotTried).count() > 1
+    fn several_jobs_failed_only_here(&self) -> bool {
+        self.jobs.values().filter(|elsewhere| **elsewhere == OutcomeElsewhere::NotTried).count() > 1
     }
 
-    fn had_time(&self, now: Micros) -> bool {
-        now.saturating_sub(self.first) >= TRIED_ELSEWHERE_AFTER
+    fn retry_window_elapsed(&self, now: Micros) -> bool {
+        now.saturating_sub(self.first_failure_at) >= RETRY_ELSEWHERE_WINDOW
     }
 }
 
--- a/crates/quartzlever-core/src/machines/failures/tests.rs
+++ b/crates/quartzlever-core/src/machines/failures/tests.rs
@@ -1,30 +1,33 @@
+//! Attribution of failures to jobs and machines, as tables.
+
 use quartzlever_wire::SECOND;
 
 use super::{JobFailures, MachineFailures};
 
 const NOW: u64 = 1_000 * SECOND;
 
-/// What was placed together fails in one round, however many tasks it is; each further round doubles the
-/// wait, up to half a minute.
+/// Attempts that were placed together fail in one round, whatever their number; each further round doubles
+/// the retry delay, up to 32 s.
 #[test]
-fn each_round_of_failures_doubles_the_wait() {
+fn each_round_of_failures_doubles_the_retry_delay() {
     let mut failures = JobFailures::default();
     let mut now = NOW;
-    for pause in [1, 2, 4, 8, 16, 32, 32] {
-        let placed = now;
+    for delay_s in [1, 2, 4, 8, 16, 32, 32] {
+        let placed_at = now;
         for machine in ["n-1", "n-2", "n-3", "n-4"] {
             now += SECOND / 10;
-            failures.note(machine, placed, SECOND, now);
-            assert_eq!(failures.pause(), pause * SECOND);
+            failures.note(machine, placed_at, SECOND, now);
+            assert_eq!(failures.retry_delay(), delay_s * SECOND);
         }
-        now += failures.pause();
+        now += failures.retry_delay();
     }
 }
 
-/// (machines that the job failed on, how long a failed attempt ran, how long another one runs, mistaken)
 #[test]
-fn a_job_that_fails_on_three_machines_and_runs_on_none_is_mistaken() {
-    for (machines, ran, runs, fails_everywhere) in [
+fn a_job_that_fails_on_three_machines_and_runs_on_none_is_at_fault() {
+    // (machines that the job failed on, run time in seconds of the failed attempts and of one that still runs;
+    // whether the job is at fault)
+    for (machines, failed_run, running_for, at_fault) in [
         (1, 2, 0, false),
         (2, 2, 0, false),
         (3, 2, 0, true),
@@ -35,64 +38,69 @@
     ] {
         let mut failures = JobFailures::default();
         for machine in 0..machines {
-            failures.note(&format!("n-{machine}"), NOW, ran * SECOND, NOW + ran * SECOND);
+            failures.note(
+                &format!("n-{machine}"),
+                NOW,
+                failed_run * SECOND,
+                NOW + failed_run * SECOND,
+            );
         }
-        failures.runs(runs * SECOND, 12 * SECOND);
-        assert_eq!(failures.blame_job(), fails_everywhere, "{machines} {ran} {runs}");
-        // It has failed once more since, so that attempt showed nothing.
-        failures.note("n-0", NOW + 60 * SECOND, ran * SECOND, NOW + 90 * SECOND);
-        assert_eq!(failures.blame_job(), machines >= 3, "{machines} {ran} {runs} again");
+        failures.record_running_for(running_for * SECOND, 12 * SECOND);
+        assert_eq!(failures.blame_job(), at_fault, "{machines} {failed_run} {running_for}");
+        // A new round of failures cancels the evidence of the attempt that outlasted the earlier ones.
+        failures.note("n-0", NOW + 60 * SECOND, failed_run * SECOND, NOW + 90 * SECOND);
+        assert_eq!(
+            failures.blame_job(),
+            machines >= 3,
+            "{machines} {failed_run} {running_for} again"
+        );
     }
 }
 
-/// What is known of the jobs that failed on a machine: the failures of each, where else it failed or ran well
-/// meanwhile; whether the machine is blamed at once, and half a minute later.
 #[test]
-fn a_machine_is_blamed_for_what_runs_well_elsewhere() {
-    enum Then {
-        Nothing,
-        FailsElsewhere,
-        RunsElsewhere,
+fn a_machine_is_at_fault_for_jobs_that_run_well_or_were_not_tried_elsewhere() {
+    enum Elsewhere {
+        NotTried,
+        Fails,
+        Runs,
     }
-    use Then::*;
-    type Case = (&'static str, &'static [(u32, Then)], [bool; 2]);
+    use Elsewhere::*;
+    // (case, number of failures here and outcome elsewhere of each job; whether the machine is at fault at once,
+    // and 30 s later)
+    type Case = (&'static str, &'static [(u32, Elsewhere)], [bool; 2]);
     let cases: [Case; 9] = [
-        ("one failure", &[(1, Nothing)], [false, false]),
-        ("one failure of a job that runs elsewhere", &[(1, RunsElsewhere)], [false, false]),
-        ("one job again and again", &[(5, Nothing)], [false, false]),
-        ("one job that runs elsewhere", &[(2, RunsElsewhere)], [true, true]),
-        ("several jobs, not tried elsewhere", &[(1, Nothing), (1, Nothing)], [false, true]),
-        ("several mistaken jobs", &[(4, FailsElsewhere), (4, FailsElsewhere)], [false, false]),
-        ("a mistaken job and one more", &[(4, FailsElsewhere), (1, Nothing)], [false, false]),
-        (
-            "mistaken jobs on a faulty machine",
-            &[(4, FailsElsewhere), (1, RunsElsewhere)],
-            [true, true],
-        ),
+        ("one failure", &[(1, NotTried)], [false, false]),
+        ("one failure of a job that runs elsewhere", &[(1, Runs)], [false, false]),
+        ("repeated failures of one job", &[(5, NotTried)], [false, false]),
+        ("one job that runs elsewhere", &[(2, Runs)], [true, true]),
+        ("several jobs, not tried elsewhere", &[(1, NotTried), (1, NotTried)], [false, true]),
+        ("several faulty jobs", &[(4, Fails), (4, Fails)], [false, false]),
+        ("a faulty job and another one", &[(4, Fails), (1, NotTried)], [false, false]),
+        ("a faulty job on a faulty machine", &[(4, Fails), (1, Runs)], [true, true]),
         (
-            "both, before it shows",
-            &[(4, FailsElsewhere), (1, Nothing), (1, Nothing)],
+            "a faulty job and two not tried elsewhere",
+            &[(4, Fails), (1, NotTried), (1, NotTried)],
             [false, true],
         ),
     ];
-    for (name, jobs, blamed) in cases {
+    for (name, jobs, at_fault) in cases {
         let mut failures = MachineFailures::default();
-        for (n, (count, then)) in jobs.iter().enumerate() {
+        for (n, (count, elsewhere)) in jobs.iter().enumerate() {
             let job = format!("req-{n}");
             for _ in 0..*count {
-                failures.note(&job, false, false, NOW);
+                failures.record_failure(&job, false, false, NOW);
             }
-            match then {
-                Nothing => {}
-                FailsElsewhere => failures.failed_elsewhere(&job),
-                RunsElsewhere => failures.runs_elsewhere(&job),
+            match elsewhere {
+                NotTried => {}
+                Fails => failures.record_failure_elsewhere(&job),
+                Runs => failures.record_success_elsewhere(&job),
             }
         }
-        for (at, blamed) in [NOW, NOW + 30 * SECOND].into_iter().zip(blamed) {
-            assert_eq!(failures.blame_machine(at), blamed, "{name}");
-            assert!(!(blamed && failures.in_doubt(at)), "{name}");
+        for (at, at_fault) in [NOW, NOW + 30 * SECOND].into_iter().zip(at_fault) {
+            assert_eq!(failures.blame_machine(at), at_fault, "{name}");
+            assert!(!(at_fault && failures.in_doubt(at)), "{name}");
         }
-        failures.forget();
-        assert!(!failures.blame_machine(NOW + 60 * SECOND), "{name}: a task was done");
+        failures.reset();
+        assert!(!failures.blame_machine(NOW + 60 * SECOND), "{name}: a task has completed");
     }
 }
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -1,7 +1,7 @@
-//! The routing of a heartbeat: to the partition held here, to another leader, or to a claim.
+//! Routing of a heartbeat to a partition led here, to another leader, or to a claim of the machine.
 //!
-//! Only reads. A machine that somebody has claimed is never claimed again from here, and an unclaimed one goes to
-//! the partition that rented it, if that is known.
+//! This module only reads state. A machine that is claimed already is never claimed again from here, and an unclaimed
+//! one goes to the partition that launched it, if that partition is known.
 
 use std::collections::BTreeMap;
 
@@ -11,44 +11,45 @@
 use crate::partition::Partition;
 use crate::store::cache::Cache;
 
-/// Where a heartbeat belongs.
+/// Destination of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatRoute {
-    /// To a partition held here.
+    /// A partition led here that has the machine.
     Own { partition: String },
-    /// Nothing is known yet.
+    /// None yet: the cache of the store's records is not loaded.
     CacheNotLoaded,
-    /// To a partition that owns the machine, which does not have it here.
+    /// The partition that owns the machine by its record; no partition led here has the machine.
     Owned { partition: String },
-    /// To another leader: the machine is unclaimed, and was rented for a partition of that one.
+    /// The other leader of the partition that launched the machine, which is unclaimed.
     LaunchedElsewhere { partition: String },
-    /// Nobody has claimed the machine; the partition that rented it, if that is known.
+    /// A claim, as no partition owns the machine; with the partition that launched it, if known.
     Unclaimed { launched_for: Option<String> },
 }
 
-/// What is known here of who owns and leads what.
+/// This node's view of which partitions own machines and which nodes lead partitions.
 #[derive(Clone, Copy)]
 pub(crate) struct OwnershipView<'a> {
-    /// This node.
+    /// Name of this node.
     pub node: &'a str,
     pub cache: &'a Cache,
-    /// The partitions held here.
+    /// The partitions led here.
     pub partitions: &'a BTreeMap<String, Partition>,
 }
 
-/// For which partition held here an unclaimed machine is to be claimed.
+/// The partition led here for which an unclaimed machine is to be claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Claimant {
-    /// For none: this node may not claim it.
+    /// None: this node may not claim the machine.
     NotEntitled,
-    /// It is expected to come up.
+    /// A partition that expects the machine as a pending instance.
     Expected(PartitionTerm),
-    /// Nobody here knows of it, so the machine itself is asked first.
+    /// A partition that does not expect the machine, so the machine is called first.
     Unexpected(PartitionTerm),
 }
 
 impl<'a> OwnershipView<'a> {
-    /// Where the heartbeat of a machine belongs; `launched_for` tells which partition rented a machine.
+    /// Returns the destination of a machine's heartbeat. `launched_for` returns the partition that launched a
+    /// machine.
     pub fn route<'r>(
         &self,
         machine: &str,
@@ -76,13 +77,14 @@
         }
     }
 
-    /// Another node that leads a partition, as far as is known here.
+    /// Returns the node that leads a partition according to the cache, if it is not this one.
     pub fn other_leader_of(&self, partition: &str) -> Option<&'a str> {
         let node = self.cache.partition(partition)?.record.node.as_str();
         (node != self.node).then_some(node)
     }
 
-    /// For whom an unclaimed machine is to be claimed: the partition that rented it, else this node's own.
+    /// Returns the partition for which to claim an unclaimed machine: the one that launched it if it is led here,
+    /// otherwise this node's own. `may_act` says whether this leader may act now.
     pub fn claimant_of(
         &self,
         machine: &str,
@@ -107,9 +109,9 @@
 }
 
 impl Partition {
-    /// Whether this leader may answer the heartbeat of one of its machines.
+    /// Reports whether this leader may answer the heartbeat of one of its machines.
     pub(crate) fn is_entitled_to_answer(&self, heartbeat: &Heartbeat) -> bool {
-        // With a later token somebody holds a later term, whatever the watch has told so far.
+        // A later fencing token means that a later term has begun, even if the watch has not reported it yet.
         self.active() && heartbeat.fencing_token <= self.term
     }
 }
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -1,4 +1,4 @@
-//! The routing of heartbeats, as tables.
+//! Routing of heartbeats and choice of the claimant, as tables.
 
 use super::{Claimant, HeartbeatRoute, OwnershipView};
 use crate::machines::ownership::PartitionTerm;
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_heartbeat_goes_to_whoever_owns_or_rented_the_machine() {
+fn a_heartbeat_is_routed_to_the_owner_or_to_the_partition_that_launched_the_machine() {
     // n-1 is a machine of partition "one", which is led here; n-7 is claimed for partition "two".
     let owned = |partition: &str| HeartbeatRoute::Owned { partition: partition.into() };
     let unclaimed = |launched_for: Option<&str>| HeartbeatRoute::Unclaimed {
         launched_for: launched_for.map(str::to_owned),
     };
-    let rented_elsewhere = HeartbeatRoute::LaunchedElsewhere { partition: "two".into() };
-    // (machine, the partition that rented it, whether the records are known, who leads "two", the route)
+    let launched_elsewhere = HeartbeatRoute::LaunchedElsewhere { partition: "two".into() };
+    // (machine, partition that launched it, whether the cache is loaded, leader of "two"; route)
     for (machine, launched_for, loaded, leader, route) in [
         ("n-1", None, true, "two", HeartbeatRoute::Own { partition: "one".into() }),
         ("n-1", Some("two"), false, "two", HeartbeatRoute::Own { partition: "one".into() }),
@@ -25,7 +25,7 @@
         ("n-7", Some("one"), true, "two", owned("two")),
         ("n-9", None, true, "two", unclaimed(None)),
         ("n-9", Some("one"), true, "two", unclaimed(Some("one"))),
-        ("n-9", Some("two"), true, "two", rented_elsewhere),
+        ("n-9", Some("two"), true, "two", launched_elsewhere),
         ("n-9", Some("two"), true, "one", unclaimed(Some("two"))),
         ("n-9", Some("three"), true, "two", unclaimed(Some("three"))),
     ] {
@@ -43,13 +43,13 @@
 fn a_machine_is_claimed_only_for_a_partition_that_is_led_here() {
     let owner = PartitionTerm { partition: "one".into(), term: 5 };
     let (expected, unexpected) = (Claimant::Expected(owner.clone()), Claimant::Unexpected(owner));
-    // (who rented it, whether this leader may act, its partition is loaded, the machine was returned, it is
-    // expected; the claimant)
+    // (partition that launched it, whether this leader may act, whether its partition is loaded, whether the machine
+    // was terminated, whether it is a pending instance; claimant)
     for (launched_for, may_act, loaded, terminated, pending, claimant) in [
         (None, true, true, false, false, &unexpected),
         (None, true, true, false, true, &expected),
         (Some("one"), true, true, false, true, &expected),
-        // Led nowhere that is known here: this node's own partition takes it.
+        // No leader of "two" is known: this node's own partition claims the machine.
         (Some("two"), true, true, false, false, &unexpected),
         (None, false, true, false, true, &Claimant::NotEntitled),
         (None, true, false, false, true, &Claimant::NotEntitled),
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -1,9 +1,9 @@
-//! Reconciliation of what a worker reports with what this leader wants.
+//! Reconciliation of the state that a worker reports with the state that this leader wants.
 //!
-//! A status of a worker is taken in once, in the order of incarnation and sequence. Attempts that an earlier
-//! leader started are adopted where the task is ours and nowhere else, and ended otherwise. A machine counts as
-//! verified only by this term's fencing token or by a full lease without an answer; a task goes back to its queue
-//! only when no command that is still under way can start the attempt.
+//! Each status of a worker is applied once, in the order of incarnation and sequence. An attempt that an earlier
+//! leader started is adopted if the partition owns the task and has no other attempt of it, and killed otherwise. A
+//! machine counts as verified only after it shows this term's fencing token or after a full lease without an answer.
+//! A task is requeued only when no command in flight can still start the attempt.
 
 use quartzlever_wire::workers::{Heartbeat, TaskPhase, TaskStatus};
 use quartzlever_wire::{Micros, micros_from_secs};
@@ -15,28 +15,28 @@
 use crate::partition::Partition;
 use crate::scheduling::RunTimes;
 
-/// How a worker's status came here.
+/// How a worker's status was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusSource {
-    /// A heartbeat of the worker's own accord, which proves that earlier answers were executed or dropped.
+    /// A heartbeat sent by the worker, which proves that earlier answers were executed or dropped.
     Heartbeat,
-    /// The reply to a direct call, which shows that the worker is reached and nothing of earlier answers.
+    /// The reply to a direct call, which proves that the worker is reachable but nothing about earlier answers.
     DirectReply,
 }
 
 impl Machine {
-    /// Notes what a newer status says of the machine itself.
-    fn note_status(&mut self, heartbeat: &Heartbeat, source: StatusSource, now: Micros) {
+    /// Records what a newer status reports about the machine itself.
+    fn record_status(&mut self, heartbeat: &Heartbeat, source: StatusSource, now: Micros) {
         self.incarnation = heartbeat.incarnation;
         self.sequence = heartbeat.sequence;
         self.last_heartbeat_at = now;
         self.failed_calls = 0;
         match source {
-            // A worker has one heartbeat under way at a time: earlier answers are spent.
+            // A worker has one heartbeat in flight at a time, so no earlier answer can still take effect.
             StatusSource::Heartbeat => {
                 self.attempts.values_mut().for_each(|attempt| attempt.in_answer = false);
             }
-            // It was reached, so it is not deaf.
+            // The worker received a call, so it does receive commands.
             StatusSource::DirectReply => self.unacknowledged = 0,
         }
         self.record.address.clone_from(&heartbeat.address);
@@ -45,7 +45,8 @@
 }
 
 impl Partition {
-    /// Takes in a status of a worker; `false` if it is older than what is known.
+    /// Applies a status of a worker. Returns `false` if the status is not newer than the known state, or may predate
+    /// the takeover, or comes from a machine that the partition does not have.
     pub fn apply_heartbeat(
         &mut self,
         config: &Config,
@@ -60,23 +61,23 @@
             return false;
         }
         if source == StatusSource::Heartbeat && !machine.fenced && heartbeat.fencing_token < term {
-            // It may be a copy from before the takeover, minutes old: its list is not taken for
-            // the present one, and it proves nothing. The answer makes a worker that did send it
-            // now report again with this term's fencing token.
+            // This may be a copy from before the takeover, minutes old: its task list may be outdated, and it proves
+            // nothing. If the worker has just sent it, the answer makes it send another heartbeat with this
+            // term's fencing token.
             machine.stale_heartbeat_at = now;
             return false;
         }
         if source == StatusSource::Heartbeat && machine.confirms_known_state(heartbeat) {
             machine.sequence = heartbeat.sequence;
             machine.last_heartbeat_at = now;
-            machine.attempts.values_mut().for_each(|s| s.in_answer = false);
+            machine.attempts.values_mut().for_each(|attempt| attempt.in_answer = false);
             return true;
         }
         self.apply_status_changes(config, run_times, heartbeat, source, now);
         true
     }
 
-    /// Takes in a heartbeat that may change something.
+    /// Applies a newer status that may change the known state.
     pub(crate) fn apply_status_changes(
         &mut self,
         config: &Config,
@@ -91,11 +92,11 @@
             machine.track_acknowledgement(heartbeat, now);
         }
         if heartbeat.incarnation > machine.incarnation && machine.incarnation > 0 {
-            // The lease ran out over there: everything of the earlier incarnation is gone.
+            // The worker's lease expired and it stopped every task of the earlier incarnation.
             self.empty_machine(&heartbeat.machine);
         }
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
-        machine.note_status(heartbeat, source, now);
+        machine.record_status(heartbeat, source, now);
         if heartbeat.fencing_token >= term {
             machine.fenced = true;
             machine.verified = true;
@@ -115,18 +116,18 @@
         self.refresh(&heartbeat.machine);
     }
 
-    /// On a spot notice, stops the tasks that can still save their progress; the others may yet
-    /// come to their end.
+    /// Stops the tasks that can still save their progress after a spot notice. The others keep running, as they may
+    /// complete before the machine is taken away.
     fn checkpoint_before_reclaim(&mut self, heartbeat: &Heartbeat) {
-        let Some(left) = heartbeat.warning_s else { return };
+        let Some(remaining_s) = heartbeat.warning_s else { return };
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let jobs = &self.jobs;
         for (AttemptKey { task, .. }, attempt) in &mut machine.attempts {
             let Some(job) = jobs.get(&task.job).map(|j| &j.record.job) else { continue };
-            // The notice may run half as long as it says.
-            let saves = job.checkpoint_s > 0.0 && job.save_s <= left / 2.0;
-            // A replica runs again elsewhere the sooner.
-            if (saves || job.is_service())
+            // The machine may be taken away after half of the announced time.
+            let can_save = job.checkpoint_s > 0.0 && job.save_s <= remaining_s / 2.0;
+            // A replica is stopped in any case, so that it starts elsewhere sooner.
+            if (can_save || job.is_service())
                 && attempt.wanted
                 && attempt.phase == Some(TaskPhase::Running)
             {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Attempts that are known here but not in the heartbeat.
+    /// Removes attempts that the heartbeat does not list and that nothing can still start, and requeues their tasks.
     fn remove_unlisted_attempts(&mut self, heartbeat: &Heartbeat, source: StatusSource) {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let absent: Vec<AttemptKey> = machine
@@ -147,13 +148,13 @@
                 if heartbeat.lists(&key.task, key.attempt) {
                     return false;
                 }
-                // Seen before, so its `run` is spent: cleared, or lost.
-                let spent = attempt.phase.is_some();
-                // Never seen, and nothing that could still start it is under way.
-                let dead = source == StatusSource::Heartbeat
+                // It was listed before, so its `run` has been executed; the attempt was cleared or lost since.
+                let was_listed = attempt.phase.is_some();
+                // It was never listed, and no command that could still start it is in flight.
+                let cannot_start = source == StatusSource::Heartbeat
                     && !attempt.wanted
                     && attempt.direct_command == DirectCommand::Settled;
-                spent || dead
+                was_listed || cannot_start
             })
             .map(|(key, _)| key.clone())
             .collect();
@@ -166,84 +167,84 @@
         }
     }
 
-    /// One task of a newer heartbeat.
+    /// Applies the status of one task from a newer heartbeat.
     fn apply_task_status(
         &mut self,
         config: &Config,
         run_times: &mut RunTimes,
         machine: &str,
-        seen: &TaskStatus,
+        status: &TaskStatus,
         now: Micros,
     ) {
-        let key = AttemptKey { task: seen.task.clone(), attempt: seen.attempt };
+        let key = AttemptKey { task: status.task.clone(), attempt: status.attempt };
         let known = self.machines.get(machine).is_some_and(|m| m.attempts.contains_key(&key));
         if !known {
-            self.reconcile_attempt(config, machine, seen, now);
+            self.reconcile_attempt(config, machine, status, now);
         }
-        if seen.phase == TaskPhase::Running {
-            self.attempt_runs(config, machine, &key, now);
+        if status.phase == TaskPhase::Running {
+            self.handle_running_attempt(config, machine, &key, now);
         }
         let Some(attempt) = self.machines.get_mut(machine).and_then(|m| m.attempts.get_mut(&key))
         else {
             return;
         };
-        attempt.phase = Some(seen.phase);
-        attempt.cause = seen.cause;
-        if seen.phase != TaskPhase::Exited || attempt.accounted {
+        attempt.phase = Some(status.phase);
+        attempt.cause = status.cause;
+        if status.phase != TaskPhase::Exited || attempt.accounted {
             return;
         }
         attempt.accounted = true;
-        // What a limited team used, or may have used, is free for its other tasks anywhere.
+        // Resources that a team with a limit used, or may have used, are available to its tasks on any machine.
         self.placement_wanted |= attempt.team.is_empty() || config.is_team_limited(&attempt.team);
         let ended = EndedAttempt {
             machine,
-            seen,
-            placed: attempt.since,
-            ran: attempt.running_since.map(|since| now.saturating_sub(since)),
+            status,
+            placed_at: attempt.since,
+            run_time: attempt.running_since.map(|since| now.saturating_sub(since)),
             class: attempt.class.clone(),
             expect: attempt.expect,
         };
-        self.attempt_ended(config, run_times, &ended, now);
+        self.handle_ended_attempt(config, run_times, &ended, now);
     }
 
-    /// An attempt that this leader has not started: adopted if the task is ours and nowhere
-    /// else, ended otherwise.
+    /// Adds an attempt that this leader has not started: wanted if the partition owns the task and has no other
+    /// attempt of it, and to be killed otherwise.
     fn reconcile_attempt(
         &mut self,
         config: &Config,
         machine_name: &str,
-        seen: &TaskStatus,
+        status: &TaskStatus,
         now: Micros,
     ) {
-        let exited = seen.phase == TaskPhase::Exited;
-        let mut attempt = Attempt::blank(now);
-        (attempt.phase, attempt.cause) = (Some(seen.phase), seen.cause);
+        let exited = status.phase == TaskPhase::Exited;
+        let mut attempt = Attempt::without_job(now);
+        (attempt.phase, attempt.cause) = (Some(status.phase), status.cause);
         (attempt.wanted, attempt.sent) = (false, true);
-        if !self.jobs.contains_key(&seen.task.job) {
-            // Its job may have ended while no leader acted: then it has had that time already.
-            let absent = config.operator.lease_life + config.operator.takeover_after;
-            attempt.job_terminal_since = Some(now.saturating_sub(absent));
+        if !self.jobs.contains_key(&status.task.job) {
+            // The job may have ended while the partition had no active leader, which lasts about this long.
+            let leaderless = config.operator.lease_life + config.operator.takeover_after;
+            attempt.job_terminal_since = Some(now.saturating_sub(leaderless));
         }
-        if let Some(job) = self.jobs.get_mut(&seen.task.job) {
-            attempt.describe(&job.record.job);
+        if let Some(job) = self.jobs.get_mut(&status.task.job) {
+            attempt.set_job_details(&job.record.job);
             self.machines_by_job
-                .entry(seen.task.job.clone())
+                .entry(status.task.job.clone())
                 .or_default()
                 .insert(machine_name.to_owned());
-            let index = seen.task.index;
-            let allowed = config.team(&job.record.job.team).is_some();
-            if !exited && allowed && job.adopt(index, machine_name, seen.attempt, &self.name) {
+            let index = status.task.index;
+            let team_known = config.team(&job.record.job.team).is_some();
+            if !exited && team_known && job.adopt(index, machine_name, status.attempt, &self.name) {
                 attempt.wanted = true;
             }
         }
         if let Some(machine) = self.machines.get_mut(machine_name) {
             machine
                 .attempts
-                .insert(AttemptKey { task: seen.task.clone(), attempt: seen.attempt }, attempt);
+                .insert(AttemptKey { task: status.task.clone(), attempt: status.attempt }, attempt);
         }
     }
 
-    /// Takes as empty what has been silent for a full lease.
+    /// Treats machines that have been silent for a full lease as empty and verified.
     pub(crate) fn expire_silent_machines(&mut self, config: &Config, now: Micros) {
         if !self.active() {
             return;
@@ -254,9 +255,10 @@
             .machines
             .values()
             .filter(|m| {
-                // An incarnation that was only heard of by a direct call runs out a lease after it
-                // began, and it began before it was heard of. Without that time, tasks given to a
-                // machine that had just come back were taken for gone and started elsewhere.
+                // The lease of an incarnation that is known only from a direct reply ends at the latest one lease
+                // after that reply, as the incarnation began before it. Without `last_heartbeat_at`, which
+                // a reply updates too, tasks given to a machine that has just come back would be taken
+                // for lost and started elsewhere.
                 now.saturating_sub(
                     m.last_answered_at.max(m.last_heartbeat_at).max(sole_leader_from),
                 ) > gone_after
