--- a/crates/quartzlever-core/src/machines/attempt.rs
+++ b/crates/quartzlever-core/src/machines/attempt.rs
@@ -1,8 +1,9 @@
-//! An attempt of a task that is or may be on a machine: the commands sent for it, the state the worker
-//! reported, and the commands that may still be in flight.
+//! An attempt of a task that is or may be on a machine: the commands sent for it, the state the
+//! worker reported, and the commands that may still be in flight.
 //!
-//! An attempt is kept as long as a command could still start it or a heartbeat could still list it. This module
-//! holds state only: [`super::commands`] creates the commands, and [`super::attempt_outcomes`] processes the end.
+//! An attempt is kept as long as a command could still start it or a heartbeat could still list it.
+//! This module holds state only: [`super::commands`] creates the commands, and
+//! [`super::attempt_outcomes`] processes the end.
 
 use quartzlever_wire::users::{JobSpec, Priority};
 use quartzlever_wire::workers::{Cause, TaskPhase};
@@ -18,8 +19,9 @@
     /// No call was made, or its outcome is known.
     Settled,
     InFlight,
-    /// The call timed out and the command may still arrive, minutes late. Such an attempt is never
-    /// cleared in this incarnation: the late command would start a cleared attempt again.
+    /// The outcome of the call is unknown: the command may still arrive, minutes late. Such an
+    /// attempt is never cleared in this incarnation, because the late command would start a cleared
+    /// attempt again.
     OutcomeUnknown,
 }
 
@@ -46,15 +48,17 @@
     /// Seconds that it may take to save its progress when it is killed.
     pub leeway_s: f64,
     pub direct_command: DirectCommand,
-    /// Whether the answer to a heartbeat carries its `run` and no later heartbeat has arrived, so that the
-    /// answer may still be in flight. Answers and direct commands use different connections, so a late
-    /// answer would start the attempt again if it had been killed and cleared in the meantime.
+    /// Whether the answer to a heartbeat carries its `run` and no later heartbeat has arrived, so
+    /// that the answer may still be in flight. Answers and direct commands use different
+    /// connections, so a late answer would start the attempt again if it had been killed and
+    /// cleared in the meantime.
     pub in_answer: bool,
     /// Whether its end has been processed.
     pub accounted: bool,
     /// Whether its `run` command was sent to the worker's address at least once.
     pub sent: bool,
-    /// Whether it is a best-effort task with checkpoints, which loses almost nothing when preempted.
+    /// Whether it is a best-effort task with checkpoints, which loses almost nothing when
+    /// preempted.
     pub yields: bool,
     /// Whether it is a replica of a service.
     pub service: bool,
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -1,7 +1,7 @@
 //! Effects of an attempt's run and end on its task, its job and its machine.
 //!
-//! Each end is processed once. A task is requeued only here, in reconciliation and when its machine is known to be
-//! empty. A machine is found faulty only from its failure record.
+//! Each end is processed once. A task is requeued only here, in reconciliation and when its machine
+//! is known to be empty. A machine is found faulty only from its failure record.
 
 use quartzlever_wire::workers::{Cause, TaskId, TaskStatus};
 use quartzlever_wire::{Micros, SECOND};
@@ -33,8 +33,8 @@
     pub expect: Micros,
 }
 
-/// Records the end of a replica, which does not count against its machine. A healthy replica is restarted
-/// at once, one that ended too soon after the retry delay.
+/// Records the end of a replica, which does not count against its machine. A healthy replica is
+/// restarted at once, one that ended too soon after the retry delay.
 fn record_replica_end(job: &mut PartitionJob, ended: &EndedAttempt, now: Micros) {
     if ended.run_time.is_some_and(|run_time| run_time > REPLICA_HEALTHY_AFTER) {
         job.mark_healthy();
@@ -148,7 +148,8 @@
         let (has_succeeded, on_multiple_machines) =
             (job.succeeded > 0, job.failures.on_multiple_machines());
         if on_multiple_machines {
-            // A faulty job fails on every machine: the delay limits the load that its restarts cause.
+            // A faulty job fails on every machine: the delay limits the load that its restarts
+            // cause.
             job.no_start_before = now + job.failures.retry_delay();
         }
         let newly_fails_everywhere = job.fails_everywhere() && !failed_everywhere_before;
@@ -165,7 +166,8 @@
         }
     }
 
-    /// Stops treating a job as failing everywhere once one of its attempts has outlasted the failed ones.
+    /// Stops treating a job as failing everywhere once one of its attempts has outlasted the failed
+    /// ones.
     pub(crate) fn try_to_clear(&mut self, config: &Config, id: &str, now: Micros) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.fails_everywhere()) else { return };
         // A heartbeat may report a start or a failure one interval late.
--- a/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
@@ -18,8 +18,8 @@
 #[test]
 fn the_cause_of_an_attempts_end_decides_requeueing_delay_and_suspicion() {
     use Shape::{Batch, Service};
-    // (job shape, cause of the end, run time in seconds; whether the task is requeued, whether the job waits
-    // before its next start, whether the machine is suspect)
+    // (job shape, cause of the end, run time in seconds; whether the task is requeued, whether the
+    // job waits before its next start, whether the machine is suspect)
     for (shape, cause, run_time, queued, waits, suspect) in [
         (Batch, Some(Cause::Done), 5, false, false, false),
         (Batch, Some(Cause::Halted), 5, true, false, false),
@@ -66,8 +66,8 @@
     }
 }
 
-/// The end of an attempt may be reported after its task was started again elsewhere; the current attempt
-/// keeps its assignment.
+/// The end of an attempt may be reported after its task was started again elsewhere; the current
+/// attempt keeps its assignment.
 #[test]
 fn a_late_end_of_an_earlier_attempt_does_not_free_the_current_one() {
     for cause in [Some(Cause::Halted), Some(Cause::Error), Some(Cause::NoCapacity)] {
--- a/crates/quartzlever-core/src/machines/call_queue.rs
+++ b/crates/quartzlever-core/src/machines/call_queue.rs
@@ -1,7 +1,9 @@
-//! The machines of a partition that get a direct call instead of waiting for the answer to their next heartbeat.
+//! The machines of a partition that get a direct call instead of waiting for the answer to their
+//! next heartbeat.
 //!
-//! Owns the set of machines that may have urgent commands and the set of machines that have not shown this term's
-//! fencing token. It only selects the machines: [`super::commands`] decides what a call carries.
+//! Owns the set of machines that may have urgent commands and the set of machines that have not
+//! shown this term's fencing token. It only selects the machines: [`super::commands`] decides what
+//! a call carries.
 
 use std::collections::BTreeSet;
 
@@ -42,7 +44,7 @@
     }
 
     /// Removes a machine that has shown this term's fencing token from the fencing calls.
-    pub(super) fn fenced(&mut self, machine: &str) {
+    pub(super) fn mark_fenced(&mut self, machine: &str) {
         self.unfenced.remove(machine);
     }
 
@@ -57,8 +59,8 @@
         self.unfenced.remove(machine);
     }
 
-    /// Returns the machines to call now, within the limits: first those with urgent commands, then those to fence.
-    /// Drops machines without urgent commands from the urgent set.
+    /// Returns the machines to call now, within the limits: first those with urgent commands, then
+    /// those to fence. Drops machines without urgent commands from the urgent set.
     pub(super) fn due(
         &mut self,
         machines: &Table<Machine>,
--- a/crates/quartzlever-core/src/machines/call_queue/tests.rs
+++ b/crates/quartzlever-core/src/machines/call_queue/tests.rs
@@ -17,7 +17,8 @@
 
 #[test]
 fn a_machine_is_called_only_if_it_can_take_commands_of_this_term() {
-    // (state of the machine, change that brings it about; whether it is called now, whether it stays queued)
+    // (state of the machine, change that brings it about; whether it is called now, whether it
+    // stays queued)
     type Case = (&'static str, fn(&mut crate::machines::machine::Machine), bool, bool);
     let cases: [Case; 7] = [
         ("no change", |_| {}, true, true),
@@ -72,7 +73,7 @@
     type Step = (fn(&mut CallQueue), bool);
     let steps: [Step; 4] = [
         (|_| {}, true),
-        (|queue| queue.fenced("n-1"), false),
+        (|queue| queue.mark_fenced("n-1"), false),
         (|queue| queue.forget("n-1"), false),
         (|queue| queue.all_verified(), false),
     ];
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -1,9 +1,10 @@
 //! Commands sent to a machine, in the answer to its heartbeat or by a direct call.
 //!
-//! A 200 renews the worker's lease, which keeps everything that it runs alive, so every answer carries all kills
-//! that are allowed at that point. An attempt is cleared only after its end has been processed and while no command
-//! that could start it again is in flight, neither in an answer nor in a direct call of unknown outcome. Every
-//! command carries the partition's term as its fencing token.
+//! A 200 renews the worker's lease, which keeps everything that it runs alive, so every answer
+//! carries all kills that are allowed at that point. An attempt is cleared only after its end has
+//! been processed and while no command that could start it again is in flight, neither in an answer
+//! nor in a direct call of unknown outcome. Every command carries the partition's term as its
+//! fencing token.
 
 use quartzlever_wire::workers::{
     Cause, Heartbeat, TaskPhase, TaskStatus, WorkerCall, WorkerCommand, WorkerCommands, WorkerReply,
@@ -25,11 +26,13 @@
 const CALL_RETRY_DELAY: Micros = 3 * SECOND;
 /// The same delay for a machine that is not verified yet and so delays the partition's recovery.
 const FENCING_CALL_RETRY_DELAY: Micros = SECOND;
-/// Maximum number of direct calls in flight, high enough that hung machines do not block the others. A call takes a
-/// few milliseconds, so thousands of machines are reached in seconds. Hung machines, at 2 s each, could delay
-/// the rest for minutes, but the rest send a heartbeat by themselves within one interval.
+/// Maximum number of direct calls in flight, high enough that hung machines do not block the
+/// others. A call takes a few milliseconds, so thousands of machines are reached in seconds. Hung
+/// machines, at 2 s each, could delay the rest for minutes, but the rest send a heartbeat by
+/// themselves within one interval.
 const MAX_WORKER_CALLS: usize = 32;
-/// Maximum number of calls in flight to fence machines while most of them are still due to send a heartbeat.
+/// Maximum number of calls in flight to fence machines while most of them are still due to send a
+/// heartbeat.
 const MAX_EARLY_FENCING_CALLS: usize = 24;
 
 /// Minimum number of `clear` commands that an answer carries without any other command.
@@ -40,12 +43,13 @@
 pub(crate) enum DirectCallOutcome {
     /// The worker's status was received and applied; the machine may have free capacity now.
     StatusReceived,
+    /// The call failed, or its reply came from another machine or showed a later term.
     NoStatus,
 }
 
 impl Machine {
-    /// Returns the commands that bring the worker to the wanted state, kills first. `may_clear` reports whether an
-    /// exited attempt may be removed from the worker.
+    /// Returns the commands that bring the worker to the wanted state, kills first. `may_clear`
+    /// reports whether an exited attempt may be removed from the worker.
     pub fn commands(
         &self,
         may_clear: impl Fn(&AttemptKey, &Attempt) -> bool,
@@ -68,9 +72,9 @@
             }
         }
         for (key, state) in &self.attempts {
-            // Repeating a `run` that the worker has already executed has no effect. An unwanted attempt that was
-            // never reported gets no command: it is removed once a later heartbeat proves that the worker does
-            // not have it.
+            // Repeating a `run` that the worker has already executed has no effect. An unwanted
+            // attempt that was never reported gets no command: it is removed once a later heartbeat
+            // proves that the worker does not have it.
             if state.wanted && !state.exited() && state.phase.is_none() {
                 commands.push(WorkerCommand::Run { task: key.task.clone(), attempt: key.attempt });
             }
@@ -86,7 +90,8 @@
         self.call.is_none() && !self.scaling_in && now >= self.no_call_before
     }
 
-    /// Records that a direct call carries all current commands, and returns the attempts whose `run` it carries.
+    /// Records that a direct call carries all current commands, and returns the attempts whose
+    /// `run` it carries.
     fn record_direct_commands(&mut self, now: Micros) -> Vec<AttemptKey> {
         let mut run_attempts = Vec::new();
         for (key, attempt) in &mut self.attempts {
@@ -106,7 +111,8 @@
         run_attempts
     }
 
-    /// Records the end of a direct call. Unless its outcome is known, its commands may still arrive.
+    /// Records the end of a direct call. Unless its outcome is known, its commands may still
+    /// arrive.
     fn settle_direct_call(
         &mut self,
         call_id: CallId,
@@ -138,7 +144,8 @@
 }
 
 impl Partition {
-    /// Calls workers that have urgent commands or must be fenced. The calls are not sent after `until`.
+    /// Calls workers that have urgent commands or must be fenced. The calls are not sent after
+    /// `until`.
     pub(crate) fn call_workers(
         &mut self,
         config: &Config,
@@ -159,9 +166,10 @@
         }
     }
 
-    /// Returns the number of calls in flight up to which fencing calls are made. Most machines are fenced by their own
-    /// heartbeats and only the rest need a call. A call costs more than a heartbeat, so a processor that lacks time
-    /// for both first waits half an interval for heartbeats.
+    /// Returns the number of calls in flight up to which fencing calls are made. Most machines are
+    /// fenced by their own heartbeats and only the rest need a call. A call costs more than a
+    /// heartbeat, so a processor that lacks time for both first waits half an interval for
+    /// heartbeats.
     fn max_fencing_calls(&self, config: &Config, now: Micros) -> usize {
         let since = now.saturating_sub(self.acquired);
         let heartbeat_interval = config.workers.heartbeat_interval;
@@ -173,8 +181,9 @@
         }
     }
 
-    /// Calls machines that run service replicas and whose heartbeat is late. A replica on a dead machine is out of
-    /// service until its failure is noticed, and waiting for the lease to expire takes longer than a call.
+    /// Calls machines that run service replicas and whose heartbeat is late. A replica on a dead
+    /// machine is out of service until its failure is noticed, and waiting for the lease to expire
+    /// takes longer than a call.
     pub(crate) fn probe_late_service_machines(
         &mut self,
         config: &Config,
@@ -250,7 +259,8 @@
         machine.settle_direct_call(call_id, &call.run_attempts, outcome_known);
         match result {
             Ok(WorkerReply::Status(status) | WorkerReply::Refused(status)) => {
-                // Another machine may have taken over the address, or another controller has a later term.
+                // Another machine may have taken over the address, or another controller has a
+                // later term.
                 if status.machine != call.machine || status.fencing_token > call.term {
                     machine.no_call_before = now + CALL_RETRY_DELAY;
                     return DirectCallOutcome::NoStatus;
@@ -266,8 +276,9 @@
         }
     }
 
-    /// Returns the answer to a heartbeat; `None` if the partition does not have the machine. `is_newer` says
-    /// whether the heartbeat was newer than the known state, and `is_over` reports whether a job has ended.
+    /// Returns the answer to a heartbeat; `None` if the partition does not have the machine.
+    /// `is_newer` says whether the heartbeat was newer than the known state, and `is_over` reports
+    /// whether a job has ended.
     pub(crate) fn answer_to(
         &mut self,
         heartbeat: &Heartbeat,
@@ -276,8 +287,8 @@
         now: Micros,
     ) -> Option<WorkerCommands> {
         let machine = self.machines.get_mut(&heartbeat.machine)?;
-        // The worker drops the answer to a late heartbeat. Its lease is taken as renewed all the same, which is the
-        // safe assumption.
+        // The worker drops the answer to a late heartbeat. Its lease is taken as renewed all the
+        // same, which is the safe assumption.
         machine.last_answered_at = now;
         let commands = if is_newer {
             self.commands_for(&heartbeat.machine, true)
@@ -287,20 +298,22 @@
         Some(WorkerCommands { fencing_token: self.term, incarnation: None, commands })
     }
 
-    /// Returns the commands for a machine and records the `run`s among them as sent. `in_answer` says whether the
-    /// answer to a heartbeat carries them.
+    /// Returns the commands for a machine and records the `run`s among them as sent. `in_answer`
+    /// says whether the answer to a heartbeat carries them.
     pub fn commands_for(&mut self, name: &str, in_answer: bool) -> Vec<WorkerCommand> {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(name) else { return Vec::new() };
         let mut commands = machine.commands(|key, attempt| {
-            // The machine keeps a finished task until the job's record in the store lists it as finished.
+            // The machine keeps a finished task until the job's record in the store lists it as
+            // finished.
             attempt.cause != Some(Cause::Done)
                 || jobs
                     .get(&key.task.job)
                     .is_none_or(|job| job.service() || job.record.finished.contains(key.task.index))
         });
-        // Any command in an answer makes the worker send another heartbeat at once. An exited attempt does no harm
-        // on the worker, so its `clear` waits for another kind of command or for a few more clears.
+        // Any command in an answer makes the worker send another heartbeat at once. An exited
+        // attempt does no harm on the worker, so its `clear` waits for another kind of command or
+        // for a few more clears.
         let is_clear = |command: &WorkerCommand| matches!(command, WorkerCommand::Clear { .. });
         if in_answer && commands.len() < MIN_CLEARS_IN_ANSWER && commands.iter().all(is_clear) {
             commands.clear();
@@ -314,9 +327,9 @@
         commands
     }
 
-    /// Returns the kills that the answer to an outdated heartbeat carries, as the answer still renews the worker's
-    /// lease and so keeps everything that it runs alive. An attempt that is unwanted or whose job has ended may be
-    /// killed however old the heartbeat is.
+    /// Returns the kills that the answer to an outdated heartbeat carries, as the answer still
+    /// renews the worker's lease and so keeps everything that it runs alive. An attempt that is
+    /// unwanted or whose job has ended may be killed however old the heartbeat is.
     pub fn kills_for(
         &self,
         heartbeat: &Heartbeat,
--- a/crates/quartzlever-core/src/machines/commands/tests.rs
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -7,8 +7,8 @@
 
 #[test]
 fn an_attempt_is_cleared_only_when_no_run_command_is_in_flight() {
-    // (whether a heartbeat answer carries the `run`, whether a direct call of unknown outcome carries it, whether
-    // a later heartbeat arrives; whether the attempt is cleared)
+    // (whether a heartbeat answer carries the `run`, whether a direct call of unknown outcome
+    // carries it, whether a later heartbeat arrives; whether the attempt is cleared)
     for (in_answer, outcome_unknown, later_heartbeat, expected) in [
         (false, false, false, true),
         (true, false, false, false),
@@ -62,15 +62,15 @@
             .any(|command| matches!(command, WorkerCommand::Clear { .. }));
         assert_eq!(
             cleared, expected,
-            "in answer {in_answer}, outcome unknown {outcome_unknown}, later heartbeat {later_heartbeat}"
+            "in answer {in_answer}, unknown {outcome_unknown}, later heartbeat {later_heartbeat}"
         );
     }
 }
 
 #[test]
 fn ended_attempts_are_cleared_in_batches_or_with_other_commands() {
-    // (ended attempts, whether a task is to start, whether the commands go in the answer to a heartbeat; commands,
-    // clears among them)
+    // (ended attempts, whether a task is to start, whether the commands go in the answer to a
+    // heartbeat; commands, clears among them)
     for (ended, starts, in_answer, commands, clears) in [
         (1, false, true, 0, 0),
         (1, true, true, 2, 1),
@@ -120,7 +120,8 @@
 
 #[test]
 fn a_call_is_made_for_a_start_that_cannot_wait_for_a_heartbeat() {
-    // (machines that the processor can serve, seconds within which a task should start; whether a call is made)
+    // (machines that the processor can serve, seconds within which a task should start; whether a
+    // call is made)
     for (machine_capacity, within, called) in
         [(100, None, true), (1, None, false), (1, Some(2), true)]
     {
@@ -175,13 +176,14 @@
     commands.expect("the heartbeat is answered 200").commands
 }
 
-/// A 200 renews the worker's lease and so the life of everything that it runs. Without the kill in the answer to
-/// the first heartbeat that a new leader gets, or to one that a direct call has overtaken, a cancelled task would
-/// run for one more lease on a machine that becomes unreachable right after.
+/// A 200 renews the worker's lease and so the life of everything that it runs. Without the kill in
+/// the answer to the first heartbeat that a new leader gets, or to one that a direct call has
+/// overtaken, a cancelled task would run for one more lease on a machine that becomes unreachable
+/// right after.
 #[test]
 fn every_answer_that_renews_a_lease_carries_its_kills() {
-    // (whether the heartbeat is from before the takeover, whether it is older than the known state, whether the
-    // job is active; whether the listed attempt is killed)
+    // (whether the heartbeat is from before the takeover, whether it is older than the known state,
+    // whether the job is active; whether the listed attempt is killed)
     for (before, older, active, killed) in [
         (true, false, false, true),
         (true, false, true, false),
@@ -229,10 +231,12 @@
     assert!(commands.len() > 10 && commands.len() < 260, "{}", commands.len());
 }
 
-/// While a task saves its progress, another kill with a leeway is redundant; one without ends the saving.
+/// While a task saves its progress, another kill with a leeway is redundant; one without ends the
+/// saving.
 #[test]
 fn a_kill_with_leeway_is_not_repeated_while_a_task_saves() {
-    // (reported phase, whether the attempt is wanted, seconds that it may take to save; expected command)
+    // (reported phase, whether the attempt is wanted, seconds that it may take to save; expected
+    // command)
     let kill = |leeway_s| Some(WorkerCommand::Kill { task: task(), attempt: 7, leeway_s });
     let run = Some(WorkerCommand::Run { task: task(), attempt: 7 });
     for (phase, wanted, leeway_s, expected) in [
@@ -263,7 +267,8 @@
 fn a_call_of_unknown_outcome_may_still_start_its_attempts() {
     use DirectCommand::{OutcomeUnknown, Settled};
     let status = |machine: &str, token| heartbeat_from(machine, 1, 3, token, &[]);
-    // (case, result of the call; state of its `run`, whether the machine may be called again at once)
+    // (case, result of the call; state of its `run`, whether the machine may be called again at
+    // once)
     for (name, result, expected, can_be_called) in [
         ("accepted", Ok(WorkerReply::Status(status("n-1", 5))), Settled, true),
         ("refused", Ok(WorkerReply::Refused(status("n-1", 5))), Settled, true),
--- a/crates/quartzlever-core/src/machines/failures.rs
+++ b/crates/quartzlever-core/src/machines/failures.rs
@@ -1,8 +1,9 @@
 //! Failure records that attribute failed tasks to their job or to the machine.
 //!
-//! Failures on several machines count against the job. Failures of several jobs on one machine, or of a job that
-//! runs well elsewhere, count against the machine. The two cases can be told apart only once the tasks have been
-//! tried on other machines, so a machine is not found faulty before there was time for that.
+//! Failures on several machines count against the job. Failures of several jobs on one machine, or
+//! of a job that runs well elsewhere, count against the machine. The two cases can be told apart
+//! only once the tasks have been tried on other machines, so a machine is not found faulty before
+//! there was time for that.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +19,8 @@
 pub const MAX_TRIAL_TASKS: u32 = 1;
 /// Number of failures without a success in between after which a machine may be found faulty.
 const MIN_FAILURES_FOR_FAULT: u32 = 2;
-/// Time within which a task that failed on one machine has been tried on another, including the image pull.
+/// Time within which a task that failed on one machine has been tried on another, including the
+/// image pull.
 const RETRY_ELSEWHERE_WINDOW: Micros = 20 * SECOND;
 
 /// The failed tasks of one job in a partition.
@@ -83,13 +85,14 @@
         INITIAL_RETRY_DELAY << self.rounds.saturating_sub(1).min(MAX_RETRY_DELAY_DOUBLINGS)
     }
 
-    /// Reports whether the failures count against the job. The caller checks that no task of it has succeeded.
+    /// Reports whether the failures count against the job. The caller checks that no task of it has
+    /// succeeded.
     pub fn blame_job(&self) -> bool {
         self.machines.len() >= FAILS_EVERYWHERE_AFTER_MACHINES && !self.outlasted_failures
     }
 
-    /// Records that an attempt of the job is still running after `run_time`. If that exceeds the longest failed
-    /// run by more than `margin`, the failures do not count against the job.
+    /// Records that an attempt of the job is still running after `run_time`. If that exceeds the
+    /// longest failed run by more than `margin`, the failures do not count against the job.
     pub fn record_running_for(&mut self, run_time: Micros, margin: Micros) {
         self.outlasted_failures |= run_time > self.longest_failed_run + margin;
     }
@@ -170,8 +173,8 @@
         runs_elsewhere || (self.several_jobs_failed_only_here() && self.retry_window_elapsed(now))
     }
 
-    /// Reports whether the failures may be due to either the machine or the jobs. The machine gets no new tasks
-    /// until that is decided.
+    /// Reports whether the failures may be due to either the machine or the jobs. The machine gets
+    /// no new tasks until that is decided.
     pub fn in_doubt(&self, now: Micros) -> bool {
         self.several_jobs_failed_only_here() && !self.retry_window_elapsed(now)
     }
--- a/crates/quartzlever-core/src/machines/failures/tests.rs
+++ b/crates/quartzlever-core/src/machines/failures/tests.rs
@@ -6,8 +6,8 @@
 
 const NOW: u64 = 1_000 * SECOND;
 
-/// Attempts that were placed together fail in one round, whatever their number; each further round doubles
-/// the retry delay, up to 32 s.
+/// Attempts that were placed together fail in one round, whatever their number; each further round
+/// doubles the retry delay, up to 32 s.
 #[test]
 fn each_round_of_failures_doubles_the_retry_delay() {
     let mut failures = JobFailures::default();
@@ -25,8 +25,8 @@
 
 #[test]
 fn a_job_that_fails_on_three_machines_and_runs_on_none_is_at_fault() {
-    // (machines that the job failed on, run time in seconds of the failed attempts and of one that still runs;
-    // whether the job is at fault)
+    // (machines that the job failed on, run time in seconds of the failed attempts and of one that
+    // still runs; whether the job is at fault)
     for (machines, failed_run, running_for, at_fault) in [
         (1, 2, 0, false),
         (2, 2, 0, false),
@@ -47,7 +47,8 @@
         }
         failures.record_running_for(running_for * SECOND, 12 * SECOND);
         assert_eq!(failures.blame_job(), at_fault, "{machines} {failed_run} {running_for}");
-        // A new round of failures cancels the evidence of the attempt that outlasted the earlier ones.
+        // A new round of failures cancels the evidence of the attempt that outlasted the earlier
+        // ones.
         failures.note("n-0", NOW + 60 * SECOND, failed_run * SECOND, NOW + 90 * SECOND);
         assert_eq!(
             failures.blame_job(),
@@ -65,8 +66,8 @@
         Runs,
     }
     use Elsewhere::*;
-    // (case, number of failures here and outcome elsewhere of each job; whether the machine is at fault at once,
-    // and 30 s later)
+    // (case, number of failures here and outcome elsewhere of each job; whether the machine is at
+    // fault at once, and 30 s later)
     type Case = (&'static str, &'static [(u32, Elsewhere)], [bool; 2]);
     let cases: [Case; 9] = [
         ("one failure", &[(1, NotTried)], [false, false]),
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Routing of a heartbeat to a partition led here, to another leader, or to a claim of the machine.
 //!
-//! This module only reads state. A machine that is claimed already is never claimed again from here, and an unclaimed
-//! one goes to the partition that launched it, if that partition is known.
+//! This module only reads state. A machine that is claimed already is never claimed again from
+//! here, and an unclaimed one goes to the partition that launched it, if that partition is known.
 
 use std::collections::BTreeMap;
 
@@ -48,8 +48,8 @@
 }
 
 impl<'a> OwnershipView<'a> {
-    /// Returns the destination of a machine's heartbeat. `launched_for` returns the partition that launched a
-    /// machine.
+    /// Returns the destination of a machine's heartbeat. `launched_for` returns the partition that
+    /// launched a machine.
     pub fn route<'r>(
         &self,
         machine: &str,
@@ -83,8 +83,8 @@
         (node != self.node).then_some(node)
     }
 
-    /// Returns the partition for which to claim an unclaimed machine: the one that launched it if it is led here,
-    /// otherwise this node's own. `may_act` says whether this leader may act now.
+    /// Returns the partition for which to claim an unclaimed machine: the one that launched it if
+    /// it is led here, otherwise this node's own. `may_act` says whether this leader may act now.
     pub fn claimant_of(
         &self,
         machine: &str,
@@ -111,7 +111,8 @@
 impl Partition {
     /// Reports whether this leader may answer the heartbeat of one of its machines.
     pub(crate) fn is_entitled_to_answer(&self, heartbeat: &Heartbeat) -> bool {
-        // A later fencing token means that a later term has begun, even if the watch has not reported it yet.
+        // A later fencing token means that a later term has begun, even if the watch has not
+        // reported it yet.
         self.active() && heartbeat.fencing_token <= self.term
     }
 }
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -43,8 +43,8 @@
 fn a_machine_is_claimed_only_for_a_partition_that_is_led_here() {
     let owner = PartitionTerm { partition: "one".into(), term: 5 };
     let (expected, unexpected) = (Claimant::Expected(owner.clone()), Claimant::Unexpected(owner));
-    // (partition that launched it, whether this leader may act, whether its partition is loaded, whether the machine
-    // was terminated, whether it is a pending instance; claimant)
+    // (partition that launched it, whether this leader may act, whether its partition is loaded,
+    // whether the machine was terminated, whether it is a pending instance; claimant)
     for (launched_for, may_act, loaded, terminated, pending, claimant) in [
         (None, true, true, false, false, &unexpected),
         (None, true, true, false, true, &expected),
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -1,9 +1,10 @@
 //! Reconciliation of the state that a worker reports with the state that this leader wants.
 //!
-//! Each status of a worker is applied once, in the order of incarnation and sequence. An attempt that an earlier
-//! leader started is adopted if the partition owns the task and has no other attempt of it, and killed otherwise. A
-//! machine counts as verified only after it shows this term's fencing token or after a full lease without an answer.
-//! A task is requeued only when no command in flight can still start the attempt.
+//! Each status of a worker is applied once, in the order of incarnation and sequence. An attempt
+//! that an earlier leader started is adopted if the partition owns the task and has no other
+//! attempt of it, and killed otherwise. A machine counts as verified only after it shows this
+//! term's fencing token or after a full lease without an answer. A task is requeued only when no
+//! command in flight can still start the attempt.
 
 use quartzlever_wire::workers::{Heartbeat, TaskPhase, TaskStatus};
 use quartzlever_wire::{Micros, micros_from_secs};
@@ -20,7 +21,8 @@
 pub enum StatusSource {
     /// A heartbeat sent by the worker, which proves that earlier answers were executed or dropped.
     Heartbeat,
-    /// The reply to a direct call, which proves that the worker is reachable but nothing about earlier answers.
+    /// The reply to a direct call, which proves that the worker is reachable but nothing about
+    /// earlier answers.
     DirectReply,
 }
 
@@ -32,7 +34,8 @@
         self.last_heartbeat_at = now;
         self.failed_calls = 0;
         match source {
-            // A worker has one heartbeat in flight at a time, so no earlier answer can still take effect.
+            // A worker has one heartbeat in flight at a time, so no earlier answer can still take
+            // effect.
             StatusSource::Heartbeat => {
                 self.attempts.values_mut().for_each(|attempt| attempt.in_answer = false);
             }
@@ -45,8 +48,9 @@
 }
 
 impl Partition {
-    /// Applies a status of a worker. Returns `false` if the status is not newer than the known state, or may predate
-    /// the takeover, or comes from a machine that the partition does not have.
+    /// Applies a status of a worker. Returns `false` if the status is not newer than the known
+    /// state, or may predate the takeover, or comes from a machine that the partition does not
+    /// have.
     pub fn apply_heartbeat(
         &mut self,
         config: &Config,
@@ -61,9 +65,9 @@
             return false;
         }
         if source == StatusSource::Heartbeat && !machine.fenced && heartbeat.fencing_token < term {
-            // This may be a copy from before the takeover, minutes old: its task list may be outdated, and it proves
-            // nothing. If the worker has just sent it, the answer makes it send another heartbeat with this
-            // term's fencing token.
+            // This may be a copy from before the takeover, minutes old: its task list may be
+            // outdated, and it proves nothing. If the worker has just sent it, the answer makes it
+            // send another heartbeat with this term's fencing token.
             machine.stale_heartbeat_at = now;
             return false;
         }
@@ -100,7 +104,7 @@
         if heartbeat.fencing_token >= term {
             machine.fenced = true;
             machine.verified = true;
-            self.call_queue.fenced(&heartbeat.machine);
+            self.call_queue.mark_fenced(&heartbeat.machine);
         }
         for task in &heartbeat.tasks {
             self.apply_task_status(config, run_times, &heartbeat.machine, task, now);
@@ -116,8 +120,8 @@
         self.refresh(&heartbeat.machine);
     }
 
-    /// Stops the tasks that can still save their progress after a spot notice. The others keep running, as they may
-    /// complete before the machine is taken away.
+    /// Stops the tasks that can still save their progress after a spot notice. The others keep
+    /// running, as they may complete before the machine is taken away.
     fn checkpoint_before_reclaim(&mut self, heartbeat: &Heartbeat) {
         let Some(remaining_s) = heartbeat.warning_s else { return };
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
@@ -138,7 +142,8 @@
         }
     }
 
-    /// Removes attempts that the heartbeat does not list and that nothing can still start, and requeues their tasks.
+    /// Removes attempts that the heartbeat does not list and that nothing can still start, and
+    /// requeues their tasks.
     fn remove_unlisted_attempts(&mut self, heartbeat: &Heartbeat, source: StatusSource) {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let absent: Vec<AttemptKey> = machine
@@ -148,7 +153,8 @@
                 if heartbeat.lists(&key.task, key.attempt) {
                     return false;
                 }
-                // It was listed before, so its `run` has been executed; the attempt was cleared or lost since.
+                // It was listed before, so its `run` has been executed; the attempt was cleared or
+                // lost since.
                 let was_listed = attempt.phase.is_some();
                 // It was never listed, and no command that could still start it is in flight.
                 let cannot_start = source == StatusSource::Heartbeat
@@ -194,7 +200,8 @@
             return;
         }
         attempt.accounted = true;
-        // Resources that a team with a limit used, or may have used, are available to its tasks on any machine.
+        // Resources that a team with a limit used, or may have used, are available to its tasks on
+        // any machine.
         self.placement_wanted |= attempt.team.is_empty() || config.is_team_limited(&attempt.team);
         let ended = EndedAttempt {
             machine,
@@ -207,8 +214,8 @@
         self.handle_ended_attempt(config, run_times, &ended, now);
     }
 
-    /// Adds an attempt that this leader has not started: wanted if the partition owns the task and has no other
-    /// attempt of it, and to be killed otherwise.
+    /// Adds an attempt that this leader has not started: wanted if the partition owns the task and
+    /// has no other attempt of it, and to be killed otherwise.
     fn reconcile_attempt(
         &mut self,
         config: &Config,
@@ -221,7 +228,8 @@
         (attempt.phase, attempt.cause) = (Some(status.phase), status.cause);
         (attempt.wanted, attempt.sent) = (false, true);
         if !self.jobs.contains_key(&status.task.job) {
-            // The job may have ended while the partition had no active leader, which lasts about this long.
+            // The job may have ended while the partition had no active leader, so the duration of a
+            // takeover counts as elapsed since its end.
             let leaderless = config.operator.lease_life + config.operator.takeover_after;
             attempt.job_terminal_since = Some(now.saturating_sub(leaderless));
         }
@@ -255,10 +263,10 @@
             .machines
             .values()
             .filter(|m| {
-                // The lease of an incarnation that is known only from a direct reply ends at the latest one lease
-                // after that reply, as the incarnation began before it. Without `last_heartbeat_at`, which
-                // a reply updates too, tasks given to a machine that has just come back would be taken
-                // for lost and started elsewhere.
+                // The lease of an incarnation that is known only from a direct reply ends at the
+                // latest one lease after that reply, as the incarnation began before it. Without
+                // `last_heartbeat_at`, which a reply updates too, tasks given to a machine that has
+                // just come back would be taken for lost and started elsewhere.
                 now.saturating_sub(
                     m.last_answered_at.max(m.last_heartbeat_at).max(sole_leader_from),
                 ) > gone_after
--- a/crates/quartzlever-core/src/machines/reconciliation/tests.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation/tests.rs
@@ -3,11 +3,12 @@
 use crate::machines::call_queue::CallQueue;
 use crate::testing::*;
 
-/// A heartbeat that only confirms the known state takes a short path, which must leave the partition in the same
-/// state as full processing.
+/// A heartbeat that only confirms the known state takes a short path, which must leave the
+/// partition in the same state as full processing.
 #[test]
 fn the_short_path_for_unchanged_heartbeats_matches_full_processing() {
-    // (phases of two tasks in the previous and in the last heartbeat; whether the last takes the short path)
+    // (phases of two tasks in the previous and in the last heartbeat; whether the last takes the
+    // short path)
     let running = (TaskPhase::Running, None);
     let ended = (TaskPhase::Exited, Some(Cause::Halted));
     let pulling = (TaskPhase::Pulling, None);
@@ -88,8 +89,8 @@
 #[test]
 fn a_silent_machine_counts_as_empty_only_after_a_full_lease() {
     let lease_expired_after = 11 * SECOND + 10_000;
-    // (seconds since the partition was acquired, since this leader is the only one, since the last answer, since
-    // the last heartbeat; whether the machine's tasks are requeued)
+    // (seconds since the partition was acquired, since this leader is the only one, since the last
+    // answer, since the last heartbeat; whether the machine's tasks are requeued)
     for (acquired, sole_leader, answered, heartbeat, requeued) in [
         (100, 100, 100, 100, true),
         (100, 100, 5, 100, false),
@@ -126,8 +127,8 @@
 fn a_late_copy_of_a_heartbeat_proves_nothing() {
     // Source, incarnation, sequence and fencing token of a status.
     type Received = (StatusSource, u64, u64, u64);
-    // (case, known incarnation and sequence if the machine is verified, status; whether it is applied, whether the
-    // machine is verified after it)
+    // (case, known incarnation and sequence if the machine is verified, status; whether it is
+    // applied, whether the machine is verified after it)
     type Case<'a> = (&'a str, Option<(u64, u64)>, Received, bool, bool);
     let cases: &[Case] = &[
         ("a newer heartbeat", Some((1, 5)), (StatusSource::Heartbeat, 1, 6, 5), true, true),
