--- a/crates/quartzlever-core/src/machines.rs
+++ b/crates/quartzlever-core/src/machines.rs
@@ -1,13 +1,12 @@
-//! The machines of a partition: which partition owns each, their heartbeats and commands, and what their
-//! failed tasks say of them.
+//! The machines of a partition: their ownership, heartbeats, commands and task failures.
 //!
-//! - [`machine`], `attempt`, `resources`: a machine as its partition knows it, and what may run on it.
-//! - `membership`: which machines a partition has, and the recovery barrier.
-//! - `heartbeats`, `presence`: where a heartbeat belongs, and whether an unknown machine is there.
-//! - `reconciliation`, `attempt_outcomes`: what a status shows, and what the end of an attempt says.
-//! - `call_queue`, `commands`: whom to call, and what to say in calls and answers.
+//! - [`machine`], `attempt`, `resources`: the state of a machine and of the task attempts on it.
+//! - `membership`: adding and removing machines of a partition, and the recovery barrier.
+//! - `heartbeats`, `presence`: routing of heartbeats, and confirmation that an unknown machine exists.
+//! - `reconciliation`, `attempt_outcomes`: processing of worker statuses and of ended attempts.
+//! - `call_queue`, `commands`: the workers to call, and the commands in calls and heartbeat answers.
 //! - `ownership`: the machines' records in the store.
-//! - `failures`: whether failed tasks speak against their job or their machine.
+//! - `failures`: attribution of task failures to a job or to a machine.
 
 pub(crate) mod attempt;
 mod attempt_outcomes;
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as its partition knows it: its incarnation, its heartbeats, and the attempts that may be on it.
+//! The state of a machine in its partition: incarnation, heartbeats, and the attempts that may be on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,8 +12,8 @@
 use crate::machines::resources::Resources;
 use crate::messages::CallId;
 
-/// So many heartbeats in a row without a sign of what answers said show a machine that hears nothing.
-const UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
+/// Consecutive unacknowledged heartbeats after which a machine counts as ignoring commands.
+const MIN_UNACKNOWLEDGED_HEARTBEATS: u32 = 2;
 
 /// A claimed machine of a partition.
 #[derive(Clone, Debug)]
@@ -22,43 +22,46 @@
     pub record: MachineRecord,
     pub incarnation: u64,
     pub sequence: u64,
-    /// It has shown or accepted this term's fencing token: no command of an earlier leader has any
-    /// effect on it now.
+    /// Whether the worker has reported or accepted this term's fencing token, so that commands of
+    /// earlier leaders no longer have any effect on it.
     pub fenced: bool,
-    /// Nothing that an earlier leader started is on it without our knowing.
+    /// Whether every attempt that an earlier leader may have started on the machine is known here
+    /// or has ended.
     pub verified: bool,
-    /// Last newer heartbeat of any kind.
+    /// When the latest newer status arrived, as a heartbeat or as the reply to a direct call.
     pub last_heartbeat_at: Micros,
-    /// Last time a heartbeat was answered 200; the worker's lease counts from before that.
+    /// When a heartbeat was last answered with status 200. The worker's lease runs from an earlier
+    /// moment.
     pub last_answered_at: Micros,
     pub idle_since: Option<Micros>,
-    /// The cloud takes it away at about this time.
+    /// The approximate time at which the cloud reclaims the spot instance, if it gave notice.
     pub spot_notice_until: Option<Micros>,
     pub attempts: BTreeMap<AttemptKey, Attempt>,
-    /// What is free, kept by `Partition::refresh`.
+    /// The free capacity, kept up to date by `Partition::refresh`.
     pub free: Resources,
-    /// Direct calls in a row that brought nothing, with nothing heard since.
+    /// Consecutive failed direct calls since the last newer status.
     pub failed_calls: u32,
-    /// Heartbeats in a row that show no sign of what earlier answers said, and since when.
+    /// Consecutive heartbeats that show no effect of the answers to earlier ones.
     pub unacknowledged: u32,
+    /// When the first of these heartbeats arrived.
     pub unacknowledged_since: Micros,
-    /// When something came that may be a late copy: a heartbeat without this term's fencing token.
+    /// When a heartbeat without this term's fencing token last arrived, which may be a late copy.
     pub stale_heartbeat_at: Micros,
-    /// Images that tasks have run from, so that the machine has them.
+    /// Images that tasks have run from, and that the machine therefore has.
     pub images: BTreeSet<String>,
-    /// A direct call in flight.
+    /// The direct call in flight, if any.
     pub call: Option<CallId>,
     pub no_call_before: Micros,
     pub scaling_in: bool,
     pub scale_in_reason: Option<ScaleInReason>,
-    /// Tasks that failed here since the last one that was done.
+    /// Task failures on the machine since the last task that succeeded here.
     pub failures: MachineFailures,
-    /// Run times of its last tasks against what their class usually takes, in thousandths.
+    /// Run times of the latest tasks relative to the usual run time of their class, in thousandths.
     pub pace: Vec<u32>,
 }
 
 impl Machine {
-    /// A machine that was just claimed or read from its record: neither fenced nor verified.
+    /// Creates a machine that was just claimed or read from its record: neither fenced nor verified.
     pub fn new(name: &str, record: MachineRecord, now: Micros) -> Self {
         Machine {
             name: name.to_owned(),
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Whether the machine may get new tasks, as long as it is heard of.
+    /// Reports whether the machine may get new tasks, provided that its heartbeats keep arriving.
     pub fn usable(&self) -> bool {
         self.fenced
             && self.incarnation > 0
@@ -98,40 +101,43 @@
             && self.unacknowledged == 0
     }
 
-    /// Whether replicas of services are to run here.
+    /// Reports whether any service replica is meant to run on the machine.
     pub fn serves(&self) -> bool {
-        self.attempts.values().any(|s| s.service && s.wanted && !s.exited())
+        self.attempts.values().any(|a| a.service && a.wanted && !a.exited())
     }
 
-    /// Whether an attempt that must not be here is not proven gone although it has had that long:
-    /// its job is over, or its `run` may still arrive and nothing will ever tell.
-    pub fn has_lingering_attempt(&self, now: Micros, within: Micros) -> bool {
-        self.attempts.values().filter(|s| !s.wanted && !s.exited()).any(|s| {
-            let lost = s.phase.is_none() && s.direct_command == DirectCommand::OutcomeUnknown;
-            let since = s.job_terminal_since.or(lost.then_some(s.since));
-            since.is_some_and(|t| now.saturating_sub(t) > within)
+    /// Reports whether an unwanted attempt is still not confirmed as ended after `exit_timeout`.
+    ///
+    /// This concerns attempts whose job is over, and attempts that were never reported although
+    /// their `run` command may still arrive: no status will ever confirm the end of those.
+    pub fn has_lingering_attempt(&self, now: Micros, exit_timeout: Micros) -> bool {
+        self.attempts.values().filter(|a| !a.wanted && !a.exited()).any(|a| {
+            let unconfirmed =
+                a.phase.is_none() && a.direct_command == DirectCommand::OutcomeUnknown;
+            let since = a.job_terminal_since.or(unconfirmed.then_some(a.since));
+            since.is_some_and(|t| now.saturating_sub(t) > exit_timeout)
         })
     }
 
-    /// Whether it reports but heeds nothing that it is told.
+    /// Reports whether the machine sends heartbeats but does not act on the answers to them.
     pub fn ignores_commands(&self, now: Micros, heartbeat_interval: Micros) -> bool {
-        self.unacknowledged >= UNACKNOWLEDGED_HEARTBEATS
+        self.unacknowledged >= MIN_UNACKNOWLEDGED_HEARTBEATS
             && now.saturating_sub(self.unacknowledged_since) >= heartbeat_interval
     }
 
-    /// Whether a newer heartbeat of this machine's own accord tells nothing that is not known: most
-    /// do, and cost no more than to be heard.
+    /// Reports whether a newer heartbeat, not sent as the reply to a direct call, contains nothing
+    /// new. Most heartbeats are of this kind, and need no further processing.
     pub fn confirms_known_state(&self, heartbeat: &Heartbeat) -> bool {
-        let known = |t: &TaskStatus| {
-            let attempt = self
+        let is_known = |status: &TaskStatus| {
+            let entry = self
                 .attempts
                 .iter()
-                .find(|(key, _)| key.attempt == t.attempt && key.task == t.task);
-            attempt.is_some_and(|(_, s)| {
-                s.phase == Some(t.phase)
-                    && s.cause == t.cause
-                    && (t.phase != TaskPhase::Exited || s.accounted)
-                    && (t.phase != TaskPhase::Running || s.running_since.is_some())
+                .find(|(key, _)| key.attempt == status.attempt && key.task == status.task);
+            entry.is_some_and(|(_, attempt)| {
+                attempt.phase == Some(status.phase)
+                    && attempt.cause == status.cause
+                    && (status.phase != TaskPhase::Exited || attempt.accounted)
+                    && (status.phase != TaskPhase::Running || attempt.running_since.is_some())
             })
         };
         self.usable()
@@ -140,22 +146,24 @@
             && heartbeat.warning_s.is_none()
             && heartbeat.address == self.record.address
             && heartbeat.tasks.len() == self.attempts.len()
-            && heartbeat.tasks.iter().all(known)
+            && heartbeat.tasks.iter().all(is_known)
             && !self.has_urgent_commands()
     }
 
-    /// Takes account of whether a newer heartbeat shows that answers arrive: a worker has one heartbeat
-    /// under way at a time, so it has seen the answer to the one before, or never will.
+    /// Updates the count of unacknowledged heartbeats from a newer heartbeat.
+    ///
+    /// A worker has one heartbeat in flight at a time, so a newer heartbeat proves that the worker
+    /// has received the answer to the previous one, or never will.
     pub fn track_acknowledgement(&mut self, heartbeat: &Heartbeat, now: Micros) {
         let missing = self
             .attempts
             .iter()
-            .any(|(key, s)| s.in_answer && s.wanted && !heartbeat.lists(&key.task, key.attempt));
-        // An incarnation whose lease ran out although it was answered all the time.
-        let lapsed = heartbeat.incarnation > self.incarnation
+            .any(|(key, a)| a.in_answer && a.wanted && !heartbeat.lists(&key.task, key.attempt));
+        // The lease of the earlier incarnation expired although its heartbeats were answered.
+        let lease_expired = heartbeat.incarnation > self.incarnation
             && self.incarnation > 0
             && self.unacknowledged > 0;
-        if missing || lapsed {
+        if missing || lease_expired {
             if self.unacknowledged == 0 {
                 self.unacknowledged_since = now;
             }
@@ -165,39 +173,42 @@
         }
     }
 
-    /// Whether the machine may get new tasks.
-    pub fn accepts_tasks(&self, now: Micros, quiet: Micros) -> bool {
-        self.usable() && now.saturating_sub(self.last_heartbeat_at) < quiet
+    /// Reports whether the machine may get new tasks: it is usable, and its last heartbeat is less
+    /// than `max_silence` old.
+    pub fn accepts_tasks(&self, now: Micros, max_silence: Micros) -> bool {
+        self.usable() && now.saturating_sub(self.last_heartbeat_at) < max_silence
     }
 
-    /// What is free, counting everything that may be on the machine as taken.
-    pub fn free_of(&self, total: Resources) -> Resources {
-        let mut free = total;
-        for attempt in self.attempts.values().filter(|s| !s.exited()) {
+    /// Returns the part of `capacity` that is free. Every attempt that may be on the machine counts
+    /// as using what it needs.
+    pub fn free_capacity(&self, capacity: Resources) -> Resources {
+        let mut free = capacity;
+        for attempt in self.attempts.values().filter(|a| !a.exited()) {
             free.take(&attempt.need);
         }
         free
     }
 
-    /// Whether an image is being fetched for a task.
+    /// Reports whether the machine pulls an image for a task, or is about to.
     pub fn pulls(&self, image: &str) -> bool {
-        let waits = |s: &Attempt| matches!(s.phase, None | Some(TaskPhase::Pulling));
-        self.attempts.values().any(|s| waits(s) && s.image == image)
+        let is_starting = |a: &Attempt| matches!(a.phase, None | Some(TaskPhase::Pulling));
+        self.attempts.values().any(|a| is_starting(a) && a.image == image)
     }
 
-    /// Whether an attempt may be running here.
+    /// Reports whether an attempt may be running on the machine.
     pub fn busy(&self) -> bool {
-        self.attempts.values().any(|s| !s.exited())
+        self.attempts.values().any(|a| !a.exited())
     }
 
-    /// Whether anything waits to be said to the worker that is worth a call of its own.
+    /// Reports whether a command is pending that needs a direct call instead of waiting for the
+    /// answer to the next heartbeat.
     pub fn has_urgent_commands(&self) -> bool {
-        self.attempts.values().filter(|s| !s.exited()).any(|s| {
-            if s.wanted { !s.sent && !s.can_wait_for_heartbeat } else { s.kill_sent.is_none() }
+        self.attempts.values().filter(|a| !a.exited()).any(|a| {
+            if a.wanted { !a.sent && !a.can_wait_for_heartbeat } else { a.kill_sent.is_none() }
         })
     }
 
-    /// Marks an attempt as unwanted.
+    /// Marks an attempt as unwanted, with the time in seconds that it gets to save its work.
     pub fn stop(&mut self, key: &AttemptKey, leeway_s: f64) {
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.wanted = false;
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -1,7 +1,7 @@
-//! The machines that belong to a partition: how one is added, emptied and removed, and the recovery barrier that
-//! opens when each of them is verified.
+//! The machines that belong to a partition: adding, emptying and removing them, and the recovery barrier that
+//! opens once each of them is verified.
 //!
-//! A machine's tasks go back to their queue only when it is surely empty, which the caller has established.
+//! A machine's tasks are requeued only when no attempt can still run on it, which the caller has established.
 
 use quartzlever_wire::Micros;
 use quartzlever_wire::store::MachineRecord;
@@ -13,15 +13,21 @@
 use crate::partition::Partition;
 
 impl Partition {
-    /// Adds a claimed machine. `ours` says that it was claimed under this very term, so no
-    /// earlier leader ever commanded it.
-    pub fn add_machine(&mut self, name: &str, record: MachineRecord, ours: bool, now: Micros) {
+    /// Adds a claimed machine. `is_new_claim` says that it was claimed under the present term, so
+    /// that no earlier leader ever commanded it.
+    pub fn add_machine(
+        &mut self,
+        name: &str,
+        record: MachineRecord,
+        is_new_claim: bool,
+        now: Micros,
+    ) {
         self.autoscaling.pending_instances.arrived(name, self.types.as_deref(), now);
         let machine = self
             .machines
             .entry(name.to_owned())
             .or_insert_with(|| Box::new(Machine::new(name, record, now)));
-        if ours {
+        if is_new_claim {
             machine.fenced = true;
             machine.verified = true;
         }
@@ -31,7 +37,7 @@
         self.refresh(name);
     }
 
-    /// A claim of a machine for this partition is in force: adds the machine if it was made under this term.
+    /// Adds a machine whose claim for this partition is committed, if the claim was made under the present term.
     pub(crate) fn add_claimed_machine(
         &mut self,
         name: &str,
@@ -44,13 +50,13 @@
             && !self.autoscaling.terminated.contains(name)
             && mod_revision > self.term
         {
-            // A claim of ours, whether its answer has come or not; claims of earlier terms
-            // fail by then.
+            // A revision above the term's belongs to a claim of this term, whether or not its
+            // answer has arrived: claims of earlier terms fail once this term has begun.
             self.add_machine(name, record.clone(), true, now);
         }
     }
 
-    /// Opens the recovery barrier once every machine is proven.
+    /// Opens the recovery barrier once every machine is verified. Returns whether this call opened it.
     pub fn try_complete_recovery(&mut self) -> bool {
         if self.recovery_complete || !self.active() || self.machines.values().any(|m| !m.verified) {
             return false;
@@ -64,7 +70,7 @@
         true
     }
 
-    /// Takes everything off a machine that is surely empty.
+    /// Removes all attempts from a machine on which none can still run, and requeues their tasks.
     pub fn empty_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let attempts = std::mem::take(&mut machine.attempts);
@@ -77,7 +83,8 @@
         self.refresh(name);
     }
 
-    /// Removes a machine that is surely empty for good.
+    /// Removes a machine on which no attempt can still run, and requeues its tasks. Returns whether the
+    /// machine belonged to the partition.
     pub fn remove_machine(&mut self, name: &str) -> bool {
         self.empty_machine(name);
         self.call_queue.forget(name);
@@ -86,8 +93,8 @@
         self.machines.swap_remove(name).is_some()
     }
 
-    /// Brings what is kept of a machine's room up to date, after its attempts or its standing
-    /// have changed.
+    /// Updates a machine's free capacity after its attempts or its usability have changed, and
+    /// queues a direct call if it has urgent commands.
     pub fn refresh(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.has_urgent_commands() {
@@ -96,7 +103,7 @@
         let machine_type = self.types.as_ref().and_then(|t| t.get(&machine.record.machine_type));
         match machine_type.filter(|_| machine.usable()) {
             Some(machine_type) => {
-                machine.free = machine.free_of(Resources::capacity_of(machine_type));
+                machine.free = machine.free_capacity(Resources::capacity_of(machine_type));
                 self.free_capacity_index.put(name, &machine.record, machine.free.cpus);
             }
             None => self.free_capacity_index.remove(name),
--- a/crates/quartzlever-core/src/machines/membership/tests.rs
+++ b/crates/quartzlever-core/src/machines/membership/tests.rs
@@ -1,11 +1,11 @@
-//! Which machines belong to a partition, and the recovery barrier.
+//! Adding and removing machines of a partition, and the recovery barrier.
 
 use crate::testing::*;
 
 #[test]
-fn a_machine_is_added_by_a_claim_of_this_term_only() {
-    // (whether the partition's records are loaded, the machine was returned, the modification revision of the claim
-    // against the term 5; whether it is added)
+fn only_a_claim_of_the_present_term_adds_a_machine() {
+    // (whether the partition's records are loaded, whether the machine was terminated, the modification revision of
+    // the claim, where the term is 5; whether the machine is added)
     for (loaded, terminated, mod_revision, added) in [
         (true, false, 6, true),
         (true, false, 5, false),
@@ -14,7 +14,7 @@
         (false, false, 6, false),
     ] {
         let mut core = core();
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.loaded = loaded;
         if terminated {
             partition.autoscaling.terminated.put("n-9", NOW);
@@ -23,16 +23,15 @@
         partition.add_claimed_machine("n-9", &record, mod_revision, NOW);
         let machine = partition.machines.get("n-9");
         assert_eq!(machine.is_some(), added, "{loaded} {terminated} {mod_revision}");
-        // No earlier leader ever commanded it.
+        // No earlier leader ever commanded the machine.
         assert!(machine.is_none_or(|m| m.fenced && m.verified));
     }
 }
 
-/// A claim that is told of once more changes nothing of a machine that is known.
 #[test]
-fn a_known_machine_stays_as_it_is() {
+fn a_repeated_claim_does_not_change_a_known_machine() {
     let mut core = core();
-    let partition = core.partitions.get_mut("one").expect("it is held");
+    let partition = core.partitions.get_mut("one").expect("partition one is led here");
     if let Some(machine) = partition.machines.get_mut("n-1") {
         (machine.fenced, machine.verified) = (false, false);
     }
@@ -43,37 +42,40 @@
 }
 
 #[test]
-fn the_barrier_opens_when_every_machine_is_verified() {
+fn the_recovery_barrier_opens_once_every_machine_is_verified() {
     let mut core = core();
-    let partition = core.partitions.get_mut("one").expect("it is held");
+    let partition = core.partitions.get_mut("one").expect("partition one is led here");
     partition.recovery_complete = false;
     partition.add_machine("n-2", machine_record_of("n-2", "one"), false, NOW);
-    assert!(partition.call_queue.is_unfenced("n-2"), "an earlier leader may command it");
+    assert!(
+        partition.call_queue.is_unfenced("n-2"),
+        "commands of an earlier leader may still take effect on n-2"
+    );
     assert!(!partition.try_complete_recovery(), "n-2 is not verified");
     if let Some(machine) = partition.machines.get_mut("n-2") {
         machine.verified = true;
     }
     partition.loaded = false;
-    assert!(!partition.try_complete_recovery(), "the records are not known yet");
+    assert!(!partition.try_complete_recovery(), "the partition's records are not loaded");
     partition.loaded = true;
     assert!(partition.try_complete_recovery());
     assert!(partition.recovery_complete);
     let queue = &partition.call_queue;
     assert!(partition.machines.keys().all(|name| !queue.is_unfenced(name)));
-    assert!(!partition.try_complete_recovery(), "only once");
+    assert!(!partition.try_complete_recovery(), "the barrier opens once");
 }
 
 #[test]
-fn tasks_of_a_machine_that_is_surely_empty_go_back_to_the_queue() {
+fn tasks_of_an_emptied_or_removed_machine_are_requeued() {
     for removed in [true, false] {
         let mut core = core();
         core.reconcile_job(record("0-3", ""), 10);
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.start("req-1", 0, "n-1", NOW);
         assert!(!partition.jobs["req-1"].ready.contains(0));
         if removed {
             assert!(partition.remove_machine("n-1"));
-            assert!(!partition.remove_machine("n-1"), "it is gone");
+            assert!(!partition.remove_machine("n-1"), "n-1 was removed before");
         } else {
             partition.empty_machine("n-1");
             assert!(partition.machines["n-1"].attempts.is_empty());
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -1,17 +1,17 @@
-//! The machines' records in the store: claims and their removal, many machines to a key.
+//! The machines' records in the store: claims and their removal, with many machines under one key.
 //!
-//! Owns what is to be changed in each group of machines, and the splitting of groups. A group is rewritten on
-//! condition of its modification revision and of the terms of all partitions whose machines the change concerns,
-//! one write at a time; what comes meanwhile goes with the next. It never changes the cache: whoever takes an
-//! outcome does.
+//! This component owns the pending changes of each group of machines, and the splitting of groups. A group is
+//! rewritten on condition of its modification revision and of the terms of all partitions whose machines the change
+//! concerns. Each group has at most one write in flight; changes that arrive meanwhile go into the next one. The
+//! component never changes the cache: its caller does so when it handles an outcome.
 //!
-//! Groups of the first form hold 64 machines. Where a value's limit, or the one to come, is too low
-//! for that, machines go into smaller groups as soon as the cluster version says that every
-//! controller looks for them there; groups of the first form are split then, a few at a time. Each
-//! machine still has one key that decides who claims it: a claim in a small group has the group of
-//! the first form at its modification revision as a condition. Where the store takes even less than the
-//! settings say, the controllers agree on smaller groups under one key, and each claim has that key
-//! at its modification revision as a condition.
+//! Large groups, the original form, hold 64 machines. Where the limit on a value, or an announced lower
+//! limit, is too low for that, machines go into smaller groups as soon as the cluster version guarantees
+//! that every controller reads them; each controller then splits the large groups of its partitions, one
+//! at a time. Each machine still has one key that decides its ownership: a claim in a small group is
+//! conditional on the modification revision of the large group. Where the store accepts even less than the
+//! settings say, the controllers agree on smaller groups under one key, and each claim is conditional on
+//! that key's modification revision.
 
 mod group_update;
 mod layout;
@@ -33,32 +33,34 @@
 use group_update::GroupUpdate;
 pub(crate) use layout::{GroupLayout, GroupSizeAgreement};
 
-const RETRY: Micros = SECOND / 2;
-/// Shortest time between two writes of one group, so that a wave of heartbeats is one change.
-const PAUSE: Micros = SECOND / 2;
-/// As long for removals: nothing waits for them.
-const RELEASE_INTERVAL: Micros = 2 * SECOND;
-/// After a group that the store found too large.
-const TOO_LARGE_PAUSE: Micros = 5 * SECOND;
+/// Delay before a failed read, write or split is retried.
+const RETRY_DELAY: Micros = SECOND / 2;
+/// Minimum time between two writes of a group with claims, so that a burst of heartbeats makes one write.
+const CLAIM_INTERVAL: Micros = SECOND / 2;
+/// Minimum time after a write that only removes machines, which no request waits for.
+const REMOVAL_INTERVAL: Micros = 2 * SECOND;
+/// Delay before a write that the store rejected as too large is retried.
+const TOO_LARGE_RETRY_DELAY: Micros = 5 * SECOND;
 
-/// A partition under one of its terms.
+/// A partition in one of its terms.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PartitionTerm {
     pub partition: String,
     pub term: u64,
 }
 
-/// What waits for a change of the machines' records.
+/// The pending changes of the machines' records.
 #[derive(Debug, Default)]
 pub(crate) struct Ownership {
-    /// What is to be changed, by the key of the group.
+    /// Pending changes by the key of the group.
     changes: BTreeMap<String, PendingGroupChange>,
-    /// A group is being split; when the next one may be.
+    /// Whether a group is being split.
     splitting: bool,
+    /// The earliest time of the next split.
     next_split_at: Micros,
 }
 
-/// A machine that waits for its claim, with the heartbeats that wait for an answer.
+/// A pending claim of a machine: the latest of its heartbeats, and the requests that wait for an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnershipClaim {
     pub ids: Vec<RequestId>,
@@ -66,52 +68,53 @@
     owner: PartitionTerm,
 }
 
-/// What is to be changed in one group.
+/// The pending changes of one group.
 #[derive(Debug, Default)]
 struct PendingGroupChange {
     claims: BTreeMap<String, OwnershipClaim>,
-    /// Returned machines, with the partition and term that returned them.
-    drops: BTreeMap<String, PartitionTerm>,
+    /// Terminated machines, with the partition and term that terminated them.
+    removals: BTreeMap<String, PartitionTerm>,
     writing: bool,
     not_before: Micros,
 }
 
-/// What decides about a change of groups now.
+/// The state of the node that group changes depend on.
 pub(crate) struct GroupContext<'a> {
     pub now: Micros,
-    /// Whether this process may act for its partitions.
+    /// Whether this node has the authority to act for its partitions.
     pub may_act: bool,
     pub cache: &'a Cache,
-    /// The partitions held here.
+    /// The partitions that this node leads.
     pub partitions: &'a BTreeMap<String, Partition>,
     pub layout: GroupLayout,
 }
 
 impl GroupContext<'_> {
-    /// Whether a partition is held here under that term, and may be acted for.
-    fn holds(&self, owner: &PartitionTerm) -> bool {
+    /// Reports whether this node leads a partition in the given term, with the partition's records
+    /// loaded, and may act for it.
+    fn leads(&self, owner: &PartitionTerm) -> bool {
         let partition = self.partitions.get(&owner.partition);
         self.may_act && partition.is_some_and(|p| p.term == owner.term && p.active())
     }
 }
 
-/// What became of the write of a group.
+/// The outcome of the write of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum GroupWriteOutcome {
     Committed {
         mod_revision: u64,
     },
-    /// Something stands in the way, or nothing is known: the group is to be read again, after these partitions
-    /// are given up.
+    /// A condition failed or the outcome is unknown. The caller gives up the lost partitions, then rereads the group.
     ToBeReread {
         lost: Vec<PartitionTerm>,
     },
-    /// Surely not carried out: tried again.
+    /// The write did not take effect, and is retried.
     Failed,
 }
 
 impl Ownership {
-    /// A machine that nobody has claimed reports; it is to be claimed for a partition held here.
+    /// Records that an unclaimed machine, which sent this heartbeat, is to be claimed for a partition led by this
+    /// node. The heartbeat's request waits until the claim is settled.
     pub fn request(
         &mut self,
         id: RequestId,
@@ -120,9 +123,9 @@
         layout: &GroupLayout,
         now: Micros,
     ) {
-        let soon = now + PAUSE;
+        let claim_due = now + CLAIM_INTERVAL;
         let change = self.changes.entry(layout.key_of(&heartbeat.machine)).or_default();
-        change.not_before = change.not_before.min(soon);
+        change.not_before = change.not_before.min(claim_due);
         match change.claims.get_mut(&heartbeat.machine) {
             Some(claim) => {
                 claim.ids.push(id);
@@ -139,7 +142,7 @@
         }
     }
 
-    /// A returned machine's record is no longer wanted.
+    /// Records that a terminated machine is to be removed from its group.
     pub fn release(
         &mut self,
         machine: &str,
@@ -147,17 +150,17 @@
         cache: &Cache,
         layout: &GroupLayout,
     ) {
-        let known = cache.group_of_machine(machine).cloned();
-        let key = known.unwrap_or_else(|| layout.key_of(machine));
-        self.changes.entry(key).or_default().drops.insert(machine.to_owned(), owner);
+        let known_key = cache.group_of_machine(machine).cloned();
+        let key = known_key.unwrap_or_else(|| layout.key_of(machine));
+        self.changes.entry(key).or_default().removals.insert(machine.to_owned(), owner);
     }
 
-    /// The machine belongs to somebody now: gives the claim that waited for that.
+    /// Removes and returns the pending claim of a machine, which some partition owns by now.
     pub fn take_claim(&mut self, key: &str, machine: &str) -> Option<OwnershipClaim> {
         self.changes.get_mut(key)?.claims.remove(machine)
     }
 
-    /// Writes groups that have to change, as far as the budget allows.
+    /// Writes the groups with due changes, as the write budget allows.
     pub fn write_changes(
         &mut self,
         context: &GroupContext,
@@ -171,30 +174,31 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in due {
-            self.reroute(&key, context);
+            self.move_misplaced_changes(&key, context);
             self.write_group(&key, context, write_budget, outbox);
         }
     }
 
-    /// Sends what waits for a change of this group, but belongs to another one by now, there.
-    fn reroute(&mut self, key: &str, context: &GroupContext) {
+    /// Moves the changes that belong to another group by now from this group to that one.
+    fn move_misplaced_changes(&mut self, key: &str, context: &GroupContext) {
         let Some(change) = self.changes.get(key) else { return };
         let cache = context.cache;
         let claims: Vec<String> =
-            change.claims.keys().filter(|h| context.layout.key_of(h) != key).cloned().collect();
-        let elsewhere =
+            change.claims.keys().filter(|m| context.layout.key_of(m) != key).cloned().collect();
+        let is_misplaced =
             |machine: &&String| cache.group_of_machine(machine).is_some_and(|group| group != key);
-        let drops: Vec<String> = change.drops.keys().filter(elsewhere).cloned().collect();
+        let removals: Vec<String> = change.removals.keys().filter(is_misplaced).cloned().collect();
         for machine in claims {
-            let right = context.layout.key_of(&machine);
+            let target = context.layout.key_of(&machine);
             if let Some(claim) = self.changes.get_mut(key).and_then(|c| c.claims.remove(&machine)) {
-                self.changes.entry(right).or_default().claims.insert(machine, claim);
+                self.changes.entry(target).or_default().claims.insert(machine, claim);
             }
         }
-        for machine in drops {
-            let Some(right) = cache.group_of_machine(&machine).cloned() else { continue };
-            if let Some(owner) = self.changes.get_mut(key).and_then(|c| c.drops.remove(&machine)) {
-                self.changes.entry(right).or_default().drops.insert(machine, owner);
+        for machine in removals {
+            let Some(target) = cache.group_of_machine(&machine).cloned() else { continue };
+            if let Some(owner) = self.changes.get_mut(key).and_then(|c| c.removals.remove(&machine))
+            {
+                self.changes.entry(target).or_default().removals.insert(machine, owner);
             }
         }
     }
@@ -210,26 +214,29 @@
         if context.may_act && !write_budget.try_reserve(write_kind(!change.claims.is_empty()), 1) {
             return;
         }
-        reject_all(change.drop_lost(context), outbox);
+        reject_all(change.discard_lost_partitions(context), outbox);
         let update = GroupUpdate::plan(key, change, context);
-        if update.terms.is_empty() {
-            // Nothing to change, or nothing that fits: those that wait are sent elsewhere.
+        if update.partition_terms.is_empty() {
+            // Nothing to change, or no claim that fits: the waiting requests are rejected as
+            // retryable, so that the workers try elsewhere.
             let claims = self.changes.remove(key).map(|change| change.claims).unwrap_or_default();
             return reject_all(claims.into_values().flat_map(|claim| claim.ids).collect(), outbox);
         }
-        let claims_some = !update.added.is_empty();
+        let has_claims = !update.added.is_empty();
         if update.exceeds(context.layout.value_limit) {
-            // A group of the first form that is still to be split: nothing larger than the limit is
-            // tried, over and over, and what was returned is removed from the small ones.
-            change.not_before = context.now + RELEASE_INTERVAL;
-        } else if write_budget.try_spend(write_kind(claims_some), 1) {
+            // A large group that is still to be split: a value above the limit is never written, as
+            // the store would reject it each time. Terminated machines are removed from the small
+            // groups after the split.
+            change.not_before = context.now + REMOVAL_INTERVAL;
+        } else if write_budget.try_spend(write_kind(has_claims), 1) {
             change.writing = true;
-            change.not_before = context.now + if claims_some { PAUSE } else { RELEASE_INTERVAL };
-            send(key, update, context, outbox);
+            let interval = if has_claims { CLAIM_INTERVAL } else { REMOVAL_INTERVAL };
+            change.not_before = context.now + interval;
+            send_write(key, update, context, outbox);
         }
     }
 
-    /// The write of a group has been answered.
+    /// Handles the result of the write of a group, and returns the outcome for the caller to act on.
     pub fn write_answered(
         &mut self,
         write: &GroupWrite,
@@ -240,10 +247,10 @@
         if let Some(change) = &mut change {
             change.writing = false;
         }
-        let pause = match result {
+        let delay = match result {
             Ok(StoreReply::Committed(mod_revision)) => {
                 if let Some(change) = change {
-                    change.drops.retain(|machine, _| !write.dropped.contains(machine));
+                    change.removals.retain(|machine, _| !write.dropped.contains(machine));
                 }
                 return GroupWriteOutcome::Committed { mod_revision: *mod_revision };
             }
@@ -260,26 +267,27 @@
                 });
                 return GroupWriteOutcome::ToBeReread { lost: lost.collect() };
             }
-            // It may still come into force, and then a write at the same modification revision fails.
+            // The write may still take effect. A later write conditional on the same modification
+            // revision fails in that case.
             Err(CallError::Unknown) => return GroupWriteOutcome::ToBeReread { lost: Vec::new() },
-            // Known not to be carried out: tried again.
-            Ok(StoreReply::TooLarge) => TOO_LARGE_PAUSE,
-            Ok(_) | Err(CallError::Refused | CallError::Throttled) => RETRY,
+            // The write is known not to have taken effect.
+            Ok(StoreReply::TooLarge) => TOO_LARGE_RETRY_DELAY,
+            Ok(_) | Err(CallError::Refused | CallError::Throttled) => RETRY_DELAY,
         };
         if let Some(change) = change {
-            change.not_before = now + pause;
+            change.not_before = now + delay;
         }
         GroupWriteOutcome::Failed
     }
 
-    /// Forgets a group in which nothing is to be changed any more.
+    /// Removes the entry of a group that has no pending changes.
     pub fn forget_if_settled(&mut self, key: &str) {
-        if self.changes.get(key).is_some_and(|c| c.claims.is_empty() && c.drops.is_empty()) {
+        if self.changes.get(key).is_some_and(|c| c.claims.is_empty() && c.removals.is_empty()) {
             self.changes.remove(key);
         }
     }
 
-    /// Reads a group again; nothing is written to it meanwhile.
+    /// Starts a read of a group, during which nothing is written to it.
     pub fn reread(&mut self, key: &str, outbox: &mut Outbox) {
         if let Some(change) = self.changes.get_mut(key) {
             change.writing = true;
@@ -288,34 +296,34 @@
         outbox.call_store(CallPriority::Work, StoreCall::Get(key.to_owned()), pending);
     }
 
-    /// A group has been read again, or that has failed.
+    /// Handles the end of a read of a group. `is_read` says whether the read succeeded.
     pub fn read_answered(&mut self, key: &str, is_read: bool, now: Micros) {
         if let Some(change) = self.changes.get_mut(key) {
             change.writing = false;
-            change.not_before = now + if is_read { PAUSE } else { RETRY };
+            change.not_before = now + if is_read { CLAIM_INTERVAL } else { RETRY_DELAY };
         }
     }
 }
 
 impl PendingGroupChange {
-    /// Forgets claims and removals for partitions that are not held here any more, under those terms;
-    /// gives the requests that waited for such a claim.
-    fn drop_lost(&mut self, context: &GroupContext) -> Vec<RequestId> {
-        self.drops.retain(|_, owner| context.holds(owner));
+    /// Discards the claims and removals for partitions that this node no longer leads in the same
+    /// term. Returns the requests that waited for those claims.
+    fn discard_lost_partitions(&mut self, context: &GroupContext) -> Vec<RequestId> {
+        self.removals.retain(|_, owner| context.leads(owner));
         let mut rejected = Vec::new();
         self.claims.retain(|_, claim| {
-            let held = context.holds(&claim.owner);
-            if !held {
+            let is_led = context.leads(&claim.owner);
+            if !is_led {
                 rejected.append(&mut claim.ids);
             }
-            held
+            is_led
         });
         rejected
     }
 }
 
-fn write_kind(claims_some: bool) -> WriteKind {
-    if claims_some { WriteKind::Claim } else { WriteKind::GarbageCollection }
+fn write_kind(has_claims: bool) -> WriteKind {
+    if has_claims { WriteKind::Claim } else { WriteKind::GarbageCollection }
 }
 
 fn reject_all(requests: Vec<RequestId>, outbox: &mut Outbox) {
@@ -324,10 +332,16 @@
     }
 }
 
-fn send(key: &str, update: GroupUpdate, context: &GroupContext, outbox: &mut Outbox) {
+fn send_write(key: &str, update: GroupUpdate, context: &GroupContext, outbox: &mut Outbox) {
     let txn = update.transaction(key, context);
-    let GroupUpdate { records, added, dropped, terms, .. } = update;
-    let write = GroupWrite { key: key.to_owned(), records, added, dropped, partitions: terms };
+    let GroupUpdate { records, added, removed, partition_terms, .. } = update;
+    let write = GroupWrite {
+        key: key.to_owned(),
+        records,
+        added,
+        dropped: removed,
+        partitions: partition_terms,
+    };
     let pending = PendingStoreCall::WriteGroup(write);
     outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
 }
--- a/crates/quartzlever-core/src/machines/ownership/group_update.rs
+++ b/crates/quartzlever-core/src/machines/ownership/group_update.rs
@@ -1,4 +1,4 @@
-//! What a write of one group changes: planned from what waits, within the limits, and made into a transaction.
+//! Planning the write of one group: pending changes, within the size limits, become one transaction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,25 +12,26 @@
 use super::{GroupContext, OwnershipClaim, PendingGroupChange};
 use crate::store::cache::{Cache, Versioned};
 
-/// What a group's value takes beside its machines, at the most; and a machine's name beside its
-/// letters: quotes, a colon and a comma.
+/// Upper bound of the bytes in a group's value beside its machines.
 const GROUP_VALUE_OVERHEAD: usize = 16;
+/// Bytes beside a machine's name in a group's value: quotes, a colon and a comma.
 const MACHINE_NAME_OVERHEAD: usize = 4;
 
-/// A change of one group.
+/// A planned write of one group.
 pub(super) struct GroupUpdate {
-    /// The group as it is to be, and its modification revision as it is.
+    /// The machines of the group after the write.
     pub records: MachineRecords,
+    /// The modification revision of the group before the write.
     pub mod_revision: u64,
     pub added: BTreeSet<String>,
-    pub dropped: BTreeSet<String>,
-    /// The partitions whose machines the change concerns, with their terms.
-    pub terms: BTreeMap<String, u64>,
+    pub removed: BTreeSet<String>,
+    /// The partitions whose machines the write concerns, with their terms.
+    pub partition_terms: BTreeMap<String, u64>,
 }
 
 impl GroupUpdate {
-    /// A group as it is to be: without the machines that were returned, and with those that wait for
-    /// their claim, as far as they fit.
+    /// Plans the write of a group: removes the terminated machines, and adds those with a pending
+    /// claim that fit into the value.
     pub fn plan(key: &str, pending: &PendingGroupChange, context: &GroupContext) -> Self {
         let Versioned { record: records, mod_revision } =
             context.cache.group(key).cloned().unwrap_or_default();
@@ -38,70 +39,74 @@
             records,
             mod_revision,
             added: BTreeSet::new(),
-            dropped: pending.drops.keys().cloned().collect(),
-            terms: BTreeMap::new(),
+            removed: pending.removals.keys().cloned().collect(),
+            partition_terms: BTreeMap::new(),
         };
-        for (machine, owner) in &pending.drops {
+        for (machine, owner) in &pending.removals {
             if update.records.get(machine).is_some_and(|record| record.partition == owner.partition)
             {
                 update.records.remove(machine);
-                update.terms.insert(owner.partition.clone(), owner.term);
+                update.partition_terms.insert(owner.partition.clone(), owner.term);
             }
         }
-        if !pending.claims.is_empty() && context.layout.is_known {
+        if !pending.claims.is_empty() && context.layout.larger_groups_known {
             update.add_claims(&pending.claims, context);
         }
         update
     }
 
-    /// Adds the machines that wait for their claim, as far as they fit.
+    /// Adds the machines with a pending claim that fit into the value.
     fn add_claims(&mut self, claims: &BTreeMap<String, OwnershipClaim>, context: &GroupContext) {
-        // The whole group is measured once, then each record that comes to it: writing it out
-        // anew for each was most of the work of a start.
-        let mut room = context.layout.value_limit.saturating_sub(self.value_length());
+        // The group is serialized once to measure it, then each added record by itself.
+        // Serializing the whole group for each record took most of the time of a start.
+        let mut remaining = context.layout.value_limit.saturating_sub(self.max_value_length());
         for (machine, claim) in claims {
             let is_claimed = context.cache.is_claimed(machine);
             if self.records.contains_key(machine) || is_claimed {
                 continue;
             }
             let record = record_of(claim);
-            let length = machine.len() + MACHINE_NAME_OVERHEAD + written_length(&record);
-            if length > room {
+            let length = machine.len() + MACHINE_NAME_OVERHEAD + json_length(&record);
+            if length > remaining {
                 continue;
             }
-            room -= length;
+            remaining -= length;
             self.records.insert(machine.clone(), record);
             self.added.insert(machine.clone());
-            self.terms.insert(claim.owner.partition.clone(), claim.owner.term);
+            self.partition_terms.insert(claim.owner.partition.clone(), claim.owner.term);
         }
     }
 
-    /// How long the group's value is as JSON, at the most.
-    fn value_length(&self) -> usize {
-        written_length(&self.records) + GROUP_VALUE_OVERHEAD
+    /// Returns an upper bound of the length of the group's value as JSON, in bytes.
+    fn max_value_length(&self) -> usize {
+        json_length(&self.records) + GROUP_VALUE_OVERHEAD
     }
 
-    /// Whether the group as it is to be takes more than this.
+    /// Reports whether the group's new value may be longer than `value_limit` bytes.
     pub fn exceeds(&self, value_limit: usize) -> bool {
-        !self.records.is_empty() && self.value_length() > value_limit
+        !self.records.is_empty() && self.max_value_length() > value_limit
     }
 
-    /// The transaction: on condition of the group's modification revision, of the terms of all partitions
-    /// concerned, and of whatever else decides where a machine is claimed.
+    /// Returns the transaction that writes the group, or deletes it when no machine is left.
+    ///
+    /// It is conditional on the group's modification revision and on the terms of all partitions
+    /// concerned. Claims in a small group are also conditional on the agreed group size and on the
+    /// large group that could hold the same machines.
     pub fn transaction(&self, key: &str, context: &GroupContext) -> Txn {
-        let large_form = context.layout.is_large();
+        let uses_large_groups = context.layout.uses_large_groups();
         let mut txn = Txn::default().if_mod_revision(key, self.mod_revision);
-        for (partition, term) in &self.terms {
+        for (partition, term) in &self.partition_terms {
             txn = txn.if_mod_revision(format!("{PARTITION_PREFIX}{partition}"), *term);
         }
-        if !self.added.is_empty() && !large_form {
+        if !self.added.is_empty() && !uses_large_groups {
             txn = txn.if_mod_revision(GROUP_SIZE_KEY, context.layout.size_revision);
         }
-        // A claim that an earlier version wrote for one of these machines is seen there.
-        let first_form = self.added.iter().next().map(|machine| large_group_key(machine));
-        if let Some(first) = first_form.filter(|first| !large_form && first != key) {
-            let mod_revision = known_revision(context.cache, &first);
-            txn = txn.if_mod_revision(first, mod_revision);
+        // An earlier version of the program claims these machines in the large group, and the
+        // condition detects that.
+        let large_key = self.added.iter().next().map(|machine| large_group_key(machine));
+        if let Some(large_key) = large_key.filter(|large| !uses_large_groups && large != key) {
+            let mod_revision = known_revision(context.cache, &large_key);
+            txn = txn.if_mod_revision(large_key, mod_revision);
         }
         if self.records.is_empty() {
             txn.delete(key)
@@ -115,8 +120,8 @@
     cache.group(key).map_or(0, |group| group.mod_revision)
 }
 
-/// How long a value is as JSON.
-pub(super) fn written_length(value: &impl Serialize) -> usize {
+/// Returns the length of a value as JSON, in bytes.
+pub(super) fn json_length(value: &impl Serialize) -> usize {
     serde_json::to_string(value).map_or(usize::MAX / 4, |text| text.len())
 }
 
--- a/crates/quartzlever-core/src/machines/ownership/layout.rs
+++ b/crates/quartzlever-core/src/machines/ownership/layout.rs
@@ -1,39 +1,39 @@
-//! How machines are laid out in groups, as far as this node knows now.
+//! The assignment of machines to groups, from this node's present knowledge.
 
 use quartzlever_wire::store::{LARGE_GROUP_SIZE, group_key, group_size};
 
 use crate::config::Config;
 use crate::store::limits::StoreLimits;
 
-/// What all controllers have agreed on of the size of groups.
+/// What the controllers have agreed on about the size of groups.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupSizeAgreement {
-    /// Whether every controller looks for machines in groups smaller than those of the first form.
+    /// Whether every controller reads groups smaller than [`LARGE_GROUP_SIZE`].
     pub small_groups: bool,
-    /// The largest size that was agreed on, if any was.
+    /// The maximum size that was agreed on, if any.
     pub size: Option<u64>,
-    /// The modification revision of that agreement, 0 if there is none.
+    /// The modification revision of the agreement on `size`, 0 if there is none.
     pub revision: u64,
 }
 
-/// How many machines share a key, what decides that, and how much a group may take.
+/// The size of groups, the agreement behind it, and the limits on writing a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GroupLayout {
-    /// How many machines share a key that is written now.
+    /// Maximum number of machines under one key in groups that are written now.
     pub size: u64,
     /// The modification revision of the agreement on the size, 0 if there is none.
     pub size_revision: u64,
-    /// Whether all claims in larger groups are known, as they are once the cache has come to the
+    /// Whether the cache has all claims in larger groups, as it does from the revision of the
     /// agreement on the present size.
-    pub is_known: bool,
-    /// The largest value that a group may take now.
+    pub larger_groups_known: bool,
+    /// Maximum length of a group's value, in bytes.
     pub value_limit: usize,
-    /// The most changes that a transaction may have.
+    /// Maximum number of changes in a transaction.
     pub max_changes: usize,
 }
 
 impl GroupLayout {
-    /// The layout under this agreement, while the cache has come to `cache_revision`.
+    /// Returns the layout under an agreement, with the cache at `cache_revision`.
     pub fn new(
         agreement: &GroupSizeAgreement,
         config: &Config,
@@ -50,18 +50,18 @@
         GroupLayout {
             size,
             size_revision: agreement.revision,
-            is_known: agreement.revision <= cache_revision,
+            larger_groups_known: agreement.revision <= cache_revision,
             value_limit,
             max_changes: limits.txn_ops(),
         }
     }
 
-    /// Whether groups have the first form.
-    pub fn is_large(&self) -> bool {
+    /// Reports whether machines are kept in large groups, the original form.
+    pub fn uses_large_groups(&self) -> bool {
         self.size == LARGE_GROUP_SIZE
     }
 
-    /// The key that a machine is claimed under.
+    /// Returns the key of the group that a machine is claimed in.
     pub fn key_of(&self, machine: &str) -> String {
         group_key(machine, self.size)
     }
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -1,7 +1,8 @@
-//! Splitting of groups that are larger than they are to be by now, one at a time.
+//! Splitting of groups that are larger than the present group size, one at a time.
 //!
-//! The small groups and the end of the large one go in one transaction if that takes no more changes than are
-//! allowed, else the small ones first, and the end when all of them are there. Each step may be repeated.
+//! One transaction writes the small groups and deletes the oversized one if the limit on changes allows it.
+//! Otherwise the small groups are written first, in several steps, and the last step deletes the oversized one. Each
+//! step may be repeated.
 
 use std::collections::BTreeMap;
 
@@ -11,58 +12,58 @@
 };
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
-use super::{GroupContext, Ownership, RETRY};
+use super::{GroupContext, Ownership, RETRY_DELAY};
 use crate::calls::PendingStoreCall;
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
 use crate::store::cache::Versioned;
 use crate::store::write_budget::{WriteBudget, WriteKind};
 
-/// Shortest time between two looks for a group to split.
-const SPLIT_PAUSE: Micros = SECOND / 5;
+/// Minimum time between two searches for a group to split.
+const SPLIT_INTERVAL: Micros = SECOND / 5;
 
 /// A step of splitting a group.
 struct GroupSplit {
     txn: Txn,
-    /// The small groups that it writes.
-    small: Vec<(String, MachineRecords)>,
-    /// Whether the large group ends with it.
+    /// The small groups that the step writes, by key.
+    small_groups: Vec<(String, MachineRecords)>,
+    /// Whether the step deletes the oversized group.
     is_complete: bool,
 }
 
 impl Ownership {
-    /// Splits one group that is larger than they are to be by now.
+    /// Starts the next step of splitting one group that is larger than the present group size.
     pub fn split_group(
         &mut self,
         context: &GroupContext,
         write_budget: &mut WriteBudget,
         outbox: &mut Outbox,
     ) {
-        if context.layout.is_large()
+        if context.layout.uses_large_groups()
             || self.splitting
             || context.now < self.next_split_at
             || !context.may_act
-            || !context.layout.is_known
+            || !context.layout.larger_groups_known
         {
             return;
         }
-        self.next_split_at = context.now + SPLIT_PAUSE;
+        self.next_split_at = context.now + SPLIT_INTERVAL;
         let Some(key) = self.group_to_split(context) else { return };
-        let Some(GroupSplit { txn, small, is_complete }) = plan_split(&key, context) else {
+        let Some(GroupSplit { txn, small_groups, is_complete }) = plan_split(&key, context) else {
             return;
         };
-        // It may leave the account in debt: under load that never holds as much at once, and the
-        // lower limit may come at any moment.
+        // The split may overdraw the write budget: under load the budget never holds that many
+        // changes at once, and a lower limit of the store may take effect at any moment.
         if !write_budget.has(WriteKind::Claim, 1) {
             return;
         }
         write_budget.spend(txn.changes.len());
         self.splitting = true;
-        let pending = PendingStoreCall::SplitGroup { key, small, is_complete };
+        let pending = PendingStoreCall::SplitGroup { key, small: small_groups, is_complete };
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
     }
 
-    /// A step of splitting has been answered; gives its modification revision if it is in force.
+    /// Handles the result of a step of a split. Returns its modification revision if it was committed.
     pub fn split_answered(
         &mut self,
         result: &Result<StoreReply, CallError>,
@@ -71,38 +72,41 @@
         self.splitting = false;
         match result {
             Ok(StoreReply::Committed(mod_revision)) => Some(*mod_revision),
-            // Any other outcome the watch tells of, and what the cache shows then is tried again.
+            // If the step took effect all the same, the watch reports it. The next attempt starts
+            // from the state of the cache then.
             _ => {
-                self.next_split_at = now + RETRY;
+                self.next_split_at = now + RETRY_DELAY;
                 None
             }
         }
     }
 
-    /// The first group, by key, that is too large, has a machine of a partition held here, and is not being written.
+    /// Returns the first group, by key, that is larger than the present size, whose first machine belongs to a
+    /// partition led by this node, and that is not being written.
     fn group_to_split(&self, context: &GroupContext) -> Option<String> {
         let size = context.layout.size;
-        let ours = |records: &MachineRecords| {
+        let is_led_here = |records: &MachineRecords| {
             let first = records.values().next();
             first.is_some_and(|record| context.partitions.contains_key(&record.partition))
         };
-        let large = |key: &str, records: &MachineRecords| {
-            let span = group_capacity(key).filter(|span| *span > size);
-            span.is_some() && records.keys().next().is_some_and(|h| group_key(h, size) != key)
+        let is_oversized = |key: &str, records: &MachineRecords| {
+            let larger = group_capacity(key).filter(|capacity| *capacity > size);
+            larger.is_some() && records.keys().next().is_some_and(|m| group_key(m, size) != key)
         };
-        let busy = |key: &String| self.changes.get(key).is_some_and(|change| change.writing);
+        let is_being_written =
+            |key: &String| self.changes.get(key).is_some_and(|change| change.writing);
         context
             .cache
             .groups()
             .iter()
-            .filter(|(key, group)| large(key, &group.record) && ours(&group.record))
+            .filter(|(key, group)| is_oversized(key, &group.record) && is_led_here(&group.record))
             .map(|(key, _)| key)
-            .find(|key| !busy(key))
+            .find(|key| !is_being_written(key))
             .cloned()
     }
 }
 
-/// The next step of splitting this group.
+/// Plans the next step of splitting a group; `None` if the cache has no such group.
 fn plan_split(key: &str, context: &GroupContext) -> Option<GroupSplit> {
     let known = |key: &str| context.cache.group(key);
     let Versioned { record: records, mod_revision } = known(key)?;
@@ -111,28 +115,32 @@
         let group = groups.entry(context.layout.key_of(machine)).or_default();
         group.insert(machine.clone(), record.clone());
     }
-    // What an earlier step has copied need not be written again.
+    // Machines that an earlier step has copied are not written again.
     groups.retain(|key, group| {
-        known(key).is_none_or(|there| !group.iter().all(|(h, r)| there.record.get(h) == Some(r)))
+        known(key).is_none_or(|existing| {
+            !group.iter().all(|(machine, record)| existing.record.get(machine) == Some(record))
+        })
     });
-    let most = context.layout.max_changes;
-    let is_complete = groups.len() < most;
+    let max_changes = context.layout.max_changes;
+    // The deletion of the oversized group is one more change.
+    let is_complete = groups.len() < max_changes;
     let mut txn = Txn::default()
         .if_mod_revision(key, *mod_revision)
         .if_mod_revision(GROUP_SIZE_KEY, context.layout.size_revision);
-    let mut small = Vec::new();
-    for (key, mut group) in groups.into_iter().take(if is_complete { most } else { most.max(1) }) {
-        let Versioned { record: there, mod_revision } = known(&key).cloned().unwrap_or_default();
-        group.extend(there);
+    let mut small_groups = Vec::new();
+    let max_writes = if is_complete { max_changes } else { max_changes.max(1) };
+    for (key, mut group) in groups.into_iter().take(max_writes) {
+        let Versioned { record: existing, mod_revision } = known(&key).cloned().unwrap_or_default();
+        group.extend(existing);
         txn = txn
             .if_mod_revision(&key, mod_revision)
             .write(&key, Json::of(&MachineGroupRecord { machines: group.clone() }));
-        small.push((key, group));
+        small_groups.push((key, group));
     }
     if is_complete {
         txn = txn.delete(key);
     }
-    Some(GroupSplit { txn, small, is_complete })
+    Some(GroupSplit { txn, small_groups, is_complete })
 }
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -1,25 +1,25 @@
-//! Claims and removals of machines, through the component's interface.
+//! Claims and removals of machines in their groups.
 
 use quartzlever_wire::store::{
     LARGE_GROUP_SIZE, MachineGroupRecord, MachineRecord, MachineRecords,
 };
 
-use super::group_update::written_length;
+use super::group_update::json_length;
 use super::{
-    GroupContext, GroupLayout, GroupWriteOutcome, Ownership, PAUSE, PartitionTerm,
-    RELEASE_INTERVAL, RETRY, TOO_LARGE_PAUSE,
+    CLAIM_INTERVAL, GroupContext, GroupLayout, GroupWriteOutcome, Ownership, PartitionTerm,
+    REMOVAL_INTERVAL, RETRY_DELAY, TOO_LARGE_RETRY_DELAY,
 };
 use crate::calls::GroupWrite;
 use crate::outbox::Outbox;
 use crate::store::write_budget::WriteBudget;
 use crate::testing::*;
 
-/// What is reckoned record by record is never less than what is written.
+/// The length added up record by record bounds the length of the written value from above.
 #[test]
-fn a_block_is_reckoned_as_long_as_it_is_written() {
+fn the_computed_length_of_a_group_is_never_below_the_written_length() {
     for names in [&["n-1"][..], &["n-1", "n-22", "n-333"], &["a\"b", "n-\u{e9}"]] {
         let mut records = MachineRecords::new();
-        let mut length = written_length(&records) + 16;
+        let mut length = json_length(&records) + 16;
         for (n, name) in names.iter().enumerate() {
             let record = MachineRecord {
                 partition: "one".into(),
@@ -28,10 +28,10 @@
                 zone: String::new(),
                 spot: n == 0,
             };
-            length += name.len() + 4 + written_length(&record);
+            length += name.len() + 4 + json_length(&record);
             records.insert((*name).to_owned(), record);
         }
-        let written = written_length(&MachineGroupRecord { machines: records });
+        let written = json_length(&MachineGroupRecord { machines: records });
         assert!(length >= written, "{names:?}: {length} for {written}");
     }
 }
@@ -39,7 +39,7 @@
 const LAYOUT: GroupLayout = GroupLayout {
     size: LARGE_GROUP_SIZE,
     size_revision: 0,
-    is_known: true,
+    larger_groups_known: true,
     value_limit: 100_000,
     max_changes: 100,
 };
@@ -48,7 +48,7 @@
     PartitionTerm { partition: "one".into(), term: 5 }
 }
 
-/// What is written of the changes that wait, or answered, at this moment.
+/// Runs `write_changes` at `now`, and returns its effects.
 fn write(
     ownership: &mut Ownership,
     core: &Core,
@@ -73,7 +73,7 @@
     matches!(effects, [Effect::Answer { id, status: 503, .. }] if *id == request)
 }
 
-/// A write of a group that adds n-9 and drops n-8.
+/// A write of a group that adds n-9 and removes n-8.
 fn group_write() -> GroupWrite {
     GroupWrite {
         key: large_group_key("n-9"),
@@ -84,11 +84,11 @@
     }
 }
 
-/// (whether this leader may act, the term of the claim, whether all claims in larger groups are known, the largest
-/// value; whether the claim is written, or its request rejected)
+/// (whether this leader may act, the term of the claim, whether all claims in larger groups are known, the maximum
+/// length of a value; whether the claim is written or else its request rejected)
 #[test]
-fn a_claim_is_written_only_for_a_partition_that_is_held() {
-    for (may_act, term, is_known, value_limit, written) in [
+fn a_claim_is_written_only_if_its_partition_is_led_and_it_fits_a_known_layout() {
+    for (may_act, term, larger_groups_known, value_limit, written) in [
         (true, 5, true, 100_000, true),
         (false, 5, true, 100_000, false),
         (true, 4, true, 100_000, false),
@@ -98,48 +98,52 @@
         let (core, mut ownership) = (core(), Ownership::default());
         let owner = PartitionTerm { term, ..owner() };
         ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner, &LAYOUT, NOW);
-        let layout = GroupLayout { is_known, value_limit, ..LAYOUT };
+        let layout = GroupLayout { larger_groups_known, value_limit, ..LAYOUT };
         let effects = write(&mut ownership, &core, may_act, layout, NOW);
-        let case = format!("{may_act} {term} {is_known} {value_limit}: {effects:?}");
+        let case = format!("{may_act} {term} {larger_groups_known} {value_limit}: {effects:?}");
         assert_eq!(is_write(&effects), written, "{case}");
         assert_eq!(rejects(&effects, 1), !written, "{case}");
-        let waits = ownership.take_claim(&large_group_key("n-9"), "n-9");
-        assert_eq!(waits.is_some(), written, "{case}");
+        let pending = ownership.take_claim(&large_group_key("n-9"), "n-9");
+        assert_eq!(pending.is_some(), written, "{case}");
     }
 }
 
 #[test]
-fn heartbeats_of_a_machine_wait_for_one_claim_with_the_latest_of_them() {
+fn heartbeats_of_one_machine_share_a_claim_that_keeps_the_latest() {
     let mut ownership = Ownership::default();
     for (id, sequence) in [(1, 5), (2, 7), (3, 6)] {
         let heartbeat = heartbeat_from("n-9", 1, sequence, 0, &[]);
         ownership.request(id, heartbeat, owner(), &LAYOUT, NOW);
     }
-    let claim = ownership.take_claim(&large_group_key("n-9"), "n-9").expect("it waits");
+    let claim = ownership.take_claim(&large_group_key("n-9"), "n-9").expect("the claim is pending");
     assert_eq!((claim.ids, claim.heartbeat.sequence), (vec![1, 2, 3], 7));
     assert!(ownership.take_claim(&large_group_key("n-9"), "n-9").is_none());
 }
 
-/// One write of a group is under way at a time. (the answer; the outcome; when it is written again)
+/// A group has one write in flight at a time. (the result; the outcome; the delay before the next write)
 #[test]
-fn a_group_is_written_again_after_a_pause_that_depends_on_the_answer() {
+fn the_delay_before_a_group_is_written_again_depends_on_the_result() {
     let reread = |lost: &[PartitionTerm]| GroupWriteOutcome::ToBeReread { lost: lost.to_vec() };
     let conflict = |path: &str| Ok(StoreReply::Conflict(vec![path.to_owned()]));
     for (result, outcome, again_after) in [
-        (Ok(StoreReply::Committed(20)), GroupWriteOutcome::Committed { mod_revision: 20 }, PAUSE),
-        (Ok(StoreReply::TooLarge), GroupWriteOutcome::Failed, TOO_LARGE_PAUSE),
-        (Err(CallError::Refused), GroupWriteOutcome::Failed, RETRY),
-        (Err(CallError::Throttled), GroupWriteOutcome::Failed, RETRY),
-        (Err(CallError::Unknown), reread(&[]), PAUSE),
-        (conflict("hosts/n-~0"), reread(&[]), PAUSE),
-        (conflict("parts/one"), reread(&[owner()]), PAUSE),
-        (conflict("parts/two"), reread(&[]), PAUSE),
+        (
+            Ok(StoreReply::Committed(20)),
+            GroupWriteOutcome::Committed { mod_revision: 20 },
+            CLAIM_INTERVAL,
+        ),
+        (Ok(StoreReply::TooLarge), GroupWriteOutcome::Failed, TOO_LARGE_RETRY_DELAY),
+        (Err(CallError::Refused), GroupWriteOutcome::Failed, RETRY_DELAY),
+        (Err(CallError::Throttled), GroupWriteOutcome::Failed, RETRY_DELAY),
+        (Err(CallError::Unknown), reread(&[]), CLAIM_INTERVAL),
+        (conflict("hosts/n-~0"), reread(&[]), CLAIM_INTERVAL),
+        (conflict("parts/one"), reread(&[owner()]), CLAIM_INTERVAL),
+        (conflict("parts/two"), reread(&[]), CLAIM_INTERVAL),
     ] {
         let (core, mut ownership) = (core(), Ownership::default());
         ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
         assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW)));
         let later = write(&mut ownership, &core, true, LAYOUT, NOW + 60 * SECOND);
-        assert!(later.is_empty(), "one at a time: {later:?}");
+        assert!(later.is_empty(), "another write while one is in flight: {later:?}");
         assert_eq!(ownership.write_answered(&group_write(), &result, NOW), outcome, "{result:?}");
         let early = write(&mut ownership, &core, true, LAYOUT, NOW + again_after - 1);
         assert!(early.is_empty(), "{result:?}: {early:?}");
@@ -147,10 +151,9 @@
     }
 }
 
-/// Nothing is written to a group while it is read again.
 #[test]
-fn a_group_is_not_written_while_it_is_read_again() {
-    for (is_read, pause) in [(true, PAUSE), (false, RETRY)] {
+fn a_group_is_not_written_while_it_is_reread() {
+    for (is_read, delay) in [(true, CLAIM_INTERVAL), (false, RETRY_DELAY)] {
         let (core, mut ownership) = (core(), Ownership::default());
         ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
         let (key, mut outbox) = (large_group_key("n-9"), Outbox::new(LogLevel::Info, NOW));
@@ -161,14 +164,15 @@
         );
         assert!(write(&mut ownership, &core, true, LAYOUT, NOW + 60 * SECOND).is_empty());
         ownership.read_answered(&key, is_read, NOW);
-        assert!(write(&mut ownership, &core, true, LAYOUT, NOW + pause - 1).is_empty());
-        assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + pause)));
+        assert!(write(&mut ownership, &core, true, LAYOUT, NOW + delay - 1).is_empty());
+        assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + delay)));
     }
 }
 
-/// A returned machine's record is removed on condition of its partition's term, and only if it is still that one's.
+/// The removal of a terminated machine's record is conditional on the partition's term, and happens only while the
+/// record still names that partition.
 #[test]
-fn only_the_partition_that_returned_a_machine_removes_its_record() {
+fn only_the_partition_that_terminated_a_machine_removes_its_record() {
     for (recorded_for, removed) in [("one", true), ("two", false)] {
         let (mut core, mut ownership) = (core(), Ownership::default());
         let records = [("n-8".into(), machine_record_of("n-8", recorded_for))].into();
@@ -185,8 +189,8 @@
             );
             let failed = Err(CallError::Refused);
             ownership.write_answered(&group_write(), &failed, NOW);
-            assert!(write(&mut ownership, &core, true, LAYOUT, NOW + RETRY - 1).is_empty());
-            assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + RELEASE_INTERVAL)));
+            assert!(write(&mut ownership, &core, true, LAYOUT, NOW + RETRY_DELAY - 1).is_empty());
+            assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + REMOVAL_INTERVAL)));
         }
     }
 }
--- a/crates/quartzlever-core/src/machines/presence.rs
+++ b/crates/quartzlever-core/src/machines/presence.rs
@@ -1,8 +1,8 @@
-//! Presence checks: a machine that nobody here knows is asked whether it is there before it is claimed.
+//! Presence checks: before an unexpected machine is claimed, a status call to it confirms that it exists.
 //!
-//! A late copy of a heartbeat must not claim anew a machine that was returned. At most one check is under way
-//! per machine, and only so many at once; each ends with an answer to the heartbeat that began it, given by
-//! whoever takes the outcome.
+//! Without the check, a late copy of a heartbeat could claim again a machine that was terminated. At most one check
+//! is in flight per machine, and at most [`MAX_PRESENCE_CHECKS`] in total. Each ends with an answer to the heartbeat
+//! that began it, which the caller gives when it handles the outcome.
 
 use std::collections::HashMap;
 
@@ -14,34 +14,37 @@
 use crate::messages::RequestId;
 use crate::outbox::Outbox;
 
-/// Machines that are asked whether they are there, at once. The others get a 503 and come again after a
-/// second: thousands of machines that nobody here rented are through within a few seconds.
+/// Maximum number of presence checks in flight. Heartbeats of further machines get a 503 and are repeated
+/// after a second, so that thousands of machines which this node did not launch are checked within a few
+/// seconds.
 const MAX_PRESENCE_CHECKS: usize = 16;
 
-/// Heartbeats of machines that nobody knew, while the machines are asked.
+/// The presence checks in flight, by machine.
 #[derive(Debug, Default)]
 pub(crate) struct PresenceChecks {
-    awaiting: HashMap<String, AwaitingHeartbeat>,
+    in_flight: HashMap<String, PresenceCheck>,
 }
 
-/// A heartbeat that waits for the outcome of a check.
+/// A check in flight, with the heartbeat that began it and its request.
 #[derive(Debug)]
-struct AwaitingHeartbeat {
+struct PresenceCheck {
     id: RequestId,
     heartbeat: Heartbeat,
 }
 
-/// The outcome of a check, with the request that waits for it.
+/// The outcome of a check, with the request of the heartbeat that began it.
 #[derive(Debug)]
 pub(crate) enum PresenceOutcome {
-    /// The machine is there, with its present status.
+    /// The machine replied with its present status.
     Present { id: RequestId, status: Heartbeat },
-    /// It gave no answer, or another machine lives at its address.
+    /// The machine did not reply with a status, or another machine has its address.
     NotConfirmed { id: RequestId },
 }
 
 impl PresenceChecks {
-    /// Asks the machine that sent this heartbeat for its status, on behalf of a partition; not after `until`.
+    /// Asks the machine that sent this heartbeat for its status, on behalf of a partition. The call is not
+    /// sent after `until`. The request is rejected if a check of the machine is in flight already, or too
+    /// many checks are.
     pub fn begin(
         &mut self,
         id: RequestId,
@@ -50,13 +53,13 @@
         until: Micros,
         outbox: &mut Outbox,
     ) {
-        if self.awaiting.contains_key(&heartbeat.machine)
-            || self.awaiting.len() >= MAX_PRESENCE_CHECKS
+        if self.in_flight.contains_key(&heartbeat.machine)
+            || self.in_flight.len() >= MAX_PRESENCE_CHECKS
         {
             return outbox.reject_retryable(id, 503, "asked already");
         }
         let (machine, address) = (heartbeat.machine.clone(), heartbeat.address.clone());
-        self.awaiting.insert(machine.clone(), AwaitingHeartbeat { id, heartbeat });
+        self.in_flight.insert(machine.clone(), PresenceCheck { id, heartbeat });
         let pending = PendingWorkerCall {
             partition: owner.partition,
             term: owner.term,
@@ -67,13 +70,13 @@
         outbox.call_worker(address, WorkerCall::Status, pending, until);
     }
 
-    /// A machine was asked whether it is there; `None` if nothing waits for that any more.
+    /// Ends the check of a machine with the result of its status call; `None` if no check is in flight.
     pub fn answered(
         &mut self,
         machine: &str,
         result: Result<WorkerReply, CallError>,
     ) -> Option<PresenceOutcome> {
-        let AwaitingHeartbeat { id, heartbeat } = self.awaiting.remove(machine)?;
+        let PresenceCheck { id, heartbeat } = self.in_flight.remove(machine)?;
         Some(match result {
             Ok(WorkerReply::Status(status)) if status.machine == heartbeat.machine => {
                 PresenceOutcome::Present { id, status }
--- a/crates/quartzlever-core/src/machines/resources.rs
+++ b/crates/quartzlever-core/src/machines/resources.rs
@@ -1,9 +1,14 @@
-//! Amounts of processors, graphics processors and memory. Plain arithmetic: it knows no machine and no task.
+//! Amounts of CPUs, GPUs and memory, and the arithmetic on them.
 
 use quartzlever_wire::cloud::MachineType;
 use quartzlever_wire::users::JobSpec;
 
-/// Amounts of a machine, or what a task takes of one.
+/// Tolerance for rounding errors of the floating-point amounts.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// Number of tasks that fit with regard to a resource that they do not need.
+const UNLIMITED_TASKS: f64 = 1e6;
+
+/// The resources of a machine, or those that a task needs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     pub cpus: f64,
@@ -12,44 +17,45 @@
 }
 
 impl Resources {
-    /// What one task of a job needs.
+    /// Returns the resources that one task of a job needs.
     pub fn required_by(spec: &JobSpec) -> Self {
         Resources { cpus: spec.cpus, gpus: spec.gpus, ram_gb: spec.ram_gb }
     }
 
-    /// What an empty machine of a type has.
+    /// Returns the resources of an empty machine of a type.
     pub fn capacity_of(machine_type: &MachineType) -> Self {
         Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, ram_gb: machine_type.ram_gb }
     }
 
-    /// Whether `need` fits into these resources, up to rounding.
+    /// Reports whether `need` fits into these resources, up to rounding errors.
     pub fn fits(&self, need: &Resources) -> bool {
-        const SLACK: f64 = 1e-9;
-        self.cpus + SLACK >= need.cpus
-            && self.gpus + SLACK >= need.gpus
-            && self.ram_gb + SLACK >= need.ram_gb
+        self.cpus + ROUNDING_TOLERANCE >= need.cpus
+            && self.gpus + ROUNDING_TOLERANCE >= need.gpus
+            && self.ram_gb + ROUNDING_TOLERANCE >= need.ram_gb
     }
 
-    /// Takes what a task needs away.
+    /// Subtracts the resources that a task needs.
     pub fn take(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.ram_gb -= need.ram_gb;
     }
 
-    /// Gives back what a task needed.
+    /// Adds the resources that a task needed.
     pub fn add(&mut self, need: &Resources) {
         self.cpus += need.cpus;
         self.gpus += need.gpus;
         self.ram_gb += need.ram_gb;
     }
 
-    /// How many tasks of `need` fit.
+    /// Returns the number of tasks of `need` that fit.
     pub fn count(&self, need: &Resources) -> u32 {
-        let by = |have: f64, want: f64| if want > 0.0 { have / want + 1e-9 } else { 1e6 };
-        let most = by(self.cpus, need.cpus)
-            .min(by(self.gpus, need.gpus))
-            .min(by(self.ram_gb, need.ram_gb));
-        most.max(0.0) as u32
+        let tasks_by = |available: f64, needed: f64| {
+            if needed > 0.0 { available / needed + ROUNDING_TOLERANCE } else { UNLIMITED_TASKS }
+        };
+        let max_tasks = tasks_by(self.cpus, need.cpus)
+            .min(tasks_by(self.gpus, need.gpus))
+            .min(tasks_by(self.ram_gb, need.ram_gb));
+        max_tasks.max(0.0) as u32
     }
 }
