--- a/crates/quartzlever-core/src/scheduling.rs
+++ b/crates/quartzlever-core/src/scheduling.rs
@@ -1,13 +1,14 @@
-//! Which task goes where, and which running task is preempted.
+//! Scheduling: placement of ready tasks on machines, and preemption of running ones.
 //!
-//! - `queue_order`: which job goes first, and how much its start presses.
-//! - `feasibility`: on which machines its tasks may start, `zones` in which zones.
-//! - `score`: which of these machines suits it best.
-//! - `assignment`: gives ready tasks to machines.
-//! - `preemption`: stops work of lower rank where there is no room.
-//! - `reservations`: what is kept free, and for whom.
-//! - `run_times`: how long tasks will probably run.
-//! - [`free_capacity_index`]: free room by kind of machine.
+//! - `queue_order`: the order of the jobs, and the urgency of their starts.
+//! - `feasibility`: the machines on which tasks of a job may start.
+//! - `zones`: the number of tasks of a job that may start in each zone.
+//! - `score`: the ranking of feasible machines.
+//! - `assignment`: the assignment of ready tasks to machines.
+//! - `preemption`: the preemption of work of lower priority where free capacity is lacking.
+//! - `reservations`: capacity that is reserved for certain jobs.
+//! - `run_times`: estimates of the run times of tasks.
+//! - [`free_capacity_index`]: an index of machines by their free processors.
 
 mod assignment;
 mod feasibility;
@@ -29,10 +30,10 @@
 pub use run_times::RunTimes;
 pub(crate) use zones::{ZoneCapacity, zone_capacity};
 
-/// A machine that was not heard of for so many heartbeat intervals gets no new tasks.
-const SILENT_HEARTBEATS: u64 = 3;
+/// Number of heartbeat intervals without a heartbeat after which a machine gets no new tasks.
+const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// How long a machine may be silent and still get new tasks.
-pub(crate) fn silence_limit(config: &Config) -> Micros {
-    config.workers.heartbeat_interval * SILENT_HEARTBEATS
+/// Returns the age of the last heartbeat from which on a machine gets no new tasks.
+pub(crate) fn max_silence(config: &Config) -> Micros {
+    config.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS
 }
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -1,7 +1,7 @@
-//! Assignment: gives the ready tasks of the queue to machines.
+//! Assignment of the ready tasks in the queue to machines.
 //!
-//! Each job in queue order is given to the feasible machines, best score first. Nothing is started
-//! beyond a team's limit, and nothing on a machine that was not heard of lately.
+//! The jobs are placed in queue order, each on its feasible machines by descending score. No task
+//! is started beyond the limit of its team, or on a machine without a recent heartbeat.
 
 use quartzlever_wire::users::JobSpec;
 use quartzlever_wire::workers::TaskId;
@@ -17,24 +17,26 @@
 use crate::partition::Partition;
 use crate::router::Core;
 
-/// Shortest time between two placements of a partition's whole queue: with hundreds of machines it
-/// costs more than a heartbeat may.
+/// Minimum time between two placements of a partition's whole queue. With hundreds of machines, one
+/// placement takes longer than the handling of a heartbeat may.
 const PLACEMENT_INTERVAL: Micros = SECOND / 10;
-/// How often it is looked whether a job that fails everywhere has shown that it runs.
+/// Interval at which a job that fails everywhere is checked for an attempt that outlasts its failures.
 const TRIAL_CHECK_INTERVAL: Micros = SECOND;
 
-/// Tasks of one job that are being given to machines.
-struct Assigning<'a> {
+/// The placement of one job's tasks.
+struct JobPlacement<'a> {
     config: &'a Config,
     id: &'a str,
     need: Resources,
-    /// The job is bound to zones, in which room is counted anew for each task.
-    bound: bool,
+    /// Whether the number of the job's tasks per zone is limited, and has to be checked before each
+    /// start.
+    zone_constrained: bool,
     now: Micros,
 }
 
 impl Core {
-    /// Gives the partition's ready tasks to its free machines.
+    /// Places the ready tasks of a partition if a placement is due, and preempts work of lower
+    /// priority for those without capacity.
     pub(crate) fn place(&mut self, name: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.placement_is_due(now))
@@ -43,33 +45,34 @@
         };
         partition.begin_placement(now);
         partition.update_reservation(now);
-        let many = partition.machines.len() > self.config.machine_capacity / 2;
-        // A call costs as much as several reports. A hundred of them for one job took a
-        // short processor two seconds, in which submissions were late.
-        let soon = now + self.config.workers.heartbeat_interval * 3 / 2;
+        let many_machines = partition.machines.len() > self.config.machine_capacity / 2;
+        // A direct call costs as much processor time as several heartbeats. A hundred calls for one
+        // job took two seconds on a controller with little processor time, and delayed submissions.
+        // With many machines, starts that are not urgent wait for the next heartbeat instead.
+        let next_heartbeat_by = now + self.config.workers.heartbeat_interval * 3 / 2;
         for id in partition.queue_order(&self.config, &self.run_times, now) {
             if let Some(job) = partition.jobs.get_mut(&id) {
-                job.can_wait_for_heartbeat =
-                    many && urgency(&self.config, &self.run_times, job, now).latest > soon;
+                job.can_wait_for_heartbeat = many_machines
+                    && urgency(&self.config, &self.run_times, job, now).latest > next_heartbeat_by;
             }
             if partition.place_tasks(&self.config, &id, None, now) {
-                partition.note_short(id);
+                partition.add_job_without_capacity(id);
             }
         }
         partition.release_preempted_capacity(now);
         self.preempt(name);
     }
 
-    /// Gives what found no room elsewhere to one machine.
+    /// Starts tasks that found no capacity in the last placement on one machine.
     pub(crate) fn fill(&mut self, name: &str, machine: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.active()) else { return };
         if !partition.machines.get(machine).is_some_and(|m| m.usable() && m.free.cpus > 0.0) {
             return;
         }
-        let short = std::mem::take(&mut partition.jobs_without_capacity);
-        for id in &short {
-            // Most machines that heartbeat are full, or nearly so.
+        let waiting = std::mem::take(&mut partition.jobs_without_capacity);
+        for id in &waiting {
+            // Most machines are full, or nearly so, and are skipped here without a search.
             if partition
                 .machines
                 .get(machine)
@@ -79,18 +82,19 @@
             }
             partition.place_tasks(&self.config, id, Some(machine), now);
         }
-        partition.jobs_without_capacity = short;
+        partition.jobs_without_capacity = waiting;
     }
 }
 
 impl Partition {
-    /// Whether the whole queue is to be placed now.
+    /// Reports whether the whole queue has to be placed now.
     fn placement_is_due(&self, now: Micros) -> bool {
-        let due = self.placement_wanted || self.placement_due_at.is_some_and(|at| now >= at);
-        self.active() && due && now >= self.next_placement_at && self.types.is_some()
+        let is_requested =
+            self.placement_wanted || self.placement_due_at.is_some_and(|at| now >= at);
+        self.active() && is_requested && now >= self.next_placement_at && self.types.is_some()
     }
 
-    /// Forgets what the last placement left over.
+    /// Clears the requests for a placement and the results of the last one.
     fn begin_placement(&mut self, now: Micros) {
         self.placement_wanted = false;
         self.placement_due_at = None;
@@ -100,45 +104,54 @@
         self.saturated = false;
     }
 
-    /// Notes a job whose ready tasks found no room.
-    fn note_short(&mut self, id: String) {
+    /// Records a job that has ready tasks without capacity.
+    fn add_job_without_capacity(&mut self, id: String) {
         let need = self.jobs.get(&id).map_or(0.0, |j| j.spec().cpus);
         self.unplaced_min_cpus = self.unplaced_min_cpus.min(need);
         self.jobs_without_capacity.push(id);
     }
 
-    /// Has the queue placed at this time at the latest.
+    /// Schedules a placement of the queue at `at`, unless an earlier one is scheduled.
     pub(super) fn schedule_placement(&mut self, at: Micros) {
         self.placement_due_at = Some(self.placement_due_at.map_or(at, |t| t.min(at)));
     }
 
-    /// Gives ready tasks of a job to machines with room, or to one of them only; whether some
-    /// found none.
-    fn place_tasks(&mut self, config: &Config, id: &str, only: Option<&str>, now: Micros) -> bool {
+    /// Starts ready tasks of a job on machines with free capacity, or only on `only_machine` if given.
+    /// Returns whether tasks remain for lack of capacity.
+    fn place_tasks(
+        &mut self,
+        config: &Config,
+        id: &str,
+        only_machine: Option<&str>,
+        now: Micros,
+    ) -> bool {
         if !self.may_start_tasks(config, id, now) {
             return false;
         }
         let Some(job) = self.jobs.get(id) else { return false };
         let (spec, need, service) = (job.spec(), job.need(), job.service());
-        let machines = self.feasible_machines(config, job, only, now);
-        let bound = spec.one_zone || spec.spread;
+        let machines = self.feasible_machines(config, job, only_machine, now);
+        let zone_constrained = spec.one_zone || spec.spread;
         let allowance = self.team_allowance(config, spec, &need);
         let on_trial = job.fails_everywhere() && !service;
         let mut left = allowance.min(job.placeable());
-        // Replicas are dealt out one a machine, round after round; other tasks fill machine by machine.
-        let (rounds, each) = if service { (left, 1) } else { (1, u32::MAX) };
-        let assigning = Assigning { config, id, need, bound, now };
+        // Replicas are spread, one per machine in each round; other tasks fill one machine after the
+        // other.
+        let (rounds, per_round) = if service { (left, 1) } else { (1, u32::MAX) };
+        let placement = JobPlacement { config, id, need, zone_constrained, now };
         for machine in (0..rounds).flat_map(|_| &machines) {
             if left == 0 {
                 break;
             }
-            left -= self.start_tasks_on(&assigning, machine, left.min(each));
+            left -= self.start_tasks_on(&placement, machine, left.min(per_round));
         }
-        // What only the team's limit keeps back asks for no room, nor does a job that fails everywhere.
+        // Tasks that only the team's limit holds back, and those of a job that fails everywhere, do
+        // not count as lacking capacity.
         allowance > 0 && left > 0 && !on_trial
     }
 
-    /// Whether tasks of a job may start now; sees to it that the queue is placed again when more may.
+    /// Reports whether tasks of a job may start now, and schedules a placement for the time when more
+    /// tasks or machines become eligible.
     fn may_start_tasks(&mut self, config: &Config, id: &str, now: Micros) -> bool {
         let Some(job) = self.jobs.get(id).filter(|j| !j.ready.is_empty()) else { return false };
         if job.no_start_before > now {
@@ -156,39 +169,44 @@
         true
     }
 
-    /// The machines that can take a task of a job, best first: all, or one of them only.
+    /// Returns the machines on which a task of a job may start now, best first; at most
+    /// `only_machine` if given.
     fn feasible_machines(
         &self,
         config: &Config,
         job: &PartitionJob,
-        only: Option<&str>,
+        only_machine: Option<&str>,
         now: Micros,
     ) -> Vec<String> {
         let feasibility = Feasibility::new(self, config, job, now);
         let scoring = Scoring::new(job);
-        if let Some(machine_name) = only {
+        if let Some(machine_name) = only_machine {
             let machine =
                 self.machines.get(machine_name).filter(|m| machine_allowed(job.spec(), m));
-            let found = machine.filter(|m| feasibility.admits(m));
+            let found = machine.filter(|m| feasibility.can_start_on(m));
             return found.map(|_| machine_name.to_owned()).into_iter().collect();
         }
-        // The index has only machines that the job may run on.
-        let machines = self.free_capacity_index.with(job.spec()).filter_map(|machine_name| {
-            let machine = self.machines.get(machine_name).filter(|m| feasibility.admits(m))?;
-            Some((scoring.score(machine), machine_name))
-        });
+        // The index returns only machines that satisfy the job's constraints.
+        let machines = self.free_capacity_index.machines_with_free_cpus(job.spec()).filter_map(
+            |machine_name| {
+                let machine =
+                    self.machines.get(machine_name).filter(|m| feasibility.can_start_on(m))?;
+                Some((scoring.score(machine), machine_name))
+            },
+        );
         let mut scored: Vec<(Score, &str)> = machines.collect();
-        scored.sort_by(|a, b| a.0.order(&b.0).then_with(|| a.1.cmp(b.1)));
+        scored.sort_by(|a, b| a.0.compare(&b.0).then_with(|| a.1.cmp(b.1)));
         scored.into_iter().map(|(_, machine_name)| machine_name.to_owned()).collect()
     }
 
-    /// Starts tasks of a job on a machine, so many at the most and as far as there is room; how many.
-    fn start_tasks_on(&mut self, assigning: &Assigning, machine: &str, most: u32) -> u32 {
-        let Assigning { config, id, need, bound, now } = assigning;
-        let room = self.machines.get(machine).map_or(0, |m| m.free.count(need)).min(most);
+    /// Starts at most `max_tasks` tasks of a job on a machine, within its free capacity. Returns the
+    /// number of tasks started.
+    fn start_tasks_on(&mut self, placement: &JobPlacement, machine: &str, max_tasks: u32) -> u32 {
+        let JobPlacement { config, id, need, zone_constrained, now } = placement;
+        let most = self.machines.get(machine).map_or(0, |m| m.free.count(need)).min(max_tasks);
         let mut started = 0;
-        while started < room {
-            if *bound && !self.zone_open(&config.zones, id, machine) {
+        while started < most {
+            if *zone_constrained && !self.zone_has_capacity(&config.zones, id, machine) {
                 break;
             }
             let Some(index) = self.jobs.get(*id).and_then(|j| j.ready.lowest()) else { break };
@@ -199,8 +217,9 @@
         started
     }
 
-    /// How many more tasks keep the team inside its limit, counting everything that may be on a
-    /// machine.
+    /// Returns how many more tasks of a job may start within its team's limit. All attempts that may
+    /// be on a machine count as used. Returns 0 while the use is uncertain, and in every partition
+    /// but the one that the team is assigned to.
     pub fn team_allowance(&self, config: &Config, spec: &JobSpec, need: &Resources) -> u32 {
         let Some(team) = config.team(&spec.team).filter(|t| t.has_limits()) else {
             return u32::MAX;
@@ -212,16 +231,17 @@
         if !certain {
             return 0;
         }
-        let unbound = |most: f64, used: f64| if most > 0.0 { most - used } else { f64::INFINITY };
+        let remaining = |most: f64, used: f64| if most > 0.0 { most - used } else { f64::INFINITY };
         let left = Resources {
-            cpus: unbound(team.cpus_max, used.cpus),
-            gpus: unbound(team.gpus_max, used.gpus),
+            cpus: remaining(team.cpus_max, used.cpus),
+            gpus: remaining(team.gpus_max, used.gpus),
             ram_gb: f64::INFINITY,
         };
         left.count(need)
     }
 
-    /// Decides that a ready task goes to a machine, which is to be refreshed afterwards.
+    /// Assigns a ready task to a machine as a new attempt, and queues a call to the machine. The
+    /// caller refreshes the machine afterwards.
     pub fn start(&mut self, id: &str, index: u32, machine_name: &str, now: Micros) {
         let attempt = self.next_attempt();
         let (Some(job), Some(machine)) =
@@ -241,7 +261,8 @@
         self.call_queue.add_urgent(machine_name);
     }
 
-    /// Marks an attempt as unwanted.
+    /// Marks an attempt as unwanted, gives it `leeway_s` seconds to save its work, and queues a call
+    /// to its machine.
     pub fn stop(&mut self, machine_name: &str, key: &AttemptKey, leeway_s: f64) {
         if let Some(machine) = self.machines.get_mut(machine_name) {
             machine.stop(key, leeway_s);
--- a/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
+++ b/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
@@ -1,5 +1,5 @@
-//! Free room of a partition's machines, kept as an index so that no placement looks at machines that
-//! have none.
+//! An index of a partition's machines by free processors, so that a placement visits only machines
+//! with enough of them.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,44 +8,47 @@
 
 use super::offer_allowed;
 
-/// Machines of one type, zone and kind, by their free processors.
+/// Machines of one type and zone, all spot instances or none, ordered by their free processors.
 #[derive(Debug)]
 struct Group {
     machine_type: String,
     zone: String,
     spot: bool,
+    /// Free processors in thousandths, and the name of the machine.
     by_free_cpus: BTreeSet<(u32, String)>,
 }
 
-/// All machines of a partition that may get tasks.
+/// Machines of a partition that may get tasks, by their free processors.
 #[derive(Debug, Default)]
 pub struct FreeCapacityIndex {
     groups: Vec<Group>,
-    places: HashMap<String, (usize, u32)>,
+    /// By machine, its group and its free processors in thousandths.
+    positions: HashMap<String, (usize, u32)>,
 }
 
-/// Processors in thousandths; rounded, so a need is looked for a little lower.
-fn thousandths(cpus: f64) -> u32 {
+/// Converts processors to thousandths, rounded to the nearest. Lookups therefore start one thousandth
+/// lower.
+fn to_thousandths(cpus: f64) -> u32 {
     (cpus.max(0.0) * 1000.0).round().min(f64::from(u32::MAX)) as u32
 }
 
 impl FreeCapacityIndex {
-    /// Notes how many processors of a machine are free.
+    /// Sets the free processors of a machine, and adds it if it is not in the index.
     pub fn put(&mut self, machine: &str, record: &MachineRecord, cpus: f64) {
-        let free = thousandths(cpus);
-        if let Some((group, known)) = self.places.get_mut(machine) {
-            if *known != free {
+        let free = to_thousandths(cpus);
+        if let Some((group, current)) = self.positions.get_mut(machine) {
+            if *current != free {
                 let group = &mut self.groups[*group].by_free_cpus;
-                group.remove(&(*known, machine.to_owned()));
+                group.remove(&(*current, machine.to_owned()));
                 group.insert((free, machine.to_owned()));
-                *known = free;
+                *current = free;
             }
             return;
         }
-        let like = |g: &Group| {
+        let matches_record = |g: &Group| {
             g.spot == record.spot && g.machine_type == record.machine_type && g.zone == record.zone
         };
-        let group = self.groups.iter().position(like).unwrap_or_else(|| {
+        let group = self.groups.iter().position(matches_record).unwrap_or_else(|| {
             self.groups.push(Group {
                 machine_type: record.machine_type.clone(),
                 zone: record.zone.clone(),
@@ -55,24 +58,27 @@
             self.groups.len() - 1
         });
         self.groups[group].by_free_cpus.insert((free, machine.to_owned()));
-        self.places.insert(machine.to_owned(), (group, free));
+        self.positions.insert(machine.to_owned(), (group, free));
     }
 
-    /// Forgets a machine that may not get tasks.
+    /// Removes a machine that may not get tasks.
     pub fn remove(&mut self, machine: &str) {
-        if let Some((group, free)) = self.places.remove(machine) {
+        if let Some((group, free)) = self.positions.remove(machine) {
             self.groups[group].by_free_cpus.remove(&(free, machine.to_owned()));
         }
     }
 
-    /// Machines that the job may run on and that have the processors free; other amounts are for
-    /// the caller to check.
-    pub fn with<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a str> {
-        let least = (thousandths(spec.cpus).saturating_sub(1), String::new());
+    /// Returns the machines that the job's constraints allow and that have the processors of one task
+    /// free. The caller checks GPUs and memory.
+    pub fn machines_with_free_cpus<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+    ) -> impl Iterator<Item = &'a str> {
+        let lower_bound = (to_thousandths(spec.cpus).saturating_sub(1), String::new());
         self.groups
             .iter()
             .filter(|g| offer_allowed(spec, &g.machine_type, &g.zone, g.spot))
-            .flat_map(move |g| g.by_free_cpus.range(least.clone()..))
+            .flat_map(move |g| g.by_free_cpus.range(lower_bound.clone()..))
             .map(|(_, machine)| machine.as_str())
     }
 }
--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -1,8 +1,9 @@
-//! Preemption: stops work of lower rank, or of teams beyond their guarantee, for jobs that found no
-//! room.
+//! Preemption of work of lower priority, or of teams beyond their guarantee, for jobs without free
+//! capacity.
 //!
-//! Never stops what is protected (`queue_order`), and never more than makes room for what waits. On
-//! each machine the attempts that lose the least are stopped, and of all machines the cheapest first.
+//! Work of lower priority is not preempted while its job is protected (`queue_order`), and no more is
+//! preempted than the waiting tasks require. On each machine the attempts that lose the least work
+//! are stopped, and the machine with the lowest cost is chosen first.
 
 use std::collections::BTreeSet;
 
@@ -11,9 +12,9 @@
 use quartzlever_wire::{Micros, SECOND};
 
 use super::feasibility::machine_allowed;
+use super::max_silence;
 use super::queue_order::urgency;
 use super::run_times::RunTimes;
-use super::silence_limit;
 use crate::config::Config;
 use crate::events::LogEvent;
 use crate::jobs::partition_job::PartitionJob;
@@ -24,191 +25,210 @@
 use crate::partition::Partition;
 use crate::router::Core;
 
-/// Work of lower rank gives way so long before a start becomes too late: what it takes to stop
-/// one task and start another.
-const PREEMPT_AHEAD: Micros = 5 * SECOND / 2;
-/// Lost work that stopping a task again counts for on top of what is lost.
+/// How long before the latest start of a job work of lower priority is preempted for it: the time
+/// that it takes to stop one task and start another.
+const PREEMPTION_LEAD_TIME: Micros = 5 * SECOND / 2;
+/// Run time that is added to the cost of a task that was preempted before.
 const REPEATED_PREEMPTION_COST: Micros = 4 * SECOND;
-/// Room that frees by itself, or a thief, gets this long first.
-const PREEMPT_AFTER: Micros = SECOND / 5;
-/// Shortest time between two looks at all machines for work to stop: with hundreds of machines one
-/// costs more than a heartbeat may.
+/// Time after the submission in which no work is preempted for a job, since capacity may become free
+/// or another partition may steal the tasks.
+const MIN_WAIT_BEFORE_PREEMPTION: Micros = SECOND / 5;
+/// Minimum time between two searches of all machines for work to preempt. With hundreds of machines,
+/// one search takes longer than the handling of a heartbeat may.
 const PREEMPTION_INTERVAL: Micros = SECOND / 5;
-/// Tasks that take less than this many processors lose work as if they took so many.
-const LEAST_CPUS_LOST: f64 = 0.1;
+/// Minimum number of processors that a task counts with in the cost of lost work.
+const MIN_CPUS_IN_COST: f64 = 0.1;
 
-/// Whose tasks may be stopped to make room for a job.
+/// The tasks that may be preempted for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Victims {
-    /// Idle-time work that loses next to nothing: it gives way as soon as anything else waits. Left alone until
-    /// a start became too late, guests that filled all machines made two thirds of the deadlines be missed,
-    /// since saving, the image and the slowest task take their time after that.
-    Yielding,
-    /// All that the rank or the guarantee allows, once the start would come too late otherwise.
+    /// Best-effort tasks with checkpoints, which lose almost no work: they are preempted as soon as
+    /// any other work waits. When they were preempted only just before the latest start, with all
+    /// machines full of them, two thirds of the deadlines were missed, because saving, the image
+    /// pull and the slowest task add to the delay.
+    CheckpointedBestEffort,
+    /// All tasks that the priority or the guarantee allows, once the start would otherwise be late.
     Any,
 }
 
-/// From when on work is stopped for a job.
+/// The times from which on work is preempted for a job.
 struct PreemptionTimes {
-    /// Idle-time work that yields.
-    yielding_from: Micros,
-    /// All that the rank or the guarantee allows.
+    /// For best-effort tasks with checkpoints.
+    checkpointed_from: Micros,
+    /// For all tasks that the priority or the guarantee allows.
     any_from: Micros,
 }
 
 impl PreemptionTimes {
     fn new(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Self {
-        let yielding_from = job.since + PREEMPT_AFTER;
+        let checkpointed_from = job.since + MIN_WAIT_BEFORE_PREEMPTION;
         let latest = urgency(config, run_times, job, now).latest;
-        let pressing = (latest + 1).saturating_sub(PREEMPT_AHEAD);
-        PreemptionTimes { yielding_from, any_from: yielding_from.max(pressing) }
+        let urgent_from = (latest + 1).saturating_sub(PREEMPTION_LEAD_TIME);
+        PreemptionTimes { checkpointed_from, any_from: checkpointed_from.max(urgent_from) }
     }
 
     fn victims(&self, now: Micros) -> Victims {
-        if now < self.any_from { Victims::Yielding } else { Victims::Any }
+        if now < self.any_from { Victims::CheckpointedBestEffort } else { Victims::Any }
     }
 }
 
-/// What runs on the machines of a partition, as far as preemption goes.
-struct Preemptible {
-    /// Processors that are being freed already, and not counted on for any job yet.
-    coming: f64,
-    /// The lowest rank that could still give way.
-    lowest: Priority,
-    /// Whether any of it gives way at once.
-    yields: bool,
+/// The state of a partition's attempts that preemption depends on.
+struct PreemptionState {
+    /// Processors of attempts that are being stopped, not yet allotted to a waiting job.
+    freeing_cpus: f64,
+    /// The lowest priority of the attempts that are not being stopped.
+    lowest_priority: Priority,
+    /// Whether any of these is best-effort work with checkpoints.
+    has_checkpointed: bool,
 }
 
-impl Preemptible {
+impl PreemptionState {
     fn of(partition: &Partition) -> Self {
-        let mut all = Preemptible { coming: 0.0, lowest: Priority::Prod, yields: false };
+        let mut all = PreemptionState {
+            freeing_cpus: 0.0,
+            lowest_priority: Priority::Prod,
+            has_checkpointed: false,
+        };
         for attempt in partition.active_attempts() {
             if attempt.wanted {
-                all.lowest = all.lowest.max(attempt.priority);
-                all.yields |= attempt.yields;
+                all.lowest_priority = all.lowest_priority.max(attempt.priority);
+                all.has_checkpointed |= attempt.yields;
             } else {
-                all.coming += attempt.need.cpus;
+                all.freeing_cpus += attempt.need.cpus;
             }
         }
         all
     }
 
-    /// So many tasks of a job need room made; what is being freed already is promised to the others.
-    fn promise(&mut self, tasks: u32, need: &Resources) -> u32 {
+    /// Returns for how many of `tasks` tasks work has to be preempted, and allots the processors that
+    /// are being freed to the others.
+    fn subtract_freeing_cpus(&mut self, tasks: u32, need: &Resources) -> u32 {
         let all = f64::from(tasks) * need.cpus;
-        let promised = f64::min(self.coming, all);
-        self.coming -= promised;
-        ((all - promised) / need.cpus.max(1e-6)).ceil() as u32
+        let covered = f64::min(self.freeing_cpus, all);
+        self.freeing_cpus -= covered;
+        ((all - covered) / need.cpus.max(1e-6)).ceil() as u32
     }
 }
 
-/// A job that makes room for its tasks, at one moment.
-struct Preemption<'a> {
+/// A job for which work is preempted at the time `now`.
+struct PreemptionRequest<'a> {
     spec: &'a JobSpec,
     need: Resources,
     /// The teams whose unfinished work fits their guarantee.
-    inside: &'a BTreeSet<String>,
+    teams_within_guarantee: &'a BTreeSet<String>,
     victims: Victims,
     now: Micros,
-    /// Machines that were not heard of for so long are left alone.
-    quiet: Micros,
+    /// Age of the last heartbeat from which on a machine is left out.
+    max_silence: Micros,
 }
 
-/// An attempt that may be stopped.
-struct Stoppable<'a> {
-    /// Work lost by stopping it.
+/// An attempt that may be preempted.
+struct Candidate<'a> {
+    /// Work lost by stopping it, in processor-microseconds.
     cost: f64,
     key: &'a AttemptKey,
     attempt: &'a Attempt,
 }
 
-impl Preemption<'_> {
-    /// Whether an attempt may be stopped for the job: it is of lower rank and not protected, or its team
-    /// is beyond its guarantee while the job's is within its own.
-    fn may_stop(&self, attempt: &Attempt, is_protected: bool) -> bool {
-        let lower = attempt.priority > self.spec.priority;
-        let borrowed = self.inside.contains(&self.spec.team)
+impl PreemptionRequest<'_> {
+    /// Reports whether an attempt may be preempted for the job: it has lower priority and is not
+    /// protected, or its team is beyond its guarantee while the job's team is within its own.
+    fn may_preempt(&self, attempt: &Attempt, is_protected: bool) -> bool {
+        let has_lower_priority = attempt.priority > self.spec.priority;
+        let exceeds_guarantee = self.teams_within_guarantee.contains(&self.spec.team)
             && attempt.team != self.spec.team
             && !attempt.team.is_empty()
-            && !self.inside.contains(&attempt.team);
-        let asked = self.victims == Victims::Any || attempt.yields;
-        attempt.wanted && !attempt.exited() && asked && ((lower && !is_protected) || borrowed)
+            && !self.teams_within_guarantee.contains(&attempt.team);
+        let is_eligible = self.victims == Victims::Any || attempt.yields;
+        attempt.wanted
+            && !attempt.exited()
+            && is_eligible
+            && ((has_lower_priority && !is_protected) || exceeds_guarantee)
     }
 
-    /// Fetching the image takes its time on the way to the start as well.
-    fn image_cost(&self, machine: &Machine, machine_type: &MachineType) -> f64 {
+    /// Returns the cost of pulling the job's image if the machine lacks it, in processor-microseconds,
+    /// since the pull delays the start as well.
+    fn image_pull_cost(&self, machine: &Machine, machine_type: &MachineType) -> f64 {
         if machine.images.contains(&self.spec.image) {
             return 0.0;
         }
         let pull = self.spec.image_gb / machine_type.pull_gb_per_s.max(0.01);
-        pull * 1e6 * self.need.cpus.max(LEAST_CPUS_LOST)
+        pull * 1e6 * self.need.cpus.max(MIN_CPUS_IN_COST)
     }
 }
 
-/// What it takes to make room on one machine.
+/// A set of attempts whose end frees capacity for the job on one machine.
 struct Eviction {
-    /// Work lost.
-    lost: f64,
-    /// Tasks of the job that get room.
-    gain: u32,
+    /// Lost work and the cost of the image pull, in processor-microseconds.
+    lost_work: f64,
+    /// Number of the job's tasks that fit afterwards.
+    tasks_placed: u32,
     machine: String,
     attempts: Vec<AttemptKey>,
 }
 
-/// What was stopped for a job.
-struct Stopped {
-    /// How many attempts on which machines.
-    on: Vec<(String, usize)>,
-    /// Tasks for which no room could be made.
-    lacking: u32,
+/// The result of a preemption for one job.
+struct PreemptionResult {
+    /// Number of attempts preempted on each machine, in the order of the evictions.
+    by_machine: Vec<(String, usize)>,
+    /// Number of tasks for which no capacity could be freed.
+    unplaced: u32,
 }
 
-impl Stopped {
-    fn nothing(lacking: u32) -> Self {
-        Stopped { on: Vec::new(), lacking }
+impl PreemptionResult {
+    fn none(unplaced: u32) -> Self {
+        PreemptionResult { by_machine: Vec::new(), unplaced }
     }
 }
 
 impl Core {
-    /// Stops work of lower rank for jobs that found no room.
+    /// Preempts work for the jobs that found no capacity in the last placement.
     pub(super) fn preempt(&mut self, name: &str) {
         let now = self.now;
-        let quiet = silence_limit(&self.config);
+        let max_silence = max_silence(&self.config);
         let Some(partition) =
             self.partitions.get_mut(name).filter(|p| !p.jobs_without_capacity.is_empty())
         else {
             return;
         };
-        if !partition.begin_preemption(now) {
+        if !partition.try_begin_preemption(now) {
             return;
         }
-        let mut preemptible = Preemptible::of(partition);
-        let inside = partition.teams_inside_guarantee(&self.config);
+        let mut state = PreemptionState::of(partition);
+        let teams_within_guarantee = partition.teams_within_guarantee(&self.config);
         for id in partition.jobs_without_capacity.clone() {
             let Some(job) = partition.jobs.get(&id) else { continue };
             let times = PreemptionTimes::new(&self.config, &self.run_times, job, now);
             let (spec, need, ready) = (job.spec().clone(), job.need(), job.ready.len());
             let victims = times.victims(now);
-            if victims == Victims::Yielding
-                && !partition.yielding_may_be_stopped(&times, preemptible.yields, now)
+            if victims == Victims::CheckpointedBestEffort
+                && !partition.may_preempt_checkpointed(&times, state.has_checkpointed, now)
             {
                 continue;
             }
-            let wanted = preemptible.promise(ready, &need);
+            let wanted = state.subtract_freeing_cpus(ready, &need);
             if wanted == 0 {
                 continue;
             }
             partition.schedule_placement(now + PREEMPTION_INTERVAL);
-            let gives_way = preemptible.lowest > spec.priority || inside.contains(&spec.team);
-            let asks = Preemption { spec: &spec, need, inside: &inside, victims, now, quiet };
-            let stopped = if gives_way {
-                partition.preempt_for(&asks, wanted)
+            let may_have_victims = state.lowest_priority > spec.priority
+                || teams_within_guarantee.contains(&spec.team);
+            let request = PreemptionRequest {
+                spec: &spec,
+                need,
+                teams_within_guarantee: &teams_within_guarantee,
+                victims,
+                now,
+                max_silence,
+            };
+            let result = if may_have_victims {
+                partition.preempt_for(&request, wanted)
             } else {
-                Stopped::nothing(wanted)
+                PreemptionResult::none(wanted)
             };
-            // Only what should start by now has others look for room elsewhere.
-            partition.saturated |= stopped.lacking > 0 && victims == Victims::Any;
-            for (machine, count) in stopped.on {
+            // Peers are notified of lacking capacity only for starts that are urgent.
+            partition.saturated |= result.unplaced > 0 && victims == Victims::Any;
+            for (machine, count) in result.by_machine {
                 self.outbox.log(LogLevel::Info, || LogEvent::TasksPreempted {
                     partition: name.to_owned(),
                     machine,
@@ -221,8 +241,9 @@
 }
 
 impl Partition {
-    /// Whether all machines may be looked at for work to stop; if not, has that done as soon as it may.
-    fn begin_preemption(&mut self, now: Micros) -> bool {
+    /// Reports whether all machines may be searched for work to preempt now; if not, schedules a
+    /// placement for the time when they may.
+    fn try_begin_preemption(&mut self, now: Micros) -> bool {
         if now < self.next_preemption_at {
             self.schedule_placement(self.next_preemption_at);
             return false;
@@ -231,44 +252,45 @@
         true
     }
 
-    /// Whether idle-time work may be stopped now for a job that does not press yet; sees to it that the
-    /// queue is placed again when more may be stopped.
-    fn yielding_may_be_stopped(
+    /// Reports whether best-effort tasks with checkpoints may be preempted now for a job that is not
+    /// urgent yet, and schedules a placement for the time when more may be preempted.
+    fn may_preempt_checkpointed(
         &mut self,
         times: &PreemptionTimes,
-        any_yields: bool,
+        any_checkpointed: bool,
         now: Micros,
     ) -> bool {
-        let soonest = if any_yields { times.yielding_from } else { times.any_from };
-        let may = now >= soonest;
-        self.schedule_placement(if may { times.any_from } else { soonest });
+        let earliest = if any_checkpointed { times.checkpointed_from } else { times.any_from };
+        let may = now >= earliest;
+        self.schedule_placement(if may { times.any_from } else { earliest });
         may
     }
 
-    /// Stops what costs the least, until so many tasks of a job have room.
-    fn preempt_for(&mut self, asks: &Preemption, mut wanted: u32) -> Stopped {
-        let mut stopped = Stopped::nothing(0);
-        let mut evictions = self.all_evictions(asks);
+    /// Preempts the attempts with the lowest cost until `wanted` tasks of the job fit.
+    fn preempt_for(&mut self, request: &PreemptionRequest, mut wanted: u32) -> PreemptionResult {
+        let mut result = PreemptionResult::none(0);
+        let mut evictions = self.possible_evictions(request);
         while wanted > 0 {
             let Some(eviction) = evictions.pop() else { break };
-            stopped.on.push((eviction.machine.clone(), eviction.attempts.len()));
-            wanted -= eviction.gain.min(wanted);
-            let machine = self.evict(asks, eviction);
-            // The machine may have more to give.
-            if let Some(more) = self.cheapest_eviction(asks, &machine) {
-                let at = evictions.partition_point(|e| e.lost > more.lost);
-                evictions.insert(at, more);
+            result.by_machine.push((eviction.machine.clone(), eviction.attempts.len()));
+            wanted -= eviction.tasks_placed.min(wanted);
+            let machine = self.evict(request, eviction);
+            // More attempts on the same machine may be worth preempting.
+            if let Some(next) = self.cheapest_eviction(request, &machine) {
+                let at = evictions.partition_point(|e| e.lost_work > next.lost_work);
+                evictions.insert(at, next);
             }
         }
-        stopped.lacking = wanted;
-        stopped
+        result.unplaced = wanted;
+        result
     }
 
-    /// Stops the attempts of an eviction, and keeps their room if it takes time to come; on which machine.
-    fn evict(&mut self, asks: &Preemption, eviction: Eviction) -> String {
+    /// Stops the attempts of an eviction, and reserves their capacity if some of them save before they
+    /// end. Returns the machine.
+    fn evict(&mut self, request: &PreemptionRequest, eviction: Eviction) -> String {
         let Eviction { machine, attempts, .. } = eviction;
-        if self.takes_time_to_end(&machine, &attempts) {
-            self.reservations.keep_preempted(&machine, asks.spec.priority, asks.now);
+        if self.any_saves_before_end(&machine, &attempts) {
+            self.reservations.reserve_preempted(&machine, request.spec.priority, request.now);
         }
         for key in attempts {
             if let Some(job) = self.jobs.get_mut(&key.task.job) {
@@ -280,75 +302,92 @@
         machine
     }
 
-    /// Whether some of these attempts save before they end, so that they end one after the other.
-    fn takes_time_to_end(&self, machine_name: &str, attempts: &[AttemptKey]) -> bool {
+    /// Reports whether any of these attempts saves before it ends, so that they end at different times.
+    fn any_saves_before_end(&self, machine_name: &str, attempts: &[AttemptKey]) -> bool {
         let on_machine = self.machines.get(machine_name).map(|machine| &machine.attempts);
         let on_machine =
             attempts.iter().filter_map(|key| on_machine.and_then(|on_machine| on_machine.get(key)));
         on_machine.into_iter().any(|attempt| attempt.yields)
     }
 
-    /// All ways to make room for tasks of the job on one machine each, the dearest first.
-    fn all_evictions(&self, asks: &Preemption) -> Vec<Eviction> {
+    /// Returns the cheapest eviction of each machine where a task of the job can be made to fit, in
+    /// descending order of cost.
+    fn possible_evictions(&self, request: &PreemptionRequest) -> Vec<Eviction> {
         let mut all: Vec<Eviction> = self
             .machines
             .keys()
-            .filter_map(|machine| self.cheapest_eviction(asks, machine))
+            .filter_map(|machine| self.cheapest_eviction(request, machine))
             .collect();
-        all.sort_by(|a, b| b.lost.total_cmp(&a.lost));
+        all.sort_by(|a, b| b.lost_work.total_cmp(&a.lost_work));
         all
     }
 
-    /// The attempts to stop on a machine so that a task of the job fits there, at the least lost
-    /// work; none if that cannot be had.
-    fn cheapest_eviction(&self, asks: &Preemption, machine_name: &str) -> Option<Eviction> {
-        let machine =
-            self.machines.get(machine_name).filter(|m| m.accepts_tasks(asks.now, asks.quiet))?;
+    /// Returns the attempts to stop on a machine so that a task of the job fits there, those with the
+    /// least lost work first; `None` if it cannot be made to fit.
+    fn cheapest_eviction(
+        &self,
+        request: &PreemptionRequest,
+        machine_name: &str,
+    ) -> Option<Eviction> {
+        let machine = self
+            .machines
+            .get(machine_name)
+            .filter(|m| m.accepts_tasks(request.now, request.max_silence))?;
         let machine_type = self.types.as_ref()?.get(&machine.record.machine_type)?;
-        if !machine_allowed(asks.spec, machine) {
+        if !machine_allowed(request.spec, machine) {
             return None;
         }
         let mut free = machine.free;
-        let (mut lost, mut attempts) = (0.0, Vec::new());
-        for Stoppable { cost, key, attempt } in self.stoppable(asks, machine) {
-            if free.fits(&asks.need) {
+        let (mut lost_work, mut attempts) = (0.0, Vec::new());
+        for Candidate { cost, key, attempt } in self.candidates(request, machine) {
+            if free.fits(&request.need) {
                 break;
             }
             free.add(&attempt.need);
-            lost += cost;
+            lost_work += cost;
             attempts.push(key.clone());
         }
-        lost += asks.image_cost(machine, machine_type);
-        let gain = free.count(&asks.need);
-        let fits = free.fits(&asks.need) && !attempts.is_empty();
-        fits.then(|| Eviction { lost, gain, machine: machine_name.to_owned(), attempts })
+        lost_work += request.image_pull_cost(machine, machine_type);
+        let tasks_placed = free.count(&request.need);
+        let fits = free.fits(&request.need) && !attempts.is_empty();
+        fits.then(|| Eviction {
+            lost_work,
+            tasks_placed,
+            machine: machine_name.to_owned(),
+            attempts,
+        })
     }
 
-    /// The attempts on a machine that may be stopped for a job, the cheapest first.
-    fn stoppable<'a>(&'a self, asks: &Preemption, machine: &'a Machine) -> Vec<Stoppable<'a>> {
+    /// Returns the attempts on a machine that may be preempted for the job, in ascending order of cost.
+    fn candidates<'a>(
+        &'a self,
+        request: &PreemptionRequest,
+        machine: &'a Machine,
+    ) -> Vec<Candidate<'a>> {
         let attempts = machine.attempts.iter().filter(|(key, attempt)| {
             let job = self.jobs.get(&key.task.job);
-            asks.may_stop(attempt, job.is_some_and(|j| j.is_protected(asks.now)))
+            request.may_preempt(attempt, job.is_some_and(|j| j.is_protected(request.now)))
         });
-        let mut stoppable: Vec<Stoppable> = attempts
-            .map(|(key, attempt)| Stoppable {
-                cost: self.stopping_cost(key, attempt, asks.now),
+        let mut candidates: Vec<Candidate> = attempts
+            .map(|(key, attempt)| Candidate {
+                cost: self.preemption_cost(key, attempt, request.now),
                 key,
                 attempt,
             })
             .collect();
-        stoppable.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        stoppable
+        candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        candidates
     }
 
-    /// Work that is lost by stopping an attempt, in processor-microseconds.
-    fn stopping_cost(&self, key: &AttemptKey, attempt: &Attempt, now: Micros) -> f64 {
+    /// Returns the work that is lost by stopping an attempt, in processor-microseconds.
+    fn preemption_cost(&self, key: &AttemptKey, attempt: &Attempt, now: Micros) -> f64 {
         let ran = attempt.running_since.map_or(0, |since| now.saturating_sub(since));
-        // Sparing them for good made the older ones pay, and lost more work.
-        let again =
+        // A higher cost, but no exemption: exempting tasks that were preempted before shifted the
+        // preemptions to older tasks, and more work was lost.
+        let was_preempted =
             self.jobs.get(&key.task.job).is_none_or(|j| j.preempted.contains(key.task.index));
-        let ran = if again { ran + REPEATED_PREEMPTION_COST } else { ran };
-        ran as f64 * attempt.need.cpus.max(LEAST_CPUS_LOST)
+        let ran = if was_preempted { ran + REPEATED_PREEMPTION_COST } else { ran };
+        ran as f64 * attempt.need.cpus.max(MIN_CPUS_IN_COST)
     }
 }
 
--- a/crates/quartzlever-core/src/scheduling/queue_order.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order.rs
@@ -1,7 +1,7 @@
-//! Queue order: which job goes first, and how much a start presses.
+//! Queue order: the order in which jobs are placed, and the urgency of their starts.
 //!
-//! Guards that nothing waits for ever: a job that has not begun in time begins next, and an aged one
-//! queues with urgent work.
+//! No job starves: a job that has not begun in time is placed before all others, and an aged one is
+//! queued with urgent priority.
 
 use std::collections::BTreeSet;
 
@@ -13,37 +13,40 @@
 use crate::jobs::partition_job::PartitionJob;
 use crate::partition::Partition;
 
-/// A job that has not begun by then begins next; users expect that within four minutes.
+/// Time after the submission from which on a job that has not begun is placed before all others.
+/// Users expect a job to begin within four minutes.
 const STARVED_AFTER: Micros = 150 * SECOND;
-/// So many first tasks of such a job are not stopped for higher ranks.
-const PROTECTED_FIRST_TASKS: usize = 4;
-/// A job that old is not stopped for higher ranks, and queues with urgent ones.
+/// A job that begins later than `STARVED_AFTER` is not preempted while it has at most this many tasks
+/// on machines and none finished.
+const MAX_PROTECTED_FIRST_TASKS: usize = 4;
+/// Age from which on a job is not preempted for higher priorities, and is queued with urgent priority.
 const AGED_AFTER: Micros = 240 * SECOND;
-/// Idle-time work that saves its progress gets on in whatever time is left, so it is as old as this before it counts as
-/// old. With the time of all other work, guests that were four minutes old filled the machines for good, and
-/// jobs with deadlines waited until they were four minutes old themselves.
-const IDLE_TIME_AGED_AFTER: Micros = 600 * SECOND;
-/// A job that has neither a deadline nor an aim is treated as if it should start within this time.
-const NO_AIM: Micros = 60 * SECOND;
-
-/// When the ready tasks of a job have to start for the next aim on it that can still be met.
+/// The same age for best-effort jobs with checkpoints, which progress in the capacity that other work
+/// leaves free. With `AGED_AFTER`, such jobs of four minutes filled the machines permanently, and jobs
+/// with deadlines waited until they were four minutes old themselves.
+const CHECKPOINTED_BEST_EFFORT_AGED_AFTER: Micros = 600 * SECOND;
+/// Time within which a job with neither a deadline nor an objective should start.
+const DEFAULT_START_WITHIN: Micros = 60 * SECOND;
+
+/// How urgent the start of a job's ready tasks is; less is more urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Every aim on the job is missed already; others go first.
+    /// Whether every deadline and objective of the job is missed already; such jobs come last.
     pub missed: bool,
+    /// The latest start that meets the next of them, or the time of the submission if all are missed.
     pub latest: Micros,
 }
 
-/// The points of time by which the tasks of a job should start.
-struct Aims {
+/// The latest starts of a job's tasks that meet its deadline and its objectives.
+struct StartDeadlines {
     now: Micros,
-    /// The next that is still ahead.
+    /// The earliest that has not passed.
     next: Option<Micros>,
-    /// Whether there is any at all.
+    /// Whether the job has any, passed or not.
     any: bool,
 }
 
-impl Aims {
+impl StartDeadlines {
     fn add(&mut self, at: Micros) {
         self.any = true;
         if at >= self.now {
@@ -51,87 +54,94 @@
         }
     }
 
-    /// All aims on a job: its deadline, and the objectives of its class.
+    /// Collects the latest starts for a job's deadline and for the objectives of its class.
     fn of(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Self {
         let spec = job.spec();
-        let expect = run_times.expect(spec);
-        let by = |end: Micros| end.saturating_sub(expect);
-        let span = job.due.map(|due| due.saturating_sub(job.since));
-        let mut aims = Aims { now, next: None, any: false };
-        if let Some(span) = span {
-            aims.add(by(job.since + span));
+        let expected_run_time = run_times.expect(spec);
+        let latest_start_for = |end: Micros| end.saturating_sub(expected_run_time);
+        let due_after = job.due.map(|due| due.saturating_sub(job.since));
+        let mut deadlines = StartDeadlines { now, next: None, any: false };
+        if let Some(due_after) = due_after {
+            deadlines.add(latest_start_for(job.since + due_after));
         }
         for objective in config.objectives.iter().filter(|o| o.class() == spec.class) {
             match objective {
-                ServiceLevelObjective::Wait { within, .. } => aims.add(job.since + within),
+                ServiceLevelObjective::Wait { within, .. } => deadlines.add(job.since + within),
                 ServiceLevelObjective::Finished { within, .. } => {
-                    aims.add(by(job.since + within));
+                    deadlines.add(latest_start_for(job.since + within));
                 }
                 ServiceLevelObjective::Deadline { times, .. } => {
-                    if let Some(span) = span {
-                        aims.add(by(job.since + (span as f64 * times) as Micros));
+                    if let Some(due_after) = due_after {
+                        deadlines.add(latest_start_for(
+                            job.since + (due_after as f64 * times) as Micros,
+                        ));
                     }
                 }
             }
         }
-        aims
+        deadlines
     }
 }
 
-/// What presses most for a job, of what can still be met.
+/// Returns the urgency of a job, by the earliest of its deadline and objectives that can still be met.
 pub fn urgency(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Urgency {
     if job.service() {
-        // Each moment without a replica is lost.
+        // A service lacks a replica from its submission on, so its start is always due.
         return Urgency { missed: false, latest: job.since };
     }
-    match Aims::of(config, run_times, job, now) {
-        Aims { any: false, .. } => Urgency { missed: false, latest: job.since + NO_AIM },
-        Aims { next: Some(latest), .. } => Urgency { missed: false, latest },
-        Aims { next: None, .. } => Urgency { missed: true, latest: job.since },
+    match StartDeadlines::of(config, run_times, job, now) {
+        StartDeadlines { any: false, .. } => {
+            Urgency { missed: false, latest: job.since + DEFAULT_START_WITHIN }
+        }
+        StartDeadlines { next: Some(latest), .. } => Urgency { missed: false, latest },
+        StartDeadlines { next: None, .. } => Urgency { missed: true, latest: job.since },
     }
 }
 
-/// A job's place in the queue, first come first, by the fields in their order.
+/// The sort key of a job in the queue, compared field by field in the order of declaration; lower keys
+/// come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey<'a> {
-    /// Jobs that must begin now go before all others: they may not wait.
+    /// False for starved jobs, which come before all others.
     may_wait: bool,
-    /// Then teams whose unfinished work fits their guarantee.
-    outside_guarantee: bool,
+    /// False for jobs of teams whose unfinished work fits their guarantee.
+    beyond_guarantee: bool,
     priority: Priority,
     urgency: Urgency,
     since: Micros,
-    /// Makes the order one and the same wherever it is computed.
+    /// Makes the order independent of where it is computed.
     id: &'a String,
 }
 
 impl PartitionJob {
-    /// Whether the job has waited so long that higher ranks stop it no more.
+    /// Reports whether the job is so old that it is not preempted for higher priorities any more.
     fn is_aged(&self, now: Micros) -> bool {
-        let after = if self.yields() { IDLE_TIME_AGED_AFTER } else { AGED_AFTER };
-        now.saturating_sub(self.since) > after
+        let aged_after =
+            if self.yields() { CHECKPOINTED_BEST_EFFORT_AGED_AFTER } else { AGED_AFTER };
+        now.saturating_sub(self.since) > aged_after
     }
 
-    /// Whether higher ranks leave its tasks alone: so does a job whose first tasks begin late. As
-    /// the youngest of all they were stopped again and again, while they fetched their image, and
-    /// the job had not begun after 250 s.
+    /// Reports whether the job's tasks are not preempted for higher priorities: it is aged, or its first
+    /// tasks begin late. Without the latter, these tasks, as the youngest, were preempted repeatedly
+    /// while they pulled their image, and the job had not begun after 250 s.
     pub(super) fn is_protected(&self, now: Micros) -> bool {
         let late = now.saturating_sub(self.since) > STARVED_AFTER;
-        let first = self.assignments.len() <= PROTECTED_FIRST_TASKS
+        let only_first_tasks = self.assignments.len() <= MAX_PROTECTED_FIRST_TASKS
             && self.finished.is_empty()
             && self.record.finished.is_empty();
-        self.is_aged(now) || (late && first)
+        self.is_aged(now) || (late && only_first_tasks)
     }
 
-    /// The rank that the job queues with: an aged one queues with urgent work.
+    /// Returns the priority with which the job is queued: at least urgent for an aged one.
     fn queue_priority(&self, now: Micros) -> Priority {
         let priority = self.spec().priority;
         if self.is_aged(now) { priority.min(Priority::Urgent) } else { priority }
     }
 
-    /// Whether the job has not begun although it has waited as long as any may: it must begin now
-    /// whatever else waits. Without this, a flood of higher work, or of jobs that can still meet their
-    /// aims, kept others from beginning at all.
+    /// Reports whether the job has waited longer than `STARVED_AFTER` without beginning, so that it is
+    /// placed before all others. Without this, a continuous supply of work of higher priority, or of
+    /// jobs that could still meet their objectives, kept others from ever beginning. A job that fails
+    /// everywhere is not starved.
     pub(crate) fn is_starved(&self, now: Micros) -> bool {
         let begun = !self.assignments.is_empty()
             || !self.finished.is_empty()
@@ -141,14 +151,14 @@
 }
 
 impl Partition {
-    /// Jobs with ready tasks: by rank, guarantee and time.
+    /// Returns the ids of the jobs with ready tasks, in the order in which they are to be placed.
     pub fn queue_order(&self, config: &Config, run_times: &RunTimes, now: Micros) -> Vec<String> {
-        let guaranteed = self.teams_inside_guarantee(config);
+        let teams_within_guarantee = self.teams_within_guarantee(config);
         let waiting = self.jobs.iter().filter(|(_, job)| !job.ready.is_empty());
         let mut order: Vec<QueueKey> = waiting
             .map(|(id, job)| QueueKey {
                 may_wait: !job.is_starved(now),
-                outside_guarantee: !guaranteed.contains(job.spec().team.as_str()),
+                beyond_guarantee: !teams_within_guarantee.contains(job.spec().team.as_str()),
                 priority: job.queue_priority(now),
                 urgency: urgency(config, run_times, job, now),
                 since: job.since,
@@ -159,23 +169,24 @@
         order.into_iter().map(|key| key.id.clone()).collect()
     }
 
-    /// The teams whose unfinished work fits their guarantee.
-    pub(super) fn teams_inside_guarantee(&self, config: &Config) -> BTreeSet<String> {
-        let inside = config.teams.iter().filter(|t| self.inside_guarantee(config, &t.name));
-        inside.map(|t| t.name.clone()).collect()
+    /// Returns the teams whose unfinished work fits their guarantee.
+    pub(super) fn teams_within_guarantee(&self, config: &Config) -> BTreeSet<String> {
+        let teams = config.teams.iter().filter(|t| self.is_within_guarantee(config, &t.name));
+        teams.map(|t| t.name.clone()).collect()
     }
 
-    /// Whether all unfinished work of a team, as far as this partition knows it, fits its guarantee.
-    fn inside_guarantee(&self, config: &Config, team: &str) -> bool {
+    /// Reports whether the unfinished work of a team, of all jobs known to this partition, fits the
+    /// team's guarantee. False for a team without a guarantee.
+    fn is_within_guarantee(&self, config: &Config, team: &str) -> bool {
         let Some(team) = config.team(team).filter(|t| t.cpus > 0.0 || t.gpus > 0.0) else {
             return false;
         };
         let (mut cpus, mut gpus) = (0.0, 0.0);
         for job in self.jobs.values().filter(|j| j.spec().team == team.name) {
-            let left =
+            let unfinished =
                 f64::from(job.spec().tasks - job.record.finished.len().min(job.spec().tasks));
-            cpus += left * job.spec().cpus;
-            gpus += left * job.spec().gpus;
+            cpus += unfinished * job.spec().cpus;
+            gpus += unfinished * job.spec().gpus;
         }
         cpus <= team.cpus + 1e-9 && gpus <= team.gpus + 1e-9
     }
--- a/crates/quartzlever-core/src/scheduling/queue_order/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order/tests.rs
@@ -1,11 +1,12 @@
-//! Which job goes first, as tables.
+//! Table-driven tests of the queue order.
 
 use crate::testing::*;
 
 #[test]
-fn nothing_waits_for_ever() {
-    // (seconds since a standard job came, whether it has begun, rank of a fresh one; who is first)
-    for (age, begun, priority, first) in [
+fn a_job_that_waits_too_long_is_placed_first() {
+    // (seconds since the submission of a standard job, whether it has begun, priority of a new job;
+    // id of the first job)
+    for (waited_s, begun, priority, first) in [
         (10, false, Priority::Urgent, "req-2"),
         (10, false, Priority::Prod, "req-2"),
         (160, false, Priority::Urgent, "req-1"),
@@ -17,7 +18,7 @@
         core.wall_offset = Some(0);
         let mut old = spec(4);
         old.due_s = Some(20.0);
-        reconcile_test_job(&mut core, &old, 10, NOW - age * SECOND);
+        reconcile_test_job(&mut core, &old, 10, NOW - waited_s * SECOND);
         let mut fresh = spec(2);
         (fresh.id, fresh.priority) = ("req-2".into(), priority);
         reconcile_test_job(&mut core, &fresh, 11, NOW);
@@ -27,18 +28,23 @@
             job.ready.remove(0);
         }
         let order = core.partitions["one"].queue_order(&core.config, &core.run_times, NOW);
-        assert_eq!(order.first().map(String::as_str), Some(first), "{age} {begun} {priority:?}");
+        assert_eq!(
+            order.first().map(String::as_str),
+            Some(first),
+            "{waited_s} {begun} {priority:?}"
+        );
     }
 }
 
-/// Idle-time work that saves its progress waits for idle time, whatever its age, as long as it has begun. When guests of
-/// four minutes queued with urgent work and were not stopped any more, they filled the machines, and jobs with
-/// deadlines waited until they were as old.
+/// A best-effort job with checkpoints that has begun stays behind jobs with deadlines for ten minutes.
+/// When such jobs were queued with urgent priority and protected from preemption after four minutes,
+/// they filled the machines, and jobs with deadlines waited until they were as old.
 #[test]
-fn old_idle_time_work_does_not_go_before_deadlines() {
+fn checkpointed_best_effort_work_ages_more_slowly_than_other_work() {
     use quartzlever_wire::SECOND;
-    // (rank of the old job, its checkpoints, seconds since it came, it has begun; who is first)
-    for (priority, checkpoint_s, age, begun, first) in [
+    // (priority of the old job, its checkpoint interval, seconds since its submission, whether it has
+    // begun; id of the first job)
+    for (priority, checkpoint_s, waited_s, begun, first) in [
         (Priority::BestEffort, 30.0, 250, true, "req-2"),
         (Priority::BestEffort, 30.0, 590, true, "req-2"),
         (Priority::BestEffort, 30.0, 610, true, "req-1"),
@@ -49,7 +55,7 @@
         let mut core = core();
         core.wall_offset = Some(0);
         let old = JobSpec { priority, checkpoint_s, ..spec(4) };
-        reconcile_test_job(&mut core, &old, 10, NOW - age * SECOND);
+        reconcile_test_job(&mut core, &old, 10, NOW - waited_s * SECOND);
         let fresh = JobSpec { id: "req-2".into(), due_s: Some(60.0), ..spec(2) };
         reconcile_test_job(&mut core, &fresh, 11, NOW);
         let job = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1"));
@@ -59,6 +65,6 @@
         }
         let order = core.partitions["one"].queue_order(&core.config, &core.run_times, NOW);
         let found = order.first().map(String::as_str);
-        assert_eq!(found, Some(first), "{priority:?} {checkpoint_s} {age} {begun}");
+        assert_eq!(found, Some(first), "{priority:?} {checkpoint_s} {waited_s} {begun}");
     }
 }
--- a/crates/quartzlever-core/src/scheduling/reservations.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations.rs
@@ -1,7 +1,7 @@
-//! Reservations: what is kept free in a partition, and for whom.
+//! Reservations of capacity in a partition.
 //!
-//! Two kinds: one machine for the job that has waited longest beyond its time to begin, and the room
-//! that preemption makes, for work of the rank that it was made for.
+//! There are two kinds: one machine for the starved job that has waited longest, and the capacity
+//! that preemption frees, for work of the priority that it was freed for.
 
 use std::collections::BTreeMap;
 
@@ -13,105 +13,117 @@
 use crate::machines::resources::Resources;
 use crate::partition::Partition;
 
-/// Room that was made is kept for what it was made for so long: the tasks there save, end and are reported.
-const PREEMPTED_CAPACITY_RESERVED_FOR: Micros = 10 * SECOND;
+/// Lifetime of a reservation of preempted capacity. The preempted tasks save and end, and their
+/// machine reports it, within this time.
+const PREEMPTED_CAPACITY_RESERVATION: Micros = 10 * SECOND;
 
-/// A machine kept for the first task of a job that has waited too long to begin.
+/// The reservation of a machine for the first task of a starved job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct StarvedReservation {
     machine: String,
     job: String,
 }
 
-/// Room that is being made on a machine for work of a rank: work of lower rank stays out of it.
+/// The reservation of capacity that preemption frees on a machine, for work of `priority` or above.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PreemptedCapacity {
     priority: Priority,
     until: Micros,
 }
 
-/// What is kept free in a partition, and for whom.
+/// The reservations of a partition.
 #[derive(Debug, Default)]
 pub struct Reservations {
-    /// Tasks are of different sizes, and smaller ones that come all the time took each piece of room
-    /// before two of them made room for a larger one.
+    /// Without it, a steady supply of small tasks took all capacity as soon as it became free, before
+    /// enough of it was free for a larger task.
     starved: Option<StarvedReservation>,
-    /// By machine. The first tasks to end there left room for lower work at once, so that a task which
-    /// needs all of it waited for a minute, and the lower work was stopped six times over.
+    /// By machine. Without it, work of lower priority started on the capacity of the first preempted
+    /// tasks that ended; a task that needed the whole machine waited for a minute, and the work of
+    /// lower priority was preempted six times over.
     preempted: BTreeMap<String, PreemptedCapacity>,
 }
 
 impl Reservations {
-    /// Whether a machine is kept for the first task of another job.
-    pub(super) fn keeps_for_another(&self, machine: &str, id: &str) -> bool {
-        self.starved.as_ref().is_some_and(|kept| kept.job != id && kept.machine == machine)
+    /// Reports whether a machine is reserved for the first task of a job other than `id`.
+    pub(super) fn is_reserved_for_other_job(&self, machine: &str, id: &str) -> bool {
+        self.starved
+            .as_ref()
+            .is_some_and(|reserved| reserved.job != id && reserved.machine == machine)
     }
 
-    /// Whether room is being made on a machine for more urgent work than of this rank.
-    pub(super) fn keeps_from(&self, machine: &str, priority: Priority, now: Micros) -> bool {
-        self.preempted.get(machine).is_some_and(|room| now < room.until && priority > room.priority)
+    /// Reports whether preempted capacity on a machine is reserved for work of a priority above this one.
+    pub(super) fn is_reserved_above(&self, machine: &str, priority: Priority, now: Micros) -> bool {
+        self.preempted
+            .get(machine)
+            .is_some_and(|capacity| now < capacity.until && priority > capacity.priority)
     }
 
-    /// Keeps the room that is being made on a machine for work of a rank, or above.
-    pub(super) fn keep_preempted(&mut self, machine: &str, priority: Priority, now: Micros) {
-        let priority =
-            self.preempted.get(machine).map_or(priority, |room| room.priority.min(priority));
-        let room = PreemptedCapacity { priority, until: now + PREEMPTED_CAPACITY_RESERVED_FOR };
-        self.preempted.insert(machine.to_owned(), room);
+    /// Reserves the capacity that is being freed on a machine for work of a priority or above. An
+    /// existing reservation is extended, and keeps the higher of both priorities.
+    pub(super) fn reserve_preempted(&mut self, machine: &str, priority: Priority, now: Micros) {
+        let priority = self
+            .preempted
+            .get(machine)
+            .map_or(priority, |capacity| capacity.priority.min(priority));
+        let capacity = PreemptedCapacity { priority, until: now + PREEMPTED_CAPACITY_RESERVATION };
+        self.preempted.insert(machine.to_owned(), capacity);
     }
 
-    /// Opens made room to everybody where nothing waits any more that it was made for.
+    /// Removes the reservations of preempted capacity that have expired, and those whose priority is
+    /// above that of all waiting jobs.
     fn release_preempted(&mut self, waiting: impl Iterator<Item = Priority>, now: Micros) {
         if self.preempted.is_empty() {
             return;
         }
         let most_urgent = waiting.min();
-        self.preempted.retain(|_, room| {
-            now < room.until && most_urgent.is_some_and(|priority| priority <= room.priority)
+        self.preempted.retain(|_, capacity| {
+            now < capacity.until
+                && most_urgent.is_some_and(|priority| priority <= capacity.priority)
         });
     }
 
-    /// A machine is gone: whatever comes up under its name later has no room made.
+    /// Removes the reservation of preempted capacity on a machine that was removed, so that it does not
+    /// apply to a later machine of the same name.
     pub(crate) fn machine_removed(&mut self, machine: &str) {
         self.preempted.remove(machine);
     }
 }
 
 impl Partition {
-    /// Keeps one machine for the job that has waited longest beyond its time to begin, until one
-    /// of its tasks fits there.
+    /// Reserves a machine for the starved job that has waited longest, until the job has begun. An
+    /// existing reservation is kept while its job is starved and its machine usable.
     pub(super) fn update_reservation(&mut self, now: Micros) {
-        let starved =
+        let is_starved =
             |j: &PartitionJob| !j.ready.is_empty() && j.no_start_before <= now && j.is_starved(now);
         if let Some(StarvedReservation { machine, job }) = &self.reservations.starved
-            && self.jobs.get(job).is_some_and(|j| starved(j))
+            && self.jobs.get(job).is_some_and(|j| is_starved(j))
             && self.machines.get(machine).is_some_and(|m| m.usable())
         {
             return;
         }
-        let longest = self.jobs.values().filter(|j| starved(j)).min_by_key(|j| j.since);
-        self.reservations.starved = longest.and_then(|job| {
-            let machine = self.roomiest_machine_for(job)?;
+        let longest_waiting = self.jobs.values().filter(|j| is_starved(j)).min_by_key(|j| j.since);
+        self.reservations.starved = longest_waiting.and_then(|job| {
+            let machine = self.machine_with_most_free_cpus(job)?;
             Some(StarvedReservation { machine, job: job.spec().id.clone() })
         });
     }
 
-    /// Of the machines that could run a task of the job if they were empty, the one with the most
-    /// processors free.
-    fn roomiest_machine_for(&self, job: &PartitionJob) -> Option<String> {
+    /// Returns the machine with the most free processors, of those that could run a task of the job if
+    /// they were empty.
+    fn machine_with_most_free_cpus(&self, job: &PartitionJob) -> Option<String> {
         let (spec, need) = (job.spec(), job.need());
-        let suitable = self.machines.iter().filter(|(machine, m)| {
+        let candidates = self.machines.iter().filter(|(machine, m)| {
             let machine_type = self.types.as_ref().and_then(|t| t.get(&m.record.machine_type));
             m.usable()
                 && !job.failures.includes(machine)
                 && machine_allowed(spec, m)
                 && machine_type.is_some_and(|t| Resources::capacity_of(t).fits(&need))
         });
-        let roomiest = suitable.max_by(|a, b| a.1.free.cpus.total_cmp(&b.1.free.cpus))?;
-        Some(roomiest.0.clone())
+        let most_free = candidates.max_by(|a, b| a.1.free.cpus.total_cmp(&b.1.free.cpus))?;
+        Some(most_free.0.clone())
     }
 
-    /// Opens made room to everybody where nothing waits any more that it was made for.
+    /// Removes the reservations of preempted capacity for which no job without capacity waits any more.
     pub(super) fn release_preempted_capacity(&mut self, now: Micros) {
         let waiting = self
             .jobs_without_capacity
--- a/crates/quartzlever-core/src/scheduling/reservations/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations/tests.rs
@@ -1,13 +1,14 @@
-//! What is kept free, and for whom.
+//! Tests of reservations.
 
 use crate::testing::*;
 
 #[test]
-fn a_machine_is_kept_for_a_job_that_waits_too_long() {
+fn a_machine_is_reserved_for_a_job_that_waits_too_long() {
     use quartzlever_wire::SECOND;
-    // (seconds that a job of 8 processors a task has waited while 4 are free; what a later urgent
-    // one of 4 gets, and what the old one gets when the machine is free)
-    for (age, small, large) in [(10, 1, 0), (160, 0, 1)] {
+    // (seconds that a job with tasks of 8 processors has waited while 4 are free; number of machines
+    // on which a later urgent job with a task of 4 starts, and on which the old job starts once the
+    // machine is free)
+    for (waited_s, fresh_starts, old_starts) in [(10, 1, 0), (160, 0, 1)] {
         let mut core = core();
         machines(&mut core, &[("n-1", "m", "a", false)]);
         let mut running = spec(1);
@@ -17,12 +18,16 @@
         old.cpus = 8.0;
         queue_job(&mut core, &old, 11);
         if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
-            job.since = NOW - age * SECOND;
+            job.since = NOW - waited_s * SECOND;
         }
         let mut fresh = spec(1);
         (fresh.id, fresh.cpus, fresh.priority) = ("req-2".into(), 4.0, Priority::Urgent);
         queue_job(&mut core, &fresh, 12);
-        assert_eq!(placed(&core, "req-2").len(), small, "{age}: takes the room");
+        assert_eq!(
+            placed(&core, "req-2").len(),
+            fresh_starts,
+            "{waited_s}: starts of the later job"
+        );
         // The first task ends.
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.drop_job("req-7", NOW);
@@ -31,26 +36,26 @@
         }
         core.now += SECOND;
         core.place("one");
-        assert_eq!(placed(&core, "req-1").len(), large, "{age}: begins");
+        assert_eq!(placed(&core, "req-1").len(), old_starts, "{waited_s}: starts of the old job");
     }
 }
 
-/// Four small guests make room for one wide task, and end one after the other: none of the room that they
-/// leave goes to the guests that wait. It did, and the wide task waited for a minute while guests
-/// were stopped and started six times over.
+/// Four small tasks are preempted for one large task and end one after the other. When waiting small
+/// tasks started on the capacity that became free meanwhile, the large task waited for a minute, and
+/// small tasks were stopped and started six times over.
 #[test]
-fn room_that_is_made_is_kept_for_what_it_was_made_for() {
+fn preempted_capacity_is_reserved_for_the_job_that_it_was_freed_for() {
     use quartzlever_wire::SECOND;
     let mut core = core();
     machines(&mut core, &[("n-1", "m", "a", false)]);
-    let guest =
+    let small_tasks =
         JobSpec { priority: Priority::BestEffort, checkpoint_s: 30.0, save_s: 3.0, ..spec(20) };
-    queue_job(&mut core, &guest, 10);
-    let wide = JobSpec { id: "req-2".into(), cpus: 8.0, due_s: Some(600.0), ..spec(1) };
-    queue_job(&mut core, &wide, 11);
+    queue_job(&mut core, &small_tasks, 10);
+    let large_task = JobSpec { id: "req-2".into(), cpus: 8.0, due_s: Some(600.0), ..spec(1) };
+    queue_job(&mut core, &large_task, 11);
     let place = |core: &mut Core, now| {
         core.now = now;
-        core.partitions.get_mut("one").expect("it is held").placement_wanted = true;
+        core.partitions.get_mut("one").expect("partition one exists").placement_wanted = true;
         core.place("one");
     };
     place(&mut core, NOW + SECOND);
@@ -59,16 +64,16 @@
         attempts.iter().filter(|(_, s)| !s.wanted).map(|(key, _)| key.clone()).collect()
     };
     let keys = stopped(&core);
-    assert_eq!(keys.len(), 4, "all that is on the machine");
+    assert_eq!(keys.len(), 4, "all tasks on the machine are preempted");
     for (n, key) in keys.iter().enumerate() {
-        assert_eq!(placed(&core, &wide.id), [], "{n} have ended");
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        assert_eq!(placed(&core, &large_task.id), [], "{n} have ended");
+        let partition = core.partitions.get_mut("one").expect("partition one exists");
         partition.machines["n-1"].attempts.remove(key);
         partition.requeue(&key.task, key.attempt);
         partition.refresh("n-1");
         core.fill("one", "n-1");
         place(&mut core, NOW + 2 * SECOND + n as u64 * SECOND / 5);
     }
-    assert_eq!(placed(&core, &wide.id), [("n-1".to_owned(), 1)]);
-    assert_eq!(placed(&core, &guest.id), [], "no guest took what was left meanwhile");
+    assert_eq!(placed(&core, &large_task.id), [("n-1".to_owned(), 1)]);
+    assert_eq!(placed(&core, &small_tasks.id), [], "no fresh_starts task started meanwhile");
 }
--- a/crates/quartzlever-core/src/scheduling/score.rs
+++ b/crates/quartzlever-core/src/scheduling/score.rs
@@ -1,4 +1,4 @@
-//! Score: how well a feasible machine suits a job.
+//! The ranking of feasible machines for a job.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -9,31 +9,33 @@
 use crate::machines::machine::Machine;
 use crate::machines::resources::Resources;
 
-/// Whether an image is on a machine.
+/// The state of an image on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ImageState {
     Present,
-    Fetching,
+    Pulling,
     Absent,
 }
 
-/// How well a machine suits a job, best first, by the fields in their order.
+/// The score of a machine for a job, compared field by field in the order of declaration; lower scores
+/// are better.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct Score {
-    /// Something has failed on it lately.
+    /// Whether tasks have failed on the machine recently.
     suspect: bool,
-    /// Replicas of the same service that it has.
+    /// Number of replicas of the same service on the machine.
     replicas: usize,
     image: ImageState,
-    /// It is an ordinary machine, which is the dearer kind.
-    ordinary: bool,
-    /// Best fit: the processors that a task leaves over.
-    cpus_left: f64,
+    /// Whether the machine is not a spot instance, and so more expensive.
+    on_demand: bool,
+    /// Processors that remain free beside the task (best fit).
+    remaining_cpus: f64,
 }
 
 impl Score {
-    /// Best first. Processors are never NaN; if they were, the machines would count as equal.
-    pub fn order(&self, other: &Score) -> Ordering {
+    /// Compares two scores, the better one first. Free processors are never NaN; if they were, the
+    /// scores would count as equal.
+    pub fn compare(&self, other: &Score) -> Ordering {
         self.partial_cmp(other).unwrap_or(Ordering::Equal)
     }
 }
@@ -42,14 +44,14 @@
 pub(super) struct Scoring<'a> {
     spec: &'a JobSpec,
     need: Resources,
-    /// Replicas by machine; empty for all but services.
+    /// Number of replicas by machine; empty for jobs that are not services.
     replicas: BTreeMap<&'a str, usize>,
 }
 
 impl<'a> Scoring<'a> {
-    /// The scoring for a job as its tasks are placed now.
+    /// Creates the scoring for a job with its present assignments.
     pub fn new(job: &'a PartitionJob) -> Self {
-        // Replicas of one service go to different machines, so that a loss takes one of them.
+        // Replicas of a service are spread over machines, so that the loss of a machine stops few of them.
         let service = job.service();
         let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
         for assignment in job.assignments.values().filter(|_| service) {
@@ -58,12 +60,12 @@
         Scoring { spec: job.spec(), need: job.need(), replicas }
     }
 
-    /// How well a machine suits the job.
+    /// Returns the score of a machine for the job.
     pub fn score(&self, machine: &Machine) -> Score {
         let image = if machine.images.contains(&self.spec.image) {
             ImageState::Present
         } else if machine.pulls(&self.spec.image) {
-            ImageState::Fetching
+            ImageState::Pulling
         } else {
             ImageState::Absent
         };
@@ -71,8 +73,8 @@
             suspect: machine.failures.is_suspect(),
             replicas: self.replicas.get(machine.name.as_str()).copied().unwrap_or(0),
             image,
-            ordinary: !machine.record.spot,
-            cpus_left: machine.free.cpus - self.need.cpus,
+            on_demand: !machine.record.spot,
+            remaining_cpus: machine.free.cpus - self.need.cpus,
         }
     }
 }
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -1,14 +1,14 @@
 //! Adaptive work stealing: an idle partition asks a few random peers for their ready counts, steals
-//! half the ready tasks of the most loaded, and doubles its wait after a failure.
+//! up to half the ready tasks of the most loaded one, and doubles its wait after each failure.
 //!
-//! A task has one owner at every moment: it moves by one transaction of the store, and the thief is told
-//! of it after that.
+//! A task has one owner at all times: one transaction of the store moves it, and the thief receives
+//! the answer after that.
 //!
-//! - `thief`: when a partition looks for work, whom it asks, and from whom it takes.
-//! - `victim`: what a partition tells of its queue, and what of it may go.
-//! - `load`: how long queues are, and the room on machines.
-//! - `cut`: which ranges are cut off the victim's queue.
-//! - `commit`: the write of a move, and what its outcome does; roll-back.
+//! - `thief`: when a partition looks for work, which peers it asks, and from which it steals.
+//! - `victim`: the counts that a node reports, and the tasks that may be stolen.
+//! - `load`: the lengths of queues, and the free capacity of machines.
+//! - `cut`: the ranges of tasks that are removed from the victim's queue.
+//! - `commit`: the write of a move and the handling of its outcome, including the roll-back.
 
 mod commit;
 mod cut;
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -1,8 +1,8 @@
-//! The write of a move, and what each outcome does; roll-back.
+//! The write of a move of tasks, and the handling of its outcome.
 //!
-//! The paper's victim hands tasks over by an answer (algorithm 2). Here the store decides: a move that is
-//! in force is told to the thief, one that is not returns its ranges to the queue, and after an unknown
-//! outcome they stay cut, so that no task is ever on two queues.
+//! The paper's victim hands tasks over with its answer (algorithm 2). Here the store decides: a
+//! committed move is sent to the thief, and a failed one is rolled back, which returns its ranges to
+//! the queue. After an unknown outcome they stay cut, so that no task is ever in two queues.
 
 use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::{StoreCall, StoreReply};
@@ -16,19 +16,19 @@
 use crate::store::active_job_key;
 use crate::store::write_budget::WriteKind;
 
-/// After a move of unknown outcome its jobs are written again after this time, which settles the matter.
-const SETTLE_AFTER: Micros = SECOND / 4;
+/// Time after which the jobs of a move of unknown outcome are written again, which settles the outcome.
+const SETTLE_DELAY: Micros = SECOND / 4;
 
 impl Core {
-    /// Cuts ready ranges off the victim's queue and writes the move; the thief is told after
-    /// the write is in force.
-    pub(super) fn steal_tasks(&mut self, asked: StealRequest) {
-        let request = asked.request;
-        let Some(cut) = self.cut_tasks(&asked) else { return self.answer_nothing(request) };
-        let StealRequest { victim, .. } = asked;
+    /// Cuts ready ranges off the victim's queue and writes the move. The thief is answered once the
+    /// write is committed.
+    pub(super) fn steal_tasks(&mut self, steal: StealRequest) {
+        let request = steal.request;
+        let Some(cut) = self.cut_tasks(&steal) else { return self.answer_no_tasks(request) };
+        let StealRequest { victim, .. } = steal;
         if !self.write_budget.try_spend(WriteKind::Move, cut.moved.len()) {
-            self.take_back(&victim, cut.moved);
-            return self.answer_nothing(request);
+            self.undo_move(&victim, cut.moved);
+            return self.answer_no_tasks(request);
         }
         let pending = PendingStoreCall::StealWrite {
             partition: victim,
@@ -39,7 +39,7 @@
         self.outbox.call_store(CallPriority::Work, StoreCall::Txn(cut.txn), pending);
     }
 
-    /// The store has answered the write of a move, or not.
+    /// Handles the outcome of the write of a move.
     pub(crate) fn steal_written(
         &mut self,
         name: &str,
@@ -49,7 +49,7 @@
         result: Result<StoreReply, CallError>,
     ) {
         if self.partition_at_term(name, term).is_none() {
-            return self.answer_nothing(request);
+            return self.answer_no_tasks(request);
         }
         match result {
             Ok(StoreReply::Committed(mod_revision)) => {
@@ -57,17 +57,17 @@
             }
             Ok(StoreReply::Conflict(failed)) => self.move_conflicted(name, term, moved, &failed),
             Err(CallError::Refused | CallError::Throttled) | Ok(_) => {
-                self.take_back(name, moved);
+                self.undo_move(name, moved);
                 if let Some(partition) = self.partitions.get_mut(name) {
                     partition.placement_wanted = true;
                 }
             }
             Err(CallError::Unknown) => self.move_outcome_unknown(name, moved),
         }
-        self.answer_nothing(request);
+        self.answer_no_tasks(request);
     }
 
-    /// The move is in force: the thief is told.
+    /// Applies a committed move, and sends it to the thief.
     fn move_committed(
         &mut self,
         name: &str,
@@ -81,7 +81,7 @@
             if let Some(job) = self.partitions.get_mut(name).and_then(|p| p.jobs.get_mut(&id)) {
                 job.move_committed(&cut, &mut record, mod_revision);
             }
-            // The thief may be another partition of this very process.
+            // The thief may be another partition of this process.
             self.reconcile_job(record, mod_revision);
             jobs.push((id, mod_revision, text));
         }
@@ -98,30 +98,30 @@
         }
     }
 
-    /// The move can no longer come into force: what is still owned returns to the queue, and jobs whose
-    /// records have changed are read again.
+    /// Handles a move that a conflict has ruled out: the tasks that are still owned return to the queue,
+    /// and the jobs whose records have changed are read again.
     fn move_conflicted(&mut self, name: &str, term: u64, moved: Vec<TaskMove>, failed: &[String]) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        let mut again = Vec::new();
+        let mut to_reread = Vec::new();
         for TaskMove { job: id, cut, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
             job.move_conflicted(&cut, name);
             if failed.contains(&active_job_key(&id)) {
                 job.begin_reread();
-                again.push(id);
+                to_reread.push(id);
             }
         }
         partition.placement_wanted = true;
         if failed.contains(&partition.key()) {
             self.lose_partition(name, term);
         }
-        for id in again {
+        for id in to_reread {
             self.reread_job(name, term, &id);
         }
     }
 
-    /// The move was not carried out: its tasks return to the queue.
-    fn take_back(&mut self, name: &str, moved: Vec<TaskMove>) {
+    /// Returns the tasks of a move that was not carried out to the queue.
+    fn undo_move(&mut self, name: &str, moved: Vec<TaskMove>) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
         for TaskMove { job: id, cut, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
@@ -129,10 +129,10 @@
         }
     }
 
-    /// The move may still come into force, minutes late. Its tasks stay cut until another write at the
-    /// same modification revision, or a newer record, has settled the matter.
+    /// Handles a move of unknown outcome. The write may still be applied minutes later, so the tasks
+    /// stay cut until another write at the same modification revision, or a newer record, settles it.
     fn move_outcome_unknown(&mut self, name: &str, moved: Vec<TaskMove>) {
-        let settle_at = self.now + SETTLE_AFTER;
+        let settle_at = self.now + SETTLE_DELAY;
         let Some(partition) = self.partitions.get_mut(name) else { return };
         for TaskMove { job: id, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
--- a/crates/quartzlever-core/src/stealing/cut.rs
+++ b/crates/quartzlever-core/src/stealing/cut.rs
@@ -1,8 +1,9 @@
-//! Cutting: which ranges of ready tasks leave the victim's queue for a thief.
+//! Selection of the ranges of ready tasks that move from the victim's queue to a thief.
 //!
-//! The paper moves half of the victim's ready tasks (2.3.3 (b), figure 8). Here that is the most: no
-//! more goes than the thief has room for, or than evens out the two queues (docs/design.md,
-//! exceptions). What is cut is `moving` until the outcome of the write is known (`commit`).
+//! The paper moves half of the victim's ready tasks (2.3.3 (b), figure 8). Here that is the maximum:
+//! no more tasks move than the thief has capacity for, or than balances the two queues
+//! (docs/design.md, exceptions). The tasks cut are `moving` until the outcome of the write is known
+//! (`commit`).
 
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
 use quartzlever_wire::store::{PARTITION_PREFIX, Txn};
@@ -20,96 +21,105 @@
 use crate::scheduling::{RunTimes, offer_allowed};
 use crate::store::active_job_key;
 
-/// Jobs that one move takes from, at the most; the store may take fewer changes in a transaction.
-const MAX_JOBS: usize = 8;
-/// Bytes of records in one move, at the most.
-const MAX_BYTES: usize = 48 * 1024;
+/// Maximum number of jobs in one move. The store may allow fewer changes in a transaction.
+const MAX_JOBS_PER_MOVE: usize = 8;
+/// Maximum total size of the records in one move, in bytes.
+const MAX_RECORD_BYTES_PER_MOVE: usize = 48 * 1024;
 
-/// Who takes tasks from whom, and what it has room for.
+/// A thief's request for tasks of a victim.
 pub(super) struct StealRequest {
-    /// The peer's request that waits for the outcome; none for a thief held by this very node.
+    /// The peer's request that waits for the outcome; `None` if this node leads the thief too.
     pub request: Option<RequestId>,
     pub victim: String,
     pub thief: String,
     /// The thief's term.
     pub term: u64,
-    /// The lowest rank that moves.
+    /// The lowest priority that moves.
     pub priority: Priority,
-    pub room: ThiefCapacity,
-    /// The load of a thief that has a queue of its own.
+    /// The machines of the thief with their free capacity, or its kinds of machines with the capacity
+    /// of an empty one if `load` is given.
+    pub capacity: ThiefCapacity,
+    /// The load of a thief that has a queue of its own; `None` for an idle one.
     pub load: Option<Load>,
 }
 
-/// What the thief may still take.
-struct Share {
+/// The tasks that the thief may still steal.
+struct StealAllowance {
     tasks: u32,
     free: Vec<FreeCapacity>,
-    /// Processor-seconds that even out the two queues, for a thief that has one of its own.
+    /// Processor-seconds whose move balances the two queues, for a thief that has one of its own.
     excess: Option<f64>,
-    /// The highest rank that moves.
-    highest: Priority,
+    /// The highest priority that moves.
+    highest_priority: Priority,
 }
 
-impl Share {
-    /// A thief with a queue of its own takes what evens out the two, and nothing urgent: that
-    /// starts here as soon as it can, unless there are no machines at all.
-    fn new(asked: &StealRequest, tasks: u32, victim_load: impl FnOnce() -> Load) -> Self {
-        let free = asked.room.free.clone();
-        let Some(thief_load) = &asked.load else {
-            return Share { tasks, free, excess: None, highest: Priority::Prod };
+impl StealAllowance {
+    /// Creates the allowance for a steal of at most `tasks` tasks. A thief with a queue of its own
+    /// steals what balances both queues, and nothing urgent: urgent tasks start here as soon as
+    /// possible, unless the victim has no machines at all.
+    fn new(steal: &StealRequest, tasks: u32, victim_load: impl FnOnce() -> Load) -> Self {
+        let free = steal.capacity.free.clone();
+        let Some(thief_load) = &steal.load else {
+            return StealAllowance { tasks, free, excess: None, highest_priority: Priority::Prod };
         };
         let own = victim_load();
-        let highest = if own.cpus > 0.0 { Priority::Standard } else { Priority::Prod };
-        Share { tasks, free, excess: Some(own.excess_over(thief_load)), highest }
+        let highest_priority = if own.cpus > 0.0 { Priority::Standard } else { Priority::Prod };
+        StealAllowance { tasks, free, excess: Some(own.excess_over(thief_load)), highest_priority }
     }
 
-    /// How many tasks of a job the thief takes, which counts against what it may still take.
-    fn count_for(&mut self, job: &PartitionJob, run_times: &RunTimes) -> u32 {
+    /// Returns how many tasks of a job move, and subtracts them from the thief's free capacity or from
+    /// the excess of the queue.
+    fn allot(&mut self, job: &PartitionJob, run_times: &RunTimes) -> u32 {
         let Some(excess) = &mut self.excess else {
-            return fit_count(&mut self.free, job, self.tasks);
+            return allot_free_capacity(&mut self.free, job, self.tasks);
         };
-        let each = run_times.expect(job.spec()).max(1) as f64 / 1e6 * job.spec().cpus;
-        let most = (*excess / each.max(1e-6)).min(f64::from(self.tasks)) as u32;
-        let count = if fits_somewhere(&self.free, job) { most.min(job.ready.len()) } else { 0 };
-        *excess -= f64::from(count) * each;
+        let cpu_seconds_per_task =
+            run_times.expect(job.spec()).max(1) as f64 / 1e6 * job.spec().cpus;
+        let max_tasks =
+            (*excess / cpu_seconds_per_task.max(1e-6)).min(f64::from(self.tasks)) as u32;
+        let count =
+            if fits_somewhere(&self.free, job) { max_tasks.min(job.ready.len()) } else { 0 };
+        *excess -= f64::from(count) * cpu_seconds_per_task;
         count
     }
 }
 
-/// What a move cuts off, and its transaction.
+/// The tasks that a move cuts off, and its transaction.
 pub(super) struct Cut {
     /// The victim's term.
     pub term: u64,
     pub txn: Txn,
     pub moved: Vec<TaskMove>,
+    /// Total size of the records.
     bytes: usize,
 }
 
 impl Cut {
-    /// An empty move, on condition of the terms of both partitions.
-    fn new(victim: &Partition, asked: &StealRequest) -> Self {
+    /// Creates an empty move, conditional on the terms of both partitions.
+    fn new(victim: &Partition, steal: &StealRequest) -> Self {
         let txn =
-            victim.txn().if_mod_revision(format!("{PARTITION_PREFIX}{}", asked.thief), asked.term);
+            victim.txn().if_mod_revision(format!("{PARTITION_PREFIX}{}", steal.thief), steal.term);
         Cut { term: victim.term, txn, moved: Vec::new(), bytes: 0 }
     }
 
-    /// Cuts tasks off the end of a job, on condition of its modification revision; how many. None if the
-    /// records would be too large for the store.
+    /// Cuts up to `count` tasks off the end of a job's ready tasks, conditional on the modification
+    /// revision of its record. Returns the number of tasks cut: 0 if the records would be too large
+    /// for the store.
     fn add(
         &mut self,
-        asked: &StealRequest,
+        steal: &StealRequest,
         id: String,
         job: &mut PartitionJob,
         count: u32,
         pages: &Pages,
-        value_bytes: usize,
+        max_value_bytes: usize,
     ) -> u32 {
         let cut: Ranges = job.ready.cut_last(count);
         let mut record = job.record.clone();
-        record.move_tasks(&cut, &asked.victim, &asked.thief, asked.term);
+        record.move_tasks(&cut, &steal.victim, &steal.thief, steal.term);
         let value = Json::of(&pages.stored_form(&record));
         let size = value.text().len();
-        if size > value_bytes || self.bytes + size > MAX_BYTES {
+        if size > max_value_bytes || self.bytes + size > MAX_RECORD_BYTES_PER_MOVE {
             job.ready.add(&cut);
             return 0;
         }
@@ -125,55 +135,58 @@
 }
 
 impl Core {
-    /// Cuts ready ranges off the victim's queue, in its order; none if nothing may go.
-    pub(super) fn cut_tasks(&mut self, asked: &StealRequest) -> Option<Cut> {
-        let most_jobs = self.limits.txn_ops().clamp(1, MAX_JOBS);
-        let value_bytes = self.limits.value_bytes();
-        let partition = self.partitions.get(&asked.victim)?;
+    /// Cuts ready ranges off the victim's queue in queue order. Returns `None` if no task may move.
+    pub(super) fn cut_tasks(&mut self, steal: &StealRequest) -> Option<Cut> {
+        let max_jobs = self.limits.txn_ops().clamp(1, MAX_JOBS_PER_MOVE);
+        let max_value_bytes = self.limits.value_bytes();
+        let partition = self.partitions.get(&steal.victim)?;
         let order = partition.queue_order(&self.config, &self.run_times, self.now);
-        let movable = f64::from(partition.movable_count(&self.config, asked.priority));
+        let movable = f64::from(partition.movable_count(&self.config, steal.priority));
         let tasks = (movable * self.config.operator.steal_fraction).ceil() as u32;
-        let mut share = Share::new(asked, tasks, || self.load_of(partition));
-        let partition = self.partitions.get_mut(&asked.victim)?;
-        let mut cut = Cut::new(partition, asked);
+        let mut allowance = StealAllowance::new(steal, tasks, || self.queue_load(partition));
+        let partition = self.partitions.get_mut(&steal.victim)?;
+        let mut cut = Cut::new(partition, steal);
         for id in order {
-            if share.tasks == 0 || cut.moved.len() >= most_jobs {
+            if allowance.tasks == 0 || cut.moved.len() >= max_jobs {
                 break;
             }
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
-            if !is_movable(&self.config, job, asked.priority) || job.spec().priority < share.highest
+            if !is_movable(&self.config, job, steal.priority)
+                || job.spec().priority < allowance.highest_priority
             {
                 continue;
             }
-            let count = share.count_for(job, &self.run_times);
+            let count = allowance.allot(job, &self.run_times);
             if count > 0 {
-                share.tasks -= cut.add(asked, id, job, count, &self.pages, value_bytes);
+                allowance.tasks -= cut.add(steal, id, job, count, &self.pages, max_value_bytes);
             }
         }
         (!cut.moved.is_empty()).then_some(cut)
     }
 }
 
-/// How many of the job's ready tasks the thief has room for, taking that room.
-fn fit_count(free: &mut [FreeCapacity], job: &PartitionJob, most: u32) -> u32 {
+/// Returns how many of the job's ready tasks, at most `max_tasks`, fit in the thief's free capacity, and
+/// subtracts them from it.
+fn allot_free_capacity(free: &mut [FreeCapacity], job: &PartitionJob, max_tasks: u32) -> u32 {
     let need = job.need();
     let mut count = 0;
-    let most = most.min(job.ready.len());
-    for room in free {
-        if !offer_allowed(job.spec(), &room.machine_type, &room.zone, room.spot) {
+    let max_tasks = max_tasks.min(job.ready.len());
+    for capacity in free {
+        if !offer_allowed(job.spec(), &capacity.machine_type, &capacity.zone, capacity.spot) {
             continue;
         }
-        let mut resources = resources_of(room);
-        while count < most && resources.fits(&need) {
+        let mut resources = resources_of(capacity);
+        while count < max_tasks && resources.fits(&need) {
             resources.take(&need);
             count += 1;
         }
-        (room.cpus, room.gpus, room.ram_gb) = (resources.cpus, resources.gpus, resources.ram_gb);
+        (capacity.cpus, capacity.gpus, capacity.ram_gb) =
+            (resources.cpus, resources.gpus, resources.ram_gb);
     }
     count
 }
 
-/// Whether a task of the job could ever run on one of these machines.
+/// Reports whether a task of the job could run on any of these machines.
 fn fits_somewhere(machines: &[FreeCapacity], job: &PartitionJob) -> bool {
     let need = job.need();
     machines.iter().any(|m| {
@@ -181,6 +194,6 @@
     })
 }
 
-fn resources_of(room: &FreeCapacity) -> Resources {
-    Resources { cpus: room.cpus, gpus: room.gpus, ram_gb: room.ram_gb }
+fn resources_of(capacity: &FreeCapacity) -> Resources {
+    Resources { cpus: capacity.cpus, gpus: capacity.gpus, ram_gb: capacity.ram_gb }
 }
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -1,7 +1,7 @@
-//! How long the queues of partitions are, and what room their machines have.
+//! The lengths of the partitions' queues, and the free capacity of their machines.
 //!
-//! Reads only. The comparison of queues is a departure from the paper, whose thieves have no work at
-//! all (2.3.1; docs/design.md, exceptions).
+//! Everything here only reads. The comparison of queues departs from the paper, whose thieves have no
+//! work at all (2.3.1; docs/design.md, exceptions).
 
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
 use quartzlever_wire::users::Priority;
@@ -9,54 +9,57 @@
 use crate::machines::attempt::Attempt;
 use crate::partition::Partition;
 use crate::router::Core;
-use crate::scheduling::silence_limit;
+use crate::scheduling::max_silence;
 
-/// A partition counts as idle beside a peer whose queue lasts this many times as long as its own, and
-/// so many seconds more. Stealing by partitions without any ready task did nothing for a partition whose
-/// machines were taken, while all others had queues of their own: its jobs waited 500 s.
+/// A partition with a queue of its own steals from one whose queue takes more than this many times as
+/// long, plus `MUCH_LONGER_MARGIN_S`. When only partitions without ready tasks stole, and all others
+/// had queues, a partition that had lost its machines got no help, and its jobs waited 500 s.
 const MUCH_LONGER_FACTOR: f64 = 2.0;
+/// See `MUCH_LONGER_FACTOR`.
 const MUCH_LONGER_MARGIN_S: f64 = 10.0;
 
-pub(super) fn is_much_longer(queue: &Load, than: &Load) -> bool {
-    queue.drain_s() > than.drain_s() * MUCH_LONGER_FACTOR + MUCH_LONGER_MARGIN_S
+/// Reports whether a queue takes so much longer than another that tasks should move.
+pub(super) fn is_much_longer(queue: &Load, other: &Load) -> bool {
+    queue.drain_s() > other.drain_s() * MUCH_LONGER_FACTOR + MUCH_LONGER_MARGIN_S
 }
 
 impl Core {
-    /// How long a partition's queue is.
-    pub(super) fn load_of(&self, partition: &Partition) -> Load {
+    /// Returns the work in a partition's queue and the processors of its machines.
+    pub(super) fn queue_load(&self, partition: &Partition) -> Load {
         let jobs = partition.jobs.values().filter(|j| !j.ready.is_empty() && !j.fails_everywhere());
         let work = jobs.map(|j| {
-            let each = self.run_times.expect(j.spec()) as f64 / 1e6 * j.spec().cpus;
-            f64::from(j.ready.len()) * each
+            let cpu_seconds_per_task = self.run_times.expect(j.spec()) as f64 / 1e6 * j.spec().cpus;
+            f64::from(j.ready.len()) * cpu_seconds_per_task
         });
-        let processors = partition.machines.values().filter(|m| m.usable()).filter_map(|m| {
+        let cpus = partition.machines.values().filter(|m| m.usable()).filter_map(|m| {
             self.types.as_ref().and_then(|t| t.get(&m.record.machine_type)).map(|t| t.cpus)
         });
-        Load { work: work.sum(), cpus: processors.sum() }
+        Load { work: work.sum(), cpus: cpus.sum() }
     }
 
-    /// The load of the partition held here whose queue lasts longest.
-    pub(super) fn longest_here(&self, but: Option<&str>) -> Option<(Load, String)> {
+    /// Returns the load and the name of the partition led by this node, other than `excluded`, whose
+    /// queue takes longest.
+    pub(super) fn longest_local_queue(&self, excluded: Option<&str>) -> Option<(Load, String)> {
         let partitions =
-            self.partitions.values().filter(|p| p.active() && Some(p.name.as_str()) != but);
-        let loads = partitions.map(|p| (self.load_of(p), p.name.clone()));
+            self.partitions.values().filter(|p| p.active() && Some(p.name.as_str()) != excluded);
+        let loads = partitions.map(|p| (self.queue_load(p), p.name.clone()));
         loads.max_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s()))
     }
 
-    /// The partition held here whose queue is gone first, if it has machines.
-    pub(super) fn lightest(&self) -> Option<String> {
+    /// Returns the partition led by this node whose queue takes the shortest time, of those with machines.
+    pub(super) fn shortest_local_queue(&self) -> Option<String> {
         let partitions = self.partitions.values().filter(|p| p.active() && p.recovery_complete);
         let loads =
-            partitions.map(|p| (self.load_of(p), p.name.clone())).filter(|l| l.0.cpus > 0.0);
+            partitions.map(|p| (self.queue_load(p), p.name.clone())).filter(|l| l.0.cpus > 0.0);
         loads.min_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s())).map(|(_, name)| name)
     }
 
-    /// The kinds of machines that a partition has, each with the room of an empty one: what does not fit
-    /// there is not moved to its queue.
-    pub(super) fn machine_types_of(&self, partition: &Partition) -> ThiefCapacity {
+    /// Returns the kinds of machines of a partition, each with the capacity of an empty one. Tasks that
+    /// fit none of them are not moved to its queue.
+    pub(super) fn empty_machine_capacity(&self, partition: &Partition) -> ThiefCapacity {
         let mut free: Vec<FreeCapacity> = Vec::new();
         for record in partition.machines.values().filter(|m| m.usable()).map(|m| &m.record) {
-            let known = |r: &FreeCapacity| {
+            let is_listed = |r: &FreeCapacity| {
                 r.machine_type == record.machine_type
                     && r.zone == record.zone
                     && r.spot == record.spot
@@ -65,7 +68,7 @@
             else {
                 continue;
             };
-            if !free.iter().any(known) {
+            if !free.iter().any(is_listed) {
                 free.push(FreeCapacity {
                     machine_type: record.machine_type.clone(),
                     zone: record.zone.clone(),
@@ -79,19 +82,20 @@
         ThiefCapacity { free }
     }
 
-    /// Room on open machines, as the thief tells it; for tasks of a rank, what lower work could give
-    /// way to counts as room.
+    /// Returns the free capacity of each machine that accepts tasks, as a thief sends it. The capacity of
+    /// tasks with lower priority than `priority` counts as free, since they could be preempted.
     pub(super) fn free_capacity_of(
         &self,
         partition: &Partition,
         priority: Priority,
     ) -> ThiefCapacity {
-        let quiet = silence_limit(&self.config);
-        let open = partition.machines.values().filter(|m| m.accepts_tasks(self.now, quiet));
-        let free = open.filter_map(|m| {
+        let max_silence = max_silence(&self.config);
+        let available =
+            partition.machines.values().filter(|m| m.accepts_tasks(self.now, max_silence));
+        let free = available.filter_map(|m| {
             let mut free = m.free;
-            let lower = |s: &&Attempt| s.wanted && !s.exited() && s.priority > priority;
-            m.attempts.values().filter(lower).for_each(|s| free.add(&s.need));
+            let preemptible = |s: &&Attempt| s.wanted && !s.exited() && s.priority > priority;
+            m.attempts.values().filter(preemptible).for_each(|s| free.add(&s.need));
             (free.cpus > 0.0).then(|| FreeCapacity {
                 machine_type: m.record.machine_type.clone(),
                 zone: m.record.zone.clone(),
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -1,13 +1,13 @@
-//! Steals, as tables.
+//! Table-driven tests of work stealing.
 
 use crate::testing::*;
 
 #[test]
-fn a_cut_of_unknown_outcome_is_settled_before_it_is_used() {
-    // (outcome of the move, of the write that settles it; ready tasks after each)
+fn tasks_of_a_move_of_unknown_outcome_are_ready_again_only_once_a_write_settles_it() {
+    // (result of the move, result of the write that settles it, ready tasks after each)
     let committed = Ok(StoreReply::Committed(20));
     let conflict = Ok(StoreReply::Conflict(vec!["live/req-1".into()]));
-    for (name, moved, accounted, after_move, after) in [
+    for (name, move_result, settling_result, ready_after_move, ready_after_settling) in [
         ("refused", Err(CallError::Refused), None, "0-3", "0-3"),
         ("conflict", conflict.clone(), None, "0-3", "0-3"),
         (
@@ -24,8 +24,8 @@
             "0-1",
             "0-1",
         ),
-        ("unknown, overtaken", Err(CallError::Unknown), Some(conflict), "0-1", "0-1"),
-        ("in force", committed, None, "0-1", "0-1"),
+        ("unknown, then a conflict", Err(CallError::Unknown), Some(conflict), "0-1", "0-1"),
+        ("committed", committed, None, "0-1", "0-1"),
     ] {
         let mut core = core();
         core.reconcile_job(record("0-3", ""), 10);
@@ -34,11 +34,11 @@
             job.ready.subtract(&cut);
             job.begin_move(&cut);
         }
-        let the_move = TaskMove { job: "req-1".into(), cut, record: record("0-1", "2-3") };
-        core.steal_written("one", 5, None, vec![the_move], moved);
+        let task_move = TaskMove { job: "req-1".into(), cut, record: record("0-1", "2-3") };
+        core.steal_written("one", 5, None, vec![task_move], move_result);
         let ready = |core: &Core| core.partitions["one"].jobs["req-1"].ready.to_string();
-        assert_eq!(ready(&core), after_move, "{name}");
-        if let Some(accounted) = accounted {
+        assert_eq!(ready(&core), ready_after_move, "{name}");
+        if let Some(settling_result) = settling_result {
             core.job_written(
                 JobWrite {
                     partition: "one".into(),
@@ -48,55 +48,57 @@
                     recorded: Ranges::default(),
                     pages: Vec::new(),
                 },
-                accounted,
+                settling_result,
             );
-            assert_eq!(ready(&core), after, "{name}");
+            assert_eq!(ready(&core), ready_after_settling, "{name}");
         }
     }
 }
 
 #[test]
-fn a_part_with_a_queue_takes_from_a_much_longer_one_only() {
-    // (tasks ready beside the four that run, the peer's movable tasks and its load; whether the
-    // partition goes and takes)
-    for (name, tasks, ready, work, cpus, takes) in [
-        ("both last 12 s", 20, 16, 96.0, 8.0, false),
+fn a_partition_with_a_queue_steals_only_from_a_much_longer_one() {
+    // (tasks submitted, of which four run; the peer's number of movable tasks, its queued work and
+    // processors; whether the partition asks it for tasks)
+    for (name, tasks, ready, work, cpus, steals) in [
+        ("both queues take 12 s", 20, 16, 96.0, 8.0, false),
         ("longer", 20, 16, 240.0, 8.0, false),
         ("much longer", 20, 16, 320.0, 8.0, true),
-        ("no machines over there", 20, 1, 6.0, 0.0, true),
-        ("much longer, but bound to stay", 20, 0, 320.0, 8.0, false),
+        ("the peer has no machines", 20, 1, 6.0, 0.0, true),
+        ("much longer, but nothing movable", 20, 0, 320.0, 8.0, false),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         ready_machine(&mut core);
         queue_tasks(&mut core, tasks, Priority::Standard, 2.0);
         let mut effects = core.step(NOW, Vec::new());
         effects.extend(core.step(NOW + SECOND, Vec::new()));
-        let asked = effects.iter().find_map(|e| match e {
+        let count_request = effects.iter().find_map(|e| match e {
             Effect::Peer { call_id, request: PeerRequest::Counts { .. }, .. } => Some(*call_id),
             _ => None,
         });
-        let Some(call_id) = asked else { panic!("{name}: nobody is asked") };
+        let Some(call_id) = count_request else {
+            panic!("{name}: no peer is count_request for counts")
+        };
         let load = Load { work, cpus };
         let result = Ok(PeerAnswer::Counts { ready, load });
         let effects = core.step(NOW + SECOND, vec![Command::PeerReply { call_id, result }]);
-        let found = effects.iter().any(|e| {
+        let steal_requested = effects.iter().any(|e| {
             matches!(e, Effect::Peer { request: PeerRequest::Steal { load: Some(_), .. }, .. })
         });
-        assert_eq!(found, takes, "{name}");
+        assert_eq!(steal_requested, steals, "{name}");
     }
 }
 
 #[test]
-fn what_evens_out_two_queues_moves_and_nothing_urgent() {
-    // (rank, processors a task, whether the victim has a machine of 8, the thief's work; tasks
-    // that move), of 20, of which 4 run where there is a machine
+fn a_steal_balances_two_queues_and_moves_no_urgent_task_of_a_victim_with_machines() {
+    // (priority, processors of a task, whether the victim has a machine of 8 processors, the thief's
+    // queued work; number of tasks that move, of 20, of which 4 run if there is a machine)
     for (name, priority, cpus, machine, work, moves) in [
         ("half of what is ready", Priority::Standard, 2.0, true, 0.0, 8),
         ("the thief has a queue", Priority::Standard, 2.0, true, 48.0, 4),
-        ("both last equally long", Priority::Standard, 2.0, true, 96.0, 0),
-        ("urgent ones start here", Priority::Urgent, 2.0, true, 0.0, 0),
-        ("unless nothing is here", Priority::Urgent, 2.0, false, 0.0, 10),
-        ("too large for the thief", Priority::Standard, 9.0, false, 0.0, 0),
+        ("both queues take equally long", Priority::Standard, 2.0, true, 96.0, 0),
+        ("urgent tasks stay", Priority::Urgent, 2.0, true, 0.0, 0),
+        ("urgent tasks of a victim without machines", Priority::Urgent, 2.0, false, 0.0, 10),
+        ("too large for the thief's machines", Priority::Standard, 9.0, false, 0.0, 0),
     ] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         if machine {
@@ -105,7 +107,7 @@
         queue_tasks(&mut core, 20, priority, cpus);
         core.step(NOW, Vec::new());
         core.step(NOW + 2 * SECOND, Vec::new());
-        let room = FreeCapacity {
+        let capacity = FreeCapacity {
             machine_type: "m".into(),
             zone: "a".into(),
             spot: true,
@@ -117,7 +119,7 @@
             partition: "two".into(),
             term: 6,
             priority: Priority::BestEffort,
-            thief: ThiefCapacity { free: vec![room] },
+            thief: ThiefCapacity { free: vec![capacity] },
             load: Some(Load { work, cpus: 8.0 }),
         };
         core.step(NOW + 2 * SECOND, vec![Command::PeerRequest { id: 1, request }]);
@@ -127,14 +129,14 @@
 }
 
 #[test]
-fn a_pressed_part_finds_the_other_parts_of_its_node() {
-    // (whether the partition is pressed; whether the other one takes its urgent tasks)
+fn a_saturated_partition_has_urgent_tasks_stolen_by_another_partition_of_its_node() {
+    // Whether the partition is saturated, and so whether the other one steals its urgent tasks.
     for saturated in [false, true] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "one", 6)]);
-        // Its machine is at hand: the work of a partition without any moves in any case.
+        // Partition one needs a machine: the work of a partition without machines moves in any case.
         ready_machine(&mut core);
         queue_tasks(&mut core, 4, Priority::Urgent, 2.0);
-        // Partition two has a machine, full of lower work, and a queue of that.
+        // Partition two has a machine that is full of work of lower priority, and more of it queued.
         let mut two = Partition::new("two", 6, core.types.clone(), NOW);
         (two.loaded, two.recovery_complete) = (true, true);
         two.add_machine("n-2", machine_record_of("n-2", "two"), true, NOW);
@@ -162,21 +164,21 @@
         core.stealing = crate::stealing::Stealing::new(&core.config);
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.saturated = saturated;
-            // Whatever the steps have moved is here again.
+            // Undoes the moves that the steps have made.
             if let Some(job) = partition.jobs.get_mut("req-1") {
                 job.move_undone(&Ranges::first(4));
             }
         }
         core.poll_stealing();
         let cut = core.partitions["one"].jobs["req-1"].moving_count();
-        assert_eq!(cut > 0, saturated, "pressed {saturated}");
+        assert_eq!(cut > 0, saturated, "saturated: {saturated}");
     }
 }
 
 #[test]
 fn a_failed_steal_doubles_the_wait_and_a_success_resets_it() {
     use quartzlever_wire::SECOND;
-    // (steals that fail one after the other, seconds until the next)
+    // (number of consecutive failures, seconds until the next attempt)
     for (failures, wait) in [(1, 1), (2, 2), (3, 4), (5, 16), (9, 16)] {
         let mut core = core();
         for _ in 0..failures {
@@ -185,6 +187,6 @@
         assert_eq!(core.next_steal_in(), wait * SECOND, "{failures} failures");
         core.steal_succeeded();
         core.steal_failed();
-        assert_eq!(core.next_steal_in(), SECOND, "after a success");
+        assert_eq!(core.next_steal_in(), SECOND, "ready_after_settling a success");
     }
 }
--- a/crates/quartzlever-core/src/stealing/thief.rs
+++ b/crates/quartzlever-core/src/stealing/thief.rs
@@ -1,9 +1,9 @@
-//! The thief's side: when a partition looks for work, whom it asks, and from whom it takes.
+//! The thief's side: when a partition looks for work, which peers it asks, and from which it steals.
 //!
 //! Algorithm 1 of the paper (dynamic neighbours) is `poll_stealing`, which asks random peers for their
-//! load; algorithm 2 is `steal_from_most`, which asks the most loaded of them for tasks, and the adaptive
-//! polling interval of `steal_failed` and `steal_succeeded`. One round of questions and one steal are
-//! under way at a time.
+//! load. Algorithm 2 is `steal_from_most`, which asks the most loaded of them for tasks, with the
+//! adaptive polling interval of `steal_failed` and `steal_succeeded`. At most one round of count
+//! requests and one steal request are in flight.
 
 use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, ThiefCapacity};
 use quartzlever_wire::store::ActiveJobRecord;
@@ -18,180 +18,188 @@
 use crate::partition::Partition;
 use crate::router::Core;
 
-/// How long a peer's word that it is pressed counts, and how often it is given.
+/// How long a peer's notice that it is saturated is valid, and the minimum time between two notices.
 pub(super) const SATURATION_LIFETIME: Micros = SECOND;
-/// Time between two looks for a partition that could go stealing.
-const CHECK_INTERVAL: Micros = SECOND / 10;
+/// Interval between two checks for a partition that could steal.
+const THIEF_CHECK_INTERVAL: Micros = SECOND / 10;
 
 /// A partition that looks for work.
 #[derive(Debug)]
 struct Thief {
     partition: String,
-    /// The lowest rank that it takes.
+    /// The lowest priority of the tasks that it steals.
     priority: Priority,
-    /// It has no ready task of that rank. One that is not idle may have a queue much shorter than
-    /// another's.
+    /// Whether it has no ready task of that priority or above. A partition that is not idle steals only
+    /// from a queue that is much longer than its own.
     idle: bool,
 }
 
-/// One round of asking for counts.
+/// A round of count requests.
 #[derive(Debug)]
-struct Round {
+struct CountRound {
     number: u64,
     thief: Thief,
-    /// Peers that have not answered.
-    open: usize,
-    /// The peer with the most ready tasks.
-    most: Option<(u32, String)>,
-    /// The peer whose queue lasts longest.
+    /// Number of peers that have not answered.
+    unanswered: usize,
+    /// The largest number of ready tasks, and the peer that has it.
+    most_ready: Option<(u32, String)>,
+    /// The load whose queue takes longest, and the peer that has it.
     longest: Option<(Load, String)>,
 }
 
-/// The thief's side of this process.
+/// The state of work stealing of this process as a thief, and of its saturation notices.
 #[derive(Debug)]
 pub(crate) struct Stealing {
+    /// Wait before the next attempt to steal; doubled after each failure.
     interval: Micros,
-    next: Micros,
+    /// Time of the next attempt to steal.
+    next_at: Micros,
+    /// Number of rounds begun.
     rounds: u64,
-    round: Option<Round>,
-    /// A steal is under way.
-    waiting: bool,
-    /// When a peer last said that it is pressed, and when this node may next say so.
+    round: Option<CountRound>,
+    /// Whether a steal request is in flight.
+    steal_in_flight: bool,
+    /// Time of the last notice of a peer that it is saturated.
     peer_saturated_at: Option<Micros>,
+    /// Earliest time of this node's next notice that it is saturated.
     pub(super) next_saturation_notice_at: Micros,
 }
 
 impl Stealing {
-    /// A thief that has not asked anybody yet.
+    /// Creates the state of a process that has not asked any peer.
     pub fn new(config: &Config) -> Self {
         Stealing {
             interval: config.operator.steal_start,
-            next: 0,
+            next_at: 0,
             rounds: 0,
             round: None,
-            waiting: false,
+            steal_in_flight: false,
             peer_saturated_at: None,
             next_saturation_notice_at: 0,
         }
     }
 
-    /// Whether the wait is over and nothing is under way.
+    /// Reports whether the wait is over and no request is in flight.
     fn is_due(&self, now: Micros) -> bool {
-        now >= self.next && !self.waiting && self.round.is_none()
+        now >= self.next_at && !self.steal_in_flight && self.round.is_none()
     }
 
-    /// Puts the next look off by the present wait.
-    fn wait(&mut self, now: Micros) {
-        self.next = now + self.interval;
+    /// Schedules the next attempt to steal after the current interval.
+    fn schedule_next(&mut self, now: Micros) {
+        self.next_at = now + self.interval;
     }
 
     fn failed(&mut self, config: &Config, now: Micros) {
-        self.waiting = false;
-        self.wait(now);
+        self.steal_in_flight = false;
+        self.schedule_next(now);
         self.interval = (self.interval * 2).min(config.operator.steal_cap);
     }
 
     fn succeeded(&mut self, config: &Config, now: Micros) {
-        self.waiting = false;
+        self.steal_in_flight = false;
         self.interval = config.operator.steal_start;
-        self.next = now;
+        self.next_at = now;
     }
 
-    /// A peer is pressed: the wait after failures is over early, as there is something to be had.
+    /// Records a peer's notice that it is saturated, and ends the wait after failures, since there are
+    /// tasks to steal.
     pub fn peer_saturated(&mut self, config: &Config, now: Micros) {
         self.peer_saturated_at = Some(now);
         self.interval = config.operator.steal_start;
-        self.next = now;
+        self.next_at = now;
     }
 
     fn is_peer_saturated(&self, now: Micros) -> bool {
         self.peer_saturated_at.is_some_and(|at| now.saturating_sub(at) < SATURATION_LIFETIME)
     }
 
-    /// Begins a round of so many questions; its number.
-    fn begin_round(&mut self, thief: Thief, open: usize) -> u64 {
+    /// Begins a round of `unanswered` count requests. Returns its number.
+    fn begin_round(&mut self, thief: Thief, unanswered: usize) -> u64 {
         self.rounds += 1;
         let number = self.rounds;
-        self.round = Some(Round { number, thief, open, most: None, longest: None });
+        self.round =
+            Some(CountRound { number, thief, unanswered, most_ready: None, longest: None });
         number
     }
 
-    /// Takes in an answer to a round, and whether it was the last.
-    fn counted(&mut self, number: u64, node: String, counts: Option<(u32, Load)>) -> bool {
+    /// Records a reply to a round's request, or its failure. Returns whether it was the last one.
+    fn record_counts(&mut self, number: u64, node: String, counts: Option<(u32, Load)>) -> bool {
         let Some(round) = self.round.as_mut().filter(|r| r.number == number) else { return false };
-        round.open -= 1;
+        round.unanswered -= 1;
         if let Some((ready, load)) = counts {
-            let longer = |l: &(Load, String)| load.drain_s() > l.0.drain_s();
-            if ready > 0 && round.longest.as_ref().is_none_or(longer) {
+            let is_longer = |l: &(Load, String)| load.drain_s() > l.0.drain_s();
+            if ready > 0 && round.longest.as_ref().is_none_or(is_longer) {
                 round.longest = Some((load, node.clone()));
             }
-            if round.most.as_ref().is_none_or(|m| ready > m.0) {
-                round.most = Some((ready, node));
+            if round.most_ready.as_ref().is_none_or(|m| ready > m.0) {
+                round.most_ready = Some((ready, node));
             }
         }
-        round.open == 0
+        round.unanswered == 0
     }
 }
 
 impl Core {
-    /// An idle partition goes looking for work when its wait is over.
+    /// Looks for work for a partition if the wait is over: first in the other partitions of this node,
+    /// then at its peers.
     pub(crate) fn poll_stealing(&mut self) {
         if !self.stealing.is_due(self.now) || !self.may_act() {
             return;
         }
         let Some(thief) = self.thief() else {
-            // Looked for again a little later, not at every step.
-            self.stealing.next = self.now + CHECK_INTERVAL;
+            // Limits the search for a thief to one per interval rather than one per step.
+            self.stealing.next_at = self.now + THIEF_CHECK_INTERVAL;
             return;
         };
-        let served_here =
-            if thief.idle { self.steal_here(&thief) } else { self.even_out_here(&thief) };
-        if !served_here {
-            self.ask_for_counts(thief);
+        let found_locally =
+            if thief.idle { self.steal_locally(&thief) } else { self.balance_locally(&thief) };
+        if !found_locally {
+            self.request_counts(thief);
         }
     }
 
-    /// The partition that goes stealing: one that is idle, else the one whose queue is gone first.
+    /// Returns the partition that should steal: an idle one, or else the one with the shortest queue.
     fn thief(&self) -> Option<Thief> {
         if let Some((partition, priority)) = self.idle_partition() {
             return Some(Thief { partition, priority, idle: true });
         }
-        let partition = self.lightest()?;
+        let partition = self.shortest_local_queue()?;
         Some(Thief { partition, priority: Priority::BestEffort, idle: false })
     }
 
-    /// The idle partition, and the lowest rank it would take: one without any ready
-    /// task and with free room; or, while a peer is pressed, one that could let lower work give
-    /// way and has no ready task of that rank itself.
+    /// Returns an idle partition and the lowest priority of the tasks that it steals: a partition with
+    /// free capacity and no ready task; or, while a partition is saturated, one that could preempt
+    /// work of lower priority and has no ready task of the priority stolen or above.
     fn idle_partition(&self) -> Option<(String, Priority)> {
         let all = Priority::BestEffort;
-        let fits = |p: &Partition, priority| {
+        let can_steal = |p: &Partition, priority| {
             p.active()
                 && p.ready_count(priority) == 0
                 && !self.free_capacity_of(p, priority).free.is_empty()
         };
-        let named = |p: &Partition, priority| Some((p.name.clone(), priority));
-        if let Some(partition) = self.partitions.values().find(|p| fits(p, all)) {
-            return named(partition, all);
+        let with_priority = |p: &Partition, priority| Some((p.name.clone(), priority));
+        if let Some(partition) = self.partitions.values().find(|p| can_steal(p, all)) {
+            return with_priority(partition, all);
         }
-        // A partition held by this very node may be the pressed one: nobody tells, and the urgent tasks
-        // of one partition waited 25 s while another's machines ran lower work.
+        // The saturated partition may be one of this node, which sends no notice to itself. Without
+        // this check, urgent tasks of one partition waited 25 s while the machines of another ran
+        // work of lower priority.
         let saturated = self.stealing.is_peer_saturated(self.now)
             || self.partitions.values().any(|p| p.saturated);
         if !saturated {
             return None;
         }
         for priority in [Priority::Standard, Priority::Urgent, Priority::Prod] {
-            if let Some(partition) = self.partitions.values().find(|p| fits(p, priority)) {
-                return named(partition, priority);
+            if let Some(partition) = self.partitions.values().find(|p| can_steal(p, priority)) {
+                return with_priority(partition, priority);
             }
         }
         None
     }
 
-    /// Partitions held by one node lend to each other by the same move, without a message; whether there
-    /// was any task to move.
-    fn steal_here(&mut self, thief: &Thief) -> bool {
+    /// Steals from another partition of this node by the same move, without a message to a peer.
+    /// Returns whether any task could be moved.
+    fn steal_locally(&mut self, thief: &Thief) -> bool {
         let priority = thief.priority;
         let victim = self
             .partitions
@@ -201,45 +209,54 @@
             .max()
             .filter(|(ready, _)| *ready > 0);
         let Some((_, victim)) = victim else { return false };
-        self.stealing.wait(self.now);
+        self.stealing.schedule_next(self.now);
         if let Some(partition) = self.partitions.get(&thief.partition) {
-            let (term, room) = (partition.term, self.free_capacity_of(partition, priority));
+            let (term, capacity) = (partition.term, self.free_capacity_of(partition, priority));
             let thief = thief.partition.clone();
             let request = None;
             let load = None;
-            self.steal_tasks(StealRequest { request, victim, thief, term, priority, room, load });
+            self.steal_tasks(StealRequest {
+                request,
+                victim,
+                thief,
+                term,
+                priority,
+                capacity,
+                load,
+            });
         }
         true
     }
 
-    /// Moves work of a partition without machines to another one held by this very node; whether there
-    /// was any to move. Queues are not evened out further here: the standard tasks of a partition with
-    /// many urgent ones went to others, so that nothing was left there to give way to those.
-    fn even_out_here(&mut self, thief: &Thief) -> bool {
+    /// Moves work of a partition without machines to another partition of this node. Returns whether
+    /// any could be moved. The queues of one node are not balanced beyond that: the standard tasks of
+    /// a partition with many urgent ones moved to other partitions, and none were left there to be
+    /// preempted for the urgent ones.
+    fn balance_locally(&mut self, thief: &Thief) -> bool {
         let Some(partition) = self.partitions.get(&thief.partition) else { return false };
-        let (own, term) = (self.load_of(partition), partition.term);
-        let Some((longest, victim)) = self.longest_here(Some(&thief.partition)) else {
+        let (own_load, term) = (self.queue_load(partition), partition.term);
+        let Some((longest, victim)) = self.longest_local_queue(Some(&thief.partition)) else {
             return false;
         };
-        if longest.cpus > 0.0 || !is_much_longer(&longest, &own) {
+        if longest.cpus > 0.0 || !is_much_longer(&longest, &own_load) {
             return false;
         }
-        let room = self.machine_types_of(partition);
-        self.stealing.wait(self.now);
+        let capacity = self.empty_machine_capacity(partition);
+        self.stealing.schedule_next(self.now);
         self.steal_tasks(StealRequest {
             request: None,
             victim,
             thief: thief.partition.clone(),
             term,
             priority: thief.priority,
-            room,
-            load: Some(own),
+            capacity,
+            load: Some(own_load),
         });
         true
     }
 
-    /// Asks random peers how many tasks they have ready.
-    fn ask_for_counts(&mut self, thief: Thief) {
+    /// Asks random peers for their numbers of ready tasks and their loads.
+    fn request_counts(&mut self, thief: Thief) {
         let peers: Vec<&String> =
             self.config.nodes.iter().filter(|n| **n != self.config.node).collect();
         let asked: Vec<String> = peers
@@ -247,7 +264,7 @@
             .map(|n| (*n).clone())
             .collect();
         if asked.is_empty() {
-            self.stealing.next = self.now + self.config.operator.steal_cap;
+            self.stealing.next_at = self.now + self.config.operator.steal_cap;
             return;
         }
         let priority = thief.priority;
@@ -258,7 +275,7 @@
         }
     }
 
-    /// A peer has answered how many tasks it has ready, or not.
+    /// Handles a peer's reply to a count request, or its failure.
     pub(crate) fn counts_replied(
         &mut self,
         round: u64,
@@ -269,46 +286,47 @@
             Ok(PeerAnswer::Counts { ready, load }) => Some((ready, load)),
             _ => None,
         };
-        if self.stealing.counted(round, node, counts) {
+        if self.stealing.record_counts(round, node, counts) {
             self.steal_from_most();
         }
     }
 
-    /// All peers of a round have answered: the most loaded is asked for tasks.
+    /// Ends a round once all its requests have an outcome, and asks the most loaded peer for tasks.
     fn steal_from_most(&mut self) {
         let Some(round) = self.stealing.round.take() else { return };
         if !round.thief.idle {
-            return self.even_out_with(round);
+            return self.balance_with_peer(round);
         }
         let Thief { partition: name, priority, .. } = round.thief;
-        let target = round.most.filter(|(ready, _)| *ready > 0);
+        let target = round.most_ready.filter(|(ready, _)| *ready > 0);
         let (Some((_, node)), Some(partition)) = (target, self.partitions.get(&name)) else {
             return self.steal_failed();
         };
         let thief = self.free_capacity_of(partition, priority);
         if partition.ready_count(priority) > 0 || thief.free.is_empty() {
-            // Work of our own has come in the meantime.
-            return self.stealing.wait(self.now);
+            // The partition is no longer idle.
+            return self.stealing.schedule_next(self.now);
         }
         let term = partition.term;
-        self.ask_for_tasks(&node, name, term, priority, thief, None);
+        self.request_tasks(&node, name, term, priority, thief, None);
     }
 
-    /// Takes from the peer whose queue lasts longest, if that is much longer than the partition's own.
-    fn even_out_with(&mut self, round: Round) {
+    /// Asks the peer whose queue takes longest for tasks, if it takes much longer than the partition's own.
+    fn balance_with_peer(&mut self, round: CountRound) {
         let Thief { partition: name, priority, .. } = round.thief;
         let Some(partition) = self.partitions.get(&name) else {
             return self.steal_failed();
         };
-        let (own, term) = (self.load_of(partition), partition.term);
-        let Some((_, node)) = round.longest.filter(|(load, _)| is_much_longer(load, &own)) else {
+        let (own_load, term) = (self.queue_load(partition), partition.term);
+        let Some((_, node)) = round.longest.filter(|(load, _)| is_much_longer(load, &own_load))
+        else {
             return self.steal_failed();
         };
-        let thief = self.machine_types_of(partition);
-        self.ask_for_tasks(&node, name, term, priority, thief, Some(own));
+        let thief = self.empty_machine_capacity(partition);
+        self.request_tasks(&node, name, term, priority, thief, Some(own_load));
     }
 
-    fn ask_for_tasks(
+    fn request_tasks(
         &mut self,
         node: &str,
         partition: String,
@@ -319,13 +337,14 @@
     ) {
         let pending = PendingPeerCall::Steal { partition: partition.clone() };
         let request = PeerRequest::Steal { partition, term, priority, thief, load };
-        self.stealing.waiting = true;
+        self.stealing.steal_in_flight = true;
         self.outbox.ask_peer(node, request, pending);
     }
 
-    /// A victim has answered with tasks that are this partition's now, or not.
+    /// Handles a victim's reply, with the records of the jobs whose tasks this partition owns now, or
+    /// the failure of the request.
     pub(crate) fn steal_replied(&mut self, partition: &str, result: Result<PeerAnswer, CallError>) {
-        // A lost answer does no harm: the move, if made, comes by the watch.
+        // A lost reply does no harm: the watch delivers a committed move.
         let Ok(PeerAnswer::Stolen { jobs }) = result else { return self.steal_failed() };
         for (_, mod_revision, record) in jobs {
             if let Ok(record) = serde_json::from_str::<ActiveJobRecord>(&record) {
@@ -338,19 +357,20 @@
         self.steal_succeeded();
     }
 
-    /// Waits until the next round, and twice as long until the one after.
+    /// Schedules the next attempt after the current interval, and doubles the interval up to its
+    /// maximum.
     pub(crate) fn steal_failed(&mut self) {
         self.stealing.failed(&self.config, self.now);
     }
 
-    /// Looks for more at once, and waits for the shortest time after the next failure.
+    /// Schedules the next attempt at once, and resets the interval to its minimum.
     pub(crate) fn steal_succeeded(&mut self) {
         self.stealing.succeeded(&self.config, self.now);
     }
 
-    /// How long until the next steal.
+    /// Returns the time until the next attempt to steal.
     #[cfg(test)]
     pub(crate) fn next_steal_in(&self) -> Micros {
-        self.stealing.next - self.now
+        self.stealing.next_at - self.now
     }
 }
--- a/crates/quartzlever-core/src/stealing/victim.rs
+++ b/crates/quartzlever-core/src/stealing/victim.rs
@@ -1,7 +1,7 @@
-//! The victim's side: what a node tells of its queues, and which of them a thief takes from.
+//! The victim's side: the counts that a node reports, and the queue that a thief steals from.
 //!
 //! The paper's schedulers answer a request for their load, and a thief's request with half of their
-//! ready tasks (2.3.1, algorithms 1 and 2; 2.3.3 (b)). Here only movable tasks count and go.
+//! ready tasks (2.3.1, algorithms 1 and 2; 2.3.3 (b)). Here only movable tasks are counted and moved.
 
 use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, ThiefCapacity};
 use quartzlever_wire::users::Priority;
@@ -16,33 +16,35 @@
 use crate::stealing::thief::SATURATION_LIFETIME;
 
 impl Core {
-    /// How many tasks of this rank or below a thief could take here, and how long the longest queue is.
+    /// Returns the answer to a count request: the number of tasks that a thief could steal here with
+    /// this priority or above, and the load of the longest queue.
     pub(crate) fn answer_counts(&self, priority: Priority) -> PeerAnswer {
         let active = self.partitions.values().filter(|p| p.active());
         let ready = active.map(|p| p.movable_count(&self.config, priority)).sum();
-        let load = self.longest_here(None).map_or(Load::default(), |(load, _)| load);
+        let load = self.longest_local_queue(None).map_or(Load::default(), |(load, _)| load);
         PeerAnswer::Counts { ready, load }
     }
 
-    /// A thief asks for tasks: they are cut off the longest queue if it has a queue of its own, else off
-    /// the one with the most movable tasks.
+    /// Handles a thief's request for tasks. They are cut off the longest queue if the thief has a queue
+    /// of its own, and otherwise off the queue with the most movable tasks.
     pub(crate) fn steal_requested(
         &mut self,
         id: RequestId,
         thief: String,
         term: u64,
         priority: Priority,
-        room: ThiefCapacity,
+        capacity: ThiefCapacity,
         load: Option<Load>,
     ) {
-        let most = self
+        let most_movable = self
             .partitions
             .values()
             .filter(|p| p.active() && p.name != thief)
             .max_by_key(|p| p.movable_count(&self.config, priority))
             .map(|p| p.name.clone());
-        let longest = load.and_then(|_| self.longest_here(Some(&thief))).map(|(_, victim)| victim);
-        match longest.or(most) {
+        let longest =
+            load.and_then(|_| self.longest_local_queue(Some(&thief))).map(|(_, victim)| victim);
+        match longest.or(most_movable) {
             Some(victim) if self.may_act() => {
                 let request = Some(id);
                 self.steal_tasks(StealRequest {
@@ -51,22 +53,22 @@
                     thief,
                     term,
                     priority,
-                    room,
+                    capacity,
                     load,
                 });
             }
-            _ => self.answer_nothing(Some(id)),
+            _ => self.answer_no_tasks(Some(id)),
         }
     }
 
-    /// Tells a peer that asked, if any did, that it gets nothing.
-    pub(super) fn answer_nothing(&mut self, request: Option<RequestId>) {
+    /// Answers a peer's request, if there is one, with no tasks.
+    pub(super) fn answer_no_tasks(&mut self, request: Option<RequestId>) {
         if let Some(id) = request {
             self.outbox.answer_peer(id, PeerAnswer::Nothing);
         }
     }
 
-    /// Tells the peers that tasks should start now and cannot.
+    /// Notifies the peers if tasks of a partition should start now and no capacity can be freed for them.
     pub(crate) fn notify_saturated(&mut self) {
         let saturated = self.partitions.values().any(|p| p.saturated);
         if !saturated || self.now < self.stealing.next_saturation_notice_at {
@@ -79,14 +81,16 @@
     }
 }
 
-/// Whether tasks of the job may go to another partition.
+/// Reports whether ready tasks of the job may move to another partition, to a thief that steals tasks of
+/// this priority or above.
 pub(super) fn is_movable(config: &Config, job: &PartitionJob, priority: Priority) -> bool {
     let spec = job.spec();
-    // A limited team stays in its partition, zones are counted within one partition, and services stay put.
+    // The limits of a team apply within one partition, zones are counted within one partition, and
+    // services do not move.
     job.is_record_settled()
         && spec.priority <= priority
         && !job.ready.is_empty()
-        // Elsewhere it would fail on as many machines again.
+        // In another partition the job would fail on as many machines again.
         && !job.fails_everywhere()
         && !config.is_team_limited(&spec.team)
         && !spec.one_zone
@@ -95,7 +99,7 @@
 }
 
 impl Partition {
-    /// Ready tasks that a thief could take.
+    /// Returns the number of ready tasks that a thief could steal with this priority or above.
     pub fn movable_count(&self, config: &Config, priority: Priority) -> u32 {
         let movable = self.jobs.values().filter(|j| is_movable(config, j, priority));
         movable.map(|j| j.ready.len()).sum()
