--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -20,7 +20,8 @@
 /// Minimum time between two placements of a partition's whole queue. With hundreds of machines, one
 /// placement takes longer than the handling of a heartbeat may.
 const PLACEMENT_INTERVAL: Micros = SECOND / 10;
-/// Interval at which a job that fails everywhere is checked for an attempt that outlasts its failures.
+/// Interval at which a job that fails everywhere is checked for an attempt that outlasts its
+/// failures.
 const TRIAL_CHECK_INTERVAL: Micros = SECOND;
 
 /// The placement of one job's tasks.
@@ -116,8 +117,8 @@
         self.placement_due_at = Some(self.placement_due_at.map_or(at, |t| t.min(at)));
     }
 
-    /// Starts ready tasks of a job on machines with free capacity, or only on `only_machine` if given.
-    /// Returns whether tasks remain for lack of capacity.
+    /// Starts ready tasks of a job on machines with free capacity, or only on `only_machine` if
+    /// given. Returns whether tasks remain for lack of capacity.
     fn place_tasks(
         &mut self,
         config: &Config,
@@ -135,8 +136,8 @@
         let allowance = self.team_allowance(config, spec, &need);
         let on_trial = job.fails_everywhere() && !service;
         let mut left = allowance.min(job.placeable());
-        // Replicas are spread, one per machine in each round; other tasks fill one machine after the
-        // other.
+        // Replicas are spread, one per machine in each round; other tasks fill one machine after
+        // the other.
         let (rounds, per_round) = if service { (left, 1) } else { (1, u32::MAX) };
         let placement = JobPlacement { config, id, need, zone_constrained, now };
         for machine in (0..rounds).flat_map(|_| &machines) {
@@ -150,8 +151,8 @@
         allowance > 0 && left > 0 && !on_trial
     }
 
-    /// Reports whether tasks of a job may start now, and schedules a placement for the time when more
-    /// tasks or machines become eligible.
+    /// Reports whether tasks of a job may start now, and schedules a placement for the time when
+    /// more tasks or machines become eligible.
     fn may_start_tasks(&mut self, config: &Config, id: &str, now: Micros) -> bool {
         let Some(job) = self.jobs.get(id).filter(|j| !j.ready.is_empty()) else { return false };
         if job.no_start_before > now {
@@ -199,8 +200,8 @@
         scored.into_iter().map(|(_, machine_name)| machine_name.to_owned()).collect()
     }
 
-    /// Starts at most `max_tasks` tasks of a job on a machine, within its free capacity. Returns the
-    /// number of tasks started.
+    /// Starts at most `max_tasks` tasks of a job on a machine, within its free capacity. Returns
+    /// the number of tasks started.
     fn start_tasks_on(&mut self, placement: &JobPlacement, machine: &str, max_tasks: u32) -> u32 {
         let JobPlacement { config, id, need, zone_constrained, now } = placement;
         let most = self.machines.get(machine).map_or(0, |m| m.free.count(need)).min(max_tasks);
@@ -217,9 +218,9 @@
         started
     }
 
-    /// Returns how many more tasks of a job may start within its team's limit. All attempts that may
-    /// be on a machine count as used. Returns 0 while the use is uncertain, and in every partition
-    /// but the one that the team is assigned to.
+    /// Returns how many more tasks of a job may start within its team's limit. All attempts that
+    /// may be on a machine count as used. Returns 0 while the use is uncertain, and in every
+    /// partition but the one that the team is assigned to.
     pub fn team_allowance(&self, config: &Config, spec: &JobSpec, need: &Resources) -> u32 {
         let Some(team) = config.team(&spec.team).filter(|t| t.has_limits()) else {
             return u32::MAX;
@@ -261,8 +262,8 @@
         self.call_queue.add_urgent(machine_name);
     }
 
-    /// Marks an attempt as unwanted, gives it `leeway_s` seconds to save its work, and queues a call
-    /// to its machine.
+    /// Marks an attempt as unwanted, gives it `leeway_s` seconds to save its work, and queues a
+    /// call to its machine.
     pub fn stop(&mut self, machine_name: &str, key: &AttemptKey, leeway_s: f64) {
         if let Some(machine) = self.machines.get_mut(machine_name) {
             machine.stop(key, leeway_s);
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -15,8 +15,8 @@
 use crate::machines::resources::Resources;
 use crate::partition::Partition;
 
-/// Reports whether a job's constraints allow machines of this type and zone, spot or not. Capacity is
-/// not checked.
+/// Reports whether a job's constraints allow machines of this type and zone, spot or not. Capacity
+/// is not checked.
 pub fn offer_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type))
         && spec.zone.as_ref().is_none_or(|z| z == zone)
@@ -72,6 +72,10 @@
             && machine.free.fits(&self.need)
             && (self.retries_failed_machines || !self.job.failures.includes(&machine.name))
             && !machine.failures.in_doubt(self.now)
-            && !self.reservations.is_reserved_above(&machine.name, self.spec.priority, self.now)
+            && !self.reservations.is_reserved_for_higher_priority(
+                &machine.name,
+                self.spec.priority,
+                self.now,
+            )
     }
 }
--- a/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
+++ b/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
@@ -26,8 +26,8 @@
     positions: HashMap<String, (usize, u32)>,
 }
 
-/// Converts processors to thousandths, rounded to the nearest. Lookups therefore start one thousandth
-/// lower.
+/// Converts processors to thousandths, rounded to the nearest. Lookups therefore start one
+/// thousandth lower.
 fn to_thousandths(cpus: f64) -> u32 {
     (cpus.max(0.0) * 1000.0).round().min(f64::from(u32::MAX)) as u32
 }
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns the machines that the job's constraints allow and that have the processors of one task
-    /// free. The caller checks GPUs and memory.
+    /// Returns the machines that the job's constraints allow and that have the processors of one
+    /// task free. The caller checks GPUs and memory.
     pub fn machines_with_free_cpus<'a>(
         &'a self,
         spec: &'a JobSpec,
--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -1,9 +1,9 @@
 //! Preemption of work of lower priority, or of teams beyond their guarantee, for jobs without free
 //! capacity.
 //!
-//! Work of lower priority is not preempted while its job is protected (`queue_order`), and no more is
-//! preempted than the waiting tasks require. On each machine the attempts that lose the least work
-//! are stopped, and the machine with the lowest cost is chosen first.
+//! Work of lower priority is not preempted while its job is protected (`queue_order`), and no more
+//! is preempted than the waiting tasks require. On each machine the attempts that lose the least
+//! work are stopped, and the machine with the lowest cost is chosen first.
 
 use std::collections::BTreeSet;
 
@@ -30,11 +30,11 @@
 const PREEMPTION_LEAD_TIME: Micros = 5 * SECOND / 2;
 /// Run time that is added to the cost of a task that was preempted before.
 const REPEATED_PREEMPTION_COST: Micros = 4 * SECOND;
-/// Time after the submission in which no work is preempted for a job, since capacity may become free
-/// or another partition may steal the tasks.
+/// Time after the submission in which no work is preempted for a job, since capacity may become
+/// free or another partition may steal the tasks.
 const MIN_WAIT_BEFORE_PREEMPTION: Micros = SECOND / 5;
-/// Minimum time between two searches of all machines for work to preempt. With hundreds of machines,
-/// one search takes longer than the handling of a heartbeat may.
+/// Minimum time between two searches of all machines for work to preempt. With hundreds of
+/// machines, one search takes longer than the handling of a heartbeat may.
 const PREEMPTION_INTERVAL: Micros = SECOND / 5;
 /// Minimum number of processors that a task counts with in the cost of lost work.
 const MIN_CPUS_IN_COST: f64 = 0.1;
@@ -100,8 +100,8 @@
         all
     }
 
-    /// Returns for how many of `tasks` tasks work has to be preempted, and allots the processors that
-    /// are being freed to the others.
+    /// Returns for how many of `tasks` tasks work has to be preempted, and allots the processors
+    /// that are being freed to the others.
     fn subtract_freeing_cpus(&mut self, tasks: u32, need: &Resources) -> u32 {
         let all = f64::from(tasks) * need.cpus;
         let covered = f64::min(self.freeing_cpus, all);
@@ -146,8 +146,8 @@
             && ((has_lower_priority && !is_protected) || exceeds_guarantee)
     }
 
-    /// Returns the cost of pulling the job's image if the machine lacks it, in processor-microseconds,
-    /// since the pull delays the start as well.
+    /// Returns the cost of pulling the job's image if the machine lacks it, in
+    /// processor-microseconds, since the pull delays the start as well.
     fn image_pull_cost(&self, machine: &Machine, machine_type: &MachineType) -> f64 {
         if machine.images.contains(&self.spec.image) {
             return 0.0;
@@ -252,8 +252,8 @@
         true
     }
 
-    /// Reports whether best-effort tasks with checkpoints may be preempted now for a job that is not
-    /// urgent yet, and schedules a placement for the time when more may be preempted.
+    /// Reports whether best-effort tasks with checkpoints may be preempted now for a job that is
+    /// not urgent yet, and schedules a placement for the time when more may be preempted.
     fn may_preempt_checkpointed(
         &mut self,
         times: &PreemptionTimes,
@@ -285,8 +285,8 @@
         result
     }
 
-    /// Stops the attempts of an eviction, and reserves their capacity if some of them save before they
-    /// end. Returns the machine.
+    /// Stops the attempts of an eviction, and reserves their capacity if some of them save before
+    /// they end. Returns the machine.
     fn evict(&mut self, request: &PreemptionRequest, eviction: Eviction) -> String {
         let Eviction { machine, attempts, .. } = eviction;
         if self.any_saves_before_end(&machine, &attempts) {
@@ -302,7 +302,8 @@
         machine
     }
 
-    /// Reports whether any of these attempts saves before it ends, so that they end at different times.
+    /// Reports whether any of these attempts saves before it ends, so that they end at different
+    /// times.
     fn any_saves_before_end(&self, machine_name: &str, attempts: &[AttemptKey]) -> bool {
         let on_machine = self.machines.get(machine_name).map(|machine| &machine.attempts);
         let on_machine =
@@ -322,8 +323,8 @@
         all
     }
 
-    /// Returns the attempts to stop on a machine so that a task of the job fits there, those with the
-    /// least lost work first; `None` if it cannot be made to fit.
+    /// Returns the attempts to stop on a machine so that a task of the job fits there, those with
+    /// the least lost work first; `None` if it cannot be made to fit.
     fn cheapest_eviction(
         &self,
         request: &PreemptionRequest,
@@ -358,7 +359,8 @@
         })
     }
 
-    /// Returns the attempts on a machine that may be preempted for the job, in ascending order of cost.
+    /// Returns the attempts on a machine that may be preempted for the job, in ascending order of
+    /// cost.
     fn candidates<'a>(
         &'a self,
         request: &PreemptionRequest,
--- a/crates/quartzlever-core/src/scheduling/preemption/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption/tests.rs
@@ -38,8 +38,9 @@
     }
 }
 
-/// When best-effort tasks with checkpoints were preempted only just before the latest start, and had
-/// filled all machines, most deadlines were missed. They are preempted as soon as other work waits.
+/// When best-effort tasks with checkpoints were preempted only just before the latest start, and
+/// had filled all machines, most deadlines were missed. They are preempted as soon as other work
+/// waits.
 #[test]
 fn best_effort_work_with_checkpoints_is_preempted_long_before_the_latest_start() {
     use quartzlever_wire::SECOND;
--- a/crates/quartzlever-core/src/scheduling/queue_order.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order.rs
@@ -16,24 +16,26 @@
 /// Time after the submission from which on a job that has not begun is placed before all others.
 /// Users expect a job to begin within four minutes.
 const STARVED_AFTER: Micros = 150 * SECOND;
-/// A job that begins later than `STARVED_AFTER` is not preempted while it has at most this many tasks
-/// on machines and none finished.
+/// A job that begins later than `STARVED_AFTER` is not preempted while it has at most this many
+/// tasks on machines and none finished.
 const MAX_PROTECTED_FIRST_TASKS: usize = 4;
-/// Age from which on a job is not preempted for higher priorities, and is queued with urgent priority.
+/// Age from which on a job is not preempted for higher priorities, and is queued with urgent
+/// priority.
 const AGED_AFTER: Micros = 240 * SECOND;
-/// The same age for best-effort jobs with checkpoints, which progress in the capacity that other work
-/// leaves free. With `AGED_AFTER`, such jobs of four minutes filled the machines permanently, and jobs
-/// with deadlines waited until they were four minutes old themselves.
+/// The same age for best-effort jobs with checkpoints, which progress in the capacity that other
+/// work leaves free. With `AGED_AFTER`, such jobs of four minutes filled the machines permanently,
+/// and jobs with deadlines waited until they were four minutes old themselves.
 const CHECKPOINTED_BEST_EFFORT_AGED_AFTER: Micros = 600 * SECOND;
 /// Time within which a job with neither a deadline nor an objective should start.
 const DEFAULT_START_WITHIN: Micros = 60 * SECOND;
 
-/// How urgent the start of a job's ready tasks is; less is more urgent.
+/// The urgency of the start of a job's ready tasks, ordered with the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Whether every deadline and objective of the job is missed already; such jobs come last.
+    /// Whether the job can meet none of its deadline and objectives any more; such jobs come last.
     pub missed: bool,
-    /// The latest start that meets the next of them, or the time of the submission if all are missed.
+    /// The latest start that meets the next of them; the time of the submission if all are missed,
+    /// and for a service.
     pub latest: Micros,
 }
 
@@ -83,10 +85,11 @@
     }
 }
 
-/// Returns the urgency of a job, by the earliest of its deadline and objectives that can still be met.
+/// Returns the urgency of a job, by the earliest of its deadline and objectives that can still be
+/// met.
 pub fn urgency(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Urgency {
     if job.service() {
-        // A service lacks a replica from its submission on, so its start is always due.
+        // Every moment without a replica is downtime, so the start is due at once.
         return Urgency { missed: false, latest: job.since };
     }
     match StartDeadlines::of(config, run_times, job, now) {
@@ -98,8 +101,8 @@
     }
 }
 
-/// The sort key of a job in the queue, compared field by field in the order of declaration; lower keys
-/// come first.
+/// The sort key of a job in the queue, compared field by field in the order of declaration; lower
+/// keys come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey<'a> {
     /// False for starved jobs, which come before all others.
@@ -121,9 +124,9 @@
         now.saturating_sub(self.since) > aged_after
     }
 
-    /// Reports whether the job's tasks are not preempted for higher priorities: it is aged, or its first
-    /// tasks begin late. Without the latter, these tasks, as the youngest, were preempted repeatedly
-    /// while they pulled their image, and the job had not begun after 250 s.
+    /// Reports whether the job's tasks are not preempted for higher priorities: it is aged, or its
+    /// first tasks begin late. Without the latter, these tasks, as the youngest, were preempted
+    /// repeatedly while they pulled their image, and the job had not begun after 250 s.
     pub(super) fn is_protected(&self, now: Micros) -> bool {
         let late = now.saturating_sub(self.since) > STARVED_AFTER;
         let only_first_tasks = self.assignments.len() <= MAX_PROTECTED_FIRST_TASKS
@@ -138,10 +141,10 @@
         if self.is_aged(now) { priority.min(Priority::Urgent) } else { priority }
     }
 
-    /// Reports whether the job has waited longer than `STARVED_AFTER` without beginning, so that it is
-    /// placed before all others. Without this, a continuous supply of work of higher priority, or of
-    /// jobs that could still meet their objectives, kept others from ever beginning. A job that fails
-    /// everywhere is not starved.
+    /// Reports whether the job has waited longer than `STARVED_AFTER` without beginning, so that it
+    /// is placed before all others. Without this, a continuous supply of work of higher priority,
+    /// or of jobs that could still meet their objectives, kept others from ever beginning. A job
+    /// that fails everywhere is not starved.
     pub(crate) fn is_starved(&self, now: Micros) -> bool {
         let begun = !self.assignments.is_empty()
             || !self.finished.is_empty()
--- a/crates/quartzlever-core/src/scheduling/queue_order/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order/tests.rs
@@ -36,14 +36,14 @@
     }
 }
 
-/// A best-effort job with checkpoints that has begun stays behind jobs with deadlines for ten minutes.
-/// When such jobs were queued with urgent priority and protected from preemption after four minutes,
-/// they filled the machines, and jobs with deadlines waited until they were as old.
+/// A best-effort job with checkpoints that has begun stays behind jobs with deadlines for ten
+/// minutes. When such jobs were queued with urgent priority and protected from preemption after
+/// four minutes, they filled the machines, and jobs with deadlines waited until they were as old.
 #[test]
 fn checkpointed_best_effort_work_ages_more_slowly_than_other_work() {
     use quartzlever_wire::SECOND;
-    // (priority of the old job, its checkpoint interval, seconds since its submission, whether it has
-    // begun; id of the first job)
+    // (priority of the old job, its checkpoint interval, seconds since its submission, whether it
+    // has begun; id of the first job)
     for (priority, checkpoint_s, waited_s, begun, first) in [
         (Priority::BestEffort, 30.0, 250, true, "req-2"),
         (Priority::BestEffort, 30.0, 590, true, "req-2"),
--- a/crates/quartzlever-core/src/scheduling/reservations.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations.rs
@@ -34,12 +34,14 @@
 /// The reservations of a partition.
 #[derive(Debug, Default)]
 pub struct Reservations {
-    /// Without it, a steady supply of small tasks took all capacity as soon as it became free, before
-    /// enough of it was free for a larger task.
+    /// The machine that is reserved for a starved job. Without it, a steady supply of small tasks
+    /// took all capacity as soon as it became free, before two of them left enough for one larger
+    /// task.
     starved: Option<StarvedReservation>,
-    /// By machine. Without it, work of lower priority started on the capacity of the first preempted
-    /// tasks that ended; a task that needed the whole machine waited for a minute, and the work of
-    /// lower priority was preempted six times over.
+    /// The reservations of preempted capacity by machine. Without them, work of lower priority
+    /// started on the capacity of the first preempted tasks that ended; a task that needed the
+    /// whole machine waited for a minute, and the work of lower priority was preempted six times
+    /// over.
     preempted: BTreeMap<String, PreemptedCapacity>,
 }
 
@@ -51,8 +53,14 @@
             .is_some_and(|reserved| reserved.job != id && reserved.machine == machine)
     }
 
-    /// Reports whether preempted capacity on a machine is reserved for work of a priority above this one.
-    pub(super) fn is_reserved_above(&self, machine: &str, priority: Priority, now: Micros) -> bool {
+    /// Reports whether preempted capacity on a machine is reserved for work of higher priority than
+    /// `priority`.
+    pub(super) fn is_reserved_for_higher_priority(
+        &self,
+        machine: &str,
+        priority: Priority,
+        now: Micros,
+    ) -> bool {
         self.preempted
             .get(machine)
             .is_some_and(|capacity| now < capacity.until && priority > capacity.priority)
@@ -69,8 +77,8 @@
         self.preempted.insert(machine.to_owned(), capacity);
     }
 
-    /// Removes the reservations of preempted capacity that have expired, and those whose priority is
-    /// above that of all waiting jobs.
+    /// Removes the reservations of preempted capacity that have expired, and those whose priority
+    /// is above that of all waiting jobs.
     fn release_preempted(&mut self, waiting: impl Iterator<Item = Priority>, now: Micros) {
         if self.preempted.is_empty() {
             return;
@@ -82,8 +90,8 @@
         });
     }
 
-    /// Removes the reservation of preempted capacity on a machine that was removed, so that it does not
-    /// apply to a later machine of the same name.
+    /// Removes the reservation of preempted capacity on a machine that was removed, so that it does
+    /// not apply to a later machine of the same name.
     pub(crate) fn machine_removed(&mut self, machine: &str) {
         self.preempted.remove(machine);
     }
@@ -108,8 +116,8 @@
         });
     }
 
-    /// Returns the machine with the most free processors, of those that could run a task of the job if
-    /// they were empty.
+    /// Returns the machine with the most free processors, of those that could run a task of the job
+    /// if they were empty.
     fn machine_with_most_free_cpus(&self, job: &PartitionJob) -> Option<String> {
         let (spec, need) = (job.spec(), job.need());
         let candidates = self.machines.iter().filter(|(machine, m)| {
@@ -123,7 +131,8 @@
         Some(most_free.0.clone())
     }
 
-    /// Removes the reservations of preempted capacity for which no job without capacity waits any more.
+    /// Removes the reservations of preempted capacity for which no job without capacity waits any
+    /// more.
     pub(super) fn release_preempted_capacity(&mut self, now: Micros) {
         let waiting = self
             .jobs_without_capacity
--- a/crates/quartzlever-core/src/scheduling/reservations/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations/tests.rs
@@ -5,9 +5,9 @@
 #[test]
 fn a_machine_is_reserved_for_a_job_that_waits_too_long() {
     use quartzlever_wire::SECOND;
-    // (seconds that a job with tasks of 8 processors has waited while 4 are free; number of machines
-    // on which a later urgent job with a task of 4 starts, and on which the old job starts once the
-    // machine is free)
+    // (seconds that a job with tasks of 8 processors has waited while 4 are free; number of
+    // machines on which a later urgent job with a task of 4 starts, and on which the old job starts
+    // once the machine is free)
     for (waited_s, fresh_starts, old_starts) in [(10, 1, 0), (160, 0, 1)] {
         let mut core = core();
         machines(&mut core, &[("n-1", "m", "a", false)]);
@@ -40,19 +40,19 @@
     }
 }
 
-/// Four small tasks are preempted for one large task and end one after the other. When waiting small
-/// tasks started on the capacity that became free meanwhile, the large task waited for a minute, and
-/// small tasks were stopped and started six times over.
+/// Four small tasks are preempted for one large task and end one after the other. When waiting
+/// small tasks started on the capacity that became free meanwhile, the large task waited for a
+/// minute, and small tasks were stopped and started six times over.
 #[test]
 fn preempted_capacity_is_reserved_for_the_job_that_it_was_freed_for() {
     use quartzlever_wire::SECOND;
     let mut core = core();
     machines(&mut core, &[("n-1", "m", "a", false)]);
-    let small_tasks =
+    let small_job =
         JobSpec { priority: Priority::BestEffort, checkpoint_s: 30.0, save_s: 3.0, ..spec(20) };
-    queue_job(&mut core, &small_tasks, 10);
-    let large_task = JobSpec { id: "req-2".into(), cpus: 8.0, due_s: Some(600.0), ..spec(1) };
-    queue_job(&mut core, &large_task, 11);
+    queue_job(&mut core, &small_job, 10);
+    let large_job = JobSpec { id: "req-2".into(), cpus: 8.0, due_s: Some(600.0), ..spec(1) };
+    queue_job(&mut core, &large_job, 11);
     let place = |core: &mut Core, now| {
         core.now = now;
         core.partitions.get_mut("one").expect("partition one exists").placement_wanted = true;
@@ -66,7 +66,7 @@
     let keys = stopped(&core);
     assert_eq!(keys.len(), 4, "all tasks on the machine are preempted");
     for (n, key) in keys.iter().enumerate() {
-        assert_eq!(placed(&core, &large_task.id), [], "{n} have ended");
+        assert_eq!(placed(&core, &large_job.id), [], "{n} preempted tasks have ended");
         let partition = core.partitions.get_mut("one").expect("partition one exists");
         partition.machines["n-1"].attempts.remove(key);
         partition.requeue(&key.task, key.attempt);
@@ -74,6 +74,6 @@
         core.fill("one", "n-1");
         place(&mut core, NOW + 2 * SECOND + n as u64 * SECOND / 5);
     }
-    assert_eq!(placed(&core, &large_task.id), [("n-1".to_owned(), 1)]);
-    assert_eq!(placed(&core, &small_tasks.id), [], "no fresh_starts task started meanwhile");
+    assert_eq!(placed(&core, &large_job.id), [("n-1".to_owned(), 1)]);
+    assert_eq!(placed(&core, &small_job.id), [], "no small task started meanwhile");
 }
--- a/crates/quartzlever-core/src/scheduling/run_times.rs
+++ b/crates/quartzlever-core/src/scheduling/run_times.rs
@@ -1,4 +1,5 @@
-//! Run-time estimates: the actual run times of each class of jobs relative to the owners' estimates.
+//! Run-time estimates: the actual run times of each class of jobs relative to the owners'
+//! estimates.
 //!
 //! The ratio of an actual run time to the owner's estimate is given in thousandths.
 
--- a/crates/quartzlever-core/src/scheduling/score.rs
+++ b/crates/quartzlever-core/src/scheduling/score.rs
@@ -17,11 +17,11 @@
     Absent,
 }
 
-/// The score of a machine for a job, compared field by field in the order of declaration; lower scores
-/// are better.
+/// The score of a machine for a job, compared field by field in the order of declaration; lower
+/// scores are better.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub(super) struct Score {
-    /// Whether tasks have failed on the machine recently.
+    /// Whether failures on the machine may be its own fault.
     suspect: bool,
     /// Number of replicas of the same service on the machine.
     replicas: usize,
@@ -51,7 +51,8 @@
 impl<'a> Scoring<'a> {
     /// Creates the scoring for a job with its present assignments.
     pub fn new(job: &'a PartitionJob) -> Self {
-        // Replicas of a service are spread over machines, so that the loss of a machine stops few of them.
+        // Replicas of a service are spread over machines, so that the loss of a machine stops one
+        // of them.
         let service = job.service();
         let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
         for assignment in job.assignments.values().filter(|_| service) {
--- a/crates/quartzlever-core/src/scheduling/zones.rs
+++ b/crates/quartzlever-core/src/scheduling/zones.rs
@@ -1,5 +1,5 @@
-//! Zone constraints: the number of tasks that may still start in each zone, for jobs whose tasks all
-//! run in one zone and for jobs that are spread over zones.
+//! Zone constraints: the number of tasks that may still start in each zone, for jobs whose tasks
+//! all run in one zone and for jobs that are spread over zones.
 //!
 //! Zones are counted within one partition, so such jobs do not move to other partitions.
 
@@ -8,8 +8,8 @@
 use crate::jobs::partition_job::PartitionJob;
 use crate::partition::Partition;
 
-/// The number of tasks of a job that may still start in each zone; unlimited for jobs without a zone
-/// constraint.
+/// The number of tasks of a job that may still start in each zone; unlimited for jobs without a
+/// zone constraint.
 #[derive(Clone, Debug)]
 pub(crate) struct ZoneCapacity(Option<BTreeMap<String, u32>>);
 
@@ -47,7 +47,8 @@
     ZoneCapacity(Some(zones.iter().map(|zone| (zone.clone(), left(zone))).collect()))
 }
 
-/// Returns the number of tasks of a job that may be running in each zone, without zones that have none.
+/// Returns the number of tasks of a job that may be running in each zone, without zones that have
+/// none.
 fn active_tasks_by_zone<'a>(partition: &'a Partition, id: &str) -> BTreeMap<&'a str, u32> {
     let mut tasks: BTreeMap<&str, u32> = BTreeMap::new();
     for machine in partition.machines.values() {
@@ -63,7 +64,8 @@
 }
 
 impl Partition {
-    /// Reports whether a job with a zone constraint may start another task in the zone of a machine.
+    /// Reports whether a job with a zone constraint may start another task in the zone of a
+    /// machine.
     pub(super) fn zone_has_capacity(&self, zones: &[String], id: &str, machine_name: &str) -> bool {
         let (Some(job), Some(machine)) = (self.jobs.get(id), self.machines.get(machine_name))
         else {
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -1,8 +1,8 @@
 //! The write of a move of tasks, and the handling of its outcome.
 //!
 //! The paper's victim hands tasks over with its answer (algorithm 2). Here the store decides: a
-//! committed move is sent to the thief, and a failed one is rolled back, which returns its ranges to
-//! the queue. After an unknown outcome they stay cut, so that no task is ever in two queues.
+//! committed move is sent to the thief, and a failed one is rolled back, which returns its ranges
+//! to the queue. After an unknown outcome they stay cut, so that no task is ever in two queues.
 
 use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::{StoreCall, StoreReply};
@@ -16,7 +16,8 @@
 use crate::store::active_job_key;
 use crate::store::write_budget::WriteKind;
 
-/// Time after which the jobs of a move of unknown outcome are written again, which settles the outcome.
+/// Time after which the jobs of a move of unknown outcome are written again, which settles the
+/// outcome.
 const SETTLE_DELAY: Micros = SECOND / 4;
 
 impl Core {
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Handles a move that a conflict has ruled out: the tasks that are still owned return to the queue,
-    /// and the jobs whose records have changed are read again.
+    /// Handles a move that a conflict has ruled out: the tasks that are still owned return to the
+    /// queue, and the jobs whose records have changed are read again.
     fn move_conflicted(&mut self, name: &str, term: u64, moved: Vec<TaskMove>, failed: &[String]) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let mut to_reread = Vec::new();
@@ -129,8 +130,9 @@
         }
     }
 
-    /// Handles a move of unknown outcome. The write may still be applied minutes later, so the tasks
-    /// stay cut until another write at the same modification revision, or a newer record, settles it.
+    /// Handles a move of unknown outcome. The write may still be applied minutes later, so the
+    /// tasks stay cut until another write at the same modification revision, or a newer record,
+    /// settles it.
     fn move_outcome_unknown(&mut self, name: &str, moved: Vec<TaskMove>) {
         let settle_at = self.now + SETTLE_DELAY;
         let Some(partition) = self.partitions.get_mut(name) else { return };
--- a/crates/quartzlever-core/src/stealing/cut.rs
+++ b/crates/quartzlever-core/src/stealing/cut.rs
@@ -1,7 +1,7 @@
 //! Selection of the ranges of ready tasks that move from the victim's queue to a thief.
 //!
-//! The paper moves half of the victim's ready tasks (2.3.3 (b), figure 8). Here that is the maximum:
-//! no more tasks move than the thief has capacity for, or than balances the two queues
+//! The paper moves half of the victim's ready tasks (2.3.3 (b), figure 8). Here that is the
+//! maximum: no more tasks move than the thief has capacity for, or than balances the two queues
 //! (docs/design.md, exceptions). The tasks cut are `moving` until the outcome of the write is known
 //! (`commit`).
 
@@ -36,8 +36,8 @@
     pub term: u64,
     /// The lowest priority that moves.
     pub priority: Priority,
-    /// The machines of the thief with their free capacity, or its kinds of machines with the capacity
-    /// of an empty one if `load` is given.
+    /// The free capacity of each of the thief's machines, or, if `load` is given, the capacity of
+    /// an empty machine of each of its kinds.
     pub capacity: ThiefCapacity,
     /// The load of a thief that has a queue of its own; `None` for an idle one.
     pub load: Option<Load>,
@@ -62,13 +62,13 @@
         let Some(thief_load) = &steal.load else {
             return StealAllowance { tasks, free, excess: None, highest_priority: Priority::Prod };
         };
-        let own = victim_load();
-        let highest_priority = if own.cpus > 0.0 { Priority::Standard } else { Priority::Prod };
-        StealAllowance { tasks, free, excess: Some(own.excess_over(thief_load)), highest_priority }
+        let load = victim_load();
+        let highest_priority = if load.cpus > 0.0 { Priority::Standard } else { Priority::Prod };
+        StealAllowance { tasks, free, excess: Some(load.excess_over(thief_load)), highest_priority }
     }
 
-    /// Returns how many tasks of a job move, and subtracts them from the thief's free capacity or from
-    /// the excess of the queue.
+    /// Returns how many tasks of a job may move, and subtracts them from the excess of the victim's
+    /// queue if the thief has a queue of its own, and otherwise from the thief's free capacity.
     fn allot(&mut self, job: &PartitionJob, run_times: &RunTimes) -> u32 {
         let Some(excess) = &mut self.excess else {
             return allot_free_capacity(&mut self.free, job, self.tasks);
@@ -84,7 +84,7 @@
     }
 }
 
-/// The tasks that a move cuts off, and its transaction.
+/// The tasks that a move cuts off the victim's queue, and its transaction.
 pub(super) struct Cut {
     /// The victim's term.
     pub term: u64,
@@ -103,8 +103,8 @@
     }
 
     /// Cuts up to `count` tasks off the end of a job's ready tasks, conditional on the modification
-    /// revision of its record. Returns the number of tasks cut: 0 if the records would be too large
-    /// for the store.
+    /// revision of its record. Returns the number of tasks cut: 0 if the record would exceed the
+    /// store's limit or that of the move.
     fn add(
         &mut self,
         steal: &StealRequest,
@@ -165,8 +165,8 @@
     }
 }
 
-/// Returns how many of the job's ready tasks, at most `max_tasks`, fit in the thief's free capacity, and
-/// subtracts them from it.
+/// Returns how many of the job's ready tasks, at most `max_tasks`, fit in the thief's free
+/// capacity, and subtracts them from it.
 fn allot_free_capacity(free: &mut [FreeCapacity], job: &PartitionJob, max_tasks: u32) -> u32 {
     let need = job.need();
     let mut count = 0;
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -1,7 +1,7 @@
 //! The lengths of the partitions' queues, and the free capacity of their machines.
 //!
-//! Everything here only reads. The comparison of queues departs from the paper, whose thieves have no
-//! work at all (2.3.1; docs/design.md, exceptions).
+//! Everything here only reads. The comparison of queues departs from the paper, whose thieves have
+//! no work at all (2.3.1; docs/design.md, exceptions).
 
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
 use quartzlever_wire::users::Priority;
@@ -11,20 +11,22 @@
 use crate::router::Core;
 use crate::scheduling::max_silence;
 
-/// A partition with a queue of its own steals from one whose queue takes more than this many times as
-/// long, plus `MUCH_LONGER_MARGIN_S`. When only partitions without ready tasks stole, and all others
-/// had queues, a partition that had lost its machines got no help, and its jobs waited 500 s.
+/// A partition with a queue of its own steals only from a queue that takes more than this many
+/// times as long to drain, plus `MUCH_LONGER_MARGIN_S`. When only partitions without ready tasks
+/// stole, and all others had queues of their own, the jobs of a partition whose machines had been
+/// taken waited 500 s.
 const MUCH_LONGER_FACTOR: f64 = 2.0;
-/// See `MUCH_LONGER_FACTOR`.
+/// Seconds that the longer queue must take beyond `MUCH_LONGER_FACTOR` times the other.
 const MUCH_LONGER_MARGIN_S: f64 = 10.0;
 
-/// Reports whether a queue takes so much longer than another that tasks should move.
+/// Reports whether a queue takes so much longer to drain than another that tasks should move.
 pub(super) fn is_much_longer(queue: &Load, other: &Load) -> bool {
     queue.drain_s() > other.drain_s() * MUCH_LONGER_FACTOR + MUCH_LONGER_MARGIN_S
 }
 
 impl Core {
-    /// Returns the work in a partition's queue and the processors of its machines.
+    /// Returns the load of a partition: the work of its ready tasks, without jobs that fail
+    /// everywhere, in processor-seconds, and the processors of its usable machines.
     pub(super) fn queue_load(&self, partition: &Partition) -> Load {
         let jobs = partition.jobs.values().filter(|j| !j.ready.is_empty() && !j.fails_everywhere());
         let work = jobs.map(|j| {
@@ -37,8 +39,8 @@
         Load { work: work.sum(), cpus: cpus.sum() }
     }
 
-    /// Returns the load and the name of the partition led by this node, other than `excluded`, whose
-    /// queue takes longest.
+    /// Returns the load and the name of the partition led by this node, other than `excluded`,
+    /// whose queue takes longest to drain.
     pub(super) fn longest_local_queue(&self, excluded: Option<&str>) -> Option<(Load, String)> {
         let partitions =
             self.partitions.values().filter(|p| p.active() && Some(p.name.as_str()) != excluded);
@@ -46,7 +48,8 @@
         loads.max_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s()))
     }
 
-    /// Returns the partition led by this node whose queue takes the shortest time, of those with machines.
+    /// Returns the partition led by this node whose queue takes the shortest time to drain, of
+    /// those that have machines and have completed recovery.
     pub(super) fn shortest_local_queue(&self) -> Option<String> {
         let partitions = self.partitions.values().filter(|p| p.active() && p.recovery_complete);
         let loads =
@@ -54,8 +57,8 @@
         loads.min_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s())).map(|(_, name)| name)
     }
 
-    /// Returns the kinds of machines of a partition, each with the capacity of an empty one. Tasks that
-    /// fit none of them are not moved to its queue.
+    /// Returns the kinds of machines of a partition, each with the capacity of an empty one. Tasks
+    /// that fit none of them are not moved to its queue.
     pub(super) fn empty_machine_capacity(&self, partition: &Partition) -> ThiefCapacity {
         let mut free: Vec<FreeCapacity> = Vec::new();
         for record in partition.machines.values().filter(|m| m.usable()).map(|m| &m.record) {
@@ -82,8 +85,9 @@
         ThiefCapacity { free }
     }
 
-    /// Returns the free capacity of each machine that accepts tasks, as a thief sends it. The capacity of
-    /// tasks with lower priority than `priority` counts as free, since they could be preempted.
+    /// Returns the free capacity of each machine that accepts tasks, as a thief sends it. The
+    /// capacity of tasks with lower priority than `priority` counts as free, since they could be
+    /// preempted.
     pub(super) fn free_capacity_of(
         &self,
         partition: &Partition,
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -3,7 +3,7 @@
 use crate::testing::*;
 
 #[test]
-fn tasks_of_a_move_of_unknown_outcome_are_ready_again_only_once_a_write_settles_it() {
+fn tasks_of_a_move_return_to_the_queue_only_once_it_is_known_not_to_be_applied() {
     // (result of the move, result of the write that settles it, ready tasks after each)
     let committed = Ok(StoreReply::Committed(20));
     let conflict = Ok(StoreReply::Conflict(vec!["live/req-1".into()]));
@@ -75,9 +75,7 @@
             Effect::Peer { call_id, request: PeerRequest::Counts { .. }, .. } => Some(*call_id),
             _ => None,
         });
-        let Some(call_id) = count_request else {
-            panic!("{name}: no peer is count_request for counts")
-        };
+        let Some(call_id) = count_request else { panic!("{name}: no peer is asked for counts") };
         let load = Load { work, cpus };
         let result = Ok(PeerAnswer::Counts { ready, load });
         let effects = core.step(NOW + SECOND, vec![Command::PeerReply { call_id, result }]);
@@ -90,8 +88,8 @@
 
 #[test]
 fn a_steal_balances_two_queues_and_moves_no_urgent_task_of_a_victim_with_machines() {
-    // (priority, processors of a task, whether the victim has a machine of 8 processors, the thief's
-    // queued work; number of tasks that move, of 20, of which 4 run if there is a machine)
+    // (priority, processors of a task, whether the victim has a machine of 8 processors, the
+    // thief's queued work; number of tasks that move, of 20, of which 4 run if there is a machine)
     for (name, priority, cpus, machine, work, moves) in [
         ("half of what is ready", Priority::Standard, 2.0, true, 0.0, 8),
         ("the thief has a queue", Priority::Standard, 2.0, true, 48.0, 4),
@@ -130,13 +128,15 @@
 
 #[test]
 fn a_saturated_partition_has_urgent_tasks_stolen_by_another_partition_of_its_node() {
-    // Whether the partition is saturated, and so whether the other one steals its urgent tasks.
+    // (whether the partition is saturated, in which case the other one steals its urgent tasks)
     for saturated in [false, true] {
         let mut core = with_cache(&[("one", "one", 5), ("two", "one", 6)]);
-        // Partition one needs a machine: the work of a partition without machines moves in any case.
+        // Partition one needs a machine: the work of a partition without machines moves in any
+        // case.
         ready_machine(&mut core);
         queue_tasks(&mut core, 4, Priority::Urgent, 2.0);
-        // Partition two has a machine that is full of work of lower priority, and more of it queued.
+        // Partition two has a machine that is full of work of lower priority, and more of it
+        // queued.
         let mut two = Partition::new("two", 6, core.types.clone(), NOW);
         (two.loaded, two.recovery_complete) = (true, true);
         two.add_machine("n-2", machine_record_of("n-2", "two"), true, NOW);
@@ -187,6 +187,6 @@
         assert_eq!(core.next_steal_in(), wait * SECOND, "{failures} failures");
         core.steal_succeeded();
         core.steal_failed();
-        assert_eq!(core.next_steal_in(), SECOND, "ready_after_settling a success");
+        assert_eq!(core.next_steal_in(), SECOND, "after a success");
     }
 }
--- a/crates/quartzlever-core/src/stealing/thief.rs
+++ b/crates/quartzlever-core/src/stealing/thief.rs
@@ -1,9 +1,10 @@
-//! The thief's side: when a partition looks for work, which peers it asks, and from which it steals.
+//! The thief's side: when a partition looks for work, which peers it asks, and from which it
+//! steals.
 //!
-//! Algorithm 1 of the paper (dynamic neighbours) is `poll_stealing`, which asks random peers for their
-//! load. Algorithm 2 is `steal_from_most`, which asks the most loaded of them for tasks, with the
-//! adaptive polling interval of `steal_failed` and `steal_succeeded`. At most one round of count
-//! requests and one steal request are in flight.
+//! Algorithm 1 of the paper (dynamic neighbours) is `poll_stealing`, which asks random peers for
+//! their load. Algorithm 2 is `steal_from_most`, which asks the most loaded of them for tasks, with
+//! the adaptive polling interval of `steal_failed` and `steal_succeeded`. At most one round of
+//! count requests and one steal request are in flight.
 
 use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, ThiefCapacity};
 use quartzlever_wire::store::ActiveJobRecord;
@@ -18,7 +19,8 @@
 use crate::partition::Partition;
 use crate::router::Core;
 
-/// How long a peer's notice that it is saturated is valid, and the minimum time between two notices.
+/// How long a peer's notice that it is saturated is valid, and the minimum time between two
+/// notices.
 pub(super) const SATURATION_LIFETIME: Micros = SECOND;
 /// Interval between two checks for a partition that could steal.
 const THIEF_CHECK_INTERVAL: Micros = SECOND / 10;
@@ -29,8 +31,8 @@
     partition: String,
     /// The lowest priority of the tasks that it steals.
     priority: Priority,
-    /// Whether it has no ready task of that priority or above. A partition that is not idle steals only
-    /// from a queue that is much longer than its own.
+    /// Whether it has no ready task of that priority or above. A partition that is not idle steals
+    /// only from a queue that is much longer than its own.
     idle: bool,
 }
 
@@ -43,7 +45,7 @@
     unanswered: usize,
     /// The largest number of ready tasks, and the peer that has it.
     most_ready: Option<(u32, String)>,
-    /// The load whose queue takes longest, and the peer that has it.
+    /// The load of the queue that takes longest to drain, and the peer that has it.
     longest: Option<(Load, String)>,
 }
 
@@ -101,8 +103,8 @@
         self.next_at = now;
     }
 
-    /// Records a peer's notice that it is saturated, and ends the wait after failures, since there are
-    /// tasks to steal.
+    /// Records a peer's notice that it is saturated, and ends the wait after failures, since there
+    /// are tasks to steal.
     pub fn peer_saturated(&mut self, config: &Config, now: Micros) {
         self.peer_saturated_at = Some(now);
         self.interval = config.operator.steal_start;
@@ -140,13 +142,13 @@
 }
 
 impl Core {
-    /// Looks for work for a partition if the wait is over: first in the other partitions of this node,
-    /// then at its peers.
+    /// Looks for work for a partition if the wait is over: first in the other partitions of this
+    /// node, then at its peers.
     pub(crate) fn poll_stealing(&mut self) {
         if !self.stealing.is_due(self.now) || !self.may_act() {
             return;
         }
-        let Some(thief) = self.thief() else {
+        let Some(thief) = self.choose_thief() else {
             // Limits the search for a thief to one per interval rather than one per step.
             self.stealing.next_at = self.now + THIEF_CHECK_INTERVAL;
             return;
@@ -158,8 +160,9 @@
         }
     }
 
-    /// Returns the partition that should steal: an idle one, or else the one with the shortest queue.
-    fn thief(&self) -> Option<Thief> {
+    /// Returns the partition that should steal: an idle one, or else the one with the shortest
+    /// queue.
+    fn choose_thief(&self) -> Option<Thief> {
         if let Some((partition, priority)) = self.idle_partition() {
             return Some(Thief { partition, priority, idle: true });
         }
@@ -167,9 +170,9 @@
         Some(Thief { partition, priority: Priority::BestEffort, idle: false })
     }
 
-    /// Returns an idle partition and the lowest priority of the tasks that it steals: a partition with
-    /// free capacity and no ready task; or, while a partition is saturated, one that could preempt
-    /// work of lower priority and has no ready task of the priority stolen or above.
+    /// Returns an idle partition and the lowest priority of the tasks that it steals: a partition
+    /// with free capacity and no ready task; or, while a partition is saturated, one that could
+    /// preempt work of lower priority and has no ready task of the priority stolen or above.
     fn idle_partition(&self) -> Option<(String, Priority)> {
         let all = Priority::BestEffort;
         let can_steal = |p: &Partition, priority| {
@@ -228,10 +231,10 @@
         true
     }
 
-    /// Moves work of a partition without machines to another partition of this node. Returns whether
-    /// any could be moved. The queues of one node are not balanced beyond that: the standard tasks of
-    /// a partition with many urgent ones moved to other partitions, and none were left there to be
-    /// preempted for the urgent ones.
+    /// Moves work of a partition without machines to another partition of this node. Returns
+    /// whether any could be moved. The queues of one node are not balanced beyond that: the
+    /// standard tasks of a partition with many urgent ones moved to other partitions, and none were
+    /// left there to be preempted for the urgent ones.
     fn balance_locally(&mut self, thief: &Thief) -> bool {
         let Some(partition) = self.partitions.get(&thief.partition) else { return false };
         let (own_load, term) = (self.queue_load(partition), partition.term);
@@ -311,7 +314,8 @@
         self.request_tasks(&node, name, term, priority, thief, None);
     }
 
-    /// Asks the peer whose queue takes longest for tasks, if it takes much longer than the partition's own.
+    /// Asks the peer with the longest queue for tasks if that is much longer than the partition's
+    /// own.
     fn balance_with_peer(&mut self, round: CountRound) {
         let Thief { partition: name, priority, .. } = round.thief;
         let Some(partition) = self.partitions.get(&name) else {
@@ -341,8 +345,8 @@
         self.outbox.ask_peer(node, request, pending);
     }
 
-    /// Handles a victim's reply, with the records of the jobs whose tasks this partition owns now, or
-    /// the failure of the request.
+    /// Handles a victim's reply, with the records of the jobs whose tasks this partition owns now,
+    /// or the failure of the request.
     pub(crate) fn steal_replied(&mut self, partition: &str, result: Result<PeerAnswer, CallError>) {
         // A lost reply does no harm: the watch delivers a committed move.
         let Ok(PeerAnswer::Stolen { jobs }) = result else { return self.steal_failed() };
--- a/crates/quartzlever-core/src/stealing/victim.rs
+++ b/crates/quartzlever-core/src/stealing/victim.rs
@@ -1,7 +1,8 @@
 //! The victim's side: the counts that a node reports, and the queue that a thief steals from.
 //!
 //! The paper's schedulers answer a request for their load, and a thief's request with half of their
-//! ready tasks (2.3.1, algorithms 1 and 2; 2.3.3 (b)). Here only movable tasks are counted and moved.
+//! ready tasks (2.3.1, algorithms 1 and 2; 2.3.3 (b)). Here only movable tasks are counted and
+//! moved.
 
 use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, ThiefCapacity};
 use quartzlever_wire::users::Priority;
@@ -16,8 +17,8 @@
 use crate::stealing::thief::SATURATION_LIFETIME;
 
 impl Core {
-    /// Returns the answer to a count request: the number of tasks that a thief could steal here with
-    /// this priority or above, and the load of the longest queue.
+    /// Returns the answer to a count request: the number of tasks that a thief could steal here
+    /// with this priority or above, and the load of the longest queue.
     pub(crate) fn answer_counts(&self, priority: Priority) -> PeerAnswer {
         let active = self.partitions.values().filter(|p| p.active());
         let ready = active.map(|p| p.movable_count(&self.config, priority)).sum();
@@ -25,8 +26,8 @@
         PeerAnswer::Counts { ready, load }
     }
 
-    /// Handles a thief's request for tasks. They are cut off the longest queue if the thief has a queue
-    /// of its own, and otherwise off the queue with the most movable tasks.
+    /// Handles a thief's request for tasks. They are cut off the longest queue if the thief has a
+    /// queue of its own, and otherwise off the queue with the most movable tasks.
     pub(crate) fn steal_requested(
         &mut self,
         id: RequestId,
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Notifies the peers if tasks of a partition should start now and no capacity can be freed for them.
+    /// Notifies the peers if tasks of a partition should start now and no capacity can be freed for
+    /// them.
     pub(crate) fn notify_saturated(&mut self) {
         let saturated = self.partitions.values().any(|p| p.saturated);
         if !saturated || self.now < self.stealing.next_saturation_notice_at {
@@ -81,8 +83,8 @@
     }
 }
 
-/// Reports whether ready tasks of the job may move to another partition, to a thief that steals tasks of
-/// this priority or above.
+/// Reports whether ready tasks of the job may move to another partition, to a thief that steals
+/// tasks of this priority or above.
 pub(super) fn is_movable(config: &Config, job: &PartitionJob, priority: Priority) -> bool {
     let spec = job.spec();
     // The limits of a team apply within one partition, zones are counted within one partition, and
