--- a/crates/quartzlever-core/src/scheduling.rs
+++ b/crates/quartzlever-core/src/scheduling.rs
@@ -33,7 +33,7 @@
 /// Number of heartbeat intervals without a heartbeat after which a machine gets no new tasks.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
 
-/// Returns the age of the last heartbeat from which on a machine gets no new tasks.
+/// Returns the time without a heartbeat after which a machine gets no new tasks.
 pub(crate) fn max_silence(config: &Config) -> Micros {
     config.workers.heartbeat_interval * MAX_MISSED_HEARTBEATS
 }
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -264,7 +264,7 @@
 
     /// Marks an attempt as unwanted, gives it `leeway_s` seconds to save its work, and queues a
     /// call to its machine.
-    pub fn stop(&mut self, machine_name: &str, key: &AttemptKey, leeway_s: f64) {
+    pub fn stop_attempt(&mut self, machine_name: &str, key: &AttemptKey, leeway_s: f64) {
         if let Some(machine) = self.machines.get_mut(machine_name) {
             machine.stop(key, leeway_s);
             self.call_queue.add_urgent(machine_name);
--- a/crates/quartzlever-core/src/scheduling/assignment/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment/tests.rs
@@ -6,7 +6,7 @@
 fn tasks_start_only_where_the_constraints_of_their_job_allow() {
     type Change = fn(&mut JobSpec);
     type Case<'a> = (&'a str, Change, &'a [(&'a str, usize)]);
-    let list: &[(&str, &str, &str, bool)] =
+    let machine_list: &[(&str, &str, &str, bool)] =
         &[("n-1", "m", "a", false), ("n-2", "m", "b", true), ("n-3", "x", "b", false)];
     // (constraint of the job, number of its tasks of four processors each by machine)
     let cases: &[Case] = &[
@@ -27,7 +27,7 @@
     ];
     for (name, change, expected) in cases {
         let mut core = core();
-        machines(&mut core, list);
+        machines(&mut core, machine_list);
         let mut job = spec(4);
         job.cpus = 4.0;
         change(&mut job);
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -1,8 +1,9 @@
 //! Feasibility: the machines on which tasks of a job may start now.
 //!
 //! A machine is feasible if it satisfies the job's constraints, has the capacity free, is not
-//! reserved for other jobs, and is not one that the job failed on. Whether a job could ever run on
-//! any machine is decided in `jobs::feasibility`. Nothing here ranks machines.
+//! reserved for other jobs, has no undecided failures, and is not one that the job failed on.
+//! Whether a job could ever run on any machine is decided in `jobs::feasibility`. Nothing here
+//! ranks machines.
 
 use quartzlever_wire::Micros;
 use quartzlever_wire::users::JobSpec;
@@ -37,7 +38,7 @@
     /// Whether the job is tried again on machines where it failed.
     retries_failed_machines: bool,
     reservations: &'a Reservations,
-    /// Age of the last heartbeat from which on a machine gets no new tasks.
+    /// Time without a heartbeat after which a machine gets no new tasks.
     max_silence: Micros,
     now: Micros,
 }
--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -118,7 +118,7 @@
     teams_within_guarantee: &'a BTreeSet<String>,
     victims: Victims,
     now: Micros,
-    /// Age of the last heartbeat from which on a machine is left out.
+    /// Time without a heartbeat after which a machine is left out.
     max_silence: Micros,
 }
 
@@ -296,7 +296,7 @@
             if let Some(job) = self.jobs.get_mut(&key.task.job) {
                 job.preempted.insert(key.task.index);
                 let leeway = job.record.job.save_s;
-                self.stop(&machine, &key, leeway);
+                self.stop_attempt(&machine, &key, leeway);
             }
         }
         machine
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -13,8 +13,8 @@
 
 /// A partition with a queue of its own steals only from a queue that takes more than this many
 /// times as long to drain, plus `MUCH_LONGER_MARGIN_S`. When only partitions without ready tasks
-/// stole, and all others had queues of their own, the jobs of a partition whose machines had been
-/// taken waited 500 s.
+/// stole, and all others had queues of their own, the jobs of a partition without machines waited
+/// 500 s.
 const MUCH_LONGER_FACTOR: f64 = 2.0;
 /// Seconds that the longer queue must take beyond `MUCH_LONGER_FACTOR` times the other.
 const MUCH_LONGER_MARGIN_S: f64 = 10.0;
