--- a/crates/quartzlever-core/src/autoscaling.rs
+++ b/crates/quartzlever-core/src/autoscaling.rs
@@ -1,12 +1,11 @@
-//! The machines of a partition: what is known of the cloud, and who decides about renting and
-//! returning.
+//! Autoscaling: which machines are launched and terminated for each partition, and when.
 //!
-//! - `offer`: kinds of machines, and what they cost.
-//! - `cloud`: the catalogue, the list of machines, and when all this is looked at.
-//! - `fleet`: what each partition keeps of requests, refusals, and returned machines.
-//! - `pending_instances`: machines on their way, and which count as late.
+//! - `offer`: machine offers and their prices.
+//! - `cloud`: the catalogue, the listing of machines, and the periodic autoscaling pass.
+//! - `fleet`: the requests, refusals and terminated machines of each partition.
+//! - `pending_instances`: launched machines without a heartbeat, and which of them are late.
 //! - `demand`, `policy`, `warm_capacity`, `requests`: scaling out.
-//! - `scale_in`: which machines are returned, and why.
+//! - `scale_in`: which machines are terminated, and why.
 
 mod cloud;
 mod demand;
@@ -26,9 +25,9 @@
 pub use pending_instances::{PendingInstance, PendingInstances};
 pub use scale_in::ScaleInReason;
 
-/// After a call to the cloud that was not answered, or not with what was asked for.
-const RETRY: Micros = SECOND;
-/// The most machines that one call returns.
+/// Delay before a call to the cloud is repeated after a failure or an unexpected reply.
+const RETRY_DELAY: Micros = SECOND;
+/// Maximum number of machines that one call terminates.
 const MAX_MACHINES_PER_SCALE_IN: usize = 100;
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -1,8 +1,8 @@
-//! What the whole process knows of the cloud: its catalogue, which machines it lists, and which
-//! machines peers have rented.
+//! The cloud as this process sees it: the catalogue, the listed machines, and the machines that
+//! were launched recently.
 //!
-//! A listed machine that no record claims and nobody awaits is returned once it is too old to be on
-//! its way; a machine that any record claims never is.
+//! A listed machine that no record claims is orphaned, and is terminated, if it has failed, or if
+//! it is too old to be still booting and is not pending here. A claimed machine is never orphaned.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -13,107 +13,109 @@
 use quartzlever_wire::store::{CATALOGUE_KEY, StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
-use super::{MAX_MACHINES_PER_SCALE_IN, RETRY, ScaleInReason};
+use super::{MAX_MACHINES_PER_SCALE_IN, RETRY_DELAY, ScaleInReason};
 use crate::calls::{PendingCloudCall, PendingStoreCall};
 use crate::messages::CallPriority;
 use crate::partition::Types;
 use crate::router::Core;
 use crate::store::parse;
 
-/// Time between two looks at what is to be rented or returned.
-const TICK: Micros = SECOND / 2;
-const CATALOGUE_EVERY: Micros = 120 * SECOND;
-const LIST_EVERY: Micros = 15 * SECOND;
-/// Hints of peers' rentals are kept for so long: each machine reports within a few boots.
+/// Interval between autoscaling passes.
+const PASS_INTERVAL: Micros = SECOND / 2;
+const CATALOGUE_INTERVAL: Micros = 120 * SECOND;
+const LIST_INTERVAL: Micros = 15 * SECOND;
+/// Retention of launch hints. A machine sends its first heartbeat within a few boot times.
 const LAUNCH_HINT_LIFETIME: Micros = 3600 * SECOND;
-/// A listed machine that nobody knows is returned after so many usual boots, and so many seconds more.
-const STRAY_BOOTS: f64 = 4.0;
-const STRAY_MORE_S: f64 = 60.0;
-/// The boot of a type that is not in the catalogue.
-const UNKNOWN_BOOT_S: f64 = 60.0;
+/// Number of boot times of its type, plus `ORPHAN_GRACE_S`, after which an unclaimed machine that
+/// is not pending counts as orphaned.
+const ORPHANED_AFTER_BOOTS: f64 = 4.0;
+const ORPHAN_GRACE_S: f64 = 60.0;
+/// Assumed boot time of a type that is not in the catalogue.
+const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 
-/// What the whole process knows of the cloud, and when it asks next.
+/// The launch hints of this process, and the state of its periodic calls to the cloud.
 #[derive(Debug, Default)]
 pub(crate) struct Cloud {
-    /// Machines that a peer has rented, with the partition they are for.
+    /// Machines that this process or a peer has launched, with the partition that each is for.
     launch_hints: HashMap<String, String>,
     launch_hint_order: VecDeque<(Micros, String)>,
     next_catalogue_at: Micros,
-    catalogue_waiting: bool,
+    catalogue_call_pending: bool,
     next_list_at: Micros,
-    list_waiting: bool,
-    next_tick_at: Micros,
+    list_call_pending: bool,
+    next_pass_at: Micros,
 }
 
 impl Cloud {
-    /// Notes that a machine was rented for a partition, and forgets hints that have served their time.
+    /// Records that a machine was launched for a partition, and removes expired hints.
     pub fn note_launch(&mut self, machine: String, partition: &str, now: Micros) {
         if self.launch_hints.insert(machine.clone(), partition.to_owned()).is_none() {
             self.launch_hint_order.push_back((now, machine));
             while self
                 .launch_hint_order
                 .front()
-                .is_some_and(|(since, _)| since + LAUNCH_HINT_LIFETIME < now)
+                .is_some_and(|(launched_at, _)| launched_at + LAUNCH_HINT_LIFETIME < now)
             {
-                let Some((_, old)) = self.launch_hint_order.pop_front() else { break };
-                self.launch_hints.remove(&old);
+                let Some((_, expired)) = self.launch_hint_order.pop_front() else { break };
+                self.launch_hints.remove(&expired);
             }
         }
     }
 
-    /// The partition that a machine was rented for, as far as anybody told.
+    /// Returns the partition that a machine was launched for, if it is known.
     pub fn launched_for(&self, machine: &str) -> Option<&String> {
         self.launch_hints.get(machine)
     }
 
-    /// Whether it is time to look at what is to be rented or returned; notes the next time.
-    fn begin_tick(&mut self, now: Micros) -> bool {
-        let due = now >= self.next_tick_at;
+    /// Reports whether an autoscaling pass is due, and if so schedules the next one.
+    fn begin_pass(&mut self, now: Micros) -> bool {
+        let due = now >= self.next_pass_at;
         if due {
-            self.next_tick_at = now + TICK;
+            self.next_pass_at = now + PASS_INTERVAL;
         }
         due
     }
 
-    /// Whether the catalogue is to be asked for now; if so, it counts as asked for.
-    fn begin_catalogue(&mut self, now: Micros) -> bool {
-        let due = !self.catalogue_waiting && now >= self.next_catalogue_at;
-        self.catalogue_waiting |= due;
+    /// Reports whether the catalogue is to be read now, and if so marks the call as pending.
+    fn begin_catalogue_call(&mut self, now: Micros) -> bool {
+        let due = !self.catalogue_call_pending && now >= self.next_catalogue_at;
+        self.catalogue_call_pending |= due;
         due
     }
 
-    fn catalogue_answered(&mut self, next_at: Micros) {
-        self.catalogue_waiting = false;
+    fn end_catalogue_call(&mut self, next_at: Micros) {
+        self.catalogue_call_pending = false;
         self.next_catalogue_at = next_at;
     }
 
-    fn list_is_due(&self, now: Micros) -> bool {
-        !self.list_waiting && now >= self.next_list_at
+    fn is_list_due(&self, now: Micros) -> bool {
+        !self.list_call_pending && now >= self.next_list_at
     }
 
-    fn list_asked(&mut self) {
-        self.list_waiting = true;
+    fn begin_list_call(&mut self) {
+        self.list_call_pending = true;
     }
 
-    fn list_answered(&mut self, now: Micros) {
-        self.list_waiting = false;
-        self.next_list_at = now + LIST_EVERY;
+    fn end_list_call(&mut self, now: Micros) {
+        self.list_call_pending = false;
+        self.next_list_at = now + LIST_INTERVAL;
     }
 }
 
 impl Core {
-    /// All renting and returning of this moment.
+    /// Runs the autoscaling pass if it is due: reads the catalogue and the list of machines when
+    /// their time has come, and scales each partition out and in.
     pub(crate) fn poll_autoscaling(&mut self) {
-        if !self.cloud.begin_tick(self.now) {
+        if !self.cloud.begin_pass(self.now) {
             return;
         }
-        if self.cloud.begin_catalogue(self.now) {
+        if self.cloud.begin_catalogue_call(self.now) {
             self.call_cloud(CloudCall::Catalogue, PendingCloudCall::Catalogue);
         }
         if !self.may_act() || self.types.is_none() {
             return;
         }
-        if self.cloud.list_is_due(self.now) && !self.partitions.is_empty() {
+        if self.cloud.is_list_due(self.now) && !self.partitions.is_empty() {
             self.list_instances(None, Vec::new());
         }
         let names: Vec<String> =
@@ -124,12 +126,13 @@
         }
     }
 
-    /// Calls the cloud for as long as the lease is surely alive.
+    /// Calls the cloud. The call is valid only for as long as this process certainly holds its
+    /// lease.
     pub(super) fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall) {
         self.outbox.call_cloud(call, pending, self.lease.valid_until());
     }
 
-    /// Hands a reply of the cloud to what waits for it.
+    /// Passes a reply of the cloud to the handler of its call.
     pub(crate) fn cloud_replied(
         &mut self,
         pending: PendingCloudCall,
@@ -145,32 +148,32 @@
                     self.scale_in_replied(&partition, term, machines, result);
                 }
             }
-            PendingCloudCall::List { seen } => self.listed(seen, result),
+            PendingCloudCall::List { seen } => self.list_replied(seen, result),
         }
     }
 
     fn catalogue_replied(&mut self, result: Result<CloudReply, CallError>) {
         if let Ok(CloudReply::Catalogue(catalogue)) = result {
-            self.cloud.catalogue_answered(self.now + CATALOGUE_EVERY);
-            let kept = Json::of(&catalogue);
-            self.use_catalogue(catalogue);
-            self.keep_catalogue(kept);
+            self.cloud.end_catalogue_call(self.now + CATALOGUE_INTERVAL);
+            let value = Json::of(&catalogue);
+            self.apply_catalogue(catalogue);
+            self.store_catalogue(value);
         } else {
-            self.cloud.catalogue_answered(self.now + RETRY);
+            self.cloud.end_catalogue_call(self.now + RETRY_DELAY);
             if self.types.is_none() {
-                // Without the types nothing can be placed, not even on machines at hand.
+                // Without machine types no task can be placed, not even on claimed machines.
                 let call = StoreCall::Get(CATALOGUE_KEY.into());
                 self.outbox.call_store(CallPriority::Work, call, PendingStoreCall::ReadCatalogue);
             }
         }
     }
 
-    /// Writes the catalogue for processes that start while the cloud is down, if the store takes it.
-    fn keep_catalogue(&mut self, kept: Json) {
-        if kept.text().len() > self.limits.value_bytes() {
+    /// Stores the catalogue, if its size is_allowed_for, for processes that start during a cloud outage.
+    fn store_catalogue(&mut self, value: Json) {
+        if value.text().len() > self.limits.value_bytes() {
             return;
         }
-        let txn = Txn::default().write(CATALOGUE_KEY, kept);
+        let txn = Txn::default().write(CATALOGUE_KEY, value);
         self.write_budget.spend(1);
         self.outbox.call_store(
             CallPriority::Work,
@@ -179,7 +182,7 @@
         );
     }
 
-    fn use_catalogue(&mut self, catalogue: Catalogue) {
+    fn apply_catalogue(&mut self, catalogue: Catalogue) {
         let types = catalogue.types.into_iter().map(|t| (t.name.clone(), t));
         let types: Types = Arc::new(types.collect());
         for partition in self.partitions.values_mut() {
@@ -188,24 +191,25 @@
         self.types = Some(types);
     }
 
-    /// The catalogue that an earlier process kept; the cloud's own word goes before it.
+    /// Handles the reply to a read of the stored catalogue, which is used only until the cloud has
+    /// returned its own.
     pub(crate) fn catalogue_read(&mut self, result: Result<StoreReply, CallError>) {
         if let Ok(StoreReply::Read(Some(entry))) = result
             && self.types.is_none()
             && let Some(catalogue) = parse::<Catalogue>(&entry)
         {
-            self.use_catalogue(catalogue);
+            self.apply_catalogue(catalogue);
         }
     }
 
-    /// Asks for a page of the list of machines, after those that were seen.
+    /// Requests the page of the list of machines that follows those in `seen`.
     fn list_instances(&mut self, from: Option<String>, seen: Vec<Instance>) {
-        self.cloud.list_asked();
+        self.cloud.begin_list_call();
         self.call_cloud(CloudCall::List { from }, PendingCloudCall::List { seen });
     }
 
-    fn listed(&mut self, mut seen: Vec<Instance>, result: Result<CloudReply, CallError>) {
-        self.cloud.list_answered(self.now);
+    fn list_replied(&mut self, mut seen: Vec<Instance>, result: Result<CloudReply, CallError>) {
+        self.cloud.end_list_call(self.now);
         let Ok(CloudReply::Listed(InstancePage { instances, has_next })) = result else { return };
         seen.extend(instances);
         if has_next && let Some(last) = seen.last() {
@@ -213,15 +217,15 @@
             return self.list_instances(from, seen);
         }
         self.mark_failed_machines(&seen);
-        let mut strays: Vec<String> =
-            seen.iter().filter(|i| self.is_stray(i)).map(|i| i.name.clone()).collect();
-        strays.truncate(MAX_MACHINES_PER_SCALE_IN);
-        if !strays.is_empty() {
-            self.return_strays(strays);
+        let mut orphaned: Vec<String> =
+            seen.iter().filter(|i| self.is_orphaned(i)).map(|i| i.name.clone()).collect();
+        orphaned.truncate(MAX_MACHINES_PER_SCALE_IN);
+        if !orphaned.is_empty() {
+            self.terminate_orphaned(orphaned);
         }
     }
 
-    /// Marks the machines at hand that the cloud lists as stopped.
+    /// Marks the claimed machines that the cloud lists as failed for termination.
     fn mark_failed_machines(&mut self, seen: &[Instance]) {
         for instance in seen.iter().filter(|i| i.phase == InstancePhase::Failed) {
             let owner =
@@ -234,32 +238,32 @@
         }
     }
 
-    /// Whether a listed machine belongs to nobody: it is claimed nowhere, and is stopped, or too old
-    /// to be on its way and not awaited here.
-    fn is_stray(&self, instance: &Instance) -> bool {
+    /// Reports whether a listed machine is orphaned: no record claims it, and it has failed, or it
+    /// is too old to be still booting and is not pending here.
+    fn is_orphaned(&self, instance: &Instance) -> bool {
         let name = &instance.name;
         if self.partitions.values().any(|p| p.machines.contains_key(name))
             || self.cache.is_claimed(name)
         {
             return false;
         }
-        let expected =
+        let pending =
             self.partitions.values().any(|p| p.autoscaling.pending_instances.contains(name));
         let machine_type = self.types.as_ref().and_then(|t| t.get(&instance.machine_type));
-        let boot_s = machine_type.map_or(UNKNOWN_BOOT_S, |t| t.ready_s);
-        let old = instance.held_s > STRAY_BOOTS * boot_s + STRAY_MORE_S;
-        instance.phase == InstancePhase::Failed || (old && !expected)
+        let boot_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |t| t.ready_s);
+        let too_old = instance.held_s > ORPHANED_AFTER_BOOTS * boot_s + ORPHAN_GRACE_S;
+        instance.phase == InstancePhase::Failed || (too_old && !pending)
     }
 
-    fn return_strays(&mut self, strays: Vec<String>) {
+    fn terminate_orphaned(&mut self, orphaned: Vec<String>) {
         for partition in self.partitions.values_mut() {
-            for machine in &strays {
-                partition.autoscaling.pending_instances.forget(machine);
+            for machine in &orphaned {
+                partition.autoscaling.pending_instances.remove(machine);
             }
         }
         self.call_cloud(
-            CloudCall::ScaleIn(strays.clone()),
-            PendingCloudCall::ScaleIn { partition: None, machines: strays },
+            CloudCall::ScaleIn(orphaned.clone()),
+            PendingCloudCall::ScaleIn { partition: None, machines: orphaned },
         );
     }
 }
--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -1,8 +1,8 @@
-//! Demand: which machines the queue of a partition is missing, counted by offer.
+//! Demand: the machines that the queue of a partition lacks, counted by offer.
 //!
-//! The machines at hand and those coming up are the supply. Each job of the queue, in its order,
-//! fills the room that is coming; what is left asks for machines until the job can start in time.
-//! Nothing here calls the cloud or changes the partition.
+//! The supply consists of the claimed and the pending machines. The jobs, in queue order, fill the
+//! capacity of the pending machines. For the tasks of a job that are left over, machines are added
+//! until the job can start in time. Nothing here calls the cloud or changes the partition.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use quartzlever_wire::users::JobSpec;
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
-use super::offer::{MachineOffer, cheapest_price, is_dear, price};
+use super::offer::{MachineOffer, hourly_price, is_expensive, lowest_hourly_price};
 use super::policy::Market;
 use crate::config::Config;
 use crate::jobs::partition_job::PartitionJob;
@@ -19,50 +19,53 @@
 use crate::partition::Partition;
 use crate::scheduling::{ZoneCapacity, urgency, zone_capacity};
 
-/// A queue that is gone within this time brings no machines, not even cheap ones.
-const EAGER: Micros = 15 * SECOND;
-/// So long lower work has to give way to a service before a machine is asked for.
-const GIVEN_WAY: Micros = 2 * SECOND;
-/// Queues take so many times as long as their work divided by the processors.
-const DRAIN_SPARE: f64 = 1.2;
-/// Machines in excess of this many are not rented in one round.
+/// No machines are requested for a queue that is expected to drain within this time, not even cheap
+/// ones, unless an objective requires it.
+const NEGLIGIBLE_WAIT: Micros = 15 * SECOND;
+/// How long a service waits for the preemption of lower-priority work before a machine is
+/// requested.
+const PREEMPTION_GRACE: Micros = 2 * SECOND;
+/// Ratio of the time that a queue takes to its work divided by the processors.
+const DRAIN_TIME_FACTOR: f64 = 1.2;
+/// Maximum number of machines that one round requests for the queue.
 const MAX_MACHINES_PER_ROUND: u32 = 150;
 
-/// How many machines of each offer are wanted.
+/// The number of machines wanted of each offer.
 pub(super) type Wanted = BTreeMap<MachineOffer, u32>;
 
-/// Room of one kind that will be there or could be rented.
+/// The free capacity of one machine that is pending or planned.
 struct Bin {
     offer: MachineOffer,
     free: Resources,
 }
 
-/// The machines of a partition, there or coming up, and the work that is ahead of them.
+/// The machines of a partition, claimed, pending or planned, and the work ahead of them.
 #[derive(Default)]
 pub(super) struct Supply {
-    /// Room on machines that are coming up.
+    /// Free capacity of the pending and planned machines.
     bins: Vec<Bin>,
-    /// Kinds of machines at hand or coming up.
+    /// Offers of all these machines, without duplicates.
     offers: Vec<MachineOffer>,
     cpus: f64,
-    /// What the machines cost an hour, and would cost at their types' lowest prices.
-    paid: f64,
-    lowest: f64,
-    /// Work ahead in the queue, in processor-seconds; what runs counts by what is left of it.
-    work_ahead: f64,
-    /// Kinds of machines that come late lately.
-    pub late: Vec<MachineOffer>,
+    /// Price of the machines per hour.
+    hourly_cost: f64,
+    /// What they would cost per hour at the lowest prices of their types.
+    lowest_hourly_cost: f64,
+    /// Queued and running work in processor-seconds; running tasks count with what is left of them.
+    outstanding_work: f64,
+    /// Offers whose machines have recently been late.
+    pub late_offers: Vec<MachineOffer>,
 }
 
 impl Supply {
     fn add(&mut self, machine_type: &MachineType, zone: &str, spot: bool) {
         self.cpus += machine_type.cpus;
-        self.paid += price(machine_type, spot);
-        self.lowest += cheapest_price(machine_type);
+        self.hourly_cost += hourly_price(machine_type, spot);
+        self.lowest_hourly_cost += lowest_hourly_price(machine_type);
         self.add_offer(&machine_type.name, zone, spot);
     }
 
-    /// Notes a kind of machines. There are few kinds, and many machines of each.
+    /// Adds an offer if it is new. There are few offers, and many machines of each.
     fn add_offer(&mut self, machine_type: &str, zone: &str, spot: bool) {
         let is_known = |offer: &MachineOffer| {
             offer.machine_type == machine_type && offer.zone == zone && offer.spot == spot
@@ -72,48 +75,51 @@
         }
     }
 
-    fn add_coming(&mut self, machine_type: &MachineType, offer: MachineOffer) {
+    fn add_pending(&mut self, machine_type: &MachineType, offer: MachineOffer) {
         self.add(machine_type, &offer.zone, offer.spot);
         self.bins.push(Bin { offer, free: Resources::capacity_of(machine_type) });
     }
 
-    /// Whether a machine at hand or coming up can run tasks of a job.
-    fn suits(&self, types: &BTreeMap<String, MachineType>, spec: &JobSpec) -> bool {
-        self.offers.iter().any(|offer| offer.suits(types, spec))
+    /// Reports whether any of the machines can run tasks of a job.
+    fn can_run(&self, types: &BTreeMap<String, MachineType>, spec: &JobSpec) -> bool {
+        self.offers.iter().any(|offer| offer.can_run(types, spec))
     }
 
-    /// Whether a cheap machine at hand or coming up can.
-    pub fn suits_cheaply(&self, types: &BTreeMap<String, MachineType>, spec: &JobSpec) -> bool {
-        self.offers.iter().any(|offer| offer.is_cheap(types) && offer.suits(types, spec))
+    /// Reports whether any cheap one of the machines can run tasks of a job.
+    pub fn can_run_cheaply(&self, types: &BTreeMap<String, MachineType>, spec: &JobSpec) -> bool {
+        self.offers.iter().any(|offer| offer.is_cheap(types) && offer.can_run(types, spec))
     }
 
-    /// When the work ahead will be done, with a little to spare.
+    /// Returns when the outstanding work is expected to be done, with a margin.
     fn drained_at(&self, now: Micros) -> Micros {
-        now + micros_from_secs(self.work_ahead / self.cpus * DRAIN_SPARE)
+        now + micros_from_secs(self.outstanding_work / self.cpus * DRAIN_TIME_FACTOR)
     }
 
-    /// Whether one more machine keeps the price of all within `cap` times the lowest, if it is dear.
-    fn affords(&self, machine_type: &MachineType, spot: bool, cap: f64) -> bool {
-        let (more, least) = (price(machine_type, spot), cheapest_price(machine_type));
-        !is_dear(machine_type, spot) || self.paid + more <= (self.lowest + least) * cap
+    /// Reports whether one more machine is cheap or keeps the price of all machines within `cap`
+    /// times their lowest prices.
+    fn is_within_price_cap(&self, machine_type: &MachineType, spot: bool, cap: f64) -> bool {
+        let (price, lowest) = (hourly_price(machine_type, spot), lowest_hourly_price(machine_type));
+        !is_expensive(machine_type, spot)
+            || self.hourly_cost + price <= (self.lowest_hourly_cost + lowest) * cap
     }
 }
 
-/// Tasks of a job that have no room yet. A job that is spread over zones needs room in each of them:
-/// with one machine for all of it half of a service waited out a second boot.
+/// The tasks of a job that no capacity has been found for. A job that is spread over zones needs
+/// capacity in each of them: when one machine was requested for the whole job, half of a service
+/// had to wait for a second boot.
 pub(super) struct Unplaced {
     pub tasks: u32,
     pub zones: ZoneCapacity,
 }
 
 impl Unplaced {
-    /// All ready tasks of a job.
-    fn all(partition: &Partition, job: &PartitionJob, config: &Config) -> Self {
+    /// Starts with all ready tasks of a job.
+    fn of_job(partition: &Partition, job: &PartitionJob, config: &Config) -> Self {
         Unplaced { tasks: job.ready.len(), zones: zone_capacity(partition, job, &config.zones) }
     }
 
-    /// Puts as many of the tasks as possible on a machine that is coming.
-    fn fill(&mut self, bin: &mut Bin, need: &Resources) {
+    /// Places as many of the tasks as possible on a pending or planned machine.
+    fn place_in(&mut self, bin: &mut Bin, need: &Resources) {
         let zone = &bin.offer.zone;
         let count = bin.free.count(need).min(self.tasks).min(self.zones.left(zone));
         for _ in 0..count {
@@ -124,52 +130,54 @@
     }
 }
 
-/// When the tasks of a job have to start, and whether machines for it are needed in any case.
-struct StartAim {
-    expect: Micros,
-    latest: Micros,
-    must_rent: bool,
+/// When the tasks of a job have to start, and whether the job needs machines in any case.
+struct StartConstraint {
+    expected_run_time: Micros,
+    latest_start: Micros,
+    needs_machines: bool,
 }
 
-/// Which machines may be asked for so that a job starts in time.
+/// The offers that may be requested so that a job starts in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Permitted {
+enum PermittedOffers {
     Nothing,
     CheapOnly,
     Any,
 }
 
-impl StartAim {
-    /// Cheap machines come for any queue that is not gone soon, others only for an aim, and only as
-    /// many as it takes: one machine serves several waves.
-    fn permitted(&self, supply: &Supply, now: Micros) -> Permitted {
-        let can_wait = supply.cpus > 0.0 && !self.must_rent;
+impl StartConstraint {
+    /// Returns which offers may be requested. Cheap machines are requested for any queue that does
+    /// not drain within `NEGLIGIBLE_WAIT`. Other machines are requested only to meet an objective,
+    /// and only as many as that takes: one machine runs several waves of tasks. A job that cannot
+    /// wait for the present machines may use any offer.
+    fn permitted(&self, supply: &Supply, now: Micros) -> PermittedOffers {
+        let can_wait = supply.cpus > 0.0 && !self.needs_machines;
         if !can_wait {
-            return Permitted::Any;
+            return PermittedOffers::Any;
         }
-        let last_start = supply.drained_at(now).saturating_sub(self.expect);
-        if last_start <= self.latest.min(now + EAGER) {
-            Permitted::Nothing
-        } else if last_start <= self.latest {
-            Permitted::CheapOnly
+        let last_start = supply.drained_at(now).saturating_sub(self.expected_run_time);
+        if last_start <= self.latest_start.min(now + NEGLIGIBLE_WAIT) {
+            PermittedOffers::Nothing
+        } else if last_start <= self.latest_start {
+            PermittedOffers::CheapOnly
         } else {
-            Permitted::Any
+            PermittedOffers::Any
         }
     }
 }
 
 impl Partition {
-    /// What should be rented for the ready tasks that neither the machines at hand nor those
-    /// coming up can serve in time.
+    /// Returns the machines to request for ready tasks that neither the claimed nor the pending
+    /// machines can run in time.
     pub(super) fn plan_scale_out(&self, market: &Market) -> Wanted {
         let Market { config, run_times, types, now, .. } = *market;
         let mut wanted = Wanted::new();
         let mut supply = self.supply(types, now);
         for id in self.queue_order(config, run_times, now) {
             let Some(job) = self.jobs.get(&id) else { continue };
-            if job.fails_everywhere() && supply.suits(types, job.spec()) {
-                // More machines would not help it, but with none it could never show that it is
-                // sound: all that it had failed on may have been faulty, and be gone.
+            if job.fails_everywhere() && supply.can_run(types, job.spec()) {
+                // More machines would not help the job, but without any it could never prove to be
+                // sound: all machines that it has failed on may have been faulty, and be gone.
                 continue;
             }
             self.scale_out_for_job(market, job, &mut supply, &mut wanted);
@@ -177,7 +185,7 @@
         wanted
     }
 
-    /// Adds what should be rented for one job, and its tasks to the work ahead.
+    /// Adds the machines to request for one job to `wanted`, and its tasks to the outstanding work.
     fn scale_out_for_job(
         &self,
         market: &Market,
@@ -187,20 +195,21 @@
     ) {
         let Market { config, run_times, types, now, .. } = *market;
         let (spec, need) = (job.spec(), job.need());
-        let mut unplaced = Unplaced::all(self, job, config);
-        for bin in supply.bins.iter_mut().filter(|bin| bin.offer.permits(spec)) {
-            unplaced.fill(bin, &need);
+        let mut unplaced = Unplaced::of_job(self, job, config);
+        for bin in supply.bins.iter_mut().filter(|bin| bin.offer.is_allowed_for(spec)) {
+            unplaced.place_in(bin, &need);
         }
-        let expect = run_times.expect(spec).max(SECOND);
-        supply.work_ahead += f64::from(job.ready.len()) * need.cpus * expect as f64 / 1e6;
-        if unplaced.tasks == 0 || self.gives_way_to(job, now) {
+        let expected_run_time = run_times.expect(spec).max(SECOND);
+        supply.outstanding_work +=
+            f64::from(job.ready.len()) * need.cpus * expected_run_time as f64 / 1e6;
+        if unplaced.tasks == 0 || self.may_preempt_for(job, now) {
             return;
         }
-        let latest = urgency(config, run_times, job, now).latest;
-        let must_rent = spec.is_service() || self.is_welcome_nowhere(job);
-        let aim = StartAim { expect, latest, must_rent };
+        let latest_start = urgency(config, run_times, job, now).latest;
+        let needs_machines = spec.is_service() || self.has_failed_on_all_machines(job);
+        let constraint = StartConstraint { expected_run_time, latest_start, needs_machines };
         while unplaced.tasks > 0 && wanted.values().sum::<u32>() < MAX_MACHINES_PER_ROUND {
-            let offer = self.next_machine(market, job, &aim, &unplaced, supply);
+            let offer = self.next_offer(market, job, &constraint, &unplaced, supply);
             let Some((offer, machine_type)) =
                 offer.and_then(|o| types.get(&o.machine_type).map(|t| (o, t)))
             else {
@@ -209,7 +218,7 @@
             *wanted.entry(offer.clone()).or_default() += 1;
             supply.add(machine_type, &offer.zone, offer.spot);
             let mut bin = Bin { offer, free: Resources::capacity_of(machine_type) };
-            unplaced.fill(&mut bin, &need);
+            unplaced.place_in(&mut bin, &need);
             supply.bins.push(bin);
             if job.fails_everywhere() {
                 break;
@@ -217,46 +226,55 @@
         }
     }
 
-    /// The next machine to ask for, for the tasks of a job without room, if any may be.
-    fn next_machine(
+    /// Returns the next machine to request for the unplaced tasks of a job, if any may be
+    /// requested.
+    fn next_offer(
         &self,
         market: &Market,
         job: &PartitionJob,
-        aim: &StartAim,
+        constraint: &StartConstraint,
         unplaced: &Unplaced,
         supply: &Supply,
     ) -> Option<MachineOffer> {
-        let permitted = aim.permitted(supply, market.now);
-        if permitted == Permitted::Nothing {
+        let permitted = constraint.permitted(supply, market.now);
+        if permitted == PermittedOffers::Nothing {
             return None;
         }
-        let cheap_only = permitted == Permitted::CheapOnly;
-        let offer = market.cheapest(&self.autoscaling, job, unplaced, &supply.late, cheap_only)?;
+        let cheap_only = permitted == PermittedOffers::CheapOnly;
+        let offer = market.cheapest_offer(
+            &self.autoscaling,
+            job,
+            unplaced,
+            &supply.late_offers,
+            cheap_only,
+        )?;
         let machine_type = market.types.get(&offer.machine_type)?;
-        let begins = unplaced.tasks < job.ready.len();
-        let too_dear = !supply.affords(machine_type, offer.spot, market.config.operator.price_cap)
-            && market.caps_price(job, machine_type, begins, supply);
-        (!too_dear).then_some(offer)
+        let has_placed_tasks = unplaced.tasks < job.ready.len();
+        let exceeds_cap =
+            !supply.is_within_price_cap(machine_type, offer.spot, market.config.operator.price_cap)
+                && market.is_price_capped(job, machine_type, has_placed_tasks, supply);
+        (!exceeds_cap).then_some(offer)
     }
 
-    /// The machines at hand and those coming up, and the work that runs on them.
+    /// Returns the claimed and pending machines, and the work that runs on them.
     fn supply(&self, types: &BTreeMap<String, MachineType>, now: Micros) -> Supply {
         let mut supply = Supply::default();
-        self.add_machines_at_hand(&mut supply, types);
+        self.add_claimed_machines(&mut supply, types);
         self.add_pending_instances(&mut supply, types, now);
         self.add_pending_scale_outs(&mut supply, types);
-        supply.work_ahead = self.running_work(now);
+        supply.outstanding_work = self.running_work(now);
         supply
     }
 
-    fn add_machines_at_hand(&self, supply: &mut Supply, types: &BTreeMap<String, MachineType>) {
+    fn add_claimed_machines(&self, supply: &mut Supply, types: &BTreeMap<String, MachineType>) {
         for machine in self.machines.values().filter(|m| m.scale_in_reason.is_none()) {
             let record = &machine.record;
             match types.get(&record.machine_type) {
                 Some(machine_type) if machine.fenced => {
                     supply.add(machine_type, &record.zone, record.spot)
                 }
-                // After a takeover most are there and will be of use within seconds.
+                // After a takeover most machines that are not fenced yet are running, and can be
+                // used within seconds. Their capacity is not counted before.
                 _ => supply.add_offer(&record.machine_type, &record.zone, record.spot),
             }
         }
@@ -269,23 +287,23 @@
         now: Micros,
     ) {
         let pending = &self.autoscaling.pending_instances;
-        for expected in pending.iter().filter(|e| !e.is_late(types, now)) {
-            let Some(machine_type) = types.get(&expected.offer.machine_type) else { continue };
-            supply.add_coming(machine_type, expected.offer.clone());
+        for instance in pending.iter().filter(|i| !i.is_late(types, now)) {
+            let Some(machine_type) = types.get(&instance.offer.machine_type) else { continue };
+            supply.add_pending(machine_type, instance.offer.clone());
         }
-        supply.late = pending.late_offers(types, now);
+        supply.late_offers = pending.late_offers(types, now);
     }
 
     fn add_pending_scale_outs(&self, supply: &mut Supply, types: &BTreeMap<String, MachineType>) {
-        for request in self.autoscaling.requests() {
+        for request in self.autoscaling.pending_requests() {
             let Some(machine_type) = types.get(&request.machine_type) else { continue };
             for _ in 0..request.count {
-                supply.add_coming(machine_type, MachineOffer::of_request(request));
+                supply.add_pending(machine_type, MachineOffer::of_request(request));
             }
         }
     }
 
-    /// What is left of all that runs, in processor-seconds.
+    /// Returns the remaining work of all active attempts, in processor-seconds.
     fn running_work(&self, now: Micros) -> f64 {
         let mut work = 0.0;
         for attempt in self.active_attempts() {
@@ -295,16 +313,18 @@
         work
     }
 
-    /// Whether lower work may still make way for a service: that is quicker than any machine.
-    fn gives_way_to(&self, job: &PartitionJob, now: Micros) -> bool {
-        job.service() && !self.saturated && now.saturating_sub(job.since) < GIVEN_WAY
+    /// Reports whether lower-priority work may still be preempted for a service, which is faster
+    /// than launching a machine.
+    fn may_preempt_for(&self, job: &PartitionJob, now: Micros) -> bool {
+        job.service() && !self.saturated && now.saturating_sub(job.since) < PREEMPTION_GRACE
     }
 
-    /// Whether a job has failed on every machine that there is.
-    fn is_welcome_nowhere(&self, job: &PartitionJob) -> bool {
-        let usable = |machine: &Machine| {
+    /// Reports whether a job has failed before and has failed on every machine that is not marked
+    /// for termination.
+    fn has_failed_on_all_machines(&self, job: &PartitionJob) -> bool {
+        let is_untried = |machine: &Machine| {
             !job.failures.includes(&machine.name) && machine.scale_in_reason.is_none()
         };
-        !job.failures.is_empty() && !self.machines.values().any(|machine| usable(machine))
+        !job.failures.is_empty() && !self.machines.values().any(|machine| is_untried(machine))
     }
 }
--- a/crates/quartzlever-core/src/autoscaling/fleet.rs
+++ b/crates/quartzlever-core/src/autoscaling/fleet.rs
@@ -1,8 +1,8 @@
-//! The fleet side of a partition: requests without an answer, machines on their way, what the cloud
-//! has refused, and what was returned.
+//! The cloud-side state of a partition: requests without a reply, pending instances, refused offers
+//! and terminated machines.
 //!
-//! A returned machine is remembered for as long as copies of its heartbeats may come; they claim
-//! nothing.
+//! A terminated machine is remembered for as long as late copies of its heartbeats may arrive, so
+//! that they claim nothing.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -11,116 +11,119 @@
 
 use super::offer::MachineOffer;
 use super::pending_instances::PendingInstances;
-use super::requests::REFUSAL_REMEMBERED_FOR;
+use super::requests::REFUSAL_RETENTION;
 
-/// Late copies of heartbeats come minutes after the original.
-const TERMINATED_REMEMBERED_FOR: Micros = 3600 * SECOND;
+/// Retention of terminated machines. Late copies of heartbeats arrive minutes after the original.
+const TERMINATED_RETENTION: Micros = 3600 * SECOND;
 
-/// A request for machines without an answer yet; it is repeated under its name.
+/// A scale-out request without a reply. It is repeated under the same name.
 #[derive(Clone, Debug)]
 struct PendingScaleOut {
     request: ScaleOutRequest,
-    since: Micros,
+    issued_at: Micros,
     retry_at: Option<Micros>,
 }
 
-/// Machines that were returned, for as long as copies of their heartbeats may come.
+/// Machines that were terminated, for as long as late copies of their heartbeats may arrive.
 #[derive(Debug, Default)]
 pub struct TerminatedMachines {
-    known: HashMap<String, Micros>,
-    order: VecDeque<(Micros, String)>,
+    by_machine: HashMap<String, Micros>,
+    by_age: VecDeque<(Micros, String)>,
 }
 
 impl TerminatedMachines {
-    /// Whether a machine was returned lately.
+    /// Reports whether a machine was terminated recently.
     pub fn contains(&self, machine: &str) -> bool {
-        self.known.contains_key(machine)
+        self.by_machine.contains_key(machine)
     }
 
-    /// Notes that a machine was returned.
+    /// Records the termination of a machine, and removes expired entries.
     pub(crate) fn put(&mut self, machine: &str, now: Micros) {
-        self.known.insert(machine.to_owned(), now);
-        self.order.push_back((now, machine.to_owned()));
-        // By age: by number or name, a day with many returns forgot the last ones too early.
-        while let Some((at, _)) = self.order.front()
-            && now.saturating_sub(*at) > TERMINATED_REMEMBERED_FOR
-            && let Some((at, machine)) = self.order.pop_front()
+        self.by_machine.insert(machine.to_owned(), now);
+        self.by_age.push_back((now, machine.to_owned()));
+        // Entries expire by age. When they were dropped by number or by name, a day with many
+        // terminations removed the latest ones too early.
+        while let Some((at, _)) = self.by_age.front()
+            && now.saturating_sub(*at) > TERMINATED_RETENTION
+            && let Some((at, machine)) = self.by_age.pop_front()
         {
-            if self.known.get(&machine) == Some(&at) {
-                self.known.remove(&machine);
+            if self.by_machine.get(&machine) == Some(&at) {
+                self.by_machine.remove(&machine);
             }
         }
     }
 }
 
-/// The fleet side of a partition.
+/// The cloud-side state of a partition.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// Rented machines that have not reported yet.
+    /// Launched machines that have not sent a heartbeat yet.
     pub pending_instances: PendingInstances,
-    /// Machines that were returned; late heartbeats of them claim nothing.
+    /// Terminated machines; late heartbeats from them claim nothing.
     pub terminated: TerminatedMachines,
-    /// By the name of the request.
+    /// Requests without a reply, by name.
     scale_outs: BTreeMap<String, PendingScaleOut>,
-    scale_outs_issued: u64,
-    /// Until when each refused kind of machine is not asked for.
+    last_request_number: u64,
+    /// Until when each refused offer is not requested.
     refused: BTreeMap<MachineOffer, Micros>,
-    /// Zones that are cut off, or were until a moment ago.
-    zone_cut_until: BTreeMap<String, Micros>,
+    /// Zones that are unreachable, or were until a moment ago, with the time when each entry
+    /// expires.
+    unreachable_zones_until: BTreeMap<String, Micros>,
     next_scale_in_at: Micros,
 }
 
 impl Fleet {
-    /// The cloud has refused spot machines of these types in these zones.
+    /// Records refusals of spot machines of these types in these zones.
     #[cfg(test)]
-    pub(crate) fn refuse_spot(&mut self, types: &[&str], zones: &[&str], until: Micros) {
+    pub(crate) fn record_spot_refusals(&mut self, types: &[&str], zones: &[&str], until: Micros) {
         for machine_type in types {
             for zone in zones {
-                self.refuse(MachineOffer::new(machine_type, zone, true), until);
+                self.record_refusal(MachineOffer::new(machine_type, zone, true), until);
             }
         }
     }
 
-    /// Whether no machine is rented that has not reported yet, and none is asked for.
+    /// Reports whether no launched machine is pending and no request is without a reply.
     pub fn has_no_pending_machines(&self) -> bool {
         self.pending_instances.is_empty() && self.scale_outs.is_empty()
     }
 
-    /// The requests without an answer.
-    pub(super) fn requests(&self) -> impl Iterator<Item = &ScaleOutRequest> {
+    /// Returns the requests without a reply.
+    pub(super) fn pending_requests(&self) -> impl Iterator<Item = &ScaleOutRequest> {
         self.scale_outs.values().map(|pending| &pending.request)
     }
 
-    /// The number of a new request, given out once.
+    /// Returns the number of a new request. No number is returned twice.
     pub(super) fn next_request_number(&mut self) -> u64 {
-        self.scale_outs_issued += 1;
-        self.scale_outs_issued
+        self.last_request_number += 1;
+        self.last_request_number
     }
 
-    pub(super) fn request_issued(&mut self, request: ScaleOutRequest, now: Micros) {
+    pub(super) fn add_request(&mut self, request: ScaleOutRequest, now: Micros) {
         let name = request.name.clone();
-        self.scale_outs.insert(name, PendingScaleOut { request, since: now, retry_at: None });
+        self.scale_outs.insert(name, PendingScaleOut { request, issued_at: now, retry_at: None });
     }
 
-    /// A request was answered; since when it was made, unless that is forgotten.
-    pub(super) fn request_answered(&mut self, name: &str) -> Option<Micros> {
-        self.scale_outs.remove(name).map(|pending| pending.since)
+    /// Removes a request that was answered. Returns when it was issued, if the request is known.
+    pub(super) fn remove_request(&mut self, name: &str) -> Option<Micros> {
+        self.scale_outs.remove(name).map(|pending| pending.issued_at)
     }
 
-    /// There are no machines of the kind that a request asked for.
-    pub(super) fn request_refused(&mut self, request: &ScaleOutRequest, now: Micros) {
+    /// Removes a request that was refused for lack of capacity, and records the refusal of its
+    /// offer.
+    pub(super) fn handle_refusal(&mut self, request: &ScaleOutRequest, now: Micros) {
         self.scale_outs.remove(&request.name);
-        self.refuse(MachineOffer::of_request(request), now + REFUSAL_REMEMBERED_FOR);
+        self.record_refusal(MachineOffer::of_request(request), now + REFUSAL_RETENTION);
     }
 
-    /// Whether a request was carried out is not known: it is repeated.
-    pub(super) fn retry_request(&mut self, name: &str, at: Micros) {
+    /// Schedules the repetition of a request of which it is unknown whether it was carried out.
+    pub(super) fn schedule_retry(&mut self, name: &str, at: Micros) {
         if let Some(pending) = self.scale_outs.get_mut(name) {
             pending.retry_at = Some(at);
         }
     }
 
-    /// The requests that are to be repeated now.
+    /// Returns the requests that are due to be repeated, and clears their schedule.
     pub(super) fn take_due_retries(&mut self, now: Micros) -> Vec<ScaleOutRequest> {
         let mut due = Vec::new();
         for pending in self.scale_outs.values_mut() {
@@ -132,49 +135,49 @@
         due
     }
 
-    pub(super) fn refuse(&mut self, offer: MachineOffer, until: Micros) {
+    pub(super) fn record_refusal(&mut self, offer: MachineOffer, until: Micros) {
         self.refused.insert(offer, until);
     }
 
-    /// Forgets what was refused long ago.
-    pub(super) fn forget_refusals(&mut self, now: Micros) {
+    /// Removes expired refusals.
+    pub(super) fn remove_expired_refusals(&mut self, now: Micros) {
         self.refused.retain(|_, until| *until > now);
     }
 
-    /// Whether a kind of machine is refused at a moment.
-    pub(super) fn refuses(&self, offer: &MachineOffer, now: Micros) -> bool {
+    /// Reports whether an offer is refused at a given time.
+    pub(super) fn is_refused(&self, offer: &MachineOffer, now: Micros) -> bool {
         self.refused.get(offer).is_some_and(|until| *until > now)
     }
 
-    /// Whether the refusal of a kind of machine is remembered.
-    pub(super) fn has_refused(&self, offer: &MachineOffer) -> bool {
+    /// Reports whether a refusal of an offer is recorded.
+    pub(super) fn has_recorded_refusal(&self, offer: &MachineOffer) -> bool {
         self.refused.contains_key(offer)
     }
 
-    /// Whether machines may be returned again after a return that failed.
+    /// Reports whether machines may be terminated, which is delayed after a failed call.
     pub(super) fn may_scale_in(&self, now: Micros) -> bool {
         now >= self.next_scale_in_at
     }
 
-    pub(super) fn scale_in_not_before(&mut self, at: Micros) {
+    pub(super) fn delay_scale_in_until(&mut self, at: Micros) {
         self.next_scale_in_at = at;
     }
 
-    /// Notes which zones are cut off, each until a moment.
-    pub(super) fn note_cut_zones(
+    /// Records that zones are unreachable until a given time, and removes expired entries.
+    pub(super) fn record_unreachable_zones(
         &mut self,
         zones: impl IntoIterator<Item = String>,
         until: Micros,
         now: Micros,
     ) {
         for zone in zones {
-            self.zone_cut_until.insert(zone, until);
+            self.unreachable_zones_until.insert(zone, until);
         }
-        self.zone_cut_until.retain(|_, until| *until > now);
+        self.unreachable_zones_until.retain(|_, until| *until > now);
     }
 
-    /// Zones that are cut off, or were until a moment ago.
-    pub(super) fn cut_zones(&self) -> impl Iterator<Item = &String> {
-        self.zone_cut_until.keys()
+    /// Returns the zones that are unreachable, or were until a moment ago.
+    pub(super) fn unreachable_zones(&self) -> impl Iterator<Item = &String> {
+        self.unreachable_zones_until.keys()
     }
 }
--- a/crates/quartzlever-core/src/autoscaling/offer.rs
+++ b/crates/quartzlever-core/src/autoscaling/offer.rs
@@ -1,6 +1,6 @@
-//! What the cloud offers: machines of one type, in one zone, spot or not, and what they cost.
+//! Machine offers: machines of one type in one zone, on demand or spot, and their prices.
 //!
-//! Prices are those of the catalogue, an hour. Nothing here knows a partition.
+//! Prices are those of the catalogue, per hour. Nothing here depends on partitions.
 
 use std::collections::BTreeMap;
 
@@ -11,10 +11,10 @@
 use crate::machines::resources::Resources;
 use crate::scheduling::offer_allowed;
 
-/// An offer counts as cheap up to this many times the lowest price for the job.
-pub(super) const CHEAP: f64 = 1.5;
+/// Maximum ratio of a cheap price to the lowest price, of a machine type or per task of a job.
+pub(super) const MAX_CHEAP_PRICE_RATIO: f64 = 1.5;
 
-/// A kind of machine that can be asked for.
+/// A kind of machine that can be requested from the cloud.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineOffer {
     pub machine_type: String,
@@ -27,53 +27,57 @@
         MachineOffer { machine_type: machine_type.to_owned(), zone: zone.to_owned(), spot }
     }
 
-    /// What a request asks for.
+    /// Returns the offer that a request asks for.
     pub(super) fn of_request(request: &ScaleOutRequest) -> Self {
         MachineOffer::new(&request.machine_type, &request.zone, request.spot)
     }
 
-    /// Whether a job may run on such machines, which are to be had where they are offered.
-    pub(super) fn permits(&self, spec: &JobSpec) -> bool {
+    /// Reports whether a job may run on such machines, provided that the cloud has them in the
+    /// zone.
+    pub(super) fn is_allowed_for(&self, spec: &JobSpec) -> bool {
         offer_allowed(spec, &self.machine_type, &self.zone, self.spot)
     }
 
-    /// Whether tasks of a job can run on such machines.
-    pub(super) fn suits(&self, types: &BTreeMap<String, MachineType>, spec: &JobSpec) -> bool {
-        self.permits(spec) && types.get(&self.machine_type).is_some_and(|t| fits_empty(t, spec))
+    /// Reports whether tasks of a job can run on such machines.
+    pub(super) fn can_run(&self, types: &BTreeMap<String, MachineType>, spec: &JobSpec) -> bool {
+        self.is_allowed_for(spec)
+            && types.get(&self.machine_type).is_some_and(|t| fits_empty_machine(t, spec))
     }
 
-    /// Whether such machines are known and cost about the type's lowest price.
+    /// Reports whether the machine type is known and the price is close to the lowest of the type.
     pub(super) fn is_cheap(&self, types: &BTreeMap<String, MachineType>) -> bool {
-        types.get(&self.machine_type).is_some_and(|t| !is_dear(t, self.spot))
+        types.get(&self.machine_type).is_some_and(|t| !is_expensive(t, self.spot))
     }
 }
 
-/// Whether a claimed machine is cheap and can run tasks of a job.
-pub(super) fn suits_cheaply(
+/// Reports whether a claimed machine is cheap and can run tasks of a job.
+pub(super) fn can_run_cheaply(
     types: &BTreeMap<String, MachineType>,
     spec: &JobSpec,
     record: &MachineRecord,
 ) -> bool {
-    types.get(&record.machine_type).is_some_and(|t| !is_dear(t, record.spot) && fits_empty(t, spec))
+    types
+        .get(&record.machine_type)
+        .is_some_and(|t| !is_expensive(t, record.spot) && fits_empty_machine(t, spec))
         && offer_allowed(spec, &record.machine_type, &record.zone, record.spot)
 }
 
-/// Whether a task of the job fits an empty machine of the type.
-fn fits_empty(machine_type: &MachineType, spec: &JobSpec) -> bool {
+/// Reports whether a task of the job fits an empty machine of the type.
+fn fits_empty_machine(machine_type: &MachineType, spec: &JobSpec) -> bool {
     Resources::capacity_of(machine_type).fits(&Resources::required_by(spec))
 }
 
-/// Whether such machines cost far more than the type's lowest price.
-pub(super) fn is_dear(machine_type: &MachineType, spot: bool) -> bool {
-    price(machine_type, spot) > cheapest_price(machine_type) * CHEAP
+/// Reports whether such machines cost far more than the lowest price of the type.
+pub(super) fn is_expensive(machine_type: &MachineType, spot: bool) -> bool {
+    hourly_price(machine_type, spot) > lowest_hourly_price(machine_type) * MAX_CHEAP_PRICE_RATIO
 }
 
-/// What a machine costs an hour; infinite where it is not to be had as spot.
-pub(super) fn price(machine_type: &MachineType, spot: bool) -> f64 {
+/// Returns the price per hour, which is infinite for spot machines of a type that has none.
+pub(super) fn hourly_price(machine_type: &MachineType, spot: bool) -> f64 {
     if spot { machine_type.market_price.unwrap_or(f64::INFINITY) } else { machine_type.hourly }
 }
 
-/// The lowest price that machines of a type are to be had for.
-pub(super) fn cheapest_price(machine_type: &MachineType) -> f64 {
+/// Returns the lowest price per hour of a machine type, on demand or spot.
+pub(super) fn lowest_hourly_price(machine_type: &MachineType) -> f64 {
     machine_type.market_price.unwrap_or(machine_type.hourly).min(machine_type.hourly)
 }
--- a/crates/quartzlever-core/src/autoscaling/pending_instances.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances.rs
@@ -1,7 +1,8 @@
-//! Machines on their way: how long each is waited for, and why no longer.
+//! Pending instances: how long a launched machine is waited for.
 //!
-//! Most machines are up after 0.6 to 1.5 times the usual boot of their type, some take several times as long, and a few
-//! never come up; they are charged all the same. What counts as late is decided here and nowhere else.
+//! Most machines boot in 0.6 to 1.5 times the usual boot time of their type, some take several
+//! times as long, and a few never come up; those are charged all the same. Which machines are late
+//! is decided only here.
 
 use std::collections::BTreeMap;
 
@@ -10,160 +11,167 @@
 
 use super::MachineOffer;
 
-/// After so many usual boots a machine for services is asked for anew: a moment without a replica is dearer than
-/// a machine.
+/// Number of boot times after which another machine is requested for services: a moment without a
+/// replica costs grace than a machine.
 const SERVICES_WAIT_BOOTS: f64 = 1.2;
-/// A machine that is not up after so many usual boots, and this much more, is not counted on: what it was
-/// rented for gets another one.
-const COUNTED_ON_BOOTS: f64 = 1.8;
-const COUNTED_ON_MORE: Micros = 3 * SECOND;
-/// After so many, and this much more, it is returned: from then on it costs more than a new one would.
-const GIVEN_UP_BOOTS: f64 = 3.0;
-const GIVEN_UP_MORE: Micros = 20 * SECOND;
-/// The boot of a type that is not in the catalogue any more.
-const UNKNOWN_BOOT_S: f64 = 60.0;
-/// So many late machines of a kind, with none up in time since, show that the next would be late as well.
-const LATE_TOGETHER: usize = 3;
-
-/// A rented machine that has not reported yet.
+/// Number of boot times, plus `LATE_GRACE`, after which a machine is late. It no longer counts as
+/// supply, so another one is requested for the same work.
+const LATE_AFTER_BOOTS: f64 = 1.8;
+const LATE_GRACE: Micros = 3 * SECOND;
+/// Number of boot times, plus `ABANDONED_GRACE`, after which a machine is terminated: from then on
+/// it costs grace than a new one would.
+const ABANDONED_AFTER_BOOTS: f64 = 3.0;
+const ABANDONED_GRACE: Micros = 20 * SECOND;
+/// Assumed boot time of a type that is no longer in the catalogue.
+const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
+/// Number of late machines of an offer, with none on time since, that show that the next would be
+/// late as well.
+const MIN_LATE_MACHINES: usize = 3;
+
+/// A launched machine that has not sent a heartbeat yet.
 #[derive(Clone, Debug)]
 pub struct PendingInstance {
-    /// What was asked for to get it.
+    /// The offer that was requested.
     pub offer: MachineOffer,
-    /// When it was asked for.
+    /// When it was requested.
     pub since: Micros,
 }
 
 impl PendingInstance {
-    /// Whether a service waits for it no longer.
+    /// Reports whether services no longer wait for the machine.
     pub fn is_too_late_for_services(
         &self,
         types: &BTreeMap<String, MachineType>,
         now: Micros,
     ) -> bool {
-        self.has_waited(types, SERVICES_WAIT_BOOTS, 0, now)
+        self.has_waited_longer_than(types, SERVICES_WAIT_BOOTS, 0, now)
     }
 
-    /// Whether it is late, so that it is not counted on.
+    /// Reports whether the machine is late and therefore does not count as supply.
     pub fn is_late(&self, types: &BTreeMap<String, MachineType>, now: Micros) -> bool {
-        self.has_waited(types, COUNTED_ON_BOOTS, COUNTED_ON_MORE, now)
+        self.has_waited_longer_than(types, LATE_AFTER_BOOTS, LATE_GRACE, now)
     }
 
-    /// Whether it is to be returned.
-    pub fn is_given_up(&self, types: &BTreeMap<String, MachineType>, now: Micros) -> bool {
-        self.has_waited(types, GIVEN_UP_BOOTS, GIVEN_UP_MORE, now)
+    /// Reports whether the machine is to be terminated.
+    pub fn is_abandoned(&self, types: &BTreeMap<String, MachineType>, now: Micros) -> bool {
+        self.has_waited_longer_than(types, ABANDONED_AFTER_BOOTS, ABANDONED_GRACE, now)
     }
 
-    fn has_waited(
+    fn has_waited_longer_than(
         &self,
         types: &BTreeMap<String, MachineType>,
         boots: f64,
-        more: Micros,
+        grace: Micros,
         now: Micros,
     ) -> bool {
         let boot = types
             .get(&self.offer.machine_type)
-            .map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.ready_s);
-        now.saturating_sub(self.since) > micros_from_secs(boots * boot) + more
+            .map_or(UNKNOWN_TYPE_BOOT_S, |machine_type| machine_type.ready_s);
+        now.saturating_sub(self.since) > micros_from_secs(boots * boot) + grace
     }
 }
 
-/// The machines of a partition that are on their way, and which kinds come late lately.
+/// The pending instances of a partition, and the offers whose machines arrive on time.
 #[derive(Debug, Default)]
 pub struct PendingInstances {
-    expected: BTreeMap<String, PendingInstance>,
-    /// When the last machine of each kind came that was not late, by when it was asked for.
-    in_time: BTreeMap<MachineOffer, Micros>,
-    /// Late machines that the log was told of.
-    logged_late: usize,
+    instances: BTreeMap<String, PendingInstance>,
+    /// The latest request time, by offer, among the machines that have arrived before they were
+    /// late.
+    latest_on_time: BTreeMap<MachineOffer, Micros>,
+    /// Number of late machines in the latest log event.
+    last_logged_late: usize,
 }
 
 impl PendingInstances {
-    /// A machine was rented.
-    pub fn expect(&mut self, machine: &str, expected: PendingInstance) {
-        self.expected.insert(machine.to_owned(), expected);
+    /// Adds a launched machine.
+    pub fn expect(&mut self, machine: &str, instance: PendingInstance) {
+        self.instances.insert(machine.to_owned(), instance);
     }
 
-    /// A machine has come up, here or for another partition, or it is gone.
-    pub fn forget(&mut self, machine: &str) -> Option<PendingInstance> {
-        self.expected.remove(machine)
+    /// Removes a machine that has come up, here or for another partition, or that is gone.
+    pub fn remove(&mut self, machine: &str) -> Option<PendingInstance> {
+        self.instances.remove(machine)
     }
 
-    /// A machine has come up.
+    /// Removes a machine that has come up, and notes its offer if the machine was on time.
     pub fn arrived(
         &mut self,
         machine: &str,
         types: Option<&BTreeMap<String, MachineType>>,
         now: Micros,
     ) {
-        let Some(expected) = self.forget(machine) else { return };
-        if types.is_some_and(|types| !expected.is_late(types, now)) {
-            let since = self.in_time.entry(expected.offer).or_default();
-            *since = expected.since.max(*since);
+        let Some(instance) = self.remove(machine) else { return };
+        if types.is_some_and(|types| !instance.is_late(types, now)) {
+            let latest = self.latest_on_time.entry(instance.offer).or_default();
+            *latest = instance.since.max(*latest);
         }
     }
 
-    /// Whether a machine is awaited here.
+    /// Reports whether a machine is pending here.
     pub fn contains(&self, machine: &str) -> bool {
-        self.expected.contains_key(machine)
+        self.instances.contains_key(machine)
     }
 
-    /// Whether none is awaited.
+    /// Reports whether no machine is pending.
     pub fn is_empty(&self) -> bool {
-        self.expected.is_empty()
+        self.instances.is_empty()
     }
 
-    /// All that are awaited.
+    /// Returns the pending instances.
     pub fn iter(&self) -> impl Iterator<Item = &PendingInstance> {
-        self.expected.values()
+        self.instances.values()
     }
 
-    /// The kinds of which several machines are late and none has come in time since they were asked for: more of
-    /// them would be late too, so others are tried.
+    /// Returns the offers of which several machines are late and none requested since has arrived
+    /// on time. More of them would be late too, so other offers are tried first.
     pub fn late_offers(
         &self,
         types: &BTreeMap<String, MachineType>,
         now: Micros,
     ) -> Vec<MachineOffer> {
-        let mut late: BTreeMap<&MachineOffer, usize> = BTreeMap::new();
-        for expected in self.expected.values().filter(|e| e.is_late(types, now)) {
-            let offer = &expected.offer;
-            if self.in_time.get(offer).is_none_or(|since| *since < expected.since) {
-                *late.entry(offer).or_default() += 1;
+        let mut late_counts: BTreeMap<&MachineOffer, usize> = BTreeMap::new();
+        for instance in self.instances.values().filter(|i| i.is_late(types, now)) {
+            let offer = &instance.offer;
+            if self.latest_on_time.get(offer).is_none_or(|latest| *latest < instance.since) {
+                *late_counts.entry(offer).or_default() += 1;
             }
         }
-        let many = late.into_iter().filter(|(_, count)| *count >= LATE_TOGETHER);
-        many.map(|(offer, _)| offer.clone()).collect()
+        let offers = late_counts.into_iter().filter(|(_, count)| *count >= MIN_LATE_MACHINES);
+        offers.map(|(offer, _)| offer.clone()).collect()
     }
 
-    /// Takes out the machines that are to be returned, so many at the most.
-    pub fn take_given_up(
+    /// Removes and returns the machines that are to be terminated, at limit `limit` of them.
+    pub fn take_abandoned(
         &mut self,
         types: &BTreeMap<String, MachineType>,
         now: Micros,
-        most: usize,
+        limit: usize,
     ) -> Vec<String> {
-        let given_up = self.expected.iter().filter(|(_, e)| e.is_given_up(types, now)).take(most);
-        let machines: Vec<String> = given_up.map(|(machine, _)| machine.clone()).collect();
+        let abandoned =
+            self.instances.iter().filter(|(_, i)| i.is_abandoned(types, now)).take(limit);
+        let machines: Vec<String> = abandoned.map(|(machine, _)| machine.clone()).collect();
         for machine in &machines {
-            self.expected.remove(machine);
+            self.instances.remove(machine);
         }
         machines
     }
 
-    /// How many machines are late, and how many are awaited, if that is news for the log.
+    /// Returns the numbers of late and of pending machines if they are to be logged: when the first
+    /// is late, when none is late any longer, and when grace than twice as many are late as in the
+    /// latest log event.
     pub fn late_count_change(
         &mut self,
         types: &BTreeMap<String, MachineType>,
         now: Micros,
     ) -> Option<(usize, usize)> {
-        let late = self.expected.values().filter(|e| e.is_late(types, now)).count();
-        let is_news = (late > 0) != (self.logged_late > 0) || late > 2 * self.logged_late;
-        if !is_news {
+        let late = self.instances.values().filter(|i| i.is_late(types, now)).count();
+        let should_log =
+            (late > 0) != (self.last_logged_late > 0) || late > 2 * self.last_logged_late;
+        if !should_log {
             return None;
         }
-        self.logged_late = late;
-        Some((late, self.expected.len()))
+        self.last_logged_late = late;
+        Some((late, self.instances.len()))
     }
 }
 
--- a/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
@@ -23,13 +23,13 @@
     BTreeMap::from([("m".to_owned(), machine_type)])
 }
 
-fn rented(since: Micros) -> PendingInstance {
+fn requested_at(since: Micros) -> PendingInstance {
     PendingInstance { offer: MachineOffer::new("m", "a", true), since }
 }
 
-/// (seconds since it was rented; a service waits for it no longer, it is late, it is returned)
+/// (seconds since the request; services no longer wait, the machine is late, it is terminated)
 #[test]
-fn a_machine_is_waited_for_by_the_boot_of_its_type() {
+fn the_wait_for_a_machine_depends_on_the_boot_time_of_its_type() {
     for (waited, expected) in [
         (10, [false, false, false]),
         (13, [true, false, false]),
@@ -38,23 +38,23 @@
         (50, [true, true, false]),
         (51, [true, true, true]),
     ] {
-        let machine = rented(NOW - waited * SECOND);
+        let machine = requested_at(NOW - waited * SECOND);
         let types = types();
         let found = [
             machine.is_too_late_for_services(&types, NOW),
             machine.is_late(&types, NOW),
-            machine.is_given_up(&types, NOW),
+            machine.is_abandoned(&types, NOW),
         ];
         assert_eq!(found, expected, "{waited} s");
     }
 }
 
-/// (late machines of a kind, machines of it that came up: when they were rented and when they came;
-/// whether it is still asked for)
+/// (late machines of an offer; machines of it that arrived, with the seconds of request and
+/// arrival; whether the offer is still requested as usual)
 #[test]
-fn a_kind_that_comes_late_is_not_asked_for_until_one_comes_in_time() {
-    type Came = &'static [(Micros, Micros)];
-    let cases: [(usize, Came, bool); 6] = [
+fn an_offer_with_late_machines_is_avoided_until_one_arrives_on_time() {
+    type Arrivals = &'static [(Micros, Micros)];
+    let cases: [(usize, Arrivals, bool); 6] = [
         (2, &[], true),
         (3, &[], false),
         (9, &[], false),
@@ -62,42 +62,43 @@
         (9, &[(5, 12)], false),
         (9, &[(30, 38)], true),
     ];
-    for (late, came, asked) in cases {
+    for (late, arrived, is_requested) in cases {
         let types = types();
         let mut pending_instances = PendingInstances::default();
         for n in 0..late {
-            pending_instances.expect(&format!("late-{n}"), rented(NOW + 10 * SECOND));
+            pending_instances.expect(&format!("late-{n}"), requested_at(NOW + 10 * SECOND));
         }
-        for (n, (since, at)) in came.iter().enumerate() {
-            let machine = format!("came-{n}");
-            pending_instances.expect(&machine, rented(NOW + since * SECOND));
+        for (n, (since, at)) in arrived.iter().enumerate() {
+            let machine = format!("arrived-{n}");
+            pending_instances.expect(&machine, requested_at(NOW + since * SECOND));
             pending_instances.arrived(&machine, Some(&types), NOW + at * SECOND);
         }
         let offers = pending_instances.late_offers(&types, NOW + 40 * SECOND);
-        assert_eq!(offers.is_empty(), asked, "{late} late, {came:?}");
+        assert_eq!(offers.is_empty(), is_requested, "{late} late, {arrived:?}");
     }
 }
 
-/// The log tells of late machines once, again when there are many more, and when there are none.
+/// Late machines are logged once, again when there are many more, and when there are none any
+/// longer.
 #[test]
-fn late_machines_are_told_of_once() {
+fn late_machines_are_logged_once() {
     let types = types();
     let mut pending_instances = PendingInstances::default();
-    pending_instances.expect("n-1", rented(NOW));
-    for (after, told) in [(5, None), (25, Some((1, 1))), (26, None)] {
+    pending_instances.expect("n-1", requested_at(NOW));
+    for (after, logged) in [(5, None), (25, Some((1, 1))), (26, None)] {
         assert_eq!(
             pending_instances.late_count_change(&types, NOW + after * SECOND),
-            told,
+            logged,
             "{after} s"
         );
     }
     for n in 2..5 {
-        pending_instances.expect(&format!("n-{n}"), rented(NOW));
+        pending_instances.expect(&format!("n-{n}"), requested_at(NOW));
     }
     assert_eq!(pending_instances.late_count_change(&types, NOW + 27 * SECOND), Some((4, 4)));
-    // No more than a request may name; the others go with the next.
-    for most in [3, 1, 0] {
-        assert_eq!(pending_instances.take_given_up(&types, NOW + 60 * SECOND, 3).len(), most);
+    // At limit as many as one call may name; the others follow with the next call.
+    for limit in [3, 1, 0] {
+        assert_eq!(pending_instances.take_abandoned(&types, NOW + 60 * SECOND, 3).len(), limit);
     }
     assert_eq!(pending_instances.late_count_change(&types, NOW + 60 * SECOND), Some((0, 0)));
     assert!(pending_instances.is_empty());
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -1,7 +1,7 @@
-//! Requests for machines: how what is wanted is asked of the cloud, and what its replies bring.
+//! Scale-out requests: sending requests for wanted machines to the cloud, and handling the replies.
 //!
-//! Each request has a name that is used for nothing else, before or after, so it can be repeated
-//! until it is answered without being served twice.
+//! The name of a request is never used for another one, so a request can be repeated until it is
+//! answered and is carried out only once.
 
 use quartzlever_wire::cloud::{CloudCall, CloudReply, ScaleOutRequest};
 use quartzlever_wire::peers::PeerRequest;
@@ -10,7 +10,7 @@
 use super::demand::Wanted;
 use super::offer::MachineOffer;
 use super::policy::Market;
-use super::{PendingInstance, RETRY};
+use super::{PendingInstance, RETRY_DELAY};
 use crate::calls::{PendingCloudCall, PendingPeerCall};
 use crate::events::LogEvent;
 use crate::messages::LogLevel;
@@ -18,22 +18,22 @@
 use crate::router::Core;
 use crate::store::cache::Cache;
 
-/// How long a refused kind of machine is not asked for again.
-pub(super) const REFUSAL_REMEMBERED_FOR: Micros = 10 * SECOND;
-/// The most machines in one request for them.
+/// How long a refused offer is not requested again.
+pub(super) const REFUSAL_RETENTION: Micros = 10 * SECOND;
+/// Maximum number of machines in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Requests for machines of one partition without an answer, at the most.
+/// Maximum number of requests without a reply for one partition.
 const MAX_PENDING_REQUESTS: usize = 4;
 
 impl Core {
-    /// Asks for the machines that a partition is missing, and again for what was not answered.
+    /// Requests the machines that a partition lacks, and repeats the requests that are due.
     pub(super) fn scale_out(&mut self, name: &str) {
         let now = self.now;
         let warm_capacity = self.warm_capacity();
         let Some(types) = &self.types else { return };
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let mut requests = partition.autoscaling.take_due_retries(now);
-        partition.autoscaling.forget_refusals(now);
+        partition.autoscaling.remove_expired_refusals(now);
         let market = Market {
             config: &self.config,
             run_times: &self.run_times,
@@ -43,7 +43,7 @@
         };
         let mut wanted = partition.plan_scale_out(&market);
         partition.add_warm_capacity(types, warm_capacity, &mut wanted, now);
-        requests.extend(partition.new_requests(wanted, now));
+        requests.extend(partition.create_requests(wanted, now));
         let term = partition.term;
         for request in requests {
             self.send_scale_out(name, term, request);
@@ -66,7 +66,7 @@
         self.call_cloud(CloudCall::ScaleOut(request), pending);
     }
 
-    /// The cloud has answered a request, or not.
+    /// Handles the reply to a scale-out request, or its failure.
     pub(super) fn scale_out_replied(
         &mut self,
         name: &str,
@@ -81,11 +81,11 @@
         };
         match result {
             Ok(CloudReply::ScaledOut(machines)) => {
-                partition.scaled_out(cache, &request, &machines, now);
+                partition.record_launch(cache, &request, &machines, now);
                 self.announce_launch(name, &machines);
             }
             Ok(CloudReply::NoCapacity) => {
-                partition.autoscaling.request_refused(&request, now);
+                partition.autoscaling.handle_refusal(&request, now);
                 self.outbox.log(LogLevel::Info, || LogEvent::NoCapacity {
                     partition: name.to_owned(),
                     machine_type: request.machine_type.clone(),
@@ -93,12 +93,12 @@
                     spot: request.spot,
                 });
             }
-            _ => partition.autoscaling.retry_request(&request.name, now + RETRY),
+            _ => partition.autoscaling.schedule_retry(&request.name, now + RETRY_DELAY),
         }
     }
 
-    /// Tells the peers which machines were rented for a partition: their first heartbeats may go to
-    /// any node.
+    /// Notifies the peers of the machines that were launched for a partition, since the first
+    /// heartbeat of a machine may go to any node.
     fn announce_launch(&mut self, name: &str, machines: &[String]) {
         for machine in machines {
             self.cloud.note_launch(machine.clone(), name, self.now);
@@ -112,8 +112,8 @@
 }
 
 impl Partition {
-    /// Requests for all that is wanted, as far as so many may wait for an answer.
-    fn new_requests(&mut self, wanted: Wanted, now: Micros) -> Vec<ScaleOutRequest> {
+    /// Creates requests for the wanted machines, up to the limit of requests without a reply.
+    fn create_requests(&mut self, wanted: Wanted, now: Micros) -> Vec<ScaleOutRequest> {
         let mut counts = Vec::new();
         for (offer, mut count) in wanted {
             while count > 0 {
@@ -121,12 +121,15 @@
                 count -= count.min(MAX_MACHINES_PER_REQUEST);
             }
         }
-        counts.truncate(MAX_PENDING_REQUESTS.saturating_sub(self.autoscaling.requests().count()));
+        counts.truncate(
+            MAX_PENDING_REQUESTS.saturating_sub(self.autoscaling.pending_requests().count()),
+        );
         let (name, term) = (&self.name, self.term);
         let issued = counts.into_iter().map(|(offer, count)| {
             let number = self.autoscaling.next_request_number();
             let MachineOffer { machine_type, zone, spot } = offer;
-            // Never used before or after: the term is unique and the counter its leader's.
+            // Never used for another request: no two leaders have the same term, and the number is
+            // counted within it.
             let request = ScaleOutRequest {
                 name: format!("{name}.{term}.{number}"),
                 machine_type,
@@ -134,14 +137,15 @@
                 spot,
                 count,
             };
-            self.autoscaling.request_issued(request.clone(), now);
+            self.autoscaling.add_request(request.clone(), now);
             request
         });
         issued.collect()
     }
 
-    /// Machines were rented: they are awaited, unless they have come up already or are gone again.
-    fn scaled_out(
+    /// Adds the launched machines to the pending instances, except those that have already been
+    /// claimed or terminated. A shortfall counts as a refusal of the offer.
+    fn record_launch(
         &mut self,
         cache: &Cache,
         request: &ScaleOutRequest,
@@ -149,10 +153,10 @@
         now: Micros,
     ) {
         let fleet = &mut self.autoscaling;
-        let since = fleet.request_answered(&request.name).unwrap_or(now);
+        let since = fleet.remove_request(&request.name).unwrap_or(now);
         let offer = MachineOffer::of_request(request);
         if (machines.len() as u32) < request.count {
-            fleet.refuse(offer.clone(), now + REFUSAL_REMEMBERED_FOR);
+            fleet.record_refusal(offer.clone(), now + REFUSAL_RETENTION);
         }
         for machine in machines {
             if !cache.is_claimed(machine) && !fleet.terminated.contains(machine) {
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -1,6 +1,7 @@
-//! Scaling in: which machines are returned to the cloud, and what is done when they are gone.
+//! Scaling in: which machines are terminated, and what follows once they are gone.
 //!
-//! A machine counts as gone, with everything on it, only after the cloud has confirmed its return.
+//! A machine counts as gone, with everything on it, only after the cloud has confirmed the
+//! termination.
 
 mod reasons;
 
@@ -10,7 +11,7 @@
 use quartzlever_wire::{CallError, Micros};
 
 use self::reasons::ScaleInRules;
-use super::{MAX_MACHINES_PER_SCALE_IN, RETRY};
+use super::{MAX_MACHINES_PER_SCALE_IN, RETRY_DELAY};
 use crate::calls::PendingCloudCall;
 use crate::config::Config;
 use crate::events::{LogEvent, ReturnedMachine};
@@ -21,11 +22,13 @@
 
 pub use self::reasons::ScaleInReason;
 
-/// So many machines of a zone fall silent together only when the zone is cut off.
-const CUT_MACHINES: usize = 3;
+/// Minimum number of machines in a zone that show, if all of them are silent, that the zone is
+/// unreachable.
+const MIN_MACHINES_OF_UNREACHABLE_ZONE: usize = 3;
 
 impl Core {
-    /// Returns the machines of a partition that are of no use.
+    /// Terminates the marked machines of a partition that can be terminated now, and its pending
+    /// instances that have taken too long.
     pub(super) fn scale_in(&mut self, name: &str) {
         let (now, listening_since) = (self.now, self.reachability.listening_since());
         let warm_capacity = self.warm_capacity();
@@ -34,7 +37,7 @@
         if !partition.autoscaling.may_scale_in(now) {
             return;
         }
-        partition.note_cuts(&self.config, now);
+        partition.update_unreachable_zones(&self.config, now);
         let rules = ScaleInRules::new(
             &self.config,
             &types,
@@ -44,13 +47,14 @@
             now,
         );
         partition.mark_for_scale_in(&rules);
-        let mut machine_names = partition.marked_machines();
+        let mut machine_names = partition.machines_to_terminate();
         machine_names.truncate(MAX_MACHINES_PER_SCALE_IN);
-        // After standing still, their heartbeats may wait unread.
+        // After a stall of this process, heartbeats of these machines may still be unread.
         if now.saturating_sub(listening_since) > 2 * self.config.workers.heartbeat_interval {
-            let room = MAX_MACHINES_PER_SCALE_IN - machine_names.len();
-            machine_names
-                .extend(partition.autoscaling.pending_instances.take_given_up(&types, now, room));
+            let remaining = MAX_MACHINES_PER_SCALE_IN - machine_names.len();
+            machine_names.extend(
+                partition.autoscaling.pending_instances.take_abandoned(&types, now, remaining),
+            );
         }
         let late = partition.autoscaling.pending_instances.late_count_change(&types, now);
         let reasons = partition.begin_scale_in(&machine_names);
@@ -79,7 +83,8 @@
         );
     }
 
-    /// The cloud has answered a return: what is gone is forgotten, the rest is tried again later.
+    /// Handles the reply to a termination: machines that are gone are removed, the others are
+    /// terminated again later.
     pub(super) fn scale_in_replied(
         &mut self,
         name: &str,
@@ -90,7 +95,7 @@
         let now = self.now;
         let Some(partition) = self.partition_at_term(name, term) else { return };
         if !matches!(result, Ok(CloudReply::ScaledIn)) {
-            partition.autoscaling.scale_in_not_before(now + 2 * RETRY);
+            partition.autoscaling.delay_scale_in_until(now + 2 * RETRY_DELAY);
             for machine_name in machines {
                 if let Some(machine) = partition.machines.get_mut(&machine_name) {
                     machine.scaling_in = false;
@@ -99,53 +104,56 @@
             }
             return;
         }
-        let mut dropped = Vec::new();
+        let mut removed = Vec::new();
         for machine_name in machines {
-            // The machine is gone, with everything on it.
-            let known = partition.remove_machine(&machine_name);
+            // The cloud has confirmed that the machine is gone, with everything on it.
+            let was_known = partition.remove_machine(&machine_name);
             partition.autoscaling.terminated.put(&machine_name, now);
-            if known {
-                dropped.push(machine_name);
+            if was_known {
+                removed.push(machine_name);
             }
         }
-        for machine_name in dropped {
+        for machine_name in removed {
             self.release_ownership(&machine_name, name, term);
         }
     }
 }
 
 impl Partition {
-    /// Notes which zones seem to be cut off. When a cut ends, the first machine that is heard must not
-    /// make all the others silent ones: they report within the next interval.
-    fn note_cuts(&mut self, config: &Config, now: Micros) {
-        let zones = self.zones_cut(now, config.operator.silent_return);
+    /// Records which zones seem to be unreachable. When such a zone becomes reachable again, the
+    /// first heartbeat from it must not make all other machines there count as silent: they send
+    /// theirs within the next interval.
+    fn update_unreachable_zones(&mut self, config: &Config, now: Micros) {
+        let zones = self.find_unreachable_zones(now, config.operator.silent_return);
         let until = now + 2 * config.workers.heartbeat_interval;
-        self.autoscaling.note_cut_zones(zones, until, now);
+        self.autoscaling.record_unreachable_zones(zones, until, now);
     }
 
-    /// Zones that seem to be cut off: all of several machines there fell silent together.
-    fn zones_cut(&self, now: Micros, silent: Micros) -> BTreeSet<String> {
+    /// Returns the zones that seem to be unreachable: all of several machines there are silent.
+    fn find_unreachable_zones(&self, now: Micros, silent_return: Micros) -> BTreeSet<String> {
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| !m.scaling_in) {
             let entry = zones.entry(machine.record.zone.as_str()).or_default();
             entry.0 += 1;
-            entry.1 += usize::from(now.saturating_sub(machine.last_heartbeat_at) > silent / 2);
+            entry.1 +=
+                usize::from(now.saturating_sub(machine.last_heartbeat_at) > silent_return / 2);
         }
-        let cut =
-            zones.into_iter().filter(|(_, (all, quiet))| *all >= CUT_MACHINES && all == quiet);
+        let cut = zones
+            .into_iter()
+            .filter(|(_, (all, silent))| *all >= MIN_MACHINES_OF_UNREACHABLE_ZONE && all == silent);
         cut.map(|(zone, _)| zone.to_owned()).collect()
     }
 
-    /// Marks the machines that are to be returned, and takes marks back.
+    /// Marks the machines that are to be terminated, and clears marks that no longer hold.
     fn mark_for_scale_in(&mut self, rules: &ScaleInRules) {
         let mut changed: Vec<String> = Vec::new();
         for machine in self.machines.values_mut().filter(|m| !m.scaling_in) {
             let before = machine.scale_in_reason;
-            let recently_seen = rules.quiet(machine) < rules.config.workers.heartbeat_interval;
-            let before_still = before.filter(|r| !r.is_disproven(machine, rules.now));
-            let reason = before_still.or_else(|| rules.reason(machine));
+            let recently_seen = rules.silence(machine) < rules.config.workers.heartbeat_interval;
+            let still_valid = before.filter(|r| !r.is_disproven(machine, rules.now));
+            let reason = still_valid.or_else(|| rules.reason(machine));
             machine.scale_in_reason =
-                reason.filter(|r| !(recently_seen && r.ends_with_a_heartbeat()));
+                reason.filter(|r| !(recently_seen && r.is_cleared_by_heartbeat()));
             if machine.scale_in_reason != before {
                 changed.push(machine.name.clone());
             }
@@ -155,18 +163,19 @@
         }
     }
 
-    /// The marked machines that can be returned now.
-    fn marked_machines(&self) -> Vec<String> {
+    /// Returns the marked machines that can be terminated now.
+    fn machines_to_terminate(&self) -> Vec<String> {
         let is_free =
             |m: &Machine| !m.busy() && m.attempts.values().all(|attempt| attempt.accounted);
-        let goes = |m: &Machine| {
-            m.scale_in_reason.is_some_and(|reason| reason.is_pressing() || is_free(m))
+        let may_go = |m: &Machine| {
+            m.scale_in_reason.is_some_and(|reason| reason.is_immediate() || is_free(m))
         };
-        let machines = self.machines.values().filter(|m| !m.scaling_in && goes(m));
+        let machines = self.machines.values().filter(|m| !m.scaling_in && may_go(m));
         machines.map(|m| m.name.clone()).collect()
     }
 
-    /// Marks machines as being returned; gives the reason of each for the log, none if it never came up.
+    /// Marks machines as being terminated. Returns the reason of each for the log, `None` for a
+    /// machine that never came up.
     fn begin_scale_in(&mut self, machines: &[String]) -> Vec<Option<ScaleInReason>> {
         let mut reasons = Vec::new();
         for machine_name in machines {
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -1,7 +1,8 @@
-//! Why a machine is returned: an ordered table of reasons, each with what it takes.
+//! Reasons for terminating a machine: an ordered table of reasons, each with its condition.
 //!
-//! The first row that applies decides. No row applies because this node did not listen, or is the one
-//! that is not heard: many machines at fault at once are taken for no fault of theirs.
+//! The first condition that holds decides. No condition holds merely because this node did not
+//! listen, or because its answers do not arrive: if many machines seem faulty at once, the fault is
+//! assumed not to be theirs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,60 +12,64 @@
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
 use crate::autoscaling::MachineOffer;
-use crate::autoscaling::offer::{cheapest_price, price};
+use crate::autoscaling::offer::{hourly_price, lowest_hourly_price};
 use crate::config::Config;
 use crate::machines::machine::Machine;
 use crate::partition::Partition;
 
-/// A machine that so many calls could not reach need not be waited for until it would report.
-const FAILED_CALLS: u32 = 2;
-/// So many machines, or a tenth of them, may be late with their heartbeats and are given up for it if
-/// they have replicas of services.
+/// Number of failed direct calls after which the next heartbeat of an unverified machine is not
+/// waited for.
+const UNREACHABLE_AFTER_FAILED_CALLS: u32 = 2;
+/// Number of machines, or a tenth of all if that is more, whose heartbeats may be late while a late
+/// machine with service replicas is still terminated early.
 const MAX_LATE_MACHINES: usize = 3;
-/// So many machines, or a tenth of them, may be deaf at once and are returned for it.
+/// Number of machines, or a tenth of all if that is more, that may ignore commands at once and are
+/// terminated for it.
 const MAX_IGNORING_MACHINES: usize = 2;
-/// Pace in thousandths of the usual from which a machine crawls, and over how many tasks.
-const CRAWL_PACE: u32 = 2200;
-const CRAWL_TASKS: usize = 3;
+/// Mean run time relative to the usual, in thousandths, above which a machine is slow.
+const SLOW_RUN_TIME_PERMILLE: u32 = 2200;
+/// Minimum number of recent tasks from which a machine can be found slow.
+const MIN_TASKS_FOR_SLOW: usize = 3;
 /// How long an idle machine of an unknown type is kept.
-const UNKNOWN_IDLE_LIFE: Micros = 30 * SECOND;
+const UNKNOWN_TYPE_IDLE_LIFETIME: Micros = 30 * SECOND;
 
-/// Why a machine is returned.
+/// Why a machine is terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ScaleInReason {
-    /// It has not been heard of for longer than any heartbeat may be late.
+    /// It has been silent for longer than any heartbeat may be late.
     Silent,
-    /// A task of a job that is over is not proven gone in time. The lease ends it, unless the machine
-    /// hangs or a late command starts it after all: then only this does.
-    NotGone,
-    /// Its reports do not show what answers told it.
+    /// An attempt of a job that is over is not confirmed as ended in time. The lease ends the
+    /// attempt, unless the machine hangs or a late command starts the attempt after all: then only
+    /// a termination does.
+    LingeringAttempt,
+    /// Its heartbeats show no effect of the commands in the answers.
     IgnoresCommands,
-    /// The cloud has taken it back.
-    Taken,
-    /// The cloud lists it as stopped.
+    /// The cloud has reclaimed the spot instance.
+    Reclaimed,
+    /// The cloud lists it as failed.
     Failed,
     /// Tasks fail on it that do not fail elsewhere.
     FailsTasks,
     /// Its tasks take far longer than elsewhere.
     Slow,
-    /// It has had nothing to do for longer than it is worth keeping.
+    /// It has been idle for longer than it is worth keeping.
     Idle,
 }
 
 impl ScaleInReason {
-    /// Whether the machine goes at once; for other reasons it ends its work first.
-    pub(super) fn is_pressing(self) -> bool {
+    /// Reports whether the machine is terminated at once; for other reasons its tasks end first.
+    pub(super) fn is_immediate(self) -> bool {
         !matches!(self, ScaleInReason::FailsTasks | ScaleInReason::Slow | ScaleInReason::Idle)
     }
 
-    /// Whether the machine goes for something that it turned out not to be to blame for.
+    /// Reports whether the machine has turned out not to be at fault for what it is marked for.
     pub(super) fn is_disproven(self, machine: &Machine, now: Micros) -> bool {
         self == ScaleInReason::FailsTasks && !machine.failures.blame_machine(now)
     }
 
-    /// Whether a fresh report shows that the reason has passed.
-    pub(super) fn ends_with_a_heartbeat(self) -> bool {
-        matches!(self, ScaleInReason::Silent | ScaleInReason::Taken)
+    /// Reports whether a recent heartbeat shows that the reason no longer holds.
+    pub(super) fn is_cleared_by_heartbeat(self) -> bool {
+        matches!(self, ScaleInReason::Silent | ScaleInReason::Reclaimed)
     }
 }
 
@@ -72,9 +77,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ScaleInReason::Silent => "silent",
-            ScaleInReason::NotGone => "not_gone",
+            ScaleInReason::LingeringAttempt => "not_gone",
             ScaleInReason::IgnoresCommands => "ignores_commands",
-            ScaleInReason::Taken => "taken",
+            ScaleInReason::Reclaimed => "taken",
             ScaleInReason::Failed => "failed",
             ScaleInReason::FailsTasks => "fails_tasks",
             ScaleInReason::Slow => "slow",
@@ -83,52 +88,54 @@
     }
 }
 
-/// A reason, and whether it applies to a machine.
-type Row = (ScaleInReason, fn(&ScaleInRules, &Machine) -> bool);
+/// A reason, and the condition under which it applies to a machine.
+type ReasonRule = (ScaleInReason, fn(&ScaleInRules, &Machine) -> bool);
 
-/// The reasons in their order: those for which a machine goes at once are looked at first, so that a
-/// machine at fault does not stay to end its work. `Failed` is the cloud's word and set where its list is read.
-const REASONS: [Row; 7] = [
-    (ScaleInReason::Silent, |rules, machine| rules.quiet(machine) > rules.patience(machine)),
-    // What ended may be in reports that a node which did not listen has not read.
-    (ScaleInReason::NotGone, |rules, machine| {
+/// The reasons in the order of evaluation. Those that terminate a machine at once come first, so
+/// that a faulty machine does not stay until its tasks end. `Failed` is not in the table: it is set
+/// when the cloud's list of machines is read.
+const REASONS: [ReasonRule; 7] = [
+    (ScaleInReason::Silent, |rules, machine| rules.silence(machine) > rules.max_silence(machine)),
+    // The heartbeats that confirm the end may still be unread on a node that was not listening.
+    (ScaleInReason::LingeringAttempt, |rules, machine| {
         rules.has_listened()
             && machine.has_lingering_attempt(rules.now, rules.config.attempt_exit_timeout())
     }),
-    // Deaf machines are returned: where many seem deaf at once it is this node that is not heard.
+    // If many machines seem to ignore commands at once, it is this node whose answers do not
+    // arrive.
     (ScaleInReason::IgnoresCommands, |rules, machine| {
-        rules.returns_ignoring_machines
+        rules.terminates_ignoring_machines
             && machine.ignores_commands(rules.now, rules.config.workers.heartbeat_interval)
     }),
-    // A notice may be late or wrong: as long as the machine is heard it is there.
-    (ScaleInReason::Taken, |rules, machine| {
+    // A spot notice may be late or wrong: a machine that sends heartbeats still exists.
+    (ScaleInReason::Reclaimed, |rules, machine| {
         machine.spot_notice_until.is_some_and(|until| rules.now > until)
-            && rules.quiet(machine) > 2 * rules.config.workers.heartbeat_interval
+            && rules.silence(machine) > 2 * rules.config.workers.heartbeat_interval
     }),
     (ScaleInReason::FailsTasks, |rules, machine| machine.failures.blame_machine(rules.now)),
     (ScaleInReason::Slow, |_, machine| is_slow(machine)),
     (ScaleInReason::Idle, |rules, machine| rules.is_idle(machine)),
 ];
 
-/// What decides about the machines of a partition at one moment.
+/// The inputs of the scale-in decisions of a partition at one moment.
 pub(super) struct ScaleInRules<'a> {
     pub config: &'a Config,
     types: &'a BTreeMap<String, MachineType>,
     pub now: Micros,
-    acquired: Micros,
+    acquired_at: Micros,
     /// Since when this node has listened without a gap.
     listening_since: Micros,
-    /// Zones that seem to be cut off.
-    cut: BTreeSet<String>,
-    returns_ignoring_machines: bool,
-    /// Few reports are late; where many are, that is no machine's fault.
+    /// Zones that seem to be unreachable.
+    unreachable_zones: BTreeSet<String>,
+    terminates_ignoring_machines: bool,
+    /// Whether few heartbeats are late. If many are, the machines are not at fault.
     few_late: bool,
-    /// Machines that keep room for services.
-    kept: BTreeSet<String>,
+    /// Machines that provide warm capacity for services.
+    warm_machines: BTreeSet<String>,
 }
 
 impl<'a> ScaleInRules<'a> {
-    /// The rules for a partition as it stands now.
+    /// Creates the rules for the current state of a partition.
     pub fn new(
         config: &'a Config,
         types: &'a BTreeMap<String, MachineType>,
@@ -139,7 +146,7 @@
     ) -> Self {
         let machines = || partition.machines.values();
         let tenth = partition.machines.len() / 10;
-        let ignores_commands = machines()
+        let ignoring = machines()
             .filter(|m| m.ignores_commands(now, config.workers.heartbeat_interval))
             .count();
         let is_late =
@@ -149,84 +156,96 @@
             config,
             types,
             now,
-            acquired: partition.acquired,
+            acquired_at: partition.acquired,
             listening_since,
-            cut: partition.autoscaling.cut_zones().cloned().collect(),
-            returns_ignoring_machines: ignores_commands <= MAX_IGNORING_MACHINES.max(tenth),
+            unreachable_zones: partition.autoscaling.unreachable_zones().cloned().collect(),
+            terminates_ignoring_machines: ignoring <= MAX_IGNORING_MACHINES.max(tenth),
             few_late: late <= MAX_LATE_MACHINES.max(tenth),
-            kept: warm_capacity
+            warm_machines: warm_capacity
                 .iter()
                 .filter_map(|offer| partition.warm_machine(types, offer))
                 .collect(),
         }
     }
 
-    /// Why a machine should be returned, if it should.
+    /// Returns the reason for terminating a machine, if there is one.
     pub fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
         REASONS.iter().find(|(_, applies)| applies(self, machine)).map(|(reason, _)| *reason)
     }
 
-    /// Whether this node has listened for long enough to have heard every machine.
+    /// Reports whether this node has listened for long enough to have received a heartbeat from
+    /// every machine.
     fn has_listened(&self) -> bool {
         self.now.saturating_sub(self.listening_since) > self.config.workers.heartbeat_interval
     }
 
-    /// How long a machine may be silent before it is returned.
-    fn patience(&self, machine: &Machine) -> Micros {
+    /// Returns how long a machine may be silent before it is terminated.
+    fn max_silence(&self, machine: &Machine) -> Micros {
         let (operator, heartbeat_interval) =
             (&self.config.operator, self.config.workers.heartbeat_interval);
-        if self.cut.contains(&machine.record.zone) {
-            // Behind a cut machines go on working: they are given their whole lease. In a recovery
-            // they get half of it: a lease's life has passed unheard before, so that a cut short
-            // enough to spare them would be over, and the whole partition waits for them.
+        if self.unreachable_zones.contains(&machine.record.zone) {
+            // Machines in an unreachable zone continue to work, so they get their whole lease.
+            // During a recovery they get half of it: the lifetime of a lease has already passed
+            // without a heartbeat, so an outage short enough to spare them would be over, and the
+            // whole partition waits for them.
             let lease = self.config.worker_lease_expired_after();
             let lease = if machine.verified { lease } else { lease / 2 };
             return lease.max(operator.silent_return);
         }
         if !machine.verified {
-            // It holds up the recovery of the whole partition.
-            let until_it_reports =
-                if machine.failed_calls >= FAILED_CALLS { 0 } else { heartbeat_interval * 2 };
-            return (operator.silent_return / 2).max(until_it_reports);
+            // An unverified machine delays the recovery of the whole partition.
+            let heartbeat_wait = if machine.failed_calls >= UNREACHABLE_AFTER_FAILED_CALLS {
+                0
+            } else {
+                heartbeat_interval * 2
+            };
+            return (operator.silent_return / 2).max(heartbeat_wait);
         }
         if machine.failed_calls > 0 && self.few_late && machine.serves() {
-            // Replicas wait for nothing else, so their machine is given up once a call in vain has
-            // shown what a late heartbeat suggests.
+            // Replicas on a dead machine wait for nothing else, so the machine is terminated once a
+            // failed call has confirmed what a late heartbeat suggests.
             return self.config.late_heartbeat_after();
         }
         operator.silent_return.max(heartbeat_interval * 5 / 2)
     }
 
-    /// How long a machine has been silent.
-    pub fn quiet(&self, machine: &Machine) -> Micros {
-        // What may be a late copy counts for a while after the takeover only.
+    /// Returns how long a machine has been silent.
+    pub fn silence(&self, machine: &Machine) -> Micros {
+        // Heartbeats that may be late copies count only for a while after the takeover.
         let stale_heartbeat_at = machine
             .stale_heartbeat_at
-            .min(self.acquired + self.config.workers.heartbeat_interval * 2);
-        // After standing still, what came meanwhile is taken in before anybody is called silent: all
-        // machines were returned at once otherwise, their heartbeats unread.
+            .min(self.acquired_at + self.config.workers.heartbeat_interval * 2);
+        // After a stall, the heartbeats that arrived meanwhile are read before any machine counts
+        // as silent. Otherwise all machines were terminated at once with their heartbeats unread.
         self.now.saturating_sub(
             machine.last_heartbeat_at.max(stale_heartbeat_at).max(self.listening_since),
         )
     }
 
     fn is_idle(&self, machine: &Machine) -> bool {
-        let life = idle_life(self.types, &machine.record, self.config.operator.idle_boots);
-        machine.idle_since.is_some_and(|since| self.now.saturating_sub(since) > life)
+        let lifetime = idle_lifetime(self.types, &machine.record, self.config.operator.idle_boots);
+        machine.idle_since.is_some_and(|since| self.now.saturating_sub(since) > lifetime)
             && machine.incarnation > 0
-            && !self.kept.contains(&machine.name)
+            && !self.warm_machines.contains(&machine.name)
     }
 }
 
-/// How long an idle machine is kept: as long as waiting for a cheap one of its type to boot
-/// would cost, so a dear machine for less.
-fn idle_life(types: &BTreeMap<String, MachineType>, record: &MachineRecord, boots: f64) -> Micros {
-    let Some(machine_type) = types.get(&record.machine_type) else { return UNKNOWN_IDLE_LIFE };
-    let ratio = cheapest_price(machine_type) / price(machine_type, record.spot).max(1e-9);
+/// Returns how long an idle machine is kept: until it has cost as much as the boots of a cheap
+/// machine of its type, so an expensive machine is kept for less time.
+fn idle_lifetime(
+    types: &BTreeMap<String, MachineType>,
+    record: &MachineRecord,
+    boots: f64,
+) -> Micros {
+    let Some(machine_type) = types.get(&record.machine_type) else {
+        return UNKNOWN_TYPE_IDLE_LIFETIME;
+    };
+    let ratio =
+        lowest_hourly_price(machine_type) / hourly_price(machine_type, record.spot).max(1e-9);
     micros_from_secs(boots * machine_type.ready_s * ratio)
 }
 
 fn is_slow(machine: &Machine) -> bool {
-    machine.pace.len() >= CRAWL_TASKS
-        && machine.pace.iter().sum::<u32>() / machine.pace.len() as u32 > CRAWL_PACE
+    machine.pace.len() >= MIN_TASKS_FOR_SLOW
+        && machine.pace.iter().sum::<u32>() / machine.pace.len() as u32 > SLOW_RUN_TIME_PERMILLE
 }
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -1,13 +1,14 @@
-//! Which machines are returned, and what a restart knows of them.
+//! Tests of scale-out and scale-in decisions, and of the catalogue after a restart.
 
 use super::ScaleInReason;
 use crate::testing::*;
 
 #[test]
-fn a_restart_while_the_cloud_is_down_knows_the_types() {
+fn a_restart_during_a_cloud_outage_uses_the_stored_catalogue() {
     use crate::messages::{Command, Effect};
     use quartzlever_wire::store::{CATALOGUE_KEY, KeyValue, StoreCall};
-    // (whether an earlier process kept the catalogue, whether types are known in the end)
+    // (whether an earlier process stored the catalogue, whether the types are known after the
+    // restart)
     for (kept, known) in [(true, true), (false, false)] {
         let mut core = core();
         let types: Vec<MachineType> =
@@ -41,8 +42,9 @@
 }
 
 #[test]
-fn copies_do_not_put_off_the_return_of_a_silent_machine() {
-    // (seconds since the takeover, whether copies come all the time, whether it is returned)
+fn late_heartbeat_copies_do_not_delay_the_termination_of_a_silent_machine() {
+    // (seconds since the takeover, whether late copies keep arriving, whether the machine is
+    // terminated)
     for (after, copies, returned) in [(1, true, false), (30, true, true), (30, false, true)] {
         let mut core = core();
         if let Some(partition) = core.partitions.get_mut("one") {
@@ -70,10 +72,10 @@
 }
 
 #[test]
-fn what_calls_cannot_reach_holds_up_a_recovery_for_less_time() {
-    // (calls that failed, seconds since the takeover, whether the machine is given up), with
-    // reports every 6 s and 10 s of silence allowed
-    for (failed, after, given_up) in
+fn an_unverified_machine_is_terminated_sooner_after_two_failed_calls() {
+    // (failed calls, seconds since the takeover, whether the machine is marked for termination),
+    // with a heartbeat interval of 6 s and a silence limit of 10 s
+    for (failed, after, abandoned) in
         [(0, 7, false), (1, 7, false), (2, 7, true), (0, 13, true), (2, 4, false)]
     {
         let mut core = core();
@@ -85,20 +87,20 @@
                 (machine.fenced, machine.verified) = (false, false);
                 machine.failed_calls = failed;
             }
-            // One that was heard, so that the zone does not count as cut off.
+            // A machine that has sent a heartbeat, so that the zone does not count as unreachable.
             let record = partition.machines["n-1"].record.clone();
             partition.add_machine("n-2", record, true, NOW + after * SECOND);
         }
         core.step(NOW + after * SECOND, Vec::new());
         let wanted = core.partitions["one"].machines.get("n-1").and_then(|m| m.scale_in_reason);
-        assert_eq!(wanted.is_some(), given_up, "{failed} calls, {after} s");
+        assert_eq!(wanted.is_some(), abandoned, "{failed} calls, {after} s");
     }
 }
 
 #[test]
-fn a_machine_that_heeds_nothing_gets_no_more_and_is_returned() {
-    // What each later heartbeat shows of the attempt that answers told it to run; whether it may
-    // get more after the first of them, and whether it is returned in the end.
+fn a_machine_that_ignores_commands_gets_no_more_tasks_and_is_terminated() {
+    // (whether each later heartbeat shows the attempt that earlier answers started; whether the
+    // machine is usable after the first of them; whether it is terminated)
     for (name, shows, usable, returned) in [
         ("it hears", [true, true, true], true, false),
         ("an answer was lost", [false, true, true], false, false),
@@ -131,16 +133,17 @@
             matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::ScaleIn(_), .. })
         });
         assert_eq!(terminated, returned, "{name}");
-        // Until it is proven empty its task stays where it may be.
+        // The task stays assigned until the machine is proven to be empty.
         let assignments = core.partitions["one"].jobs["req-1"].assignments.len();
-        assert_eq!(assignments, 1, "{name}: not started elsewhere");
+        assert_eq!(assignments, 1, "{name}: not started claimed_elsewhere");
     }
 }
 
 #[test]
-fn a_zone_that_fell_silent_holds_up_a_recovery_for_half_a_lease() {
-    // (proven before, seconds of silence, whether the machines are given up), leases of 34 s
-    for (verified, quiet, given_up) in
+fn unverified_machines_of_an_unreachable_zone_are_terminated_after_half_a_lease() {
+    // (whether the machines are verified, seconds of silence, whether they are marked for
+    // termination), with leases of 34 s
+    for (verified, quiet, abandoned) in
         [(false, 16, false), (false, 18, true), (true, 18, false), (true, 36, true)]
     {
         let mut core = core();
@@ -161,14 +164,14 @@
         core.step(NOW + quiet * SECOND, Vec::new());
         let machines = &core.partitions["one"].machines;
         let wanted = machines.values().filter(|m| m.scale_in_reason.is_some()).count();
-        assert_eq!(wanted, if given_up { 3 } else { 0 }, "{verified} {quiet}");
+        assert_eq!(wanted, if abandoned { 3 } else { 0 }, "{verified} {quiet}");
     }
 }
 
 #[test]
-fn nobody_is_silent_to_a_node_that_did_not_listen() {
-    // (seconds since anything was heard; whether the process stood still or is behind; how many
-    // reports are in the first batch after that; machines returned)
+fn no_machine_counts_as_silent_on_a_node_that_did_not_listen() {
+    // (seconds since the last heartbeat; whether the process is behind after a stall; number of
+    // heartbeats in the first batch after that; machines terminated)
     for (name, quiet, behind, heard, terminated) in [
         ("all is silent, and the node listened", 13, false, 0, 10),
         ("it stood still, and nothing is read yet", 13, true, 0, 0),
@@ -184,7 +187,7 @@
             commands.push(Command::Heartbeat { id: n, heartbeat });
         }
         assert_eq!(returned(&core.step(now, commands)), terminated, "{name}");
-        // In the end the silent ones go all the same.
+        // The silent machines are terminated later in each case.
         let mut late = 0;
         for step in 1..=30 {
             let now = now + step * SECOND / 2;
@@ -198,12 +201,13 @@
     }
 }
 
-/// A replica on a dead machine runs nowhere until that is returned: one call in vain after a late
-/// report is enough, unless so many are late that it is no machine's fault.
+/// A replica on a dead machine runs nowhere until the machine is terminated. One failed call after
+/// a late heartbeat is enough, unless so many heartbeats are late that the machines are not at
+/// fault.
 #[test]
-fn a_late_machine_with_replicas_is_given_up_after_one_call_in_vain() {
-    // (a replica is on it, the call that asks it fails, other late machines, gone after a late
-    // report and a bit, and after the time of any silent machine)
+fn a_late_machine_with_replicas_is_terminated_after_one_failed_call() {
+    // (a replica is on the machine, the call to it fails, other late machines, terminated shortly
+    // after its heartbeat is late, terminated by the limit of any silent machine)
     for (n, (service, fails, others, soon, at_last)) in [
         (true, true, 0, true, true),
         (true, false, 0, false, true),
@@ -230,7 +234,7 @@
             partition.add_machine(&name, machine_record_of(&name, "one"), true, NOW);
         }
         let (mut asked, mut returned_at) = (None, None);
-        // All of a zone together get their whole lease, 10 s and a bit.
+        // If all machines of a zone are silent, each gets its whole lease, a little more than 10 s.
         let (late, silent) = (core.config.late_heartbeat_after(), 12 * SECOND);
         for step in 1..=30 {
             let now = NOW + step * SECOND / 2;
@@ -258,12 +262,12 @@
     }
 }
 
-/// When a cut between zones ends, the first machine that is heard shows that it is over. All others
-/// had been silent for longer than any machine may be, and 168 were returned in that second, with
-/// all that they ran.
+/// When a zone becomes reachable again, the first heartbeat from it shows that the outage is over.
+/// All other machines of the zone had been silent for longer than the limit, and 168 were
+/// terminated in that second, with everything that ran on them.
 #[test]
-fn the_end_of_a_cut_returns_nobody() {
-    // (seconds that the zone was cut off, seconds after its end, machines returned)
+fn the_end_of_a_zone_outage_terminates_no_machine_at_once() {
+    // (seconds that the zone is unreachable, seconds after that, machines terminated)
     for (cut_s, after, returned) in [(8, 1, 0), (8, 6, 9)] {
         let mut core = core();
         let partition = core.partitions.get_mut("one").expect("it is held");
@@ -292,7 +296,7 @@
             let own = heartbeat_from("n-1", 1, step + 1, 5, &[]);
             batch.push(Command::Heartbeat { id: 100, heartbeat: own });
             if step >= 2 * cut_s {
-                // One machine of the zone is heard again; the others come in their time, or never.
+                // Only one machine of the zone sends heartbeats again.
                 let first = heartbeat_from("x-0", 1, step + 1, 5, &[]);
                 batch.push(Command::Heartbeat { id: 101, heartbeat: first });
             }
@@ -306,29 +310,29 @@
     }
 }
 
-/// Machines that are asked for: zone, spot, how many.
-type Hires = Vec<(String, bool, u32)>;
+/// Requested machines: zone, spot, count.
+type Requested = Vec<(String, bool, u32)>;
 
-/// The machines that a step asks for.
-fn rented(effects: Vec<Effect>) -> Hires {
+/// Returns the machines that a step requests.
+fn requested_machines(effects: Vec<Effect>) -> Requested {
     let request = |effect| match effect {
         Effect::Cloud { call: CloudCall::ScaleOut(request), .. } => {
             Some((request.zone, request.spot, request.count))
         }
         _ => None,
     };
-    let mut scale_outs: Hires = effects.into_iter().filter_map(request).collect();
+    let mut scale_outs: Requested = effects.into_iter().filter_map(request).collect();
     scale_outs.sort();
     scale_outs
 }
 
-/// Half of a service that is spread over zones waited out a second boot, since one machine had room
-/// for all of it.
+/// Half of a service that is spread over zones had to wait for a second boot, because one machine
+/// had the capacity for the whole service.
 #[test]
 fn a_spread_service_gets_machines_in_each_zone_at_once() {
     let in_zone = |zone: &str| (zone.to_owned(), false, 1);
-    // (spread, ordinary machines that are there, replicas; what is asked for)
-    type Case<'a> = (bool, &'a [&'a str], u32, Hires);
+    // (spread, zones of the claimed on-demand machines, replicas; machines requested)
+    type Case<'a> = (bool, &'a [&'a str], u32, Requested);
     let cases: &[Case] = &[
         (true, &[], 4, vec![in_zone("a"), in_zone("b")]),
         (true, &["a"], 4, vec![in_zone("b")]),
@@ -354,18 +358,19 @@
         queue_job(&mut core, &service, 10);
         let now = NOW + 5 * SECOND;
         let batch = vec![Command::Tick { wall: now, behind: false }];
-        assert_eq!(&rented(core.step(now, batch)), asked, "case {n}");
+        assert_eq!(&requested_machines(core.step(now, batch)), asked, "case {n}");
     }
 }
 
-/// The first services come soon after an upgrade, and a boot takes longer than they should wait: room
-/// is kept for them for a while, and no longer if none come. A process that starts when the version
-/// was raised long ago, or in a new cluster, keeps none.
+/// The first services are submitted soon after an upgrade, and a boot takes longer than they should
+/// wait: warm capacity is kept for them for a while, and no longer if none is submitted. A process
+/// that starts long after the version was raised, or in a new cluster, keeps none.
 #[test]
-fn room_is_kept_for_the_first_services() {
+fn warm_capacity_is_kept_for_the_first_services() {
     let both = || vec![("a".to_owned(), false, 1), ("b".to_owned(), false, 1)];
-    // (an old process holds a partition when the records are read, the version is raised by then,
-    // raised later after so many seconds, asked for after so many seconds; what is asked for)
+    // (a process of an earlier version leads a partition when the records are read, the version is
+    // already raised then, it is raised after this many seconds, the plan is made after this many
+    // seconds; machines requested)
     for (n, (old, raised_before, raised_after, after, asked)) in [
         (true, true, None, 1, vec![]),
         (false, false, None, 1, vec![]),
@@ -397,15 +402,16 @@
         let now = NOW + after * SECOND;
         core.cache.set_view_as_of(now);
         let batch = vec![Command::Tick { wall: now, behind: false }];
-        assert_eq!(rented(core.step(now, batch)), asked, "case {n}");
+        assert_eq!(requested_machines(core.step(now, batch)), asked, "case {n}");
     }
 }
 
-/// Some machines take several times as long to boot as others, or never come up: for a service
-/// another one is asked for.
+/// Some machines take several times as long to boot as others, or never come up: another one is
+/// requested for services.
 #[test]
-fn an_overdue_machine_is_not_waited_for_by_services() {
-    // (boots of its type since it was rented, whether it is still counted on)
+fn services_do_not_wait_for_a_late_machine() {
+    // (boot times of its type since the machine was requested, whether it still counts as warm
+    // capacity)
     for (boots, counted) in [(0.5, true), (1.1, true), (1.3, false)] {
         let mut core = core();
         machines(&mut core, &[]);
@@ -420,88 +426,94 @@
     }
 }
 
-/// What one case of `whatever_is_to_be_had_is_rented` starts from.
-struct Scarcity {
+/// A case of `the_price_cap_does_not_stop_scale_out_without_cheap_machines`.
+struct PriceCapCase {
     name: &'static str,
-    /// Spot machines at hand: their type, if any. All are full, or not fenced yet.
-    at_hand: Option<&'static str>,
+    /// Type of the claimed spot machine, if there is one. It is full, or not fenced yet.
+    claimed: Option<&'static str>,
     fenced: bool,
-    /// Another partition has a spot machine of type "m".
-    elsewhere: bool,
-    /// The only type that the job may run on.
-    only: Option<&'static str>,
+    /// Whether another partition has a spot machine of type "m".
+    claimed_elsewhere: bool,
+    /// The only_type type that the job may run on, if it is restricted.
+    only_type: Option<&'static str>,
     /// Seconds since the submission.
     age_s: u64,
-    /// Machines, gone by now, that the job has failed on.
+    /// Number of machines, gone by now, that the job has failed on.
     failed_on: u32,
-    /// Ordinary machines that are asked for.
+    /// Number of on-demand machines requested.
     asked: u32,
 }
 
-/// The cloud names a price for spot machines and has none. What ordinary machines cost beside cheap
-/// ones says nothing to a partition without cheap ones: an empty one could not afford the first, and
-/// nothing was ever rented (`nothing_ran`). Nor does it keep a job from beginning for good. A job that
-/// failed on faulty machines, all gone, must be able to show that it is sound.
+/// The cloud lists a price for spot machines and has none. The price cap must not apply to a
+/// partition without cheap machines: an empty partition could not afford its first machine, and
+/// nothing was ever launched (`nothing_ran`). Nor may the cap prevent the start of a job
+/// permanently. A job that failed on faulty machines, all of them gone, must be able to prove to be
+/// sound.
 #[test]
-fn whatever_is_to_be_had_is_rented() {
-    let base = Scarcity {
+fn the_price_cap_does_not_stop_scale_out_without_cheap_machines() {
+    let base = PriceCapCase {
         name: "no machine",
-        at_hand: None,
+        claimed: None,
         fenced: true,
-        elsewhere: false,
-        only: None,
+        claimed_elsewhere: false,
+        only_type: None,
         age_s: 0,
         failed_on: 0,
         asked: 2,
     };
     let cases = [
-        Scarcity { ..base },
-        Scarcity { name: "a cheap one that suits", at_hand: Some("m"), asked: 0, ..base },
-        Scarcity { name: "another partition has a cheap one", elsewhere: true, asked: 0, ..base },
-        Scarcity {
+        PriceCapCase { ..base },
+        PriceCapCase { name: "a cheap one that can_run", claimed: Some("m"), asked: 0, ..base },
+        PriceCapCase {
+            name: "another partition has a cheap one",
+            claimed_elsewhere: true,
+            asked: 0,
+            ..base
+        },
+        PriceCapCase {
             name: "another partition has a cheap one, for too long",
-            elsewhere: true,
+            claimed_elsewhere: true,
             age_s: 228,
             asked: 1,
             ..base
         },
-        Scarcity {
+        PriceCapCase {
             name: "another partition has a cheap one of another type",
-            elsewhere: true,
-            only: Some("x"),
+            claimed_elsewhere: true,
+            only_type: Some("x"),
             ..base
         },
-        Scarcity {
+        PriceCapCase {
             name: "a cheap one of an earlier holder",
-            at_hand: Some("m"),
+            claimed: Some("m"),
             fenced: false,
             asked: 0,
             ..base
         },
-        Scarcity {
+        PriceCapCase {
             name: "a cheap one of another type",
-            at_hand: Some("m"),
-            only: Some("x"),
+            claimed: Some("m"),
+            only_type: Some("x"),
             ..base
         },
-        Scarcity {
-            name: "a cheap one that suits, for too long",
-            at_hand: Some("m"),
+        PriceCapCase {
+            name: "a cheap one that can_run, for too long",
+            claimed: Some("m"),
             age_s: 228,
             asked: 1,
             ..base
         },
-        Scarcity { name: "failed on machines that are gone", failed_on: 3, asked: 1, ..base },
-        Scarcity {
-            name: "a cheap one that suits, for long",
-            at_hand: Some("m"),
+        PriceCapCase { name: "failed on machines that are gone", failed_on: 3, asked: 1, ..base },
+        PriceCapCase {
+            name: "a cheap one that can_run, for long",
+            claimed: Some("m"),
             age_s: 200,
             asked: 0,
             ..base
         },
-        Scarcity {
+        PriceCapCase {
             name: "failed everywhere, and a machine is there",
-            at_hand: Some("m"),
+            claimed: Some("m"),
             failed_on: 3,
             age_s: 228,
             asked: 0,
@@ -512,26 +524,26 @@
         let mut core = core();
         let types = core.types.as_mut().map(Arc::make_mut).expect("known");
         types.values_mut().for_each(|machine_type| machine_type.market_price = Some(0.4));
-        let at_hand: Vec<_> =
-            case.at_hand.iter().map(|machine_type| ("s-1", *machine_type, "a", true)).collect();
-        machines(&mut core, &at_hand);
-        // Work of higher rank that fills what is at hand for long.
+        let claimed: Vec<_> =
+            case.claimed.iter().map(|machine_type| ("s-1", *machine_type, "a", true)).collect();
+        machines(&mut core, &claimed);
+        // Work of higher priority that occupies the claimed machine for a long time.
         let full = JobSpec { cpus: 8.0, priority: Priority::Prod, expect_s: 600.0, ..spec(1) };
-        if case.at_hand.is_some() {
+        if case.claimed.is_some() {
             queue_job(&mut core, &JobSpec { id: "req-9".into(), ..full }, 10);
         }
-        // Tasks for two machines: the second has to be worth its price again.
-        let types = case.only.map(|machine_type| vec![machine_type.into()]);
+        // The tasks need two machines, and the price of the second is checked as well.
+        let types = case.only_type.map(|machine_type| vec![machine_type.into()]);
         let spec = JobSpec { types, expect_s: 60.0, ..spec(8) };
         reconcile_test_job(&mut core, &spec, 11, NOW);
-        if case.elsewhere {
+        if case.claimed_elsewhere {
             let machines =
                 MachineRecords::from([("n-9".to_owned(), machine_record_of("n-9", "two"))]);
             core.cache.record_group(&large_group_key("n-9"), machines, 3);
         }
         let now = NOW + case.age_s * SECOND + SECOND;
         let partition = core.partitions.get_mut("one").expect("it is held");
-        partition.autoscaling.refuse_spot(&["m", "x"], &["a", "b"], now + SECOND);
+        partition.autoscaling.record_spot_refusals(&["m", "x"], &["a", "b"], now + SECOND);
         let job = partition.jobs.get_mut("req-1").expect("it is known");
         job.since = NOW;
         for n in 0..case.failed_on {
@@ -542,7 +554,8 @@
             machine.fenced = case.fenced;
         }
         core.cache.set_view_as_of(now);
-        let scale_outs = rented(core.step(now, vec![Command::Tick { wall: now, behind: false }]));
+        let scale_outs =
+            requested_machines(core.step(now, vec![Command::Tick { wall: now, behind: false }]));
         let ordinary: u32 =
             scale_outs.iter().filter(|request| !request.1).map(|request| request.2).sum();
         assert_eq!(ordinary, case.asked, "{}: {scale_outs:?}", case.name);
