--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -168,7 +168,8 @@
         }
     }
 
-    /// Stores the catalogue, if its size is_allowed_for, for processes that start during a cloud outage.
+    /// Stores the catalogue, if its size permits, for processes that start during a cloud
+    /// outage.
     fn store_catalogue(&mut self, value: Json) {
         if value.text().len() > self.limits.value_bytes() {
             return;
--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -11,7 +11,7 @@
 use quartzlever_wire::{Micros, SECOND, micros_from_secs};
 
 use super::offer::{MachineOffer, hourly_price, is_expensive, lowest_hourly_price};
-use super::policy::Market;
+use super::policy::ScaleOutContext;
 use crate::config::Config;
 use crate::jobs::partition_job::PartitionJob;
 use crate::machines::machine::Machine;
@@ -169,8 +169,8 @@
 impl Partition {
     /// Returns the machines to request for ready tasks that neither the claimed nor the pending
     /// machines can run in time.
-    pub(super) fn plan_scale_out(&self, market: &Market) -> Wanted {
-        let Market { config, run_times, types, now, .. } = *market;
+    pub(super) fn plan_scale_out(&self, context: &ScaleOutContext) -> Wanted {
+        let ScaleOutContext { config, run_times, types, now, .. } = *context;
         let mut wanted = Wanted::new();
         let mut supply = self.supply(types, now);
         for id in self.queue_order(config, run_times, now) {
@@ -180,7 +180,7 @@
                 // sound: all machines that it has failed on may have been faulty, and be gone.
                 continue;
             }
-            self.scale_out_for_job(market, job, &mut supply, &mut wanted);
+            self.scale_out_for_job(context, job, &mut supply, &mut wanted);
         }
         wanted
     }
@@ -188,12 +188,12 @@
     /// Adds the machines to request for one job to `wanted`, and its tasks to the outstanding work.
     fn scale_out_for_job(
         &self,
-        market: &Market,
+        context: &ScaleOutContext,
         job: &PartitionJob,
         supply: &mut Supply,
         wanted: &mut Wanted,
     ) {
-        let Market { config, run_times, types, now, .. } = *market;
+        let ScaleOutContext { config, run_times, types, now, .. } = *context;
         let (spec, need) = (job.spec(), job.need());
         let mut unplaced = Unplaced::of_job(self, job, config);
         for bin in supply.bins.iter_mut().filter(|bin| bin.offer.is_allowed_for(spec)) {
@@ -209,7 +209,7 @@
         let needs_machines = spec.is_service() || self.has_failed_on_all_machines(job);
         let constraint = StartConstraint { expected_run_time, latest_start, needs_machines };
         while unplaced.tasks > 0 && wanted.values().sum::<u32>() < MAX_MACHINES_PER_ROUND {
-            let offer = self.next_offer(market, job, &constraint, &unplaced, supply);
+            let offer = self.next_offer(context, job, &constraint, &unplaced, supply);
             let Some((offer, machine_type)) =
                 offer.and_then(|o| types.get(&o.machine_type).map(|t| (o, t)))
             else {
@@ -230,29 +230,31 @@
     /// requested.
     fn next_offer(
         &self,
-        market: &Market,
+        context: &ScaleOutContext,
         job: &PartitionJob,
         constraint: &StartConstraint,
         unplaced: &Unplaced,
         supply: &Supply,
     ) -> Option<MachineOffer> {
-        let permitted = constraint.permitted(supply, market.now);
+        let permitted = constraint.permitted(supply, context.now);
         if permitted == PermittedOffers::Nothing {
             return None;
         }
         let cheap_only = permitted == PermittedOffers::CheapOnly;
-        let offer = market.cheapest_offer(
+        let offer = context.cheapest_offer(
             &self.autoscaling,
             job,
             unplaced,
             &supply.late_offers,
             cheap_only,
         )?;
-        let machine_type = market.types.get(&offer.machine_type)?;
+        let machine_type = context.types.get(&offer.machine_type)?;
         let has_placed_tasks = unplaced.tasks < job.ready.len();
-        let exceeds_cap =
-            !supply.is_within_price_cap(machine_type, offer.spot, market.config.operator.price_cap)
-                && market.is_price_capped(job, machine_type, has_placed_tasks, supply);
+        let exceeds_cap = !supply.is_within_price_cap(
+            machine_type,
+            offer.spot,
+            context.config.operator.price_cap,
+        ) && context.is_price_capped(job, machine_type, has_placed_tasks, supply);
         (!exceeds_cap).then_some(offer)
     }
 
--- a/crates/quartzlever-core/src/autoscaling/offer.rs
+++ b/crates/quartzlever-core/src/autoscaling/offer.rs
@@ -67,7 +67,8 @@
     Resources::capacity_of(machine_type).fits(&Resources::required_by(spec))
 }
 
-/// Reports whether such machines cost far more than the lowest price of the type.
+/// Reports whether such machines cost more than `MAX_CHEAP_PRICE_RATIO` times the lowest price of
+/// the type.
 pub(super) fn is_expensive(machine_type: &MachineType, spot: bool) -> bool {
     hourly_price(machine_type, spot) > lowest_hourly_price(machine_type) * MAX_CHEAP_PRICE_RATIO
 }
--- a/crates/quartzlever-core/src/autoscaling/pending_instances.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances.rs
@@ -12,14 +12,14 @@
 use super::MachineOffer;
 
 /// Number of boot times after which another machine is requested for services: a moment without a
-/// replica costs grace than a machine.
+/// replica costs more than a machine.
 const SERVICES_WAIT_BOOTS: f64 = 1.2;
 /// Number of boot times, plus `LATE_GRACE`, after which a machine is late. It no longer counts as
 /// supply, so another one is requested for the same work.
 const LATE_AFTER_BOOTS: f64 = 1.8;
 const LATE_GRACE: Micros = 3 * SECOND;
 /// Number of boot times, plus `ABANDONED_GRACE`, after which a machine is terminated: from then on
-/// it costs grace than a new one would.
+/// it costs more than a new one would.
 const ABANDONED_AFTER_BOOTS: f64 = 3.0;
 const ABANDONED_GRACE: Micros = 20 * SECOND;
 /// Assumed boot time of a type that is no longer in the catalogue.
@@ -140,7 +140,7 @@
         offers.map(|(offer, _)| offer.clone()).collect()
     }
 
-    /// Removes and returns the machines that are to be terminated, at limit `limit` of them.
+    /// Removes and returns the machines that are to be terminated, at most `limit` of them.
     pub fn take_abandoned(
         &mut self,
         types: &BTreeMap<String, MachineType>,
@@ -157,7 +157,7 @@
     }
 
     /// Returns the numbers of late and of pending machines if they are to be logged: when the first
-    /// is late, when none is late any longer, and when grace than twice as many are late as in the
+    /// is late, when none is late any longer, and when more than twice as many are late as in the
     /// latest log event.
     pub fn late_count_change(
         &mut self,
--- a/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
@@ -96,7 +96,7 @@
         pending_instances.expect(&format!("n-{n}"), requested_at(NOW));
     }
     assert_eq!(pending_instances.late_count_change(&types, NOW + 27 * SECOND), Some((4, 4)));
-    // At limit as many as one call may name; the others follow with the next call.
+    // At most as many as one call may name; the others follow with the next call.
     for limit in [3, 1, 0] {
         assert_eq!(pending_instances.take_abandoned(&types, NOW + 60 * SECOND, 3).len(), limit);
     }
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -34,7 +34,7 @@
 
 /// The inputs of the scale-out decisions at one moment.
 #[derive(Clone, Copy)]
-pub(super) struct Market<'a> {
+pub(super) struct ScaleOutContext<'a> {
     pub config: &'a Config,
     pub run_times: &'a RunTimes,
     /// Machine types by name.
@@ -51,13 +51,15 @@
     price_per_task: f64,
 }
 
-impl Market<'_> {
-    /// Reports whether the price cap applies to expensive machines for a job. It does not apply
-    /// where no cheap machine that can run the job is available: an empty partition could not
-    /// afford any on-demand machine, and where the cloud had no spot machines, nothing was launched
-    /// all day. If other partitions have cheap machines, work moves there. The cap does not delay
-    /// the start of a job beyond the longest wait of any job either. `has_placed_tasks` states that
-    /// a machine is pending or planned for the job.
+impl ScaleOutContext<'_> {
+    /// Reports whether the price cap applies to expensive machines for a job. `has_placed_tasks`
+    /// states that a machine is pending or planned for the job.
+    ///
+    /// The cap does not apply to jobs that may not run on spot machines, nor where no cheap machine
+    /// that can run the job is available: an empty partition could not afford any on-demand
+    /// machine, and where the cloud had no spot machines, nothing was launched all day. If other
+    /// partitions have cheap machines, work moves there. Nor does the cap delay the start of a job
+    /// for longer than any job may wait.
     pub fn is_price_capped(
         &self,
         job: &PartitionJob,
@@ -67,9 +69,9 @@
     ) -> bool {
         let spec = job.spec();
         let boot = micros_from_secs(USUAL_BOOT_FACTOR * machine_type.ready_s);
-        let waited_when_up = self.now.saturating_sub(job.since) + boot;
+        let wait_until_up = self.now.saturating_sub(job.since) + boot;
         let must_start =
-            job.is_starved(self.now) && waited_when_up >= MACHINE_UP_WITHIN && !has_placed_tasks;
+            job.is_starved(self.now) && wait_until_up >= MACHINE_UP_WITHIN && !has_placed_tasks;
         spec.spot
             && !must_start
             && (supply.can_run_cheaply(self.types, spec) || self.has_cheap_machine_for(spec))
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -9,7 +9,7 @@
 
 use super::demand::Wanted;
 use super::offer::MachineOffer;
-use super::policy::Market;
+use super::policy::ScaleOutContext;
 use super::{PendingInstance, RETRY_DELAY};
 use crate::calls::{PendingCloudCall, PendingPeerCall};
 use crate::events::LogEvent;
@@ -34,14 +34,14 @@
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let mut requests = partition.autoscaling.take_due_retries(now);
         partition.autoscaling.remove_expired_refusals(now);
-        let market = Market {
+        let context = ScaleOutContext {
             config: &self.config,
             run_times: &self.run_times,
             types,
             claimed: self.cache.groups(),
             now,
         };
-        let mut wanted = partition.plan_scale_out(&market);
+        let mut wanted = partition.plan_scale_out(&context);
         partition.add_warm_capacity(types, warm_capacity, &mut wanted, now);
         requests.extend(partition.create_requests(wanted, now));
         let term = partition.term;
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -138,10 +138,10 @@
             entry.1 +=
                 usize::from(now.saturating_sub(machine.last_heartbeat_at) > silent_return / 2);
         }
-        let cut = zones
+        let unreachable = zones
             .into_iter()
             .filter(|(_, (all, silent))| *all >= MIN_MACHINES_OF_UNREACHABLE_ZONE && all == silent);
-        cut.map(|(zone, _)| zone.to_owned()).collect()
+        unreachable.map(|(zone, _)| zone.to_owned()).collect()
     }
 
     /// Marks the machines that are to be terminated, and clears marks that no longer hold.
@@ -167,10 +167,10 @@
     fn machines_to_terminate(&self) -> Vec<String> {
         let is_free =
             |m: &Machine| !m.busy() && m.attempts.values().all(|attempt| attempt.accounted);
-        let may_go = |m: &Machine| {
+        let can_terminate = |m: &Machine| {
             m.scale_in_reason.is_some_and(|reason| reason.is_immediate() || is_free(m))
         };
-        let machines = self.machines.values().filter(|m| !m.scaling_in && may_go(m));
+        let machines = self.machines.values().filter(|m| !m.scaling_in && can_terminate(m));
         machines.map(|m| m.name.clone()).collect()
     }
 
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -216,7 +216,7 @@
             .stale_heartbeat_at
             .min(self.acquired_at + self.config.workers.heartbeat_interval * 2);
         // After a stall, the heartbeats that arrived meanwhile are read before any machine counts
-        // as silent. Otherwise all machines were terminated at once with their heartbeats unread.
+        // as silent. Without this, all machines were terminated at once, their heartbeats unread.
         self.now.saturating_sub(
             machine.last_heartbeat_at.max(stale_heartbeat_at).max(self.listening_since),
         )
@@ -230,8 +230,8 @@
     }
 }
 
-/// Returns how long an idle machine is kept: until it has cost as much as the boots of a cheap
-/// machine of its type, so an expensive machine is kept for less time.
+/// Returns how long an idle machine is kept: until it has cost as much as `boots` boot times of a
+/// cheap machine of its type, so an expensive machine is kept for less time.
 fn idle_lifetime(
     types: &BTreeMap<String, MachineType>,
     record: &MachineRecord,
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -9,35 +9,37 @@
     use quartzlever_wire::store::{CATALOGUE_KEY, KeyValue, StoreCall};
     // (whether an earlier process stored the catalogue, whether the types are known after the
     // restart)
-    for (kept, known) in [(true, true), (false, false)] {
+    for (stored, known) in [(true, true), (false, false)] {
         let mut core = core();
         let types: Vec<MachineType> =
             core.types.take().iter().flat_map(|t| t.values().cloned()).collect();
-        let asked = core.step(NOW, Vec::new());
-        let cloud = asked.iter().find_map(|e| match e {
+        let effects = core.step(NOW, Vec::new());
+        let cloud_call = effects.iter().find_map(|e| match e {
             Effect::Cloud { call_id, .. } => Some(*call_id),
             _ => None,
         });
-        let Some(call_id) = cloud else { panic!("the cloud is not asked") };
-        let down = Command::CloudReply { call_id, result: Err(CallError::Refused) };
-        let read = core.step(NOW, vec![down]);
-        let call_id = read.iter().find_map(|e| match e {
+        let Some(call_id) = cloud_call else {
+            panic!("the catalogue is not requested from the cloud")
+        };
+        let refused = Command::CloudReply { call_id, result: Err(CallError::Refused) };
+        let effects = core.step(NOW, vec![refused]);
+        let call_id = effects.iter().find_map(|e| match e {
             Effect::Store { call_id, call: StoreCall::Get(key), .. } if key == CATALOGUE_KEY => {
                 Some(*call_id)
             }
             _ => None,
         });
-        let Some(call_id) = call_id else { panic!("the kept catalogue is not read") };
-        let v = serde_json::json!({ "chassis": types });
+        let Some(call_id) = call_id else { panic!("the stored catalogue is not read") };
+        let catalogue = serde_json::json!({ "chassis": types });
         let entry = KeyValue {
             key: CATALOGUE_KEY.into(),
-            value: quartzlever_wire::Json::of(&v),
+            value: quartzlever_wire::Json::of(&catalogue),
             mod_revision: 3,
             lease_id: None,
         };
-        let result = Ok(StoreReply::Read(kept.then_some(entry)));
+        let result = Ok(StoreReply::Read(stored.then_some(entry)));
         core.step(NOW, vec![Command::StoreReply { call_id, result }]);
-        assert_eq!(core.types.is_some(), known, "kept {kept}");
+        assert_eq!(core.types.is_some(), known, "stored {stored}");
     }
 }
 
@@ -45,7 +47,7 @@
 fn late_heartbeat_copies_do_not_delay_the_termination_of_a_silent_machine() {
     // (seconds since the takeover, whether late copies keep arriving, whether the machine is
     // terminated)
-    for (after, copies, returned) in [(1, true, false), (30, true, true), (30, false, true)] {
+    for (after, copies, expected) in [(1, true, false), (30, true, true), (30, false, true)] {
         let mut core = core();
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.acquired = NOW;
@@ -67,7 +69,7 @@
                     if h.contains(&"n-1".to_owned()))
             });
         }
-        assert_eq!(terminated, returned, "{after} s, copies {copies}");
+        assert_eq!(terminated, expected, "{after} s, copies {copies}");
     }
 }
 
@@ -75,7 +77,7 @@
 fn an_unverified_machine_is_terminated_sooner_after_two_failed_calls() {
     // (failed calls, seconds since the takeover, whether the machine is marked for termination),
     // with a heartbeat interval of 6 s and a silence limit of 10 s
-    for (failed, after, abandoned) in
+    for (failed, after, marked) in
         [(0, 7, false), (1, 7, false), (2, 7, true), (0, 13, true), (2, 4, false)]
     {
         let mut core = core();
@@ -92,8 +94,8 @@
             partition.add_machine("n-2", record, true, NOW + after * SECOND);
         }
         core.step(NOW + after * SECOND, Vec::new());
-        let wanted = core.partitions["one"].machines.get("n-1").and_then(|m| m.scale_in_reason);
-        assert_eq!(wanted.is_some(), abandoned, "{failed} calls, {after} s");
+        let reason = core.partitions["one"].machines.get("n-1").and_then(|m| m.scale_in_reason);
+        assert_eq!(reason.is_some(), marked, "{failed} calls, {after} s");
     }
 }
 
@@ -101,10 +103,10 @@
 fn a_machine_that_ignores_commands_gets_no_more_tasks_and_is_terminated() {
     // (whether each later heartbeat shows the attempt that earlier answers started; whether the
     // machine is usable after the first of them; whether it is terminated)
-    for (name, shows, usable, returned) in [
-        ("it hears", [true, true, true], true, false),
-        ("an answer was lost", [false, true, true], false, false),
-        ("it hears nothing", [false, false, false], false, true),
+    for (name, shows, usable, expected) in [
+        ("answers arrive", [true, true, true], true, false),
+        ("one answer is lost", [false, true, true], false, false),
+        ("no answer arrives", [false, false, false], false, true),
     ] {
         let mut core = core();
         reconcile_test_job(&mut core, &spec(1), 10, NOW);
@@ -132,10 +134,10 @@
         terminated |= effects.iter().any(|e| {
             matches!(e, Effect::Cloud { call: quartzlever_wire::cloud::CloudCall::ScaleIn(_), .. })
         });
-        assert_eq!(terminated, returned, "{name}");
+        assert_eq!(terminated, expected, "{name}");
         // The task stays assigned until the machine is proven to be empty.
         let assignments = core.partitions["one"].jobs["req-1"].assignments.len();
-        assert_eq!(assignments, 1, "{name}: not started claimed_elsewhere");
+        assert_eq!(assignments, 1, "{name}: not started elsewhere");
     }
 }
 
@@ -143,7 +145,7 @@
 fn unverified_machines_of_an_unreachable_zone_are_terminated_after_half_a_lease() {
     // (whether the machines are verified, seconds of silence, whether they are marked for
     // termination), with leases of 34 s
-    for (verified, quiet, abandoned) in
+    for (verified, silence_s, marked) in
         [(false, 16, false), (false, 18, true), (true, 18, false), (true, 36, true)]
     {
         let mut core = core();
@@ -161,10 +163,10 @@
             }
             partition.recovery_complete = verified;
         }
-        core.step(NOW + quiet * SECOND, Vec::new());
+        core.step(NOW + silence_s * SECOND, Vec::new());
         let machines = &core.partitions["one"].machines;
-        let wanted = machines.values().filter(|m| m.scale_in_reason.is_some()).count();
-        assert_eq!(wanted, if abandoned { 3 } else { 0 }, "{verified} {quiet}");
+        let count = machines.values().filter(|m| m.scale_in_reason.is_some()).count();
+        assert_eq!(count, if marked { 3 } else { 0 }, "verified {verified}, {silence_s} s");
     }
 }
 
@@ -172,17 +174,17 @@
 fn no_machine_counts_as_silent_on_a_node_that_did_not_listen() {
     // (seconds since the last heartbeat; whether the process is behind after a stall; number of
     // heartbeats in the first batch after that; machines terminated)
-    for (name, quiet, behind, heard, terminated) in [
-        ("all is silent, and the node listened", 13, false, 0, 10),
-        ("it stood still, and nothing is read yet", 13, true, 0, 0),
-        ("it stood still, and has read some", 13, true, 4, 0),
-        ("it listened, and some are there", 13, false, 4, 6),
+    for (name, silence_s, behind, reporting, terminated) in [
+        ("all machines are silent, and the node listened", 13, false, 0, 10),
+        ("the node stalled and has read nothing yet", 13, true, 0, 0),
+        ("the node stalled and has read some heartbeats", 13, true, 4, 0),
+        ("some machines are silent, and the node listened", 13, false, 4, 6),
     ] {
         let mut core = with_cache(&[("one", "one", 5)]);
         with_ten_machines(&mut core, NOW);
-        let now = NOW + quiet * SECOND;
+        let now = NOW + silence_s * SECOND;
         let mut commands = vec![Command::Tick { wall: NOW, behind }];
-        for n in 1..=heard {
+        for n in 1..=reporting {
             let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
             commands.push(Command::Heartbeat { id: n, heartbeat });
         }
@@ -191,13 +193,13 @@
         let mut late = 0;
         for step in 1..=30 {
             let now = now + step * SECOND / 2;
-            let heartbeats = (1..=heard).map(|n| Command::Heartbeat {
+            let heartbeats = (1..=reporting).map(|n| Command::Heartbeat {
                 id: 100 + n,
                 heartbeat: idle_heartbeat(&format!("n-{n}"), 10 + step, 5),
             });
             late += returned(&core.step(now, heartbeats.collect()));
         }
-        assert_eq!(late + terminated, 10 - heard as usize, "{name}: later");
+        assert_eq!(late + terminated, 10 - reporting as usize, "{name}: in total");
     }
 }
 
@@ -227,38 +229,38 @@
             NOW,
             vec![Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-1", 1, 1, 5, &[]) }],
         );
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         assert!(partition.machines["n-1"].serves() == service, "{n}");
         for other in 0..others {
             let name = format!("x-{other}");
             partition.add_machine(&name, machine_record_of(&name, "one"), true, NOW);
         }
-        let (mut asked, mut returned_at) = (None, None);
+        let (mut probe, mut terminated_at) = (None, None);
         // If all machines of a zone are silent, each gets its whole lease, a little more than 10 s.
         let (late, silent) = (core.config.late_heartbeat_after(), 12 * SECOND);
         for step in 1..=30 {
             let now = NOW + step * SECOND / 2;
             let mut batch = vec![Command::Tick { wall: now, behind: false }];
-            if fails && let Some(call_id) = asked.take() {
+            if fails && let Some(call_id) = probe.take() {
                 batch.push(Command::WorkerReply { call_id, result: Err(CallError::Unknown) });
             }
             for effect in core.step(now, batch) {
                 match effect {
                     Effect::Worker { call_id, address, .. } if address.starts_with("n-1") => {
-                        asked = Some(call_id);
+                        probe = Some(call_id);
                     }
                     Effect::Cloud { call: CloudCall::ScaleIn(machines), .. }
                         if machines.contains(&"n-1".to_owned()) =>
                     {
-                        returned_at.get_or_insert(now - NOW);
+                        terminated_at.get_or_insert(now - NOW);
                     }
                     _ => {}
                 }
             }
         }
-        let within = |span: Micros| returned_at.is_some_and(|at| at <= span);
-        assert_eq!(within(late + 4 * SECOND), soon, "{n}: {returned_at:?}");
-        assert_eq!(within(silent), at_last, "{n}: {returned_at:?}");
+        let within = |span: Micros| terminated_at.is_some_and(|at| at <= span);
+        assert_eq!(within(late + 4 * SECOND), soon, "{n}: {terminated_at:?}");
+        assert_eq!(within(silent), at_last, "{n}: {terminated_at:?}");
     }
 }
 
@@ -268,9 +270,9 @@
 #[test]
 fn the_end_of_a_zone_outage_terminates_no_machine_at_once() {
     // (seconds that the zone is unreachable, seconds after that, machines terminated)
-    for (cut_s, after, returned) in [(8, 1, 0), (8, 6, 9)] {
+    for (outage_s, after, expected) in [(8, 1, 0), (8, 6, 9)] {
         let mut core = core();
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         for n in 0..10 {
             let name = format!("x-{n}");
             let mut record = machine_record_of(&name, "one");
@@ -289,24 +291,24 @@
         core.config.operator.silent_return = 4 * SECOND;
         core.config.operator.idle_boots = 1_000.0;
         let mut terminated = 0;
-        let end = cut_s + after;
+        let end = outage_s + after;
         for step in 1..=2 * end {
             let now = NOW + step * SECOND / 2;
             let mut batch = vec![Command::Tick { wall: now, behind: false }];
             let own = heartbeat_from("n-1", 1, step + 1, 5, &[]);
             batch.push(Command::Heartbeat { id: 100, heartbeat: own });
-            if step >= 2 * cut_s {
+            if step >= 2 * outage_s {
                 // Only one machine of the zone sends heartbeats again.
                 let first = heartbeat_from("x-0", 1, step + 1, 5, &[]);
                 batch.push(Command::Heartbeat { id: 101, heartbeat: first });
             }
             for effect in core.step(now, batch) {
                 if let Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } = effect {
-                    terminated += machines.iter().filter(|h| h.starts_with("x-")).count();
+                    terminated += machines.iter().filter(|m| m.starts_with("x-")).count();
                 }
             }
         }
-        assert_eq!(terminated, returned, "cut for {cut_s} s, {after} s after its end");
+        assert_eq!(terminated, expected, "outage of {outage_s} s, {after} s after its end");
     }
 }
 
@@ -340,10 +342,10 @@
         (true, &[], 1, vec![in_zone("a")]),
         (false, &[], 4, vec![in_zone("a")]),
     ];
-    for (n, (spread, there, replicas, asked)) in cases.iter().enumerate() {
+    for (n, (spread, zones, replicas, requested)) in cases.iter().enumerate() {
         let mut core = core();
         let list: Vec<(String, &str)> =
-            there.iter().enumerate().map(|(k, zone)| (format!("x-{k}"), *zone)).collect();
+            zones.iter().enumerate().map(|(k, zone)| (format!("x-{k}"), *zone)).collect();
         let list: Vec<_> =
             list.iter().map(|(name, zone)| (name.as_str(), "m", *zone, false)).collect();
         machines(&mut core, &list);
@@ -358,7 +360,7 @@
         queue_job(&mut core, &service, 10);
         let now = NOW + 5 * SECOND;
         let batch = vec![Command::Tick { wall: now, behind: false }];
-        assert_eq!(&requested_machines(core.step(now, batch)), asked, "case {n}");
+        assert_eq!(&requested_machines(core.step(now, batch)), requested, "case {n}");
     }
 }
 
@@ -371,7 +373,7 @@
     // (a process of an earlier version leads a partition when the records are read, the version is
     // already raised then, it is raised after this many seconds, the plan is made after this many
     // seconds; machines requested)
-    for (n, (old, raised_before, raised_after, after, asked)) in [
+    for (n, (old, raised_before, raised_after, after, requested)) in [
         (true, true, None, 1, vec![]),
         (false, false, None, 1, vec![]),
         (false, false, Some(1), 2, vec![]),
@@ -386,14 +388,14 @@
     {
         let mut core = core();
         machines(&mut core, &[]);
-        let mut rows = if raised_before { vec![raised_version(3)] } else { Vec::new() };
+        let mut records = if raised_before { vec![raised_version(3)] } else { Vec::new() };
         for (node, process, announced) in [("one", core.process, true), ("two", 22, !old)] {
-            rows.push(partition_entry(node, node, process, 5));
+            records.push(partition_entry(node, node, process, 5));
             if announced {
-                rows.push(announcement(node, process, 4));
+                records.push(announcement(node, process, 4));
             }
         }
-        list_records(&mut core, &rows, 9);
+        list_records(&mut core, &records, 9);
         if let Some(seconds) = raised_after {
             core.now = NOW + seconds * SECOND;
             core.apply_cluster_record(&raised_version(10));
@@ -402,7 +404,7 @@
         let now = NOW + after * SECOND;
         core.cache.set_view_as_of(now);
         let batch = vec![Command::Tick { wall: now, behind: false }];
-        assert_eq!(requested_machines(core.step(now, batch)), asked, "case {n}");
+        assert_eq!(requested_machines(core.step(now, batch)), requested, "case {n}");
     }
 }
 
@@ -415,12 +417,12 @@
     for (boots, counted) in [(0.5, true), (1.1, true), (1.3, false)] {
         let mut core = core();
         machines(&mut core, &[]);
-        let types = core.types.clone().expect("known");
+        let types = core.types.clone().expect("machine types are known");
         let boot = quartzlever_wire::micros_from_secs(types["m"].ready_s * boots);
-        let partition = core.partitions.get_mut("one").expect("it is held");
-        let expected =
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
+        let instance =
             PendingInstance { offer: MachineOffer::new("m", "a", false), since: NOW - boot };
-        partition.autoscaling.pending_instances.expect("n-7", expected);
+        partition.autoscaling.pending_instances.expect("n-7", instance);
         let offer = MachineOffer::new("m", "a", false);
         assert_eq!(partition.has_warm_capacity(&types, &offer, NOW), counted, "{boots} boots");
     }
@@ -429,19 +431,19 @@
 /// A case of `the_price_cap_does_not_stop_scale_out_without_cheap_machines`.
 struct PriceCapCase {
     name: &'static str,
-    /// Type of the claimed spot machine, if there is one. It is full, or not fenced yet.
+    /// Type of the claimed spot machine, if there is one. It is fully occupied, or not fenced yet.
     claimed: Option<&'static str>,
     fenced: bool,
     /// Whether another partition has a spot machine of type "m".
     claimed_elsewhere: bool,
-    /// The only_type type that the job may run on, if it is restricted.
+    /// The only type that the job may run on, if it is restricted.
     only_type: Option<&'static str>,
     /// Seconds since the submission.
     age_s: u64,
     /// Number of machines, gone by now, that the job has failed on.
     failed_on: u32,
     /// Number of on-demand machines requested.
-    asked: u32,
+    requested: u32,
 }
 
 /// The cloud lists a price for spot machines and has none. The price cap must not apply to a
@@ -459,70 +461,75 @@
         only_type: None,
         age_s: 0,
         failed_on: 0,
-        asked: 2,
+        requested: 2,
     };
     let cases = [
         PriceCapCase { ..base },
-        PriceCapCase { name: "a cheap one that can_run", claimed: Some("m"), asked: 0, ..base },
+        PriceCapCase { name: "a suitable cheap machine", claimed: Some("m"), requested: 0, ..base },
         PriceCapCase {
-            name: "another partition has a cheap one",
+            name: "another partition has a cheap machine",
             claimed_elsewhere: true,
-            asked: 0,
+            requested: 0,
             ..base
         },
         PriceCapCase {
-            name: "another partition has a cheap one, for too long",
+            name: "another partition has a cheap machine, job waits for too long",
             claimed_elsewhere: true,
             age_s: 228,
-            asked: 1,
+            requested: 1,
             ..base
         },
         PriceCapCase {
-            name: "another partition has a cheap one of another type",
+            name: "another partition has a cheap machine of another type",
             claimed_elsewhere: true,
             only_type: Some("x"),
             ..base
         },
         PriceCapCase {
-            name: "a cheap one of an earlier holder",
+            name: "a cheap machine of an earlier leader",
             claimed: Some("m"),
             fenced: false,
-            asked: 0,
+            requested: 0,
             ..base
         },
         PriceCapCase {
-            name: "a cheap one of another type",
+            name: "a cheap machine of another type",
             claimed: Some("m"),
             only_type: Some("x"),
             ..base
         },
         PriceCapCase {
-            name: "a cheap one that can_run, for too long",
+            name: "a suitable cheap machine, job waits for too long",
             claimed: Some("m"),
             age_s: 228,
-            asked: 1,
+            requested: 1,
+            ..base
+        },
+        PriceCapCase {
+            name: "job failed on machines that are gone",
+            failed_on: 3,
+            requested: 1,
             ..base
         },
-        PriceCapCase { name: "failed on machines that are gone", failed_on: 3, asked: 1, ..base },
         PriceCapCase {
-            name: "a cheap one that can_run, for long",
+            name: "a suitable cheap machine, job waits for long",
             claimed: Some("m"),
             age_s: 200,
-            asked: 0,
+            requested: 0,
             ..base
         },
         PriceCapCase {
-            name: "failed everywhere, and a machine is there",
+            name: "job failed everywhere, and a machine is claimed",
             claimed: Some("m"),
             failed_on: 3,
             age_s: 228,
-            asked: 0,
+            requested: 0,
             ..base
         },
     ];
     for case in &cases {
         let mut core = core();
-        let types = core.types.as_mut().map(Arc::make_mut).expect("known");
+        let types = core.types.as_mut().map(Arc::make_mut).expect("machine types are known");
         types.values_mut().for_each(|machine_type| machine_type.market_price = Some(0.4));
         let claimed: Vec<_> =
             case.claimed.iter().map(|machine_type| ("s-1", *machine_type, "a", true)).collect();
@@ -542,9 +549,9 @@
             core.cache.record_group(&large_group_key("n-9"), machines, 3);
         }
         let now = NOW + case.age_s * SECOND + SECOND;
-        let partition = core.partitions.get_mut("one").expect("it is held");
+        let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.autoscaling.record_spot_refusals(&["m", "x"], &["a", "b"], now + SECOND);
-        let job = partition.jobs.get_mut("req-1").expect("it is known");
+        let job = partition.jobs.get_mut("req-1").expect("req-1 is known");
         job.since = NOW;
         for n in 0..case.failed_on {
             job.failures.note(&format!("gone-{n}"), NOW, SECOND, NOW);
@@ -556,8 +563,8 @@
         core.cache.set_view_as_of(now);
         let scale_outs =
             requested_machines(core.step(now, vec![Command::Tick { wall: now, behind: false }]));
-        let ordinary: u32 =
+        let on_demand: u32 =
             scale_outs.iter().filter(|request| !request.1).map(|request| request.2).sum();
-        assert_eq!(ordinary, case.asked, "{}: {scale_outs:?}", case.name);
+        assert_eq!(on_demand, case.requested, "{}: {scale_outs:?}", case.name);
     }
 }
--- a/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
+++ b/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
@@ -88,12 +88,13 @@
         offer: &MachineOffer,
         now: Micros,
     ) -> bool {
-        let is_offered = |zone: &str, spot: bool| zone == offer.zone && !spot;
+        let matches_offer = |zone: &str, spot: bool| zone == offer.zone && !spot;
         let pending = &self.autoscaling.pending_instances;
         self.warm_machine(types, offer).is_some()
             || pending.iter().any(|i| {
-                is_offered(&i.offer.zone, i.offer.spot) && !i.is_too_late_for_services(types, now)
+                matches_offer(&i.offer.zone, i.offer.spot)
+                    && !i.is_too_late_for_services(types, now)
             })
-            || self.autoscaling.pending_requests().any(|r| is_offered(&r.zone, r.spot))
+            || self.autoscaling.pending_requests().any(|r| matches_offer(&r.zone, r.spot))
     }
 }
