--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -19,8 +19,8 @@
 use crate::partition::Partition;
 use crate::scheduling::{ZoneCapacity, urgency, zone_capacity};
 
-/// No machines are requested for a queue that is expected to drain within this time, not even cheap
-/// ones, unless an objective requires it.
+/// No machines are requested for a queue whose last task is expected to start within this time, not
+/// even cheap ones, unless an objective requires it.
 const NEGLIGIBLE_WAIT: Micros = 15 * SECOND;
 /// How long a service waits for the preemption of lower-priority work before a machine is
 /// requested.
@@ -146,10 +146,10 @@
 }
 
 impl StartConstraint {
-    /// Returns which offers may be requested. Cheap machines are requested for any queue that does
-    /// not drain within `NEGLIGIBLE_WAIT`. Other machines are requested only to meet an objective,
-    /// and only as many as that takes: one machine runs several waves of tasks. A job that cannot
-    /// wait for the present machines may use any offer.
+    /// Returns which offers may be requested. Cheap machines are requested for any queue whose last
+    /// task does not start within `NEGLIGIBLE_WAIT`. Other machines are requested only to meet an
+    /// objective, and only as many as that takes: one machine runs several waves of tasks. A job
+    /// that cannot wait for the present machines may use any offer.
     fn permitted(&self, supply: &Supply, now: Micros) -> PermittedOffers {
         let can_wait = supply.cpus > 0.0 && !self.needs_machines;
         if !can_wait {
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -28,11 +28,12 @@
 /// Factor on the price of an offer in another zone than the leader's. At equal prices the leader's
 /// own zone is preferred, since heartbeats take a shorter way.
 const OTHER_ZONE_FACTOR: f64 = 1.01;
-/// Time after the submission by which a machine that a job needs for its start is up. Jobs have to
-/// start within four minutes, and the claim of the machine and the image pull take a while.
+/// Time after the submission of a job by which a machine that it needs in order to start must be
+/// up. Jobs have to start within four minutes, and the claim of the machine and the image pull take
+/// a while.
 const MACHINE_UP_WITHIN: Micros = 230 * SECOND;
 
-/// The inputs of the scale-out decisions at one moment.
+/// The inputs of the scale-out decisions of a partition at one moment.
 #[derive(Clone, Copy)]
 pub(super) struct ScaleOutContext<'a> {
     pub config: &'a Config,
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -128,8 +128,8 @@
         let issued = counts.into_iter().map(|(offer, count)| {
             let number = self.autoscaling.next_request_number();
             let MachineOffer { machine_type, zone, spot } = offer;
-            // Never used for another request: no two leaders have the same term, and the number is
-            // counted within it.
+            // Never used for another request: the term is unique, and its leader uses each number
+            // only once.
             let request = ScaleOutRequest {
                 name: format!("{name}.{term}.{number}"),
                 machine_type,
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -49,7 +49,8 @@
         partition.mark_for_scale_in(&rules);
         let mut machine_names = partition.machines_to_terminate();
         machine_names.truncate(MAX_MACHINES_PER_SCALE_IN);
-        // After a stall of this process, heartbeats of these machines may still be unread.
+        // Pending instances are not given up soon after a stall of this process, since heartbeats
+        // from them may still be unread.
         if now.saturating_sub(listening_since) > 2 * self.config.workers.heartbeat_interval {
             let remaining = MAX_MACHINES_PER_SCALE_IN - machine_names.len();
             machine_names.extend(
