--- a/crates/quartzlever-core/src/store.rs
+++ b/crates/quartzlever-core/src/store.rs
@@ -1,13 +1,17 @@
-//! The replicated records: the cache that a watch keeps fresh, the listing that fills it, reads by revision,
-//! the limits of a transaction, and the budget of writes.
+//! This process's access to the state store: the cache of its records, the listing that fills the
+//! cache, the watch that keeps it up to date, lookups at a revision, transaction limits and the
+//! write budget.
 //!
-//! - `cache`: the records that are known, and how far and how fresh they are (`view`).
-//! - `listing`, `watch`: how the cache is filled and kept fresh; `event`: what they tell.
-//! - `lookups`: questions that wait until the cache is new enough.
-//! - `recent_jobs`: final states and latest revisions of the jobs that changed last.
-//! - `limits`, `write_budget`: what the store takes in one transaction, and how often.
+//! - `cache`: the cached records and their revision; `view`: the age of the cache.
+//! - `listing`, `watch`: fill the cache and keep it up to date; `event`: the records and deletions
+//!   that they deliver.
+//! - `lookups`: lookups of jobs that wait until the cache is recent enough.
+//! - `recent_jobs`: final states and latest modification revisions of recently changed jobs.
+//! - `limits`, `write_budget`: the size of the transactions that the store accepts, and the rate of
+//!   changes.
 //!
-//! Nothing here knows of partitions' leaders, machines' states or users: the router hands on what is told.
+//! This component does not depend on leadership, machine states or user requests: the router passes
+//! each event to the components that it concerns.
 
 pub(crate) mod cache;
 pub(crate) mod event;
@@ -22,12 +26,12 @@
 use quartzlever_wire::store::{ACTIVE_JOB_PREFIX, KeyValue};
 use serde::de::DeserializeOwned;
 
-/// The record of a row, if it can be read.
+/// Parses the record of an entry; returns `None` if it is unreadable.
 pub(crate) fn parse<T: DeserializeOwned>(entry: &KeyValue) -> Option<T> {
     entry.value.parse()
 }
 
-/// The key of a job that is neither done nor cancelled.
+/// Returns the key of an active job, one that is neither done nor cancelled.
 pub(crate) fn active_job_key(id: &str) -> String {
     format!("{ACTIVE_JOB_PREFIX}{id}")
 }
--- a/crates/quartzlever-core/src/store/cache.rs
+++ b/crates/quartzlever-core/src/store/cache.rs
@@ -1,8 +1,9 @@
-//! What a process knows of the records in the store.
+//! The cache of the records in the store.
 //!
-//! [`Cache`] owns the copy of partitions, machines and active jobs that a listing fills and a watch keeps
-//! fresh, the revision it has come to, and the age of that view. It makes no calls but the read that
-//! renews the view, and never takes an older record for a later one.
+//! [`Cache`] owns the copy of the partitions, machines and active jobs that a listing fills and a
+//! watch keeps up to date, the revision that it has reached, and the age of that view. Its only
+//! call is the read of the revision that renews the view. An older record never replaces a newer
+//! one.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -15,7 +16,7 @@
 use crate::outbox::Outbox;
 use crate::store::view::View;
 
-/// A record, and the revision at which it was written last.
+/// A record and its modification revision, the revision at which it was last written.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Versioned<T> {
     pub record: T,
@@ -23,78 +24,83 @@
 }
 
 impl<T> Versioned<T> {
-    /// A record as of its last change.
+    /// Creates a record with its modification revision.
     pub fn new(record: T, mod_revision: u64) -> Self {
         Versioned { record, mod_revision }
     }
 }
 
-/// The copy of the records of partitions, machines and active jobs: all changes up to its revision are in
-/// it, and some later ones.
+/// The copy of the records of partitions, machines and active jobs. It includes all changes up to
+/// its revision, and possibly some later ones.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     loaded: bool,
     revision: u64,
-    /// The latest revision that any answer told of.
+    /// The latest revision in any reply of the store.
     newest_revision: u64,
     view: View,
     partitions: BTreeMap<String, Versioned<PartitionRecord>>,
-    /// Machines by the key of their block; and where each machine is found.
+    /// Machine groups by key.
     groups: BTreeMap<String, Versioned<MachineRecords>>,
+    /// The key of the group in which each machine is claimed.
     group_of_machine: HashMap<String, String>,
     active_jobs: BTreeMap<String, Versioned<ActiveJobRecord>>,
-    /// Jobs whose records cannot be read; they are not over for that.
+    /// Jobs with unreadable records, which still count as active.
     unreadable_jobs: BTreeSet<String>,
 }
 
-/// How far the cache has come.
+/// Revision and age of the cache.
 impl Cache {
-    /// Whether all records were listed, and no change has been missed since.
+    /// Reports whether a listing has completed and no change has been missed since.
     pub fn loaded(&self) -> bool {
         self.loaded
     }
 
-    /// All changes up to this revision are in the cache.
+    /// Returns the revision up to which the cache includes all changes.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the store has come further than the cache, as far as any answer told.
+    /// Reports whether a reply of the store had a later revision than the cache.
     pub fn is_behind(&self) -> bool {
         self.newest_revision > self.revision
     }
 
-    /// Whether a change of this process is to be taken in with its answer. If the cache has come as far
-    /// already, it shows what became of the change: an answer that came after the removal of the
-    /// partition's key made a process act for a partition that another one held. While the records
-    /// are being listed the listing shows it, or the watch that follows.
+    /// Reports whether a write of this process that was committed at `mod_revision` has to be
+    /// applied to the cache when its reply arrives.
+    ///
+    /// Once the cache has reached that revision, it already shows the write or what replaced it:
+    /// applying a reply that arrived after the deletion of the partition's key made a process act
+    /// for a partition that another one led. During a listing, the listing or the watch after it
+    /// delivers the write.
     pub fn is_ahead_of_cache(&self, mod_revision: u64) -> bool {
         self.loaded && self.revision < mod_revision
     }
 
-    /// Everything that was committed before this moment is in the cache.
+    /// Returns the time before which all commits are in the cache.
     pub fn view_as_of(&self) -> Micros {
         self.view.as_of()
     }
 
-    /// An answer told of this revision.
+    /// Records a revision from a reply of the store.
     pub fn saw_revision(&mut self, revision: u64) {
         self.newest_revision = self.newest_revision.max(revision);
     }
 
-    /// A read sent at that moment has shown this revision to be the present one.
+    /// Records that a read sent at `sent` returned `present_revision` as the store's current
+    /// revision.
     pub fn read_revision(&mut self, present_revision: u64, sent: Micros) {
         self.saw_revision(present_revision);
-        self.view.revision_read(present_revision, sent);
+        self.view.record_revision_read(present_revision, sent);
         self.catch_up();
     }
 
-    /// A watch has told all changes up to this revision.
+    /// Records that a watch has delivered all changes up to `revision`.
     pub fn advance(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Reads the revision if the view has become too old, or is from before the lease was regained.
+    /// Reads the revision if the view is too old or dates from before the lease was regained.
     pub fn poll_view(
         &mut self,
         now: Micros,
@@ -105,17 +111,17 @@
         self.view.poll(now, config, lease_regained_at, outbox);
     }
 
-    /// The read of the revision for the view alone is answered, or has failed.
+    /// Records the reply to a read of the revision that served only the view, or its failure.
     pub fn view_read_answered(&mut self) {
-        self.view.read_answered();
+        self.view.record_read_reply();
     }
 
-    /// Changes were missed: all records are to be listed anew.
+    /// Marks the cache as not loaded because changes were missed: all records must be listed again.
     pub fn outdated(&mut self) {
         self.loaded = false;
     }
 
-    /// A listing begins at this revision: nothing that was known before counts any more.
+    /// Discards all records at the start of a listing, which begins at `revision`.
     pub fn reset(&mut self, revision: u64) {
         self.partitions.clear();
         self.groups.clear();
@@ -125,10 +131,10 @@
         self.revision = revision;
     }
 
-    /// A listing whose first page was asked for at that moment is complete.
+    /// Marks the cache as loaded by a listing whose first page was requested at `sent`.
     pub fn listing_complete(&mut self, sent: Micros) {
         self.loaded = true;
-        self.view.listed(sent);
+        self.view.record_listing(sent);
         self.catch_up();
     }
 
@@ -141,24 +147,24 @@
 
 /// Partitions.
 impl Cache {
-    /// All partitions that somebody holds, by name.
+    /// Returns all partitions that have a leader, by name.
     pub fn partitions(&self) -> &BTreeMap<String, Versioned<PartitionRecord>> {
         &self.partitions
     }
 
-    /// Who holds a partition.
+    /// Returns the leader record of a partition.
     pub fn partition(&self, name: &str) -> Option<&Versioned<PartitionRecord>> {
         self.partitions.get(name)
     }
 
-    /// How many nodes hold partitions.
+    /// Returns the number of nodes that lead partitions.
     pub fn leaders(&self) -> usize {
         let nodes: BTreeSet<&str> =
-            self.partitions.values().map(|held| held.record.node.as_str()).collect();
+            self.partitions.values().map(|leader| leader.record.node.as_str()).collect();
         nodes.len()
     }
 
-    /// Notes who holds a partition; `false` if a later record is known.
+    /// Stores the leader record of a partition; returns `false` if a newer record is cached.
     pub fn record_partition(
         &mut self,
         name: &str,
@@ -172,14 +178,15 @@
         true
     }
 
-    /// A partition's key was removed at this revision.
+    /// Removes a partition whose key was deleted at `mod_revision`, unless its record is newer.
     pub fn partition_deleted(&mut self, name: &str, mod_revision: u64) {
         if self.partitions.get(name).is_some_and(|known| known.mod_revision <= mod_revision) {
             self.partitions.remove(name);
         }
     }
 
-    /// A partition's key is not what it was at this modification revision any more.
+    /// Removes a partition whose key no longer has the value written at `mod_revision`, unless the
+    /// cached record has another modification revision.
     pub fn partition_given_up(&mut self, name: &str, mod_revision: u64) {
         if self.partitions.get(name).is_some_and(|known| known.mod_revision == mod_revision) {
             self.partitions.remove(name);
@@ -187,40 +194,41 @@
     }
 }
 
-/// Machines, in blocks.
+/// Machines, which are stored in groups.
 impl Cache {
-    /// All blocks of machines, by key.
+    /// Returns all machine groups, by key.
     pub fn groups(&self) -> &BTreeMap<String, Versioned<MachineRecords>> {
         &self.groups
     }
 
-    /// A block of machines.
+    /// Returns a machine group.
     pub fn group(&self, key: &str) -> Option<&Versioned<MachineRecords>> {
         self.groups.get(key)
     }
 
-    /// Whether a block is known as it was at this modification revision, or later.
+    /// Reports whether a group is cached at `mod_revision` or later.
     pub fn is_group_known(&self, key: &str, mod_revision: u64) -> bool {
         self.groups.get(key).is_some_and(|known| known.mod_revision >= mod_revision)
     }
 
-    /// The key of the block that a machine is claimed in.
+    /// Returns the key of the group in which a machine is claimed.
     pub fn group_of_machine(&self, machine: &str) -> Option<&String> {
         self.group_of_machine.get(machine)
     }
 
-    /// Whether some partition has claimed a machine.
+    /// Reports whether any partition has claimed a machine.
     pub fn is_claimed(&self, machine: &str) -> bool {
         self.group_of_machine.contains_key(machine)
     }
 
-    /// The record of a machine, with the partition that it belongs to, as far as is known here.
+    /// Returns the cached record of a machine, which names the partition that it belongs to.
     pub fn machine_record(&self, machine: &str) -> Option<&MachineRecord> {
         let key = self.group_of_machine.get(machine)?;
         self.groups.get(key)?.record.get(machine)
     }
 
-    /// The machines of a partition, each where it is claimed: while a block is split some are in two.
+    /// Returns the machines of a partition. While a group is being split, a machine can be in two
+    /// groups: it is returned once, with the record of the group in which it is claimed.
     pub fn machines_of(&self, partition: &str) -> impl Iterator<Item = (&String, &MachineRecord)> {
         let groups = self.groups.iter().flat_map(move |(key, group)| {
             let machines = group.record.iter();
@@ -229,7 +237,9 @@
         groups.filter(move |(_, record)| record.partition == partition)
     }
 
-    /// Notes a block's machines; `None` if a later state is known. Gives those that are new.
+    /// Stores the machines of a group and returns those that are new or changed, or `None` if this
+    /// or a newer revision of the group is cached. A `mod_revision` of 0 stands for a key that does
+    /// not exist, and is always applied.
     pub fn record_group(
         &mut self,
         key: &str,
@@ -240,22 +250,23 @@
         if mod_revision != 0 && known >= mod_revision {
             return None;
         }
-        let before = self.groups.remove(key).map(|group| group.record).unwrap_or_default();
-        // While a block is split its machines are in two.
-        for machine in before.keys().filter(|machine| !machines.contains_key(*machine)) {
+        let previous = self.groups.remove(key).map(|group| group.record).unwrap_or_default();
+        // While a group is being split, its machines are in two groups.
+        for machine in previous.keys().filter(|machine| !machines.contains_key(*machine)) {
             if self.group_of_machine.get(machine).is_some_and(|group| group == key) {
                 self.group_of_machine.remove(machine);
             }
         }
         let mut new = MachineRecords::new();
         for (machine, record) in &machines {
-            // One in a smaller block too belongs there: that claim had this block, as it was then, or
-            // the size of blocks as a condition, so what stands here is a write that came late.
+            // A machine that is also in a smaller group belongs to that one: the claim there was
+            // conditional on the revision of this group or on the agreed group size, so the record
+            // here is from a late write.
             let mapped = self.group_of_machine.get(machine);
-            if mapped.is_some_and(|smaller| group_capacity(smaller) < group_capacity(key)) {
+            if mapped.is_some_and(|mapped| group_capacity(mapped) < group_capacity(key)) {
                 continue;
             }
-            if before.get(machine) != Some(record) || mapped.is_none() {
+            if previous.get(machine) != Some(record) || mapped.is_none() {
                 self.group_of_machine.insert(machine.clone(), key.to_owned());
                 new.insert(machine.clone(), record.clone());
             }
@@ -267,29 +278,30 @@
     }
 }
 
-/// Jobs that are neither done nor cancelled.
+/// Active jobs, which are neither done nor cancelled.
 impl Cache {
-    /// All of them whose records can be read, by id.
+    /// Returns the active jobs with readable records, by id.
     pub fn active_jobs(&self) -> &BTreeMap<String, Versioned<ActiveJobRecord>> {
         &self.active_jobs
     }
 
-    /// The record of one.
+    /// Returns the record of an active job.
     pub fn active_job(&self, job: &str) -> Option<&Versioned<ActiveJobRecord>> {
         self.active_jobs.get(job)
     }
 
-    /// Whether a job is neither done nor cancelled, as far as the cache has come.
+    /// Reports whether a job is active at the revision of the cache, even if its record is
+    /// unreadable.
     pub fn is_active_job(&self, job: &str) -> bool {
         self.active_jobs.contains_key(job) || self.unreadable_jobs.contains(job)
     }
 
-    /// Whether a job's record is known as it was at this modification revision, or later.
+    /// Reports whether a job's record is cached at `mod_revision` or later.
     pub fn is_active_job_known(&self, job: &str, mod_revision: u64) -> bool {
         self.active_jobs.get(job).is_some_and(|known| known.mod_revision >= mod_revision)
     }
 
-    /// Notes a job's record, unless a later one is known.
+    /// Stores a job's record, unless a newer one is cached.
     pub fn record_active_job(&mut self, record: ActiveJobRecord, mod_revision: u64) {
         let id = &record.job.id;
         self.unreadable_jobs.remove(id);
@@ -298,19 +310,19 @@
         }
     }
 
-    /// A job's record cannot be read. Its job stays known.
+    /// Records that a job's record is unreadable. The job still counts as active.
     pub fn record_unreadable_job(&mut self, job: &str) {
         self.unreadable_jobs.insert(job.to_owned());
     }
 
-    /// More of a job's tasks are known to have finished.
+    /// Adds finished tasks to a job's record, if it is cached.
     pub fn add_finished(&mut self, job: &str, finished: &Ranges) {
         if let Some(known) = self.active_jobs.get_mut(job) {
             known.record.finished.add(finished);
         }
     }
 
-    /// A job's record was removed at this revision.
+    /// Removes a job whose record was deleted at `mod_revision`, unless the cached record is newer.
     pub fn active_job_deleted(&mut self, job: &str, mod_revision: u64) {
         self.unreadable_jobs.remove(job);
         if self.active_jobs.get(job).is_some_and(|known| known.mod_revision <= mod_revision) {
@@ -318,7 +330,7 @@
         }
     }
 
-    /// A job is done or cancelled for good.
+    /// Removes a job that is done or cancelled.
     pub fn active_job_ended(&mut self, job: &str) {
         self.active_jobs.remove(job);
     }
--- a/crates/quartzlever-core/src/store/cache/tests.rs
+++ b/crates/quartzlever-core/src/store/cache/tests.rs
@@ -1,9 +1,9 @@
-//! What the cache takes for news.
+//! Which records the cache accepts, and the age of its view.
 
 use super::*;
 use crate::testing::{NOW, machine_record_of, record};
 
-/// States that tests begin with.
+/// Setters for the initial states of tests.
 impl Cache {
     pub(crate) fn set_loaded(&mut self, loaded: bool) {
         self.loaded = loaded;
@@ -15,7 +15,7 @@
 
     pub(crate) fn set_view_as_of(&mut self, as_of: Micros) {
         self.view = View::default();
-        self.view.listed(as_of);
+        self.view.record_listing(as_of);
     }
 }
 
@@ -28,24 +28,24 @@
 }
 
 #[test]
-fn an_older_record_of_a_partition_never_takes_the_place_of_a_later_one() {
+fn an_older_partition_record_does_not_replace_a_newer_one() {
     let mut cache = Cache::default();
     assert!(cache.record_partition("one", leader("one"), 5));
     assert!(!cache.record_partition("one", leader("two"), 4));
     assert!(cache.record_partition("one", leader("one"), 5));
     assert!(cache.record_partition("two", leader("one"), 6));
     assert_eq!(cache.leaders(), 1);
-    // A removal counts for what was there before it, an end of one's own for that record alone.
+    // A deletion removes records up to its revision, a release only the record of that revision.
     cache.partition_deleted("one", 4);
     cache.partition_given_up("one", 6);
-    assert_eq!(cache.partition("one").map(|held| held.mod_revision), Some(5));
+    assert_eq!(cache.partition("one").map(|leader| leader.mod_revision), Some(5));
     cache.partition_given_up("one", 5);
     cache.partition_deleted("two", 7);
     assert!(cache.partitions().is_empty());
 }
 
 #[test]
-fn an_older_record_of_a_job_never_takes_the_place_of_a_later_one() {
+fn an_older_job_record_does_not_replace_a_newer_one() {
     let mut cache = Cache::default();
     cache.record_unreadable_job("req-1");
     assert!(cache.is_active_job("req-1") && cache.active_job("req-1").is_none());
@@ -64,10 +64,10 @@
 }
 
 #[test]
-fn a_block_tells_what_is_new_in_it_and_an_older_one_nothing() {
+fn a_group_update_returns_its_new_machines_and_an_older_one_is_ignored() {
     let mut cache = Cache::default();
-    let new = |found: Option<MachineRecords>| {
-        found.map(|found| found.into_keys().collect::<Vec<_>>().join(" "))
+    let new = |machines: Option<MachineRecords>| {
+        machines.map(|machines| machines.into_keys().collect::<Vec<_>>().join(" "))
     };
     assert_eq!(
         new(cache.record_group("hosts/a", machines(&["a-1", "a-2"]), 5)),
@@ -82,17 +82,17 @@
     assert!(!cache.is_claimed("a-1") && cache.is_claimed("a-3"));
     assert_eq!(cache.machines_of("one").count(), 2);
     assert_eq!(cache.group_of_machine("a-2").map(String::as_str), Some("hosts/a"));
-    // A block without a machine is none; a read that found no key counts in any case.
+    // A group without machines is removed; a key that does not exist (revision 0) always applies.
     assert_eq!(new(cache.record_group("hosts/a", MachineRecords::new(), 0)), Some(String::new()));
     assert!(cache.groups().is_empty() && cache.machine_record("a-2").is_none());
 }
 
 #[test]
-fn the_view_is_as_fresh_as_the_reads_that_a_loaded_cache_has_caught_up_with() {
+fn the_view_dates_from_the_latest_read_that_a_loaded_cache_has_caught_up_with() {
     let mut cache = Cache::default();
     cache.reset(10);
     cache.read_revision(10, NOW + 3);
-    assert_eq!(cache.view_as_of(), 0, "records are missing");
+    assert_eq!(cache.view_as_of(), 0, "not loaded yet");
     cache.listing_complete(NOW);
     assert_eq!(cache.view_as_of(), NOW + 3);
     cache.read_revision(12, NOW + 4);
@@ -104,5 +104,5 @@
     cache.advance(9);
     assert_eq!(cache.revision(), 12);
     cache.outdated();
-    assert!(!cache.is_ahead_of_cache(13), "the listing shows it");
+    assert!(!cache.is_ahead_of_cache(13), "the listing delivers the write");
 }
--- a/crates/quartzlever-core/src/store/event.rs
+++ b/crates/quartzlever-core/src/store/event.rs
@@ -1,6 +1,7 @@
-//! What the store tells of its records: changes that a watch brings, and records that are listed.
+//! Records and deletions that the store delivers through a watch or a listing.
 //!
-//! Decides which records are read at all. What each means for a component is no concern of this module.
+//! This module classifies them by key and decides which of them need to be parsed at all. The
+//! router applies them to the components.
 
 use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
@@ -13,10 +14,10 @@
 use crate::store::parse;
 use crate::store::recent_jobs::TerminalJobs;
 
-/// A record as the store has it, or its removal.
+/// A record in the store, or its deletion.
 #[derive(Debug)]
 pub(crate) enum StoreEvent {
-    /// A partition is held by a process.
+    /// The process that leads a partition.
     Partition {
         name: String,
         record: PartitionRecord,
@@ -26,7 +27,7 @@
         name: String,
         mod_revision: u64,
     },
-    /// A block of machines is as listed, or has changed.
+    /// A machine group, either listed or, if `is_change`, changed.
     MachineGroup {
         entry: KeyValue,
         is_change: bool,
@@ -35,36 +36,38 @@
         key: String,
         mod_revision: u64,
     },
-    /// The record of a job that is neither done nor cancelled, which may be unreadable.
+    /// The record of an active job, which may be unreadable.
     Job(KeyValue),
     JobDeleted {
         id: String,
         mod_revision: u64,
     },
-    /// A job is done or cancelled for good.
+    /// The final state of a job that is done or cancelled.
     JobTerminated {
         id: String,
         record: TerminalJobRecord,
     },
-    /// Finished tasks of a job.
+    /// A page of the finished tasks of a job.
     Page(KeyValue),
     PageDeleted {
         key: String,
         mod_revision: u64,
     },
-    /// The cluster version, a node's version, or the size of blocks.
+    /// The cluster version, the announced version of a node, or the agreed group size.
     Cluster(KeyValue),
     ClusterDeleted {
         key: String,
         mod_revision: u64,
     },
-    /// A node tells how many of the machines it hears.
+    /// The number of machines from which a node receives heartbeats.
     MachinesSeen(KeyValue),
 }
 
 impl StoreEvent {
-    /// What a watch tells, if it is news to a cache that knew all changes up to the revision `known`
-    /// before that watch answered.
+    /// Classifies an event of a watch. Returns `None` if it has no effect: its revision is not
+    /// after `known`, the revision of the cache before the watch replied, its record has already
+    /// been applied, its key is unknown, or it is an unreadable record of a partition or of a final
+    /// state.
     pub fn watched(
         event: Event,
         known: u64,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// A record that a listing has brought.
+    /// Classifies a record of a listing; returns `None` for a partition whose record is unreadable.
     pub fn listed(section: Section, entry: KeyValue) -> Option<Self> {
         match section {
             Section::Partitions => Self::partition(&entry),
@@ -142,8 +145,8 @@
     }
 }
 
-/// Whether a record at this modification revision, or a later one, has been taken in: by the write of this very
-/// process, most of the time. Such records are not even read.
+/// Reports whether the record of `key` has already been applied at `mod_revision` or later, usually
+/// because this process wrote it. Such records are not parsed.
 fn is_already_applied(
     key: &str,
     mod_revision: u64,
--- a/crates/quartzlever-core/src/store/limits.rs
+++ b/crates/quartzlever-core/src/store/limits.rs
@@ -1,8 +1,9 @@
-//! What the store takes in one transaction, as far as is known.
+//! Known limits on the size of a transaction.
 //!
-//! Owns the largest value and the most changes that a transaction may have. Both begin with the settings
-//! and only ever sink: a transaction that is refused shows a limit lower than the settings say. Neither
-//! is ever learned to be lower than the end of a job takes.
+//! [`StoreLimits`] owns the largest value and the highest number of changes in a transaction. Both
+//! start at the settings and only decrease: a transaction that the store rejects as too large shows
+//! that a limit is lower than the setting. Neither is lowered below what the transaction that ends
+//! a job needs.
 
 use quartzlever_wire::store::StoreReply;
 use quartzlever_wire::{CallError, Micros};
@@ -14,11 +15,12 @@
 use crate::outbox::Outbox;
 use crate::store::write_budget::WriteBudget;
 
-/// Limits are never learned to be lower: the end of a job takes as much.
-const LEAST_VALUE: usize = 512;
-const LEAST_OPS: usize = 2;
+/// Lower bound of the limit on values, in bytes: the transaction that ends a job needs it.
+const MIN_VALUE_BYTES: usize = 512;
+/// Lower bound of the limit on changes: the transaction that ends a job needs it.
+const MIN_TXN_OPS: usize = 2;
 
-/// What the store takes in one transaction.
+/// Limits on the size of a transaction.
 #[derive(Debug)]
 pub(crate) struct StoreLimits {
     value_bytes: usize,
@@ -27,7 +29,7 @@
 }
 
 impl StoreLimits {
-    /// The limits as the settings have them.
+    /// Creates limits from the settings.
     pub fn new(config: &Config) -> Self {
         StoreLimits {
             value_bytes: config.value_bytes,
@@ -36,24 +38,26 @@
         }
     }
 
-    /// The largest value.
+    /// Returns the largest allowed value, in bytes.
     pub fn value_bytes(&self) -> usize {
         self.value_bytes
     }
 
-    /// The most changes.
+    /// Returns the highest allowed number of changes.
     pub fn txn_ops(&self) -> usize {
         self.txn_ops
     }
 
-    /// The largest value by the store's own answers alone, whatever the settings say of limits to come.
+    /// Returns the largest allowed value in bytes according to the store's replies alone,
+    /// `usize::MAX` before the first rejection. The settings, which may contain announced future
+    /// limits, have no influence on it.
     pub fn learned_value_bytes(&self) -> usize {
         self.learned_value_bytes
     }
 
-    /// Takes in the answer to a transaction. One that is refused for its size, or for coming too
-    /// often, shows a limit lower than the settings say: from then on less is written at once, or
-    /// less often.
+    /// Adapts to the result of a transaction of this size. A rejection for size lowers the limits,
+    /// and throttling by the store lowers the rate of `write_budget`: in both cases the store
+    /// allows less than the settings.
     pub fn learn(
         &mut self,
         now: Micros,
@@ -64,38 +68,39 @@
     ) {
         match result {
             Ok(StoreReply::TooLarge) => {
-                let is_lower = self.lower(size);
-                // Once for each limit that is learned.
-                outbox.log(if is_lower { LogLevel::Error } else { LogLevel::Debug }, || {
+                let is_lowered = self.lower(size);
+                // An error only once for each lowered limit.
+                outbox.log(if is_lowered { LogLevel::Error } else { LogLevel::Debug }, || {
                     LogEvent::TransactionTooLarge {
                         changes: size.ops,
                         value_bytes: size.value,
                         changes_limit: self.txn_ops,
                         value_bytes_limit: self.value_bytes,
-                        lowered: is_lower,
+                        lowered: is_lowered,
                     }
                 });
             }
-            Err(CallError::Throttled) if write_budget.throttle(now) => {
+            Err(CallError::Throttled) if write_budget.record_throttling(now) => {
                 outbox.log(LogLevel::Error, || LogEvent::StoreThrottled);
             }
             _ => {}
         }
     }
 
-    /// A transaction of that size is too large; whether that is news.
+    /// Lowers the limits after a transaction of this size was too large; reports whether a limit
+    /// changed.
     fn lower(&mut self, size: TransactionSize) -> bool {
-        let (value_bytes, txn_ops) = (self.value_bytes, self.txn_ops);
-        // Which of the two it was is not said.
-        if size.value > LEAST_VALUE {
-            let lower = (size.value * 3 / 4).max(LEAST_VALUE);
-            self.value_bytes = self.value_bytes.min(lower);
-            self.learned_value_bytes = self.learned_value_bytes.min(lower);
+        let (previous_value_bytes, previous_txn_ops) = (self.value_bytes, self.txn_ops);
+        // The reply does not say which of the two limits was exceeded.
+        if size.value > MIN_VALUE_BYTES {
+            let lowered = (size.value * 3 / 4).max(MIN_VALUE_BYTES);
+            self.value_bytes = self.value_bytes.min(lowered);
+            self.learned_value_bytes = self.learned_value_bytes.min(lowered);
         }
-        if size.ops > LEAST_OPS {
+        if size.ops > MIN_TXN_OPS {
             self.txn_ops = self.txn_ops.min(size.ops - 1);
         }
-        self.value_bytes < value_bytes || self.txn_ops < txn_ops
+        self.value_bytes < previous_value_bytes || self.txn_ops < previous_txn_ops
     }
 }
 
--- a/crates/quartzlever-core/src/store/limits/tests.rs
+++ b/crates/quartzlever-core/src/store/limits/tests.rs
@@ -1,4 +1,4 @@
-//! What is learned from refused transactions.
+//! How results of transactions change the limits.
 
 use super::*;
 use crate::messages::Effect;
@@ -8,20 +8,21 @@
     StoreLimits::new(&Config { value_bytes, txn_ops, ..config() })
 }
 
-/// The effects, all of which are events for the log.
+/// Returns the log events in `effects`; panics on any other effect.
 fn events(effects: Vec<Effect>) -> Vec<LogEvent> {
     let event = |effect| match effect {
         Effect::Log(event) => event,
-        other => panic!("{other:?}"),
+        other => panic!("not a log event: {other:?}"),
     };
     effects.into_iter().map(event).collect()
 }
 
-/// Each refusal shows that both the largest value and the number of changes may be too high; neither
-/// sinks below what the end of a job takes.
+/// A rejection for size may be due to the largest value or to the number of changes, so both limits
+/// are lowered; neither falls below what the end of a job needs.
 #[test]
-fn refused_transactions_lower_the_limits_to_what_the_end_of_a_job_takes() {
-    // (value and changes of the refused transaction; largest value, learned, and changes after it)
+fn a_rejected_transaction_lowers_the_limits_to_no_less_than_the_end_of_a_job_needs() {
+    // (value bytes and changes of the rejected transaction; after it: the limit on values, the
+    // limit according to the store alone, and the limit on changes)
     for (value, ops, value_bytes, learned, txn_ops) in [
         (4_000, 10, 3_000, 3_000, 9),
         (600, 3, 512, 512, 2),
@@ -37,7 +38,7 @@
         assert_eq!(limits.value_bytes(), value_bytes, "{size:?}");
         assert_eq!(limits.learned_value_bytes(), learned, "{size:?}");
         assert_eq!(limits.txn_ops(), txn_ops, "{size:?}");
-        // A second refusal of the same size is no news.
+        // A second rejection of the same size changes nothing and is not logged as an error.
         let event = LogEvent::TransactionTooLarge {
             changes: ops,
             value_bytes: value,
@@ -52,9 +53,9 @@
     }
 }
 
-/// Only a refusal for its size says anything of how large a transaction may be.
+/// Only a rejection for size changes the limits on the size.
 #[test]
-fn other_answers_leave_the_limits_as_they_are() {
+fn other_results_do_not_change_the_limits() {
     for result in [
         Ok(StoreReply::Committed(7)),
         Ok(StoreReply::NoLease),
@@ -67,9 +68,9 @@
             (WriteBudget::new(NOW), Outbox::new(LogLevel::Error, NOW));
         let size = TransactionSize { value: 4_000, ops: 10 };
         limits.learn(NOW, size, &result, &mut write_budget, &mut outbox);
-        let known = (limits.value_bytes(), limits.txn_ops(), limits.learned_value_bytes());
-        assert_eq!(known, (8_000, 40, usize::MAX), "{result:?}");
-        // A transaction that came too often makes all changes slower instead.
+        let actual = (limits.value_bytes(), limits.txn_ops(), limits.learned_value_bytes());
+        assert_eq!(actual, (8_000, 40, usize::MAX), "{result:?}");
+        // Throttling lowers the rate of changes instead.
         let is_throttled = matches!(result, Err(CallError::Throttled));
         let expected = is_throttled.then_some(LogEvent::StoreThrottled);
         assert_eq!(events(outbox.take_effects()), Vec::from_iter(expected), "{result:?}");
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -1,9 +1,10 @@
-//! Reading all records of the store: at the start, and again when the watch has fallen so far
-//! behind that the store no longer knows what it missed.
+//! Listing of all records in the store: at startup, and again when the watch has fallen so far
+//! behind that the store no longer has the changes that it missed.
 //!
-//! Owns how far that has come. One listing is under way at a time, section by section and page by page; a
-//! page that belongs to an earlier listing is ignored. Later pages may tell of changes after the first one,
-//! and the watch, which begins at the revision of the first page, tells of these again.
+//! [`Listing`] owns the progress. Only one listing is active at a time. It reads section by section
+//! and page by page; pages of earlier listings are ignored. Later pages may contain changes made
+//! after the first page was read; the watch, which starts at the revision of the first page,
+//! delivers these changes again.
 
 use quartzlever_wire::store::{KeyValue, ListPage, StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
@@ -12,60 +13,63 @@
 use crate::messages::CallPriority;
 use crate::outbox::Outbox;
 
-/// After a page that was not read.
-const RETRY: Micros = SECOND / 2;
+/// Delay before a new listing after a page could not be read.
+const RETRY_DELAY: Micros = SECOND / 2;
 
-/// The listings of this process.
+/// The listings of this process, of which at most one is active.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
-    under_way: Option<UnderWay>,
-    begun: u64,
+    active: Option<ActiveListing>,
+    /// The number of the latest listing; listings count from 1.
+    latest_number: u64,
     retry_at: Micros,
 }
 
-/// The listing under way.
+/// The state of the active listing.
 #[derive(Clone, Copy, Debug)]
-struct UnderWay {
+struct ActiveListing {
     number: u64,
+    /// When the first page was requested.
     sent: Micros,
-    /// The section of the last page that has come.
+    /// The section of the latest page received, if any.
     section: Option<Section>,
 }
 
-/// A page that has come.
+/// A page of the active listing.
 #[derive(Debug)]
 pub(crate) struct ListedPage {
     pub entries: Vec<KeyValue>,
     /// The revision at which the listing begins, if this is its first page.
     pub begins_at: Option<u64>,
-    /// Whether it is the first page of its section.
+    /// Whether this is the first page of its section.
     pub begins_section: bool,
     pub next: NextPage,
 }
 
-/// What follows on a page.
+/// What to read after a page.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum NextPage {
-    /// More of the same section, from that key on.
-    From(String),
-    /// Another section.
+    /// The page of the same section that starts after this key.
+    After(String),
+    /// The first page of another section.
     Section(Section),
-    /// Nothing: the listing, which was begun at that moment, is complete.
+    /// Nothing: the listing is complete. Its first page was requested at `sent`.
     Complete { sent: Micros },
 }
 
 impl Listing {
-    /// Begins to list all records, unless that is being done.
+    /// Begins a listing, unless one is active or the last one failed less than `RETRY_DELAY` ago.
     pub fn begin(&mut self, now: Micros, outbox: &mut Outbox) {
-        if self.under_way.is_some() || now < self.retry_at {
+        if self.active.is_some() || now < self.retry_at {
             return;
         }
-        self.begun += 1;
-        self.under_way = Some(UnderWay { number: self.begun, sent: now, section: None });
-        list(self.begun, Section::Partitions, None, outbox);
+        self.latest_number += 1;
+        self.active = Some(ActiveListing { number: self.latest_number, sent: now, section: None });
+        request_page(self.latest_number, Section::Partitions, None, outbox);
     }
 
-    /// A page was read, or not; `None` if there is nothing to take in.
+    /// Handles the reply to the request for a page, or its failure, which ends the listing. Returns
+    /// `None` if it failed or does not belong to the active listing.
     pub fn page_listed(
         &mut self,
         now: Micros,
@@ -73,15 +77,15 @@
         section: Section,
         result: Result<StoreReply, CallError>,
     ) -> Option<ListedPage> {
-        let listing = self.under_way.filter(|listing| listing.number == number)?;
+        let listing = self.active.filter(|listing| listing.number == number)?;
         let Ok(StoreReply::Listed(page)) = result else {
-            self.under_way = None;
-            self.retry_at = now + RETRY;
+            self.active = None;
+            self.retry_at = now + RETRY_DELAY;
             return None;
         };
-        self.under_way = Some(UnderWay { section: Some(section), ..listing });
-        let next = match (next_page(&page), section.next()) {
-            (Some(from), _) => NextPage::From(from),
+        self.active = Some(ActiveListing { section: Some(section), ..listing });
+        let next = match (continuation_key(&page), section.next()) {
+            (Some(key), _) => NextPage::After(key),
             (None, Some(next)) => NextPage::Section(next),
             (None, None) => NextPage::Complete { sent: listing.sent },
         };
@@ -93,8 +97,8 @@
         })
     }
 
-    /// Asks for what follows on a page of this section; gives when the listing was begun if that is
-    /// nothing.
+    /// Requests `next` after a page of `section`. If the listing is complete, returns when its
+    /// first page was requested.
     pub fn proceed(
         &mut self,
         section: Section,
@@ -102,10 +106,10 @@
         outbox: &mut Outbox,
     ) -> Option<Micros> {
         match next {
-            NextPage::From(from) => list(self.begun, section, Some(from), outbox),
-            NextPage::Section(next) => list(self.begun, next, None, outbox),
+            NextPage::After(key) => request_page(self.latest_number, section, Some(key), outbox),
+            NextPage::Section(next) => request_page(self.latest_number, next, None, outbox),
             NextPage::Complete { sent } => {
-                self.under_way = None;
+                self.active = None;
                 return Some(sent);
             }
         }
@@ -113,12 +117,14 @@
     }
 }
 
-fn list(listing: u64, section: Section, from: Option<String>, outbox: &mut Outbox) {
+/// Requests the page of a section that starts after the key `from`, or the first page.
+fn request_page(listing: u64, section: Section, from: Option<String>, outbox: &mut Outbox) {
     let call = StoreCall::List { prefix: section.prefix().into(), from };
     outbox.call_store(CallPriority::Lease, call, PendingStoreCall::List { listing, section });
 }
 
-fn next_page(page: &ListPage) -> Option<String> {
+/// Returns the last key of a page that is not the last one of its section.
+fn continuation_key(page: &ListPage) -> Option<String> {
     if page.has_next { page.entries.last().map(|entry| entry.key.clone()) } else { None }
 }
 
--- a/crates/quartzlever-core/src/store/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -1,9 +1,11 @@
-//! Lookups of jobs, many at a time: one cheap read brings the present revision, and once the
-//! watched copy has come as far, all that waited are answered from it. So no answer is older than
-//! any that was given before the question came. What the cache does not know is read.
+//! Batched lookups of jobs.
 //!
-//! Owns the questions that wait. It answers none of them: it gives out which can be answered from the
-//! cache, and which have waited too long for that.
+//! One cheap read returns the store's current revision, and once the cache has reached it, all
+//! lookups that waited are answered from the cache. So no answer is older than any answer given
+//! before the lookup arrived. Jobs that the cache does not contain are read from the store.
+//!
+//! [`Lookups`] owns the waiting lookups. It does not answer them: it returns those that can be
+//! answered from the cache, and those that have waited too long for it.
 
 use std::collections::VecDeque;
 
@@ -15,83 +17,86 @@
 use crate::outbox::Outbox;
 use crate::store::cache::Cache;
 
-/// Share of the requests to the store that may bring revisions.
+/// Share of the requests to the store that may read the revision for lookups.
 pub(crate) const REVISION_SHARE: f64 = 0.2;
-/// A copy that has not come as far by then is not waited for.
-const PATIENCE: Micros = SECOND * 7 / 10;
-/// Lookups that may wait; more are turned away at once, to come again. They wait for one read of the
-/// revision, tens of milliseconds, so 20,000 a second may come, however many machines there are.
-const MOST: usize = 2_000;
+/// A lookup that has waited longer for the cache is answered by a read from the store.
+const LOOKUP_TIMEOUT: Micros = SECOND * 7 / 10;
+/// Maximum number of waiting lookups; further ones are rejected at once and may be retried. Lookups
+/// wait for one read of the revision, which takes tens of milliseconds, so 20,000 lookups a second
+/// are possible, independent of the number of machines.
+const MAX_WAITING_LOOKUPS: usize = 2_000;
 
-/// The questions that wait.
+/// The waiting lookups.
 #[derive(Debug, Default)]
 pub(crate) struct Lookups {
-    /// For a read of the revision.
-    waiting: Vec<PendingLookup>,
+    /// Lookups that arrived since the last read of the revision was sent.
+    awaiting_read: Vec<PendingLookup>,
+    /// Whether a read of the revision is pending.
     is_reading: bool,
     next_read_at: Micros,
-    /// For the cache to come to a revision.
-    fenced: VecDeque<Fenced>,
+    /// Batches that wait for the cache to reach a revision, in the order of the reads.
+    awaiting_cache: VecDeque<LookupBatch>,
 }
 
-/// Questions that wait for the cache to come to a revision.
+/// Lookups that wait for the cache to reach `revision`.
 #[derive(Debug)]
-struct Fenced {
+struct LookupBatch {
     revision: u64,
-    asked: Vec<PendingLookup>,
+    lookups: Vec<PendingLookup>,
 }
 
 impl Lookups {
-    /// A user asks for a job; `false` if too many wait already.
+    /// Queues a user's lookup of a job; returns `false` if too many lookups are waiting.
     pub fn ask(&mut self, now: Micros, id: RequestId, job: String) -> bool {
-        let fenced: usize = self.fenced.iter().map(|fenced| fenced.asked.len()).sum();
-        if self.waiting.len() + fenced >= MOST {
+        let awaiting_cache: usize =
+            self.awaiting_cache.iter().map(|batch| batch.lookups.len()).sum();
+        if self.awaiting_read.len() + awaiting_cache >= MAX_WAITING_LOOKUPS {
             return false;
         }
-        self.waiting.push(PendingLookup { id, job, since: now });
+        self.awaiting_read.push(PendingLookup { id, job, since: now });
         true
     }
 
-    /// Reads the revision for all that wait for it. The share of requests allows that each
-    /// `min_interval`.
+    /// Reads the revision for all lookups that wait for it, unless a read is pending.
+    /// `min_interval` is the shortest time between two reads that [`REVISION_SHARE`] allows.
     pub fn poll(&mut self, now: Micros, min_interval: Micros, outbox: &mut Outbox) {
-        if self.waiting.is_empty() || self.is_reading || now < self.next_read_at {
+        if self.awaiting_read.is_empty() || self.is_reading || now < self.next_read_at {
             return;
         }
         self.is_reading = true;
         self.next_read_at = now + min_interval;
-        let asked = std::mem::take(&mut self.waiting);
+        let asked = std::mem::take(&mut self.awaiting_read);
         let pending = PendingStoreCall::Revision { asked, sent: now };
         outbox.call_store(CallPriority::User, StoreCall::Revision, pending);
     }
 
-    /// The read of the revision is answered, or has failed.
+    /// Records the reply to the read of the revision, or its failure.
     pub fn read_answered(&mut self) {
         self.is_reading = false;
     }
 
-    /// These questions wait for the cache to come to a revision from now on.
-    pub fn wait_for(&mut self, revision: u64, asked: Vec<PendingLookup>) {
-        self.fenced.push_back(Fenced { revision, asked });
+    /// Queues lookups until the cache reaches `revision`.
+    pub fn wait_for(&mut self, revision: u64, lookups: Vec<PendingLookup>) {
+        self.awaiting_cache.push_back(LookupBatch { revision, lookups });
     }
 
-    /// The next questions that the cache is new enough for.
+    /// Removes and returns the oldest batch of lookups if the cache is recent enough for it.
     pub fn take_answerable(&mut self, cache: &Cache) -> Option<Vec<PendingLookup>> {
-        let first = self.fenced.front()?;
+        let first = self.awaiting_cache.front()?;
         if !cache.loaded() || first.revision > cache.revision() {
             return None;
         }
-        self.fenced.pop_front().map(|fenced| fenced.asked)
+        self.awaiting_cache.pop_front().map(|batch| batch.lookups)
     }
 
-    /// The next questions that have waited too long, since the cache lags behind or there is none: the oldest
-    /// first.
+    /// Removes and returns the oldest batch of lookups if it has waited longer than
+    /// [`LOOKUP_TIMEOUT`], because the cache lags behind or is not loaded.
     pub fn take_overdue(&mut self, now: Micros) -> Option<Vec<PendingLookup>> {
-        let first = self.fenced.front()?.asked.first();
-        if first.is_some_and(|asked| now.saturating_sub(asked.since) <= PATIENCE) {
+        let first = self.awaiting_cache.front()?.lookups.first();
+        if first.is_some_and(|lookup| now.saturating_sub(lookup.since) <= LOOKUP_TIMEOUT) {
             return None;
         }
-        self.fenced.pop_front().map(|fenced| fenced.asked)
+        self.awaiting_cache.pop_front().map(|batch| batch.lookups)
     }
 }
 
--- a/crates/quartzlever-core/src/store/recent_jobs/tests.rs
+++ b/crates/quartzlever-core/src/store/recent_jobs/tests.rs
@@ -1,28 +1,28 @@
-//! What is remembered of jobs, and for how long.
+//! Which jobs are remembered, and how many.
 
 use super::*;
 
-/// The modification revision of a job that changes again and again was forgotten once enough other jobs had come after
-/// its first record, and a late record of it was taken for news then.
+/// A job that keeps changing was evicted once enough other jobs had followed its first record, so
+/// that a late record of it was accepted as new.
 #[test]
-fn a_job_that_keeps_changing_is_remembered_however_many_came_after_it() {
-    let mut mod_revisions = LatestRevisions::default();
+fn a_job_that_keeps_changing_is_not_evicted() {
+    let mut latest_revisions = LatestRevisions::default();
     for round in 0..3 {
-        assert!(mod_revisions.saw("req-old", 10 + round), "round {round}");
-        for job in 0..LEAST_REMEMBERED as u64 - 1 {
-            assert!(mod_revisions.saw(&format!("req-{round}-{job}"), 100 + job));
+        assert!(latest_revisions.saw("req-old", 10 + round), "round {round}");
+        for job in 0..MIN_REMEMBERED_JOBS as u64 - 1 {
+            assert!(latest_revisions.saw(&format!("req-{round}-{job}"), 100 + job));
         }
     }
-    assert!(!mod_revisions.saw("req-old", 11), "a later record is known");
-    assert!(mod_revisions.saw("req-old", 12), "the same record is no late one");
+    assert!(!latest_revisions.saw("req-old", 11), "a later record is known");
+    assert!(latest_revisions.saw("req-old", 12), "the latest record again");
 }
 
 #[test]
-fn what_is_remembered_stays_within_its_bound() {
-    let mut mod_revisions = LatestRevisions::default();
-    for job in 0..5 * LEAST_REMEMBERED as u64 {
-        mod_revisions.saw(&format!("req-{job}"), job);
+fn the_number_of_remembered_jobs_is_bounded() {
+    let mut latest_revisions = LatestRevisions::default();
+    for job in 0..5 * MIN_REMEMBERED_JOBS as u64 {
+        latest_revisions.saw(&format!("req-{job}"), job);
     }
-    let kept = mod_revisions.0.recent.len() + mod_revisions.0.older.len();
-    assert!((LEAST_REMEMBERED..=2 * LEAST_REMEMBERED).contains(&kept), "{kept}");
+    let remembered = latest_revisions.0.recent.len() + latest_revisions.0.older.len();
+    assert!((MIN_REMEMBERED_JOBS..=2 * MIN_REMEMBERED_JOBS).contains(&remembered), "{remembered}");
 }
--- a/crates/quartzlever-core/src/store/watch.rs
+++ b/crates/quartzlever-core/src/store/watch.rs
@@ -1,7 +1,8 @@
-//! The watch that keeps the cache fresh.
+//! The watch that keeps the cache up to date.
 //!
-//! Owns which watch is the latest, whether it is open, and when the next may be opened. One is open at a
-//! time, unless its connection is dead. What the events of a watch mean is no concern of this module.
+//! [`Watch`] owns the number of the latest watch, whether it is open, and when the next one may be
+//! opened. Only one watch is open at a time, unless its connection is dead. The events of a watch
+//! are handled by other modules.
 
 use quartzlever_wire::store::{StoreCall, StoreReply, WatchAnswer};
 use quartzlever_wire::{CallError, Micros, SECOND};
@@ -14,25 +15,27 @@
 
 /// Share of the requests to the store that may open watches.
 pub(crate) const WATCH_SHARE: f64 = 0.15;
-/// Shortest time between two watches: what comes meanwhile comes together.
+/// Shortest time between two watches, so that changes in between are delivered together.
 pub(crate) const WATCH_PAUSE: Micros = SECOND / 4;
-const WATCH_DEAD: Micros = 3 * SECOND / 2;
-/// After a watch that failed.
-const RETRY: Micros = SECOND / 2;
+/// An open watch has a dead connection if it does not reply within this time although the store has
+/// later changes.
+const DEAD_WATCH_TIMEOUT: Micros = 3 * SECOND / 2;
+/// Delay before the next watch after one failed.
+const RETRY_DELAY: Micros = SECOND / 2;
 
 /// The latest watch.
 #[derive(Debug, Default)]
 pub(crate) struct Watch {
     number: u64,
-    /// Since when it is open.
+    /// When the latest watch was opened, if it is open.
     opened_at: Option<Micros>,
-    /// When the next one may be opened.
+    /// Earliest time to open the next watch.
     next_at: Micros,
 }
 
 impl Watch {
-    /// Opens a watch if none is open, or the open one is dead. The share of requests allows one each
-    /// `min_interval`.
+    /// Opens a watch if none is open or the open one has a dead connection. `min_interval` is the
+    /// shortest time between two watches that [`WATCH_SHARE`] allows.
     pub fn poll(
         &mut self,
         now: Micros,
@@ -41,11 +44,11 @@
         cache: &Cache,
         outbox: &mut Outbox,
     ) {
-        // A watch that stays open although there is something to tell has a dead connection.
-        let dead = self
-            .opened_at
-            .is_some_and(|since| now.saturating_sub(since) > WATCH_DEAD && cache.is_behind());
-        if (self.opened_at.is_none() || dead) && now >= self.next_at {
+        // A working watch replies as soon as the store has later changes than the cache.
+        let is_dead = self.opened_at.is_some_and(|opened_at| {
+            now.saturating_sub(opened_at) > DEAD_WATCH_TIMEOUT && cache.is_behind()
+        });
+        if (self.opened_at.is_none() || is_dead) && now >= self.next_at {
             self.opened_at = Some(now);
             self.number += 1;
             self.next_at = now + min_interval.max(WATCH_PAUSE);
@@ -56,7 +59,8 @@
         }
     }
 
-    /// A watch has answered, or failed. Gives what the cache is to take in.
+    /// Handles the reply to watch `number`, or its failure. Returns the changes to apply to the
+    /// cache, or `None` if there are none or the cache is not loaded.
     pub fn answered(
         &mut self,
         now: Micros,
@@ -70,7 +74,7 @@
         }
         match result {
             Ok(StoreReply::Watched(answer)) => cache.loaded().then_some(answer),
-            // What an earlier watch missed, a later one or a listing has brought.
+            // Changes that an earlier watch missed were delivered by a later one or by a listing.
             Ok(StoreReply::TooOld) => {
                 if is_latest {
                     cache.outdated();
@@ -78,7 +82,7 @@
                 None
             }
             _ => {
-                self.next_at = now + RETRY;
+                self.next_at = now + RETRY_DELAY;
                 None
             }
         }
--- a/crates/quartzlever-core/src/store/watch/tests.rs
+++ b/crates/quartzlever-core/src/store/watch/tests.rs
@@ -1,18 +1,18 @@
-//! When a watch is opened, and whose answer counts.
+//! When a watch is opened, and which replies are applied.
 
 use super::*;
 use crate::messages::{Effect, LogLevel};
 use crate::testing::{NOW, config};
 
-/// States that tests begin with.
+/// Setters for the initial states of tests.
 impl Watch {
     pub(crate) fn set_number(&mut self, number: u64) {
         self.number = number;
     }
 }
 
-/// The revision from which a watch is opened, if one is.
-fn opened(watch: &mut Watch, now: Micros, cache: &Cache) -> Option<u64> {
+/// Polls the watch; returns the revision from which a watch is opened, if one is.
+fn opened_from(watch: &mut Watch, now: Micros, cache: &Cache) -> Option<u64> {
     let mut outbox = Outbox::new(LogLevel::Error, NOW);
     watch.poll(now, &config(), SECOND / 10, cache, &mut outbox);
     outbox.take_effects().into_iter().find_map(|effect| match effect {
@@ -29,27 +29,39 @@
 }
 
 #[test]
-fn one_watch_is_open_unless_its_connection_is_dead() {
+fn only_one_watch_is_open_unless_its_connection_is_dead() {
     let (mut watch, mut cache) = (Watch::default(), cache(7));
-    assert_eq!(opened(&mut watch, NOW, &cache), Some(7));
-    let late = NOW + WATCH_DEAD + 1;
-    assert_eq!(opened(&mut watch, late, &cache), None, "there is nothing to tell");
+    assert_eq!(opened_from(&mut watch, NOW, &cache), Some(7));
+    let after_timeout = NOW + DEAD_WATCH_TIMEOUT + 1;
+    assert_eq!(
+        opened_from(&mut watch, after_timeout, &cache),
+        None,
+        "the store has no later changes"
+    );
     cache.saw_revision(8);
-    assert_eq!(opened(&mut watch, late - 1, &cache), None, "it may still tell");
-    assert_eq!(opened(&mut watch, late, &cache), Some(7), "it is dead");
-    // The answer of the dead one does not end the one that took its place.
+    assert_eq!(
+        opened_from(&mut watch, after_timeout - 1, &cache),
+        None,
+        "the watch may still reply"
+    );
+    assert_eq!(opened_from(&mut watch, after_timeout, &cache), Some(7), "its connection is dead");
+    // The reply of the dead watch does not close the watch that replaced it.
     let answer = |revision| Ok(StoreReply::Watched(WatchAnswer { revision, log: Vec::new() }));
-    assert!(watch.answered(late, 1, answer(8), &mut cache).is_some());
+    assert!(watch.answered(after_timeout, 1, answer(8), &mut cache).is_some());
     cache.advance(8);
-    assert_eq!(opened(&mut watch, late + SECOND, &cache), None);
-    assert!(watch.answered(late, 2, answer(8), &mut cache).is_some());
-    assert_eq!(opened(&mut watch, late + WATCH_PAUSE - 1, &cache), None, "a pause");
-    assert_eq!(opened(&mut watch, late + WATCH_PAUSE, &cache), Some(8));
+    assert_eq!(opened_from(&mut watch, after_timeout + SECOND, &cache), None);
+    assert!(watch.answered(after_timeout, 2, answer(8), &mut cache).is_some());
+    assert_eq!(
+        opened_from(&mut watch, after_timeout + WATCH_PAUSE - 1, &cache),
+        None,
+        "the minimum interval has not passed"
+    );
+    assert_eq!(opened_from(&mut watch, after_timeout + WATCH_PAUSE, &cache), Some(8));
 }
 
 #[test]
-fn only_the_latest_watch_may_say_that_it_is_too_far_behind() {
-    // (number of the watch that says so, whether all records are listed anew)
+fn only_the_latest_watch_can_mark_the_cache_as_outdated() {
+    // (number of the watch that is too far behind, whether the cache is marked as outdated)
     for (number, is_outdated) in [(2, false), (3, true)] {
         let (mut watch, mut cache) = (Watch::default(), cache(7));
         watch.set_number(3);
@@ -59,12 +71,12 @@
 }
 
 #[test]
-fn after_a_failure_the_next_watch_waits_and_a_cache_without_records_takes_in_nothing() {
+fn a_failed_watch_is_retried_after_a_delay_and_an_unloaded_cache_applies_nothing() {
     let (mut watch, mut cache) = (Watch::default(), cache(7));
     assert!(watch.answered(NOW, 0, Err(CallError::Refused), &mut cache).is_none());
-    assert_eq!(opened(&mut watch, NOW + RETRY - 1, &cache), None);
-    assert_eq!(opened(&mut watch, NOW + RETRY, &cache), Some(7));
+    assert_eq!(opened_from(&mut watch, NOW + RETRY_DELAY - 1, &cache), None);
+    assert_eq!(opened_from(&mut watch, NOW + RETRY_DELAY, &cache), Some(7));
     cache.outdated();
     let answer = StoreReply::Watched(WatchAnswer { revision: 9, log: Vec::new() });
-    assert!(watch.answered(NOW + RETRY, 1, Ok(answer), &mut cache).is_none());
+    assert!(watch.answered(NOW + RETRY_DELAY, 1, Ok(answer), &mut cache).is_none());
 }
--- a/crates/quartzlever-core/src/store/write_budget.rs
+++ b/crates/quartzlever-core/src/store/write_budget.rs
@@ -1,34 +1,36 @@
-//! What this controller may still change in the store: its share of the changes a second,
-//! and how much of it is kept for what matters more.
+//! The write budget: this controller's share of the changes per second that the store allows, part
+//! of which is reserved for the more urgent kinds.
 //!
-//! Owns the account of changes and what it has found out of the store's limit. It writes nothing itself.
-//! Two invariants: a kind of change that may wait finds something left for the more urgent ones, and what is
-//! owed is bounded, so that whatever was tried, claims are made again within seconds.
+//! [`WriteBudget`] owns a token bucket of changes and the observed limit of the store. It writes
+//! nothing itself. Two invariants: a change that can wait leaves the reserve for more urgent kinds
+//! untouched, and the debt is bounded, so that claims are possible again within seconds, no matter
+//! how many changes were attempted.
 
 use std::collections::BTreeMap;
 
 use quartzlever_wire::{Micros, SECOND};
 
-/// Kinds of changes, the most urgent first. Leases, partitions, submissions and cancellations are
-/// always made, and may leave the account in debt.
+/// Kinds of changes that depend on the budget, the most urgent first. Changes to leases,
+/// partitions, submissions and cancellations are always made, and may leave the budget in debt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteKind {
     /// The end of a job.
     Finish,
     /// The claim of a machine for a partition.
     Claim,
-    /// Removing the records of returned machines. A new leader has to find out about each that is
-    /// left: with these last of all, hundreds held up the recovery of whole partitions.
+    /// Deletion of records that are no longer needed, such as those of terminated machines. A new
+    /// leader has to check each machine that has a record: when these deletions had the lowest
+    /// priority, hundreds of leftover records delayed the recovery of whole partitions.
     GarbageCollection,
-    /// Tasks that move between partitions.
+    /// The move of tasks between partitions.
     Move,
-    /// What has finished of a job that goes on.
+    /// The finished tasks of a job that is still active.
     Progress,
 }
 
 impl WriteKind {
-    /// Share of a second's changes that is left for others.
-    fn keeps(self) -> f64 {
+    /// Returns the share of a second's changes that this kind leaves for more urgent ones.
+    fn reserved_share(self) -> f64 {
         match self {
             WriteKind::Finish => 0.0,
             WriteKind::Claim => 0.1,
@@ -39,57 +41,65 @@
     }
 }
 
-/// An account that fills at a rate and holds at most a second's worth.
+/// A token bucket of changes to the store. It holds at most the changes of one second, and at least
+/// two.
 #[derive(Debug)]
 pub struct WriteBudget {
-    /// Changes a second.
+    /// Refill rate, in changes per second.
     rate: f64,
-    level: f64,
+    /// Available changes; negative if in debt.
+    balance: f64,
+    /// Time of the last refill.
     now: Micros,
-    /// Share of the limit that the store was seen to allow, and when that last sank.
+    /// Share of the configured limit that the store is assumed to allow.
     allowed_share: f64,
+    /// When throttling last lowered `allowed_share`; 0 if never.
     throttled_at: Micros,
-    /// Kinds of changes that go before submissions and found nothing left.
-    denied: BTreeMap<WriteKind, Denied>,
+    /// Kinds of changes with priority over submissions that are currently denied for lack of
+    /// budget.
+    denied: BTreeMap<WriteKind, Denial>,
 }
 
-/// Since when a kind of change has been denied, and when it was last.
+/// When a kind of change was first and last denied, without an interruption.
 #[derive(Clone, Copy, Debug)]
-struct Denied {
+struct Denial {
     since: Micros,
     last: Micros,
 }
 
-impl Denied {
-    /// Whether it waits for too long. One that is not asked for any more waits for nothing.
+impl Denial {
+    /// Reports whether the change has been denied for too long. A change that is no longer
+    /// attempted does not count.
     fn is_starved(self, now: Micros) -> bool {
-        let lasts = now.saturating_sub(self.last) < STARVED_AFTER;
-        lasts && self.last.saturating_sub(self.since) >= STARVED_AFTER
+        let is_current = now.saturating_sub(self.last) < STARVATION_DELAY;
+        is_current && self.last.saturating_sub(self.since) >= STARVATION_DELAY
     }
 }
 
-/// A change that goes before submissions waits no longer than this for what they have taken.
-const STARVED_AFTER: Micros = SECOND;
+/// A kind of change with priority over submissions counts as starved when it has been denied for
+/// this long.
+const STARVATION_DELAY: Micros = SECOND;
 
-/// Once refused for coming too often, changes come so much slower, and come back to the limit at
-/// this share of it a second.
+/// Factor on the allowed share of the limit each time the store throttles this controller.
 const THROTTLE_FACTOR: f64 = 0.8;
+/// Lower bound of the allowed share of the limit.
 const MIN_ALLOWED_SHARE: f64 = 0.1;
+/// Share of the limit by which the allowed share recovers per second.
 const SHARE_REGAINED_PER_SECOND: f64 = 0.005;
-/// Share of the limit that is used at all: bursts of several controllers may meet.
+/// Share of the limit that is used; the rest absorbs coinciding bursts of several controllers.
 const USABLE_SHARE: f64 = 0.9;
-/// Never more than so many seconds' worth is owed. The store itself remembers a second; what was
-/// asked beyond that it has refused. Without a bound 40 acquisitions that it had refused, one after
-/// the other, left a controller without a change for more than a minute: it claimed no machine, and no
-/// task was started.
+/// Maximum debt, in seconds of changes. The store itself counts the changes of one second, and has
+/// rejected any beyond them. With an unbounded debt, 40 acquisitions that the store rejected one
+/// after the other left a controller without budget for more than a minute: it claimed no machine,
+/// and no task was started.
 const MAX_DEBT_SECONDS: f64 = 2.0;
 
 impl WriteBudget {
-    /// An account with one change in it.
+    /// Creates a budget with one available change.
     pub fn new(now: Micros) -> Self {
         WriteBudget {
             rate: 1.0,
-            level: 1.0,
+            balance: 1.0,
             now,
             allowed_share: 1.0,
             throttled_at: 0,
@@ -97,73 +107,80 @@
         }
     }
 
-    /// Time passes; `limit` is for all who change anything, `sharers` so many.
+    /// Adds the changes for the time since the last refill. `limit` is the store's limit in changes
+    /// per second, which `sharers` controllers share.
     pub fn refill(&mut self, now: Micros, limit: f64, sharers: usize) {
-        let passed = now.saturating_sub(self.now) as f64 / SECOND as f64;
+        let elapsed_s = now.saturating_sub(self.now) as f64 / SECOND as f64;
         self.now = now;
-        self.allowed_share = (self.allowed_share + passed * SHARE_REGAINED_PER_SECOND).min(1.0);
+        self.allowed_share = (self.allowed_share + elapsed_s * SHARE_REGAINED_PER_SECOND).min(1.0);
         self.rate = (limit * self.allowed_share * USABLE_SHARE / sharers.max(1) as f64).max(0.5);
-        self.level = (self.level + passed * self.rate).min(self.rate.max(2.0));
+        self.balance = (self.balance + elapsed_s * self.rate).min(self.rate.max(2.0));
     }
 
-    /// The store has refused a change for coming too often; whether that is news. What is
-    /// refused together counts once.
-    pub fn throttle(&mut self, now: Micros) -> bool {
+    /// Records that the store throttled a change, which lowers the rate. Rejections within one
+    /// second count once; reports whether this one counted.
+    pub fn record_throttling(&mut self, now: Micros) -> bool {
         if now.saturating_sub(self.throttled_at) < SECOND && self.throttled_at > 0 {
             return false;
         }
         self.throttled_at = now;
         self.allowed_share = (self.allowed_share * THROTTLE_FACTOR).max(MIN_ALLOWED_SHARE);
-        self.level = self.level.min(0.0);
+        self.balance = self.balance.min(0.0);
         true
     }
 
-    /// Takes `count` changes, if enough is left for what matters more. One more than a full
-    /// account ever holds is let through when the account is full.
+    /// Spends `count` changes if [`has`](Self::has) allows them; reports whether it did. Otherwise
+    /// the denial is recorded as by [`try_reserve`](Self::try_reserve).
     pub fn try_spend(&mut self, write_kind: WriteKind, count: usize) -> bool {
-        let has = self.try_reserve(write_kind, count);
-        if has {
+        let is_available = self.try_reserve(write_kind, count);
+        if is_available {
             self.spend(count);
         }
-        has
+        is_available
     }
 
-    /// Whether that much is left.
+    /// Reports whether `count` changes are available in addition to the reserve for more urgent
+    /// kinds. A full budget allows any number of changes, since a transaction may need more than it
+    /// can hold.
     pub fn has(&self, write_kind: WriteKind, count: usize) -> bool {
-        let most = self.rate.max(2.0);
-        let need = (count as f64 + write_kind.keeps() * self.rate).min(most);
-        self.level + 1e-9 >= need
+        let capacity = self.rate.max(2.0);
+        let needed = (count as f64 + write_kind.reserved_share() * self.rate).min(capacity);
+        self.balance + 1e-9 >= needed
     }
 
-    /// Whether that much is left for a change that waits to be made; if not, and it goes before
-    /// submissions, these wait for it from some time on.
+    /// Reports whether `count` changes are available for a pending change, without spending them.
+    /// Otherwise records the denial of a kind that has priority over submissions, so that these
+    /// have to wait once the kind is starved.
     pub fn try_reserve(&mut self, write_kind: WriteKind, count: usize) -> bool {
-        let has = self.has(write_kind, count);
-        if has {
+        let is_available = self.has(write_kind, count);
+        if is_available {
             self.denied.remove(&write_kind);
         } else if write_kind <= WriteKind::Claim {
             let now = self.now;
-            let denied = self.denied.entry(write_kind).or_insert(Denied { since: now, last: now });
-            if now.saturating_sub(denied.last) >= STARVED_AFTER {
-                denied.since = now;
+            let denial = self.denied.entry(write_kind).or_insert(Denial { since: now, last: now });
+            if now.saturating_sub(denial.last) >= STARVATION_DELAY {
+                denial.since = now;
             }
-            denied.last = now;
+            denial.last = now;
         }
-        has
+        is_available
     }
 
-    /// Takes changes that are made in any case.
+    /// Spends changes that are made in any case, if necessary as debt.
     pub fn spend(&mut self, count: usize) {
-        let least = -MAX_DEBT_SECONDS * self.rate.max(2.0);
-        // What is owed already stays owed, though the rate may have sunk since.
-        self.level = (self.level - count as f64).max(least.min(self.level));
+        let min_balance = -MAX_DEBT_SECONDS * self.rate.max(2.0);
+        // Existing debt remains, even if the rate, and with it the maximum debt, has decreased
+        // since.
+        self.balance = (self.balance - count as f64).max(min_balance.min(self.balance));
     }
 
-    /// Whether so much is owed that new submissions have to wait, or changes that go before them do:
-    /// a flood of submissions took each change as it came, no machine was claimed, and no task started.
+    /// Reports whether new submissions have to wait: the debt exceeds the changes of one second, or
+    /// a kind with priority over submissions is starved. Without the second condition, a flood of
+    /// submissions consumed each change as it became available, so that no machine was claimed and
+    /// no task started.
     pub fn exhausted(&self) -> bool {
-        let starved = self.denied.values().any(|denied| denied.is_starved(self.now));
-        starved || self.level < -self.rate.max(2.0)
+        let is_starved = self.denied.values().any(|denial| denial.is_starved(self.now));
+        is_starved || self.balance < -self.rate.max(2.0)
     }
 }
 
