--- a/crates/quartzlever-core/src/store/cache.rs
+++ b/crates/quartzlever-core/src/store/cache.rs
@@ -238,8 +238,8 @@
     }
 
     /// Stores the machines of a group and returns those that are new or changed, or `None` if this
-    /// or a newer revision of the group is cached. A `mod_revision` of 0 stands for a key that does
-    /// not exist, and is always applied.
+    /// or a newer revision of the group is cached. A `mod_revision` of 0, from a read that found
+    /// no key, always applies.
     pub fn record_group(
         &mut self,
         key: &str,
--- a/crates/quartzlever-core/src/store/cache/tests.rs
+++ b/crates/quartzlever-core/src/store/cache/tests.rs
@@ -82,7 +82,7 @@
     assert!(!cache.is_claimed("a-1") && cache.is_claimed("a-3"));
     assert_eq!(cache.machines_of("one").count(), 2);
     assert_eq!(cache.group_of_machine("a-2").map(String::as_str), Some("hosts/a"));
-    // A group without machines is removed; a key that does not exist (revision 0) always applies.
+    // A group without machines is removed; a read that found no key (revision 0) always applies.
     assert_eq!(new(cache.record_group("hosts/a", MachineRecords::new(), 0)), Some(String::new()));
     assert!(cache.groups().is_empty() && cache.machine_record("a-2").is_none());
 }
--- a/crates/quartzlever-core/src/store/event.rs
+++ b/crates/quartzlever-core/src/store/event.rs
@@ -65,18 +65,18 @@
 
 impl StoreEvent {
     /// Classifies an event of a watch. Returns `None` if it has no effect: its revision is not
-    /// after `known`, the revision of the cache before the watch replied, its record has already
-    /// been applied, its key is unknown, or it is an unreadable record of a partition or of a final
-    /// state.
+    /// after `known_revision`, the revision of the cache before the watch replied, its record has
+    /// already been applied, its key is unknown, or it is an unreadable record of a partition or of
+    /// a final state.
     pub fn watched(
         event: Event,
-        known: u64,
+        known_revision: u64,
         cache: &Cache,
         terminal_jobs: &TerminalJobs,
     ) -> Option<Self> {
         match event {
             Event::Write { mod_revision, .. } | Event::Delete { mod_revision, .. }
-                if mod_revision <= known =>
+                if mod_revision <= known_revision =>
             {
                 None
             }
@@ -146,7 +146,8 @@
 }
 
 /// Reports whether the record of `key` has already been applied at `mod_revision` or later, usually
-/// because this process wrote it. Such records are not parsed.
+/// because this process wrote it, or belongs to a job whose final state is known. Such records are
+/// not parsed.
 fn is_already_applied(
     key: &str,
     mod_revision: u64,
--- a/crates/quartzlever-core/src/store/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -19,7 +19,7 @@
 
 /// Share of the requests to the store that may read the revision for lookups.
 pub(crate) const REVISION_SHARE: f64 = 0.2;
-/// A lookup that has waited longer for the cache is answered by a read from the store.
+/// Maximum time that a lookup waits for the cache; after it, its job is read from the store.
 const LOOKUP_TIMEOUT: Micros = SECOND * 7 / 10;
 /// Maximum number of waiting lookups; further ones are rejected at once and may be retried. Lookups
 /// wait for one read of the revision, which takes tens of milliseconds, so 20,000 lookups a second
--- a/crates/quartzlever-core/src/store/watch.rs
+++ b/crates/quartzlever-core/src/store/watch.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Handles the reply to watch `number`, or its failure. Returns the changes to apply to the
-    /// cache, or `None` if there are none or the cache is not loaded.
+    /// Handles the reply to watch `number`, or its failure. Returns the answer if it is to be
+    /// applied to the cache, which has to be loaded.
     pub fn answered(
         &mut self,
         now: Micros,
--- a/crates/quartzlever-core/src/store/write_budget.rs
+++ b/crates/quartzlever-core/src/store/write_budget.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// A token bucket of changes to the store. It holds at most the changes of one second, and at least
-/// two.
+/// A token bucket of changes to the store. Its capacity is the changes of one second, but at least
+/// two changes.
 #[derive(Debug)]
 pub struct WriteBudget {
     /// Refill rate, in changes per second.
@@ -55,12 +55,13 @@
     allowed_share: f64,
     /// When throttling last lowered `allowed_share`; 0 if never.
     throttled_at: Micros,
-    /// Kinds of changes with priority over submissions that are currently denied for lack of
-    /// budget.
+    /// Kinds of changes with priority over submissions that were denied for lack of budget, until
+    /// they are allowed again.
     denied: BTreeMap<WriteKind, Denial>,
 }
 
-/// When a kind of change was first and last denied, without an interruption.
+/// When a kind of change was first and last denied, without an interruption of
+/// [`STARVATION_DELAY`].
 #[derive(Clone, Copy, Debug)]
 struct Denial {
     since: Micros,
--- a/crates/quartzlever-core/src/store/write_budget/tests.rs
+++ b/crates/quartzlever-core/src/store/write_budget/tests.rs
@@ -36,7 +36,7 @@
 /// Claims of machines are possible again within seconds, no matter how many changes were attempted.
 #[test]
 fn the_debt_is_bounded() {
-    // (attempted changes, seconds after them, whether a machine may then be claimed)
+    // (changes attempted one by one, seconds after them, whether a machine may then be claimed)
     for (attempted, after, allowed) in
         [(1, 1, true), (40, 1, false), (40, 4, true), (4_000, 4, true)]
     {
