--- a/crates/quartzlever-core/examples/cost.rs
+++ b/crates/quartzlever-core/examples/cost.rs
@@ -1,6 +1,7 @@
-//! What the core itself costs: processor time for a heartbeat, a submission and a tick, with as
-//! many machines as asked for, all busy, and about as many tasks ready in the queue, in jobs of so
-//! many tasks.
+//! Measures the processor time that the core takes for a heartbeat, a submission and a tick.
+//!
+//! All MACHINES are busy, about READY tasks are ready in the queue, and each job has TASKS tasks.
+//!
 //! `cargo run --release -p quartzlever-core --example cost [MACHINES [READY [TASKS]]]`
 
 use std::collections::BTreeMap;
@@ -15,6 +16,7 @@
 use quartzlever_wire::workers::{WorkerCall, WorkerCommands, WorkerReply};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
+/// Lease of the workers.
 const LEASE: Micros = 30 * SECOND;
 
 struct Simulation {
@@ -23,12 +25,15 @@
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
     now: Micros,
+    /// Total duration and number of the commands, by kind.
     spent: BTreeMap<&'static str, (Duration, u32)>,
 }
 
 impl Simulation {
-    /// EffectThreads in a command, carries out what it brings, and notes what the first step cost.
-    fn take(&mut self, kind: &'static str, command: Command) -> Option<WorkerCommands> {
+    /// Passes a command to the core, then executes effects and passes on their replies until there
+    /// are no more replies. Returns the commands of the answer, if the command was a heartbeat that
+    /// got any. Only the first step is timed.
+    fn process(&mut self, kind: &'static str, command: Command) -> Option<WorkerCommands> {
         let begin = Instant::now();
         let mut effects = self.core.step(self.now, vec![command]);
         let entry = self.spent.entry(kind).or_default();
@@ -37,7 +42,7 @@
         let mut commands = None;
         while !effects.is_empty() {
             let replies: Vec<Command> =
-                effects.into_iter().filter_map(|e| self.carry_out(e, &mut commands)).collect();
+                effects.into_iter().filter_map(|e| self.execute(e, &mut commands)).collect();
             if replies.is_empty() {
                 break;
             }
@@ -46,7 +51,8 @@
         commands
     }
 
-    fn carry_out(
+    /// Executes an effect and returns the command with the reply, if there is one.
+    fn execute(
         &mut self,
         effect: Effect,
         commands: &mut Option<WorkerCommands>,
@@ -74,8 +80,8 @@
                 Some(Command::WorkerReply { call_id, result })
             }
             Effect::Answer { body, .. } => {
-                if let Answer::WorkerCommands(given) = body {
-                    *commands = Some(given);
+                if let Answer::WorkerCommands(answered) = body {
+                    *commands = Some(answered);
                 }
                 None
             }
@@ -122,20 +128,22 @@
     };
     let mut id = 0;
     let mut jobs = 0;
-    // As many tasks as machines can run in the time between two jobs, plus those to be ready.
-    let room = 16 * machines as u32;
-    // Three minutes; a heartbeat of each machine every three seconds.
+    // Number of tasks that the machines run at the same time. Tasks take 20 s, so every ten ticks a
+    // tenth of them is submitted again.
+    let running = 16 * machines as u32;
+    // Three minutes in ticks of 200 ms, with a heartbeat of each machine every three seconds.
     for tick in 0..900_u32 {
         simulation.now += SECOND / 5;
         let wall = simulation.now;
-        simulation.take("tick", Command::Tick { wall, behind: false });
-        let mut due = u32::from(tick.is_multiple_of(10)) * room / (10 * tasks) + 1;
+        simulation.process("tick", Command::Tick { wall, behind: false });
+        let mut due = u32::from(tick.is_multiple_of(10)) * running / (10 * tasks) + 1;
         if tick == 1 {
-            due = (room + ready) / tasks + 1;
+            due = (running + ready) / tasks + 1;
         }
         for _ in 0..if tick == 1 || tick.is_multiple_of(10) { due } else { 0 } {
             (id, jobs) = (id + 1, jobs + 1);
-            simulation.take("submission", Command::Submit { id, spec: Box::new(job(jobs, tasks)) });
+            let spec = Box::new(job(jobs, tasks));
+            simulation.process("submission", Command::Submit { id, spec });
         }
         let names: Vec<String> = simulation.workers.keys().cloned().collect();
         for (n, name) in names.iter().enumerate() {
@@ -148,7 +156,7 @@
             let heartbeat = worker.heartbeat();
             let incarnation = heartbeat.incarnation;
             id += 1;
-            let commands = simulation.take("report", Command::Heartbeat { id, heartbeat });
+            let commands = simulation.process("heartbeat", Command::Heartbeat { id, heartbeat });
             if let (Some(commands), Some(worker)) = (commands, simulation.workers.get_mut(name)) {
                 worker.answered(&commands, now, incarnation, now);
             }
@@ -157,8 +165,8 @@
         simulation.workers.retain(|name, _| !cloud.gone.contains(name));
     }
     for (kind, (spent, count)) in &simulation.spent {
-        let each = spent.as_secs_f64() * 1e6 / f64::from(*count);
-        println!("{kind}: {count} times, {each:.1} microseconds each");
+        let mean = spent.as_secs_f64() * 1e6 / f64::from(*count);
+        println!("{kind}: {count} times, {mean:.1} microseconds each");
     }
-    println!("jobs over: {}", simulation.store.keys("over/").len());
+    println!("jobs ended: {}", simulation.store.keys("over/").len());
 }
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -1,4 +1,5 @@
-//! Calls that are under way: what the reply to each belongs to. Plain data, without any decision.
+//! Calls in flight: the context in which the reply to each is handled. Holds plain data and makes
+//! no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,12 +14,12 @@
 
 use crate::messages::RequestId;
 
-/// What an answer from the store belongs to.
+/// The context of a call to the store.
 #[derive(Debug)]
 pub(crate) enum PendingStoreCall {
-    /// Nothing depends on the answer: a hint for a peer, or the removal of what nobody needs.
+    /// Nothing depends on the reply: the call writes a hint for a peer or removes an unused key.
     Ignored,
-    /// The kept catalogue is read, or written.
+    /// A read or a write of the stored catalogue.
     ReadCatalogue,
     Grant {
         sent: Micros,
@@ -35,27 +36,32 @@
         partition: String,
         mod_revision: u64,
     },
-    /// A page of the records is listed.
+    /// A read of one page of a listing.
     List {
         listing: u64,
         section: Section,
     },
-    /// A version was announced, or raised.
+    /// An announcement of this process's version, or a write of the cluster version or group size.
     Cluster {
         write: ClusterWrite,
         lease: u64,
     },
-    /// Machines move from a block of the first form to small ones.
+    /// A step of the split of an oversized group of machines, such as one of the original form,
+    /// into small groups.
     SplitGroup {
+        /// Key of the oversized group.
         key: String,
+        /// The small groups that the step writes, by key.
         small: Vec<(String, MachineRecords)>,
+        /// Whether the step deletes the oversized group.
         is_complete: bool,
     },
     Watch {
         number: u64,
         sent: Micros,
     },
-    /// The present revision, for the questions that wait for it, and for the age of the view.
+    /// A read of the store's current revision, for the lookups that wait for it and for the age of
+    /// the view.
     Revision {
         asked: Vec<PendingLookup>,
         sent: Micros,
@@ -77,17 +83,21 @@
         tries: u32,
     },
     JobWrite(Box<JobWrite>),
+    /// A read of an active job after a write found that its record had changed.
     Reread {
         partition: String,
         term: u64,
         job: String,
     },
+    /// A read of the final state of a job whose reread found no active record.
     RereadTerminalJob {
         partition: String,
         term: u64,
         job: String,
     },
+    /// A write that moves tasks from a victim to a thief.
     StealWrite {
+        /// The victim.
         partition: String,
         term: u64,
         request: Option<RequestId>,
@@ -99,29 +109,30 @@
     },
 }
 
-/// Names an attempt on a machine. The attempts of a job are neighbours in the order of keys.
+/// Identifies an attempt on a machine. Keys sort by job first, so the attempts of a job are
+/// adjacent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     pub task: TaskId,
-    /// A number that no other attempt ever had.
+    /// Unique among all attempts of all jobs.
     pub attempt: u64,
 }
 
-/// What an answer from a worker belongs to.
+/// The context of a call to a worker.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWorkerCall {
     pub partition: String,
     pub term: u64,
     pub machine: String,
-    /// The attempts whose `run` the call carries.
+    /// The attempts whose `run` command the call carries.
     pub run_attempts: Vec<AttemptKey>,
-    /// A machine that nobody knew is asked whether it is there.
+    /// Whether the call confirms that an unknown machine exists.
     pub confirms_presence: bool,
-    /// Any machine is asked, to see whether workers are reached from here.
+    /// Whether the call only tests whether this process reaches any worker.
     pub probe: bool,
 }
 
-/// What an answer from the cloud belongs to.
+/// The context of a call to the cloud.
 #[derive(Debug)]
 pub(crate) enum PendingCloudCall {
     Catalogue,
@@ -130,7 +141,7 @@
     List { seen: Vec<Instance> },
 }
 
-/// What an answer from a peer belongs to.
+/// The context of a call to a peer.
 #[derive(Debug)]
 pub(crate) enum PendingPeerCall {
     Count {
@@ -140,21 +151,23 @@
     Steal {
         partition: String,
     },
-    /// Whether the peer reaches the store.
+    /// The question whether the peer reaches the store.
     StoreConnectivity,
-    /// A leader was told how many of a partition's machines come here.
+    /// A report to a partition's leader of how many of its machines send their heartbeats here.
     MachinesSeen {
         partition: String,
         machines: u32,
     },
-    /// Something was only told.
+    /// A notification, whose answer carries nothing.
     Notification,
 }
 
-/// How large a transaction was: its largest value, and its changes.
+/// The size of a transaction.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransactionSize {
+    /// Size of the largest value, in bytes.
     pub value: usize,
+    /// Number of changes.
     pub ops: usize,
 }
 
@@ -162,11 +175,11 @@
 #[derive(Debug)]
 pub(crate) struct GroupWrite {
     pub key: String,
-    /// The group as it will be.
+    /// Contents of the group after the write.
     pub records: MachineRecords,
     pub added: BTreeSet<String>,
     pub dropped: BTreeSet<String>,
-    /// The partitions whose machines the change concerns, with their terms.
+    /// The partitions whose machines are added or removed, with their terms.
     pub partitions: BTreeMap<String, u64>,
 }
 
@@ -177,36 +190,36 @@
     pub term: u64,
     pub job: String,
     pub action: JobWriteAction,
-    /// The newly finished tasks that it records.
+    /// The newly finished tasks that the transaction records.
     pub recorded: Ranges,
-    /// The pages that it writes.
+    /// The pages of finished tasks that the transaction writes.
     pub pages: Vec<PageWrite>,
 }
 
-/// A page of finished tasks as it is written.
+/// A write of a page of finished tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct PageWrite {
     pub number: u32,
-    /// All that has finished of it.
+    /// All finished tasks of the page, whether or not they were recorded before.
     pub finished: Ranges,
 }
 
-/// What a transaction does with the record of a job.
+/// The effect of a transaction on the record of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobWriteAction {
-    /// Writes it anew.
+    /// Replaces the record.
     Record,
-    /// Writes pages only, on condition of the record as it is.
+    /// Writes pages only, on the condition that the record is unchanged.
     PagesOnly,
     /// Ends the job.
     End,
 }
 
-/// Why a job is read from the store.
+/// The purpose of reading a job from the store.
 #[derive(Debug)]
 pub(crate) enum JobReadPurpose {
-    /// Whether a submission that cannot be accepted is of a known job; `refuse` says whether an
-    /// unknown one is refused for good.
+    /// Finds out whether the job of a submission that cannot be accepted exists already. If it does
+    /// not, `refuse` tells whether the submission is rejected permanently.
     Submit {
         id: RequestId,
         job: String,
@@ -224,7 +237,7 @@
 }
 
 impl JobReadPurpose {
-    /// The request that waits for the answer.
+    /// Returns the request that waits for the read.
     pub fn request(&self) -> RequestId {
         match self {
             JobReadPurpose::Submit { id, .. }
@@ -233,7 +246,7 @@
         }
     }
 
-    /// The job that is read.
+    /// Returns the id of the job that is read.
     pub fn job(&self) -> &str {
         match self {
             JobReadPurpose::Submit { job, .. }
@@ -243,15 +256,17 @@
     }
 }
 
-/// Ranges of one job that a transaction moves, and the job's record after it.
+/// The tasks of one job that a transaction moves to another partition.
 #[derive(Debug)]
 pub(crate) struct TaskMove {
     pub job: String,
+    /// The moved tasks.
     pub cut: Ranges,
+    /// The job's record after the move.
     pub record: ActiveJobRecord,
 }
 
-/// A question that waits.
+/// A lookup of a job that waits until the cache is recent enough.
 #[derive(Debug)]
 pub(crate) struct PendingLookup {
     pub id: RequestId,
@@ -259,13 +274,14 @@
     pub since: Micros,
 }
 
-/// Records of one kind.
+/// A kind of records in the store, listed separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Section {
     Partitions,
     Machines,
     Jobs,
-    /// Listed after the jobs: what has moved from a job's record to a page is in one of the two at least.
+    /// Listed after the jobs, so that finished tasks that move from a job's record to a page during
+    /// the listing are seen in at least one of the two.
     Pages,
     Cluster,
 }
@@ -275,7 +291,7 @@
     pub(crate) const ALL: [Section; 5] =
         [Section::Partitions, Section::Machines, Section::Jobs, Section::Pages, Section::Cluster];
 
-    /// Prefix of the keys of the section.
+    /// Returns the prefix of the section's keys.
     pub(crate) fn prefix(self) -> &'static str {
         match self {
             Section::Partitions => PARTITION_PREFIX,
@@ -286,7 +302,7 @@
         }
     }
 
-    /// The section that is listed next.
+    /// Returns the section that is listed after this one.
     pub(crate) fn next(self) -> Option<Section> {
         match self {
             Section::Partitions => Some(Section::Machines),
@@ -298,13 +314,13 @@
     }
 }
 
-/// What was asked of the store for the cluster version.
+/// A write by which the controllers agree on the cluster version or on the size of machine groups.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ClusterWrite {
-    /// This process's version was announced.
+    /// Announces the version of this process.
     AnnounceVersion,
-    /// Smaller blocks of machines were agreed on.
+    /// Reduces the size of machine groups that all controllers use.
     SetGroupSize,
-    /// The cluster version was raised.
+    /// Raises the cluster version.
     RaiseVersion,
 }
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -1,34 +1,42 @@
-//! What a controller is told at its start.
+//! The settings of a controller, given when it starts.
 
 use quartzlever_wire::{Micros, SECOND};
 
-/// A team with its guarantee and its limit; 0 means none.
+/// A team with its guaranteed resources and its limits; 0 means no guarantee or no limit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Team {
     pub name: String,
+    /// Guaranteed processors.
     pub cpus: f64,
+    /// Maximum number of processors.
     pub cpus_max: f64,
+    /// Guaranteed GPUs.
     pub gpus: f64,
+    /// Maximum number of GPUs.
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Whether the team has a limit, so that its jobs have to run in one partition.
+    /// Reports whether the team has a limit, so that all its jobs must run in one partition.
     pub fn has_limits(&self) -> bool {
         self.cpus_max > 0.0 || self.gpus_max > 0.0
     }
 }
 
-/// An aim of the users on starting or finishing.
+/// A service level objective for the start or the end of a class of jobs. `share` is the share of
+/// the jobs that must meet it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServiceLevelObjective {
+    /// A job finishes within `times` the time from its submission to its deadline.
     Deadline { class: String, share: f64, times: f64 },
+    /// A job starts at most `within` after its submission.
     Wait { class: String, share: f64, within: Micros },
+    /// A job finishes at most `within` after its submission.
     Finished { class: String, share: f64, within: Micros },
 }
 
 impl ServiceLevelObjective {
-    /// The class of jobs that the aim is on.
+    /// Returns the class of jobs that the objective applies to.
     pub fn class(&self) -> &str {
         match self {
             ServiceLevelObjective::Deadline { class, .. }
@@ -38,40 +46,43 @@
     }
 }
 
-/// The times that workers keep to.
+/// Intervals and time limits of workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerTimes {
     pub heartbeat_interval: Micros,
+    /// Lifetime of a worker's lease: without a renewal, its tasks end when the lease expires.
     pub lease: Micros,
-    /// Within this time of a confirmed cancellation all tasks of the job must be gone.
+    /// Maximum time from a confirmed cancellation until all tasks of the job have ended.
     pub cancel: Micros,
 }
 
-/// The operator's own settings, each with its default.
+/// Optional settings of the operator; each has a default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
-    /// How many random peers an idle controller asks.
+    /// Number of random peers that an idle controller asks for work.
     pub peers_asked: usize,
-    /// Share of the victim's ready tasks that is stolen.
+    /// Share of the victim's ready tasks that a steal moves.
     pub steal_fraction: f64,
-    /// First wait after a failed steal.
+    /// Delay after the first failed steal.
     pub steal_start: Micros,
-    /// Longest wait after failed steals.
+    /// Maximum delay after repeated failed steals.
     pub steal_cap: Micros,
-    /// Life of the lease that a controller's partitions hang on.
+    /// Lifetime of a controller's lease in the store, to which the keys of its partitions are
+    /// attached.
     pub lease_life: Micros,
-    /// How long a partition must be absent before a peer takes it over.
+    /// How long a partition's key must be absent before a peer takes the partition over.
     pub takeover_after: Micros,
-    /// How long a home node must have stayed up before its partition is handed back.
+    /// How long a home node must have been up again before its partition is handed back.
     pub handback_after: Micros,
-    /// How long a cheap machine may be idle before it is returned, in boot times of its type.
+    /// How long a machine at the lowest price of its type may be idle before it is scaled in, as a
+    /// multiple of the type's boot time. A more expensive machine is kept for proportionally less.
     pub idle_boots: f64,
-    /// How much a partition's machines may cost together, in the lowest prices of their types, before
-    /// dear ones are no longer rented.
+    /// Maximum total price of a partition's machines, as a multiple of the sum of the lowest prices
+    /// of their types. Beyond it, only machines near the lowest price of their type are launched.
     pub price_cap: f64,
-    /// How long a machine may be silent before it is returned.
+    /// How long a machine may send no heartbeat before it is scaled in.
     pub silent_return: Micros,
-    /// Shortest time between two writes of one job's progress.
+    /// Minimum time between two writes of one job's progress.
     pub progress_write: Micros,
 }
 
@@ -93,131 +104,149 @@
     }
 }
 
-/// Everything a controller knows from its settings.
+/// All settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub node: String,
     pub zone: String,
-    /// All controller names, its own among them; each names a partition.
+    /// Names of all controllers, including this one; each is also the name of a partition.
     pub nodes: Vec<String>,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     pub objectives: Vec<ServiceLevelObjective>,
     pub workers: WorkerTimes,
-    /// What all controllers together may ask of the store and change in it, a second.
+    /// Requests per second that all controllers together may send to the store.
     pub store_rps: f64,
+    /// Changes per second that all controllers together may make in the store.
     pub store_write_rps: f64,
-    /// The lower of a value's present and coming limit; and the present one, to which blocks of
-    /// machines keep while a controller may be of the first version.
+    /// Maximum size of a value in the store, in bytes: the lower of the present limit and the
+    /// coming one.
     pub value_bytes: usize,
+    /// Maximum size of a group of machines while a controller may be of version 1, in bytes: the
+    /// store's present limit for a value.
     pub group_bytes: usize,
+    /// Maximum number of changes in a transaction: the lower of the present limit and the coming
+    /// one.
     pub txn_ops: usize,
-    /// The version that this process tells the others; 1 tells nothing, as the first version did.
+    /// The version that this process announces to the other controllers. Version 1 had no
+    /// announcements, so with 1 nothing is announced.
     pub version: u32,
-    /// How many machines a controller's processor serves without falling behind.
+    /// Number of machines that the processor of one controller serves without falling behind.
     pub machine_capacity: usize,
     pub operator: Operator,
-    /// Notes of less weight than this are not even written.
+    /// Less important events than this are not created.
     pub log_level: crate::messages::LogLevel,
 }
 
-/// How fast the steady clocks of two machines may drift apart, in parts of 10,000
-/// (the protocol's 0.05%), doubled to be on the safe side.
+/// Bound on the drift between the monotonic clocks of two machines, in parts per 10,000: the
+/// protocol's 0.05%, doubled as a safety margin.
 const DRIFT_PER_10K: Micros = 10;
 
-/// A span after which any other machine's clock has surely counted `span`.
+/// Returns a time on this machine's clock after which the clock of every other machine has advanced
+/// by at least `span`.
 pub fn upper_drift_bound(span: Micros) -> Micros {
     span + span * DRIFT_PER_10K / 10_000
 }
 
-/// A span within which no other machine's clock has counted `span`.
+/// Returns a time on this machine's clock within which no other machine's clock advances by as much
+/// as `span`.
 pub fn lower_drift_bound(span: Micros) -> Micros {
     span - span * DRIFT_PER_10K / 10_000
 }
 
-/// Kept back of `cancel` for answers on their way out and for the steps of clocks.
+/// Part of [`WorkerTimes::cancel`] reserved for answers in flight and for the steps of clocks.
 const CANCEL_MARGIN: Micros = 3 * SECOND;
-/// The shortest bound on the age of a view that a controller can keep to.
-const SHORTEST_VIEW: Micros = 4 * SECOND;
-/// The longest that a watch stays open without news.
-const LONGEST_WATCH: Micros = 5 * SECOND;
+/// The lowest bound on the age of the view that a controller can keep.
+const MIN_VIEW_AGE_BOUND: Micros = 4 * SECOND;
+/// Maximum time that a watch stays open without an event.
+const MAX_WATCH_HOLD: Micros = 5 * SECOND;
 
-/// What a node without a partition may use of an equal share.
+/// Part of an equal share of a rate limit that a node without a partition may use.
 const IDLE_NODE_SHARE: f64 = 0.5;
 
 impl Config {
-    /// The team of this name; `None` if the settings do not know it.
+    /// Returns the team with this name, or `None` if the settings have no such team.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|t| t.name == name)
     }
 
-    /// Whether a team of this name has a limit.
+    /// Reports whether the team with this name has a limit.
     pub fn is_team_limited(&self, team: &str) -> bool {
         self.team(team).is_some_and(Team::has_limits)
     }
 
-    /// The partition that runs all jobs of a limited team, chosen by the team's name.
+    /// Returns the partition that runs all jobs of a limited team, chosen by a hash of the team's
+    /// name.
     pub fn partition_of_team(&self, team: &str) -> &str {
         let mut names: Vec<&String> = self.nodes.iter().collect();
         names.sort();
-        // FNV-1a: the same on every node and in every version.
+        // FNV-1a gives the same result on every node and in every version.
         let hash = team.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
             (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
         });
         names[(hash % names.len() as u64) as usize]
     }
 
-    /// The part of a limit for all nodes that falls to one node, when so many hold partitions and it
-    /// does so itself or not. Nodes without a partition ask for little and leave the rest to those
-    /// who have the work: with a third of the requests, a node that was left with everything
-    /// turned away 60 submissions in 10 s while two thirds lay idle.
-    pub fn rate_limit_share(&self, leaders: usize, holds_lease: bool) -> f64 {
+    /// Returns the share of a common rate limit that one node may use. `leaders` is the number of
+    /// nodes that lead partitions, and `is_leader` tells whether the node is one of them.
+    ///
+    /// A node without a partition sends few requests and leaves most of its share to the leaders.
+    /// With equal shares among three nodes, a single remaining leader rejected 60 submissions
+    /// within 10 s while two thirds of the limit were unused.
+    pub fn rate_limit_share(&self, leaders: usize, is_leader: bool) -> f64 {
         let nodes = self.nodes.len().max(1);
         let leaders = leaders.min(nodes);
         if leaders == 0 {
             return 1.0 / nodes as f64;
         }
         let idle = IDLE_NODE_SHARE / nodes as f64;
-        if holds_lease { (1.0 - idle * (nodes - leaders) as f64) / leaders as f64 } else { idle }
+        if is_leader { (1.0 - idle * (nodes - leaders) as f64) / leaders as f64 } else { idle }
     }
 
-    /// How old the view of the jobs may be while workers get orders or have their leases renewed.
-    /// A cancellation that is not in the view was confirmed after the view was read; with the
-    /// renewal at the latest moment the tasks end with their lease, still within `cancel`:
-    /// view + lease + drift + margin = cancel. `None` if no view can be as fresh as that.
+    /// Returns the maximum age of the view of the jobs at which workers may still receive commands
+    /// or have their leases renewed; `None` if no view can be that fresh.
+    ///
+    /// A cancellation that the view does not show was confirmed after the view was read. Even if a
+    /// worker's lease is renewed at the last moment, the job's tasks end with the lease and still
+    /// within `cancel`: view age + lease + drift + margin = cancel.
     fn achievable_view_age(&self) -> Option<Micros> {
-        let kept = upper_drift_bound(self.workers.lease) + CANCEL_MARGIN;
-        let room = lower_drift_bound(self.workers.cancel.checked_sub(kept)?);
-        (room >= SHORTEST_VIEW).then_some(room)
+        let reserved = upper_drift_bound(self.workers.lease) + CANCEL_MARGIN;
+        let max_age = lower_drift_bound(self.workers.cancel.checked_sub(reserved)?);
+        (max_age >= MIN_VIEW_AGE_BOUND).then_some(max_age)
     }
 
-    /// Whether leases alone end the tasks of a cancelled job in time, whatever is cut off.
+    /// Reports whether lease expiry alone ends the tasks of a cancelled job in time, whichever
+    /// parts of the network are unreachable.
     pub fn leases_meet_cancel(&self) -> bool {
         self.achievable_view_age().is_some()
     }
 
-    /// The bound on the age of the view.
+    /// Returns the maximum age of the view at which this process may act on it.
     pub fn max_view_age(&self) -> Micros {
-        self.achievable_view_age().unwrap_or(SHORTEST_VIEW)
+        self.achievable_view_age().unwrap_or(MIN_VIEW_AGE_BOUND)
     }
 
-    /// How long a watch stays open, so that its answers keep the view fresh by themselves.
+    /// Returns how long a watch stays open: short enough that its answers alone keep the view
+    /// fresh.
     pub fn watch_hold(&self) -> Micros {
-        LONGEST_WATCH.min(self.max_view_age() / 3)
+        MAX_WATCH_HOLD.min(self.max_view_age() / 3)
     }
 
-    /// How long after the end of a job its tasks may be not proven gone before their machine is
-    /// returned: that takes a few seconds, and more while the cloud refuses.
+    /// Returns how long after the end of a job its attempts may remain on a machine, or not be
+    /// known to have exited, before the machine is scaled in. The rest of `cancel` is left for
+    /// scaling in, which takes a few seconds, and longer while the cloud refuses it.
     pub fn attempt_exit_timeout(&self) -> Micros {
         self.workers.cancel / 2
     }
 
-    /// So long after the last one a heartbeat is late: they come up to a quarter later than they should.
+    /// Returns the time after the last heartbeat from which the next one counts as late. Heartbeats
+    /// normally arrive up to a quarter of the interval late.
     pub fn late_heartbeat_after(&self) -> Micros {
         self.workers.heartbeat_interval * 13 / 10
     }
 
-    /// How long a silent machine needs to lose its lease for certain.
+    /// Returns the time after its last heartbeat at which a silent machine has certainly lost its
+    /// lease.
     pub fn worker_lease_expired_after(&self) -> Micros {
         upper_drift_bound(self.workers.lease) + SECOND
     }
--- a/crates/quartzlever-core/src/events.rs
+++ b/crates/quartzlever-core/src/events.rs
@@ -1,9 +1,11 @@
-//! What the core tells its operator: the events of the log.
+//! The core's log events for operators.
 //!
-//! Each event has a level, a name in snake case and fields; [`LogEvent`]'s `Display` writes the fields as
-//! `key=value` pairs in a fixed order. The program turns an event into one line and adds nothing to it.
+//! Each event has a level, a name in snake case and fields. The `Display` implementation of
+//! [`LogEvent`] writes the fields as `key=value` pairs in a fixed order; the program writes an
+//! event as one line and adds nothing to it.
 //!
-//! `count` counts what the name of the event names; times are written in milliseconds, with `_ms` in the key.
+//! The field `count` is the number of things that the event's name refers to. Durations are written
+//! in milliseconds under keys that end in `_ms`.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -14,132 +16,135 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// How much an event matters, the weightiest first.
+/// The importance of an event, most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LogLevel {
-    /// Something that a person has to look at.
+    /// Requires the attention of an operator.
     Error,
-    /// What is needed to follow what happens.
+    /// Needed to follow what the process does.
     Info,
-    /// Single tasks, and what was already told.
+    /// Concerns a single task, or repeats what was already logged.
     Debug,
 }
 
-/// One event for the log.
+/// A log event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// This process leads a partition from now on, and first reads its jobs and machines.
+    /// This process has become the leader of a partition, and reads its jobs and machines next.
     PartitionAcquired {
         partition: String,
-        /// Revision of the acquisition; it is higher for each later leader.
+        /// Revision of the acquisition, which increases with each new leader.
         term: u64,
     },
-    /// The store has given a partition to another, or taken it away.
+    /// A partition's key was deleted in the store or written by another process.
     PartitionLost { partition: String, term: u64 },
-    /// A partition was lost by a change that the watch has missed; a listing shows it.
+    /// A partition was lost by a change that the watch missed and a listing revealed.
     PartitionLostUnnoticed { partition: String, term: u64 },
-    /// This process gives up a partition by itself.
+    /// This process releases a partition voluntarily.
     PartitionHandedBack { partition: String, term: u64 },
-    /// The lease of this process has ended, and with it all its partitions.
+    /// The lease of this process has ended, and all its partitions are lost with it.
     LeaseLost {
-        /// How many partitions were held.
+        /// Number of partitions that this process led.
         partitions: usize,
     },
-    /// Every machine of a partition is known to hold nothing that an earlier leader started unseen.
+    /// Every machine of a partition is verified, so that none can run an attempt of an earlier
+    /// leader that this process does not know of.
     RecoveryCompleted {
         partition: String,
-        /// Since the acquisition, in microseconds.
+        /// Time since the acquisition, in microseconds.
         duration: Micros,
     },
     /// The store has not answered for some time.
     StoreUnreachable {
-        /// Without an answer so far, in microseconds.
+        /// Time without an answer so far, in microseconds.
         duration: Micros,
     },
     /// The store answers again after [`LogEvent::StoreUnreachable`].
     StoreReachable {
-        /// Without an answer, in microseconds.
+        /// Time without an answer, in microseconds.
         duration: Micros,
     },
     /// A peer reaches the store while this process does not.
     IsolatedFromStore,
-    /// Workers of a partition are heard by a peer and not here, so that it is handed back.
+    /// A peer receives heartbeats of a partition's workers and this process does not, so the
+    /// partition is handed back.
     WorkersUnreachable { partition: String, term: u64 },
     /// A worker was reached again after [`LogEvent::WorkersUnreachable`].
     WorkersReachable,
-    /// A record in the store cannot be understood; it is left as it is.
+    /// A record in the store cannot be parsed; it is left unchanged.
     UnreadableRecord { key: String },
-    /// Requests were rejected since the last such event.
+    /// Requests have been rejected since the last event of this kind.
     RequestsRejected { counts: Vec<RejectionCount> },
-    /// Machines are asked for.
+    /// Machines are requested from the cloud.
     MachinesRequested {
         partition: String,
         machine_type: String,
         zone: String,
-        /// Whether the cloud may take them back.
+        /// Whether they are spot instances, which the cloud may reclaim.
         spot: bool,
         count: u32,
     },
-    /// The cloud has no machine of a kind.
+    /// The cloud has no capacity for a machine type in a zone.
     NoCapacity { partition: String, machine_type: String, zone: String, spot: bool },
-    /// Machines that were asked for take longer than usual to come; none of them (0) when that is over.
+    /// Requested machines take longer than usual to start; `late` is 0 once none is late any more.
     MachinesLate {
         partition: String,
         late: usize,
-        /// How many are on their way, the late ones among them.
+        /// Number of pending machines, including the late ones.
         awaited: usize,
     },
-    /// Machines are returned to the cloud.
+    /// Machines are scaled in.
     MachinesReturned { partition: String, machines: Vec<ReturnedMachine> },
-    /// Tasks are stopped on a machine so that those of a more urgent job find room.
+    /// Tasks on a machine are preempted for tasks of a more urgent job.
     TasksPreempted {
         partition: String,
         machine: String,
-        /// The job for which room is made.
+        /// The job that gets the capacity.
         job: String,
         count: usize,
     },
-    /// Another partition has taken over tasks.
+    /// Tasks of a partition were stolen by another partition.
     TasksStolen {
         partition: String,
-        /// How many jobs they belong to.
+        /// Number of jobs that the tasks belong to.
         jobs: usize,
     },
-    /// A task was reported to run.
+    /// A worker reported a task as running.
     TaskRunning {
         partition: String,
         job: String,
         /// Index of the task in its job.
         task: u32,
         machine: String,
-        /// Class of the job's run times.
+        /// Class of the job, which groups jobs with similar run times.
         class: String,
-        /// Since the placement, in microseconds.
+        /// Time since the placement, in microseconds.
         since_placement: Micros,
-        /// Since the submission of the job, in microseconds.
+        /// Time since the submission of the job, in microseconds.
         since_submission: Micros,
     },
-    /// A job fails on every machine that it is tried on; it is tried with a task at a time.
+    /// A job fails on every machine that it is tried on. From now on it runs one task at a time.
     JobFailsEverywhere { partition: String, job: String },
-    /// The store has refused a transaction for its size.
+    /// The store has refused a transaction because of its size.
     TransactionTooLarge {
-        /// How many changes it had.
+        /// Number of changes in the transaction.
         changes: usize,
-        /// Size of its largest value, in bytes.
+        /// Size of the transaction's largest value, in bytes.
         value_bytes: usize,
-        /// Most changes of a transaction from now on.
+        /// Maximum number of changes in a transaction from now on.
         changes_limit: usize,
-        /// Largest value from now on, in bytes.
+        /// Maximum size of a value from now on, in bytes.
         value_bytes_limit: usize,
-        /// Whether one of the limits is lower than before; that it was refused is no news otherwise.
+        /// Whether the refusal lowered one of the limits; otherwise it repeats what was already
+        /// logged.
         lowered: bool,
     },
-    /// The store allows fewer changes than it is set to.
+    /// The store accepts fewer changes per second than the settings say.
     StoreThrottled,
-    /// All controllers understand a version of the cluster, which is in force from now on.
+    /// All controllers understand a new cluster version, which is in force from now on.
     ClusterVersionRaised { version: u32 },
-    /// `workers.cancel_s` is too short for `workers.lease_s`: what cannot be reached is not gone in time by
-    /// its lease alone.
+    /// `workers.cancel_s` is too short for `workers.lease_s`: lease expiry alone does not end the
+    /// tasks on unreachable machines in time.
     CancelTooShortForLease {
         /// `workers.cancel_s`, in microseconds.
         cancel: Micros,
@@ -148,30 +153,30 @@
     },
 }
 
-/// How many requests were rejected for one reason; written `status:reason:count`.
+/// The number of requests rejected for one reason; displayed as `status:reason:count`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectionCount {
-    /// Status of the HTTP answer.
+    /// Status code of the HTTP answer.
     pub status: u16,
     pub reason: &'static str,
     pub count: u32,
 }
 
-/// A machine that is returned; written `machine:reason`.
+/// A machine that is scaled in; displayed as `machine:reason`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReturnedMachine {
     pub machine: String,
-    /// None if it never came up.
+    /// `None` if the machine never came up.
     pub reason: Option<ScaleInReason>,
 }
 
 impl LogEvent {
-    /// The record under a key cannot be understood.
+    /// Creates the event for a record that cannot be parsed.
     pub(crate) fn unreadable(key: &str) -> Self {
         LogEvent::UnreadableRecord { key: key.to_owned() }
     }
 
-    /// How much the event matters.
+    /// Returns the level of the event.
     pub fn level(&self) -> LogLevel {
         match self {
             LogEvent::UnreadableRecord { .. }
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Name of the event, by which logs are searched.
+    /// Returns the name of the event, by which operators search the log.
     pub fn name(&self) -> &'static str {
         match self {
             LogEvent::PartitionAcquired { .. } => "partition_acquired",
@@ -236,7 +241,7 @@
     }
 }
 
-/// The fields alone, without level and name.
+/// Writes the fields only, without the level and the name.
 impl Display for LogEvent {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let fields = Fields::new(f);
@@ -260,7 +265,7 @@
             }
             LogEvent::UnreadableRecord { key } => fields.field("key", key),
             LogEvent::RequestsRejected { counts } => {
-                let count: u64 = counts.iter().map(|each| u64::from(each.count)).sum();
+                let count: u64 = counts.iter().map(|rejected| u64::from(rejected.count)).sum();
                 fields.field("count", count).list("requests", counts)
             }
             LogEvent::MachinesRequested { partition, machine_type, zone, spot, count } => fields
@@ -344,8 +349,8 @@
     }
 }
 
-fn milliseconds(span: Micros) -> Micros {
-    span / MICROS_PER_MILLISECOND
+fn milliseconds(duration: Micros) -> Micros {
+    duration / MICROS_PER_MILLISECOND
 }
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/events/tests.rs
+++ b/crates/quartzlever-core/src/events/tests.rs
@@ -1,8 +1,8 @@
-//! Names, levels and fields of the events.
+//! Tests of the names, levels and fields of the events.
 
 use super::*;
 
-/// Level, name and fields of each event, as they stand in the log.
+/// Checks the level of each event and its name and fields as they appear in the log.
 #[test]
 fn each_event_has_one_form() {
     let (partition, job, machine) = ("one".to_owned(), "req-1".to_owned(), "n-1".to_owned());
--- a/crates/quartzlever-core/src/lib.rs
+++ b/crates/quartzlever-core/src/lib.rs
@@ -1,23 +1,27 @@
-//! The decisions of a quartzlever controller, without I/O, clock or thread.
+//! The decision logic of a quartzlever controller, without I/O, clocks or threads.
 //!
-//! [`Core`] owns all state of a process. [`Core::step`] takes the time and a batch of
-//! [`Command`]s and returns [`Effect`]s; every reply to an effect comes back as a command.
-//! The same commands at the same times give the same effects.
+//! [`Core`] owns all state of a process. [`Core::step`] takes the current time and a batch of
+//! [`Command`]s and returns [`Effect`]s; every reply to an effect arrives as a command. The core is
+//! deterministic: the same commands at the same times produce the same effects.
 //!
-//! - [`events`]: what the log tells an operator.
-//! - `outbox`, `calls`: everything that leaves, and the calls that wait for a reply.
-//! - `router`: hands each command to the component that owns the state, and collects the effects.
-//! - `leadership`: the lease, the authority to act, the keys of partitions (takeover, eviction, hand-back),
-//!   and who reaches the store and the workers.
-//! - `store`: the cache of the replicated records, how it is filled, reads by revision, the write budget.
+//! - [`events`]: log events for operators.
+//! - `outbox`, `calls`: outgoing calls, answers and log events, and the calls that await a reply.
+//! - `router`: dispatch of commands to the components that own the state, and collection of the
+//!   effects.
+//! - `leadership`: the lease, the authority to act, the keys of partitions (takeover, eviction,
+//!   hand-back), and the reachability of the store and of the workers.
+//! - `store`: the cache of the replicated records, its listing and watch, reads by revision, the
+//!   write budget.
 //! - [`jobs`]: submissions, lookups, cancellations, and the record of each job.
-//! - [`machines`]: which partition owns which machine, heartbeats, worker commands, reconciliation.
-//! - `partition`: the queue and the machines of one controller name.
-//! - `peers`: requests of other controllers, handed to the components that answer them.
-//! - [`scheduling`]: which task goes where.
-//! - [`stealing`]: the adaptive work stealing between partitions.
-//! - [`autoscaling`]: scaling out, scaling in, and suspicion of machines.
-//! - `upgrade`: what all controllers understand, and how that is raised while serving.
+//! - [`machines`]: ownership of machines by partitions, heartbeats, worker commands,
+//!   reconciliation.
+//! - `partition`: the job queue and the machines of one partition.
+//! - `peers`: dispatch of requests and answers of other controllers.
+//! - [`scheduling`]: placement of tasks on machines, and preemption.
+//! - [`stealing`]: adaptive work stealing between partitions.
+//! - [`autoscaling`]: scaling out, scaling in, and detection of faulty machines.
+//! - `upgrade`: the cluster version, which all controllers understand, and raising it while
+//!   serving.
 
 pub mod autoscaling;
 mod calls;
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out.
+//! The input and output of the core: commands, effects and the identifiers that link them.
 
 use quartzlever_wire::cloud::{CloudCall, CloudReply};
 use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
@@ -11,13 +11,13 @@
 use crate::events::LogEvent;
 pub use crate::events::LogLevel;
 
-/// Names a request from outside that waits for its answer.
+/// Identifies a request from outside that waits for an answer.
 pub type RequestId = u64;
 
-/// Names an effect whose answer is awaited.
+/// Identifies a call whose reply is awaited.
 pub type CallId = u64;
 
-/// One piece of work for the core.
+/// An input of the core.
 #[derive(Clone, Debug)]
 pub enum Command {
     Submit {
@@ -59,17 +59,20 @@
         call_id: CallId,
         result: Result<PeerAnswer, CallError>,
     },
-    /// Time passes; `wall` is the time of day in microseconds since 1970. `behind` says that the
-    /// process has stood still since the last tick, or that more has come than it has taken in.
+    /// Time has passed.
     Tick {
+        /// Time of day, in microseconds since 1970.
         wall: Micros,
+        /// Whether the process has stalled since the last tick, or received more commands than it
+        /// has processed.
         behind: bool,
     },
 }
 
 impl Command {
-    /// Order under load: what workers and other services say first, then decisions, then users who
-    /// ask about jobs, then submissions.
+    /// Returns the rank of the command in the order of processing under load, lowest first:
+    /// heartbeats and replies, then ticks, requests of peers and readiness checks, then lookups and
+    /// cancellations, then submissions.
     pub fn class(&self) -> u8 {
         match self {
             Command::Heartbeat { .. }
@@ -84,28 +87,28 @@
     }
 }
 
-/// How urgent a call to the store is; each lane has threads of its own.
+/// The priority of a call to the store, most urgent first. Each priority has threads of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CallPriority {
-    /// Leases and partitions.
+    /// Leases and the keys of partitions.
     Lease,
     /// Open watches.
     Watch,
-    /// Claims, progress, moves.
+    /// Claims of machines, progress of jobs, moves of tasks.
     Work,
-    /// What users ask for.
+    /// Requests of users.
     User,
 }
 
-/// The body of an answer to an HTTP request; it becomes text once, where it is sent.
+/// The body of an answer to an HTTP request; serialized only once, when it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Answer {
-    /// What a worker is to do.
+    /// Commands for a worker.
     WorkerCommands(WorkerCommands),
     Job(JobAnswer),
     View(JobView),
-    /// The worker is sent on to the leader of its partition.
+    /// Redirects a worker to the leader of its partition.
     Leader {
         #[serde(rename = "steward")]
         leader: String,
@@ -118,11 +121,11 @@
     },
 }
 
-/// One thing that the core wants done.
+/// An output of the core, to be carried out by the program.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answer an HTTP request. After `until` the answer must not be given any more; a 503
-    /// takes its place.
+    /// Answers an HTTP request. From `until` on the answer must not be sent any more; a 503 is sent
+    /// instead.
     Answer {
         id: RequestId,
         status: u16,
@@ -130,7 +133,7 @@
         retry_after_s: Option<u32>,
         until: Option<Micros>,
     },
-    /// An event for the log.
+    /// Logs an event.
     Log(LogEvent),
     AnswerPeer {
         id: RequestId,
@@ -141,13 +144,13 @@
         call_priority: CallPriority,
         call: StoreCall,
     },
-    /// Call the cloud; machines are not returned any more after `until`.
+    /// Calls the cloud. Machines are not scaled in any more from `until` on.
     Cloud {
         call_id: CallId,
         call: CloudCall,
         until: Micros,
     },
-    /// Call a worker, but not after `until`.
+    /// Calls a worker, but not after `until`.
     Worker {
         call_id: CallId,
         address: String,
@@ -159,10 +162,10 @@
         node: String,
         request: PeerRequest,
     },
-    /// The process cannot go on, for this reason.
+    /// Ends the process, which cannot continue.
     Terminate {
         reason: String,
     },
-    /// From now on this node may use so much of what the store and the cloud allow.
+    /// Sets the share of the rate limits of the store and the cloud that this node may use.
     RateShare(f64),
 }
--- a/crates/quartzlever-core/src/outbox.rs
+++ b/crates/quartzlever-core/src/outbox.rs
@@ -1,6 +1,7 @@
-//! Everything that leaves the core: calls with what their replies belong to, answers, and events for the log.
+//! The output of the core: calls with the context of their replies, answers, and events for the
+//! log.
 //!
-//! No other component makes effects. The outbox decides nothing.
+//! Only the outbox creates effects. It makes no decisions.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,12 +17,12 @@
 use crate::events::{LogEvent, RejectionCount};
 use crate::messages::{Answer, CallId, CallPriority, Effect, LogLevel, RequestId};
 
-/// How often the log says what was rejected.
+/// Minimum time between two log events about rejected requests.
 const REJECTION_LOG_INTERVAL: Micros = 10 * SECOND;
-/// What a rejected user waits before coming again, in seconds.
+/// `Retry-After` of a rejected request, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// The effects of a step, and the calls that wait for a reply.
+/// Collects the effects of a step and keeps the context of the calls in flight.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     effects: Vec<Effect>,
@@ -31,14 +32,14 @@
     cloud_calls: HashMap<CallId, PendingCloudCall>,
     peer_calls: HashMap<CallId, PendingPeerCall>,
     transaction_sizes: HashMap<CallId, TransactionSize>,
-    /// What was rejected since the last line on it, by status and reason.
+    /// Requests rejected since the last log event about them, by status and reason.
     rejected: BTreeMap<(u16, &'static str), u32>,
     next_rejection_log_at: Micros,
     log_level: LogLevel,
 }
 
 impl Outbox {
-    /// An empty outbox; events beyond `log_level` are not even made.
+    /// Creates an empty outbox. Events less important than `log_level` are not created.
     pub fn new(log_level: LogLevel, now: Micros) -> Self {
         Outbox {
             effects: Vec::new(),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Takes out the effects so far, in the order in which they came about.
+    /// Takes the effects collected so far, in the order in which they were added.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -81,14 +82,14 @@
         self.effects.push(Effect::Store { call_id, call_priority: priority, call });
     }
 
-    /// Calls the cloud; machines are not returned any more after `until`.
+    /// Calls the cloud. Machines are not scaled in any more from `until` on.
     pub fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall, until: Micros) {
         let call_id = self.next_call_id();
         self.cloud_calls.insert(call_id, pending);
         self.effects.push(Effect::Cloud { call_id, call, until });
     }
 
-    /// Calls a worker, but not after `until`.
+    /// Calls a worker, but not after `until`. Returns the id of the call.
     pub fn call_worker(
         &mut self,
         address: String,
@@ -102,7 +103,7 @@
         call_id
     }
 
-    /// Asks or tells another controller something.
+    /// Sends a request or a notification to another controller.
     pub fn ask_peer(&mut self, node: &str, request: PeerRequest, pending: PendingPeerCall) {
         let call_id = self.next_call_id();
         self.peer_calls.insert(call_id, pending);
@@ -119,7 +120,7 @@
         self.effects.push(Effect::Answer { id, status, body, retry_after_s: None, until: None });
     }
 
-    /// Answers an HTTP request with 200, but not after `until`.
+    /// Answers an HTTP request with 200. From `until` on, a 503 is sent instead.
     pub fn answer_until(&mut self, id: RequestId, body: Answer, until: Micros) {
         self.effects.push(Effect::Answer {
             id,
@@ -130,7 +131,7 @@
         });
     }
 
-    /// Tells whoever asked to come back, at once.
+    /// Rejects an HTTP request and asks the client to retry after [`RETRY_AFTER_S`].
     pub fn reject_retryable(&mut self, id: RequestId, status: u16, reason: &'static str) {
         let body = Answer::Error { error: reason };
         self.count_rejected(status, reason, 1);
@@ -138,14 +139,15 @@
         self.effects.push(Effect::Answer { id, status, body, retry_after_s, until: None });
     }
 
-    /// Counts requests that were rejected, for the log.
+    /// Counts rejected requests for the log.
     pub fn count_rejected(&mut self, status: u16, reason: &'static str, count: u32) {
         if count > 0 {
             *self.rejected.entry((status, reason)).or_default() += count;
         }
     }
 
-    /// Says now and then what was rejected, and why: nothing else shows an overload.
+    /// Logs the number of rejected requests by reason, at most once per [`REJECTION_LOG_INTERVAL`].
+    /// Nothing else in the log shows an overload.
     pub fn log_rejected(&mut self, now: Micros) {
         if now < self.next_rejection_log_at {
             return;
@@ -154,19 +156,20 @@
         let rejected = std::mem::take(&mut self.rejected);
         if !rejected.is_empty() {
             self.log(LogLevel::Info, || {
-                let each = |((status, reason), count)| RejectionCount { status, reason, count };
-                LogEvent::RequestsRejected { counts: rejected.into_iter().map(each).collect() }
+                let to_count = |((status, reason), count)| RejectionCount { status, reason, count };
+                LogEvent::RequestsRejected { counts: rejected.into_iter().map(to_count).collect() }
             });
         }
     }
 
-    /// Turns levels of the log on or off.
+    /// Sets the level of the least important events that are logged.
     #[cfg(test)]
     pub fn set_log_level(&mut self, log_level: LogLevel) {
         self.log_level = log_level;
     }
 
-    /// Leaves an event in the log, if its level is on; it is made only then. `log_level` is the event's own.
+    /// Logs an event if its level is enabled; `event` is called only then. `log_level` must be the
+    /// level of the event.
     pub fn log(&mut self, log_level: LogLevel, event: impl FnOnce() -> LogEvent) {
         if log_level <= self.log_level {
             let event = event();
@@ -175,7 +178,7 @@
         }
     }
 
-    /// From now on this node may use so much of what the store and the cloud allow.
+    /// Sets the share of the rate limits of the store and the cloud that this node may use.
     pub fn set_rate_share(&mut self, share: f64) {
         self.effects.push(Effect::RateShare(share));
     }
@@ -185,37 +188,38 @@
         self.effects.push(Effect::Terminate { reason });
     }
 
-    /// What the reply to a call to the store belongs to.
+    /// Removes and returns the context of a call to the store.
     pub fn take_store_call(&mut self, call_id: CallId) -> Option<PendingStoreCall> {
         self.store_calls.remove(&call_id)
     }
 
-    /// How large the transaction of a call was, if it was one.
+    /// Removes and returns the size of the transaction of a call, or `None` if the call was none.
     pub fn take_transaction_size(&mut self, call_id: CallId) -> Option<TransactionSize> {
         self.transaction_sizes.remove(&call_id)
     }
 
-    /// What the reply to a call to the cloud belongs to.
+    /// Removes and returns the context of a call to the cloud.
     pub fn take_cloud_call(&mut self, call_id: CallId) -> Option<PendingCloudCall> {
         self.cloud_calls.remove(&call_id)
     }
 
-    /// What the reply of a worker belongs to.
+    /// Removes and returns the context of a call to a worker.
     pub fn take_worker_call(&mut self, call_id: CallId) -> Option<PendingWorkerCall> {
         self.worker_calls.remove(&call_id)
     }
 
-    /// What the reply of a peer belongs to.
+    /// Removes and returns the context of a call to a peer.
     pub fn take_peer_call(&mut self, call_id: CallId) -> Option<PendingPeerCall> {
         self.peer_calls.remove(&call_id)
     }
 
-    /// How many calls to workers wait for a reply.
+    /// Returns the number of calls to workers in flight.
     pub fn worker_calls_in_flight(&self) -> usize {
         self.worker_calls.len()
     }
 }
 
+/// Returns the size of the value that a change writes, in bytes.
 fn value_bytes(change: &Change) -> usize {
     match change {
         Change::Write { v, .. } => v.text().len(),
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -1,5 +1,5 @@
-//! A partition: the queue of one controller name, the machines that belong to it, and what its
-//! present leader knows of both.
+//! A partition: the job queue and the machines that belong to one controller name, with the state
+//! that the partition's leader keeps of both.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
@@ -26,53 +26,58 @@
 /// Machine types by name, shared by all partitions of a process.
 pub type Types = Arc<BTreeMap<String, MachineType>>;
 
-/// A partition that this process holds.
+/// A partition that this process leads.
 #[derive(Debug)]
 pub struct Partition {
     pub name: String,
-    /// The modification revision of the partition's key: the term, and the fencing token of its commands.
+    /// The modification revision of the partition's key: the term, and the fencing token of its
+    /// commands.
     pub term: u64,
     pub acquired: Micros,
-    /// From then on no earlier leader answers workers: at once where the partition was given up or
-    /// its leader's lease had ended, later where it was taken from a live process.
+    /// From this time on no earlier leader answers workers. It is the time of the acquisition if
+    /// the partition had been released or its leader's lease had ended, and later if the partition
+    /// was taken from a live process.
     pub sole_leader_from: Micros,
-    /// Its jobs and machines are known as of the acquisition or later; nothing is decided before.
+    /// Whether the jobs and machines are known as of the acquisition or later. No decisions are
+    /// made before.
     pub loaded: bool,
     pub jobs: Table<PartitionJob>,
     pub machines: Table<Machine>,
-    /// Whether every machine is known to hold nothing that an earlier leader started unseen.
+    /// Whether every machine is verified, so that none can run an attempt of an earlier leader that
+    /// this process does not know of.
     pub recovery_complete: bool,
+    /// Number of attempts created in this term.
     last_attempt: u64,
     pub autoscaling: Fleet,
-    /// Events for the log, taken up with the next decisions.
+    /// Events to be logged after the next decisions.
     pub log_events: Vec<LogEvent>,
     /// Machine types by name; `None` until the catalogue is known.
     pub types: Option<Types>,
-    /// Machines that have, or had, attempts of a job: the end of each job was looked for on every
-    /// machine, a fourth of all work with 2,000 of them.
+    /// The machines that have or had attempts of each job. Without this index the end of each job
+    /// searched all machines, which was a quarter of all work with 2,000 machines.
     pub machines_by_job: HashMap<String, BTreeSet<String>>,
-    /// Free room of the machines that may get tasks.
+    /// Free capacity of the machines that may receive tasks.
     pub free_capacity_index: FreeCapacityIndex,
-    /// Machines that are to be called.
+    /// Machines whose workers are to be called.
     pub call_queue: CallQueue,
-    /// The whole queue is to be placed; not before `next_placement_at`.
+    /// Whether the whole queue is to be placed, at `next_placement_at` at the earliest.
     pub placement_wanted: bool,
     pub next_placement_at: Micros,
-    /// It is to be placed again at this time even if nothing happens.
+    /// When the queue is placed again even if nothing has changed.
     pub placement_due_at: Option<Micros>,
     pub next_preemption_at: Micros,
-    /// Jobs whose ready tasks found no room in the last placement.
+    /// Jobs with ready tasks that the last placement found no capacity for.
     pub jobs_without_capacity: Vec<String>,
-    /// The fewest processors that a task of these takes.
+    /// The lowest number of processors that a task of these jobs requires.
     pub unplaced_min_cpus: f64,
-    /// What is kept free, and for whom.
+    /// Capacity that is kept free for certain jobs.
     pub reservations: Reservations,
-    /// Tasks should start now, and no room can be made for them here.
+    /// Whether tasks that should start now fit nowhere here, even with preemption.
     pub saturated: bool,
 }
 
 impl Partition {
-    /// A partition that was just acquired, before its records are loaded.
+    /// Creates a partition that was just acquired, before its records are loaded.
     pub fn new(name: &str, term: u64, types: Option<Types>, now: Micros) -> Self {
         Partition {
             name: name.to_owned(),
@@ -101,28 +106,30 @@
         }
     }
 
-    /// Whether its records are loaded, so that decisions may be made.
+    /// Reports whether the partition's records are loaded, so that decisions may be made.
     pub fn active(&self) -> bool {
         self.loaded
     }
 
-    /// Key of its record in the store.
+    /// Returns the key of the partition's record in the store.
     pub fn key(&self) -> String {
         format!("{PARTITION_PREFIX}{}", self.name)
     }
 
-    /// A transaction that only the present leader of this partition can get into force.
+    /// Returns an empty transaction that can commit only while this term lasts: its condition is
+    /// that the partition's key is unchanged.
     pub fn txn(&self) -> Txn {
         Txn::default().if_mod_revision(self.key(), self.term)
     }
 
-    /// A number that no attempt ever had: the term is unique and the counter is its leader's.
+    /// Returns a number that no other attempt has ever had: a term is unique, and only its leader
+    /// counts the attempts.
     pub fn next_attempt(&mut self) -> u64 {
         self.last_attempt += 1;
         (self.term << 22) + self.last_attempt
     }
 
-    /// Takes in a job's record as the store has it.
+    /// Applies a job's record read from the store.
     pub fn reconcile_job(
         &mut self,
         config: &Config,
@@ -145,19 +152,19 @@
             .jobs
             .entry(id)
             .or_insert_with(|| Box::new(PartitionJob::new(record.clone(), now, wall)));
-        let taken = job.take_record(record, mod_revision, context, team_limited);
-        self.placement_wanted |= taken.placement_wanted;
-        if taken.nothing_left_here {
+        let effects = job.take_record(record, mod_revision, context, team_limited);
+        self.placement_wanted |= effects.placement_wanted;
+        if effects.nothing_left_here {
             let id = job.spec().id.clone();
             self.jobs.swap_remove(&id);
         }
     }
 
-    /// Forgets a job that is over, since that moment at the earliest; what is left of it on
-    /// machines is to end.
+    /// Removes a job that has ended, at `since` at the earliest, and marks its remaining attempts
+    /// on machines as unwanted.
     pub fn drop_job(&mut self, id: &str, since: Micros) {
         if self.jobs.swap_remove(id).is_none() {
-            // What machines may have of it is unwanted already.
+            // Its attempts on machines, if any, are already unwanted.
             return;
         }
         let key =
@@ -166,37 +173,37 @@
         let all = (Bound::Included(&first), Bound::Included(&last));
         for name in self.machines_by_job.remove(id).into_iter().flatten() {
             let Some(machine) = self.machines.get_mut(&name) else { continue };
-            for (_, state) in machine.attempts.range_mut::<AttemptKey, _>(all) {
-                state.wanted = false;
-                state.leeway_s = 0.0;
-                if state.exited() {
-                    state.accounted = true;
+            for (_, attempt) in machine.attempts.range_mut::<AttemptKey, _>(all) {
+                attempt.wanted = false;
+                attempt.leeway_s = 0.0;
+                if attempt.exited() {
+                    attempt.accounted = true;
                 } else {
-                    state.job_terminal_since.get_or_insert(since);
+                    attempt.job_terminal_since.get_or_insert(since);
                     self.call_queue.add_urgent(name.clone());
                 }
             }
         }
     }
 
-    /// Notes that a task is done; it counts once the record says so.
+    /// Notes that a task is done; it counts as finished once the job's record says so.
     pub fn finish(&mut self, id: &str, index: u32, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.finish(index, &self.name, now);
-        if let Some(place) = job.assignments.get(&index).cloned()
-            && let Some(machine) = self.machines.get_mut(&place.machine)
+        if let Some(assignment) = job.assignments.get(&index).cloned()
+            && let Some(machine) = self.machines.get_mut(&assignment.machine)
             && let Some(attempt) = machine.attempts.get_mut(&AttemptKey {
                 task: TaskId { job: id.to_owned(), index },
-                attempt: place.attempt,
+                attempt: assignment.attempt,
             })
         {
-            // Another attempt, if that is what it is, has no use any more.
+            // If this is another attempt than the one that finished the task, it is not needed.
             attempt.wanted = attempt.exited();
-            self.call_queue.add_urgent(place.machine);
+            self.call_queue.add_urgent(assignment.machine);
         }
     }
 
-    /// Puts a task that is surely on no machine back into the queue.
+    /// Puts a task whose attempt is known to be on no machine back into the queue.
     pub fn requeue(&mut self, task: &TaskId, attempt: u64) {
         let context = PartitionContext {
             partition: &self.name,
@@ -207,7 +214,7 @@
         self.placement_wanted |= job.requeue(task.index, attempt, context);
     }
 
-    /// Takes up the machine types, or newer ones.
+    /// Sets the machine types, or replaces them by newer ones.
     pub fn use_types(&mut self, types: Types) {
         self.types = Some(types);
         let names: Vec<String> = self.machines.keys().cloned().collect();
@@ -217,8 +224,8 @@
         self.placement_wanted = true;
     }
 
-    /// What a team's tasks may be using in this partition, and whether that is known in full: an
-    /// attempt of a forgotten job could be anybody's.
+    /// Returns the resources that a team's tasks may be using in this partition, and whether that
+    /// is certain: an attempt of an unknown job could belong to any team.
     pub fn team_use(&self, team: &str) -> (Resources, bool) {
         let mut sum = Resources::default();
         let mut certain = true;
@@ -232,12 +239,13 @@
         (sum, certain)
     }
 
-    /// Attempts that may still be on a machine.
+    /// Returns the attempts that may still be on a machine.
     pub fn active_attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.machines.values().flat_map(|m| m.attempts.values()).filter(|s| !s.exited())
     }
 
-    /// Ready tasks of this rank or above. Jobs that fail everywhere have none that anybody waits for.
+    /// Returns the number of ready tasks of this priority or a higher one. Tasks of jobs that fail
+    /// everywhere do not count, since nobody waits for them.
     pub fn ready_count(&self, priority: Priority) -> u32 {
         let jobs =
             self.jobs.values().filter(|j| j.spec().priority <= priority && !j.fails_everywhere());
--- a/crates/quartzlever-core/src/partition/tests.rs
+++ b/crates/quartzlever-core/src/partition/tests.rs
@@ -1,30 +1,35 @@
-//! What a partition takes in of jobs.
+//! Tests of how a partition applies the records of jobs.
 
 use crate::testing::*;
 
 #[test]
-fn an_older_record_is_no_news() {
-    // (the records as they come: modification revision, tasks of partition "one"; what is ready in the end)
+fn a_record_that_is_not_newer_changes_nothing() {
+    // (name; records in order of arrival: modification revision, tasks of partition "one"; ready
+    // tasks after the last record)
     type Case<'a> = (&'a str, &'a [(u64, &'a str)], &'a str);
     let cases: &[Case] = &[
-        ("as written", &[(10, "0-3"), (12, "0-1")], "0-1"),
+        ("in order", &[(10, "0-3"), (12, "0-1")], "0-1"),
         (
-            "given away in full, and an older record comes late",
+            "all tasks moved away, then an older record arrives late",
             &[(10, "0-3"), (12, ""), (11, "0-3")],
             "",
         ),
         (
-            "given away in full, and the same record comes again",
+            "all tasks moved away, then the same record arrives again",
             &[(10, "0-3"), (12, ""), (12, "")],
             "",
         ),
-        ("given away and given back", &[(10, "0-3"), (12, ""), (14, "2-3"), (11, "0-3")], "2-3"),
+        (
+            "moved away, then some moved back",
+            &[(10, "0-3"), (12, ""), (14, "2-3"), (11, "0-3")],
+            "2-3",
+        ),
     ];
     for (name, records, ready) in cases {
         let mut core = core();
-        for (mod_revision, mine) in *records {
-            let other = Ranges::first(4).minus(&mine.parse().unwrap_or_default());
-            core.reconcile_job(record(mine, &other.to_string()), *mod_revision);
+        for (mod_revision, tasks) in *records {
+            let other = Ranges::first(4).minus(&tasks.parse().unwrap_or_default());
+            core.reconcile_job(record(tasks, &other.to_string()), *mod_revision);
         }
         let job = core.partitions["one"].jobs.get("req-1");
         let found = job.map(|j| j.ready.to_string()).unwrap_or_default();
@@ -34,5 +39,8 @@
     core.reconcile_job(record("0-3", ""), 10);
     core.job_terminated("req-1", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
     core.reconcile_job(record("0-3", ""), 9);
-    assert!(core.partitions["one"].jobs.is_empty(), "over, and an older record comes late");
+    assert!(
+        core.partitions["one"].jobs.is_empty(),
+        "the job has ended, then an older record arrives late"
+    );
 }
--- a/crates/quartzlever-core/src/peers.rs
+++ b/crates/quartzlever-core/src/peers.rs
@@ -1,4 +1,4 @@
-//! Requests of other controllers, and their answers: each is handed to the component that it is for.
+//! Dispatches the requests and answers of other controllers to the components that handle them.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::peers::{PeerAnswer, PeerRequest};
@@ -10,7 +10,7 @@
 use crate::router::Core;
 
 impl Core {
-    /// A peer asks or tells something.
+    /// Handles a request or notification of a peer.
     pub(crate) fn peer_request(&mut self, id: RequestId, request: PeerRequest) {
         let answer = match request {
             PeerRequest::Saturated => {
@@ -29,7 +29,7 @@
                 self.reachability.note_machines_seen(self.now, partition, machines);
                 PeerAnswer::Nothing
             }
-            // The program's own matter: its log takes them.
+            // Handled outside the core: the program appends the changes to its recovery log.
             PeerRequest::Logged(_) => PeerAnswer::Nothing,
             PeerRequest::Cancelled { job, done } => {
                 self.job_terminated(&job, TerminalJobRecord { phase: JobPhase::Cancelled, done });
@@ -41,7 +41,7 @@
                 }
                 PeerAnswer::Nothing
             }
-            // Answered when the move is in force, or cannot be.
+            // Answered once the move has committed or failed.
             PeerRequest::Steal { partition, term, priority, thief, load } => {
                 return self.steal_requested(id, partition, term, priority, thief, load);
             }
@@ -49,7 +49,7 @@
         self.outbox.answer_peer(id, answer);
     }
 
-    /// A peer has answered, or cannot be reached.
+    /// Handles the answer of a peer, or the failure of the call.
     pub(crate) fn peer_replied(
         &mut self,
         pending: PendingPeerCall,
--- a/crates/quartzlever-core/src/table.rs
+++ b/crates/quartzlever-core/src/table.rs
@@ -1,10 +1,13 @@
-//! The map that the jobs and machines of a partition are kept in.
+//! The map that holds the jobs and the machines of a partition.
 
 use std::hash::{BuildHasherDefault, DefaultHasher};
 
 use indexmap::IndexMap;
 
-/// Records by name, each in a place of its own: looking one up reads little memory, and where three
-/// controllers share a core, most of what a heartbeat cost was waiting for memory. The order is that
-/// of insertions and removals, so the same commands give the same effects.
+/// Maps names to values. The values are boxed to keep the map's own entries small, so that a lookup
+/// reads little memory: with three controllers on one processor core, most of the cost of a
+/// heartbeat was waiting for memory.
+///
+/// The iteration order depends only on the order of insertions and removals, so the same commands
+/// produce the same effects.
 pub type Table<T> = IndexMap<String, Box<T>, BuildHasherDefault<DefaultHasher>>;
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -1,4 +1,5 @@
-//! What tests of single modules share: a controller with one partition and one machine, jobs, and reports.
+//! Fixtures shared by the tests of single modules: a controller with one partition and one machine,
+//! jobs, records, and heartbeats.
 
 pub(crate) use crate::autoscaling::{MachineOffer, PendingInstance};
 pub(crate) use crate::calls::{JobWrite, JobWriteAction, PendingStoreCall, Section, TaskMove};
@@ -29,23 +30,26 @@
 pub(crate) use std::collections::BTreeMap;
 pub(crate) use std::sync::Arc;
 
+/// The time at which tests begin.
 pub(crate) const NOW: Micros = 1_000 * SECOND;
 
+/// Returns the specification of job "req-1".
 pub(crate) fn spec(tasks: u32) -> JobSpec {
     JobSpec { id: "req-1".into(), ..quartzlever_testkit::jobs::array(1, tasks) }
 }
 
-/// A record of a job of four tasks, with these of them in partition "one".
-pub(crate) fn record(mine: &str, other: &str) -> ActiveJobRecord {
+/// Returns the record of job "req-1" with four tasks: `one` are those in partition "one", `two`
+/// those in partition "two".
+pub(crate) fn record(one: &str, two: &str) -> ActiveJobRecord {
     let share = |partition: &str, term, tasks: &str| Share {
         partition: partition.into(),
         term,
         tasks: tasks.parse().unwrap_or_default(),
     };
-    ActiveJobRecord::new(spec(4), NOW, vec![share("one", 5, mine), share("two", 6, other)])
+    ActiveJobRecord::new(spec(4), NOW, vec![share("one", 5, one), share("two", 6, two)])
 }
 
-/// Settings of node "one" of a service of two.
+/// Returns the settings of node "one" in a cluster of nodes "one" and "two".
 pub(crate) fn config() -> Config {
     Config {
         node: "one".into(),
@@ -74,7 +78,7 @@
     }
 }
 
-/// A controller that holds partition "one" under term 5, with one open machine.
+/// Returns a controller that leads partition "one" in term 5, with machine "n-1" accepting tasks.
 pub(crate) fn core() -> Core {
     let mut core = Core::new(config(), 1, NOW);
     let machine_type = MachineType {
@@ -106,7 +110,12 @@
     core
 }
 
-pub(crate) fn heartbeat_with(tick: u64, tasks: &[(u64, TaskPhase, Option<Cause>)]) -> Heartbeat {
+/// Returns a heartbeat of machine "n-1" that lists these attempts of task 0 of job "req-1": number,
+/// phase and cause.
+pub(crate) fn heartbeat_with(
+    sequence: u64,
+    tasks: &[(u64, TaskPhase, Option<Cause>)],
+) -> Heartbeat {
     let tasks = tasks
         .iter()
         .map(|(attempt, phase, cause)| TaskStatus {
@@ -124,17 +133,18 @@
         zone: "a".into(),
         spot: true,
         incarnation: 1,
-        sequence: tick,
+        sequence,
         fencing_token: 5,
         warning_s: None,
         tasks,
     }
 }
 
+/// Returns a heartbeat of a machine that runs these attempts of task 0 of job "req-1".
 pub(crate) fn heartbeat_from(
     machine: &str,
     incarnation: u64,
-    tick: u64,
+    sequence: u64,
     fencing_token: u64,
     attempts: &[u64],
 ) -> Heartbeat {
@@ -152,44 +162,45 @@
         zone: "a".into(),
         spot: true,
         incarnation,
-        sequence: tick,
+        sequence,
         fencing_token,
         warning_s: None,
         tasks: tasks.collect(),
     }
 }
 
+/// Applies the record of a job submitted at `since`, with all its tasks in partition "one".
 pub(crate) fn reconcile_test_job(core: &mut Core, spec: &JobSpec, mod_revision: u64, since: u64) {
     let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), since, vec![share]);
     core.reconcile_job(record, mod_revision);
 }
 
-/// The tokens of the transactions among the effects that change this key.
+/// Returns the call ids of the transactions among the effects that have a condition on a key.
 pub(crate) fn changes(effects: &[Effect], key: &str) -> Vec<CallId> {
-    let of = |e: &Effect| match e {
+    let matching_call_id = |e: &Effect| match e {
         Effect::Store { call_id, call: StoreCall::Txn(txn), .. } => {
             txn.conditions.iter().any(|c| c.path == key).then_some(*call_id)
         }
         _ => None,
     };
-    effects.iter().filter_map(of).collect()
+    effects.iter().filter_map(matching_call_id).collect()
 }
 
-/// The announcement of a process of this version.
+/// Returns the announcement of a process that runs the current version.
 pub(crate) fn announcement(node: &str, process: u64, mod_revision: u64) -> KeyValue {
-    let v = Json::of(&NodeRecord { version: crate::upgrade::VERSION, process });
-    KeyValue { key: format!("cluster/nodes/{node}"), value: v, mod_revision, lease_id: Some(1) }
+    let value = Json::of(&NodeRecord { version: crate::upgrade::VERSION, process });
+    KeyValue { key: format!("cluster/nodes/{node}"), value, mod_revision, lease_id: Some(1) }
 }
 
-/// The record that raises the cluster version.
+/// Returns the record of a cluster version raised to the current one.
 pub(crate) fn raised_version(mod_revision: u64) -> KeyValue {
-    let v = Json::of(&ClusterRecord { version: crate::upgrade::VERSION });
-    KeyValue { key: CLUSTER_VERSION_KEY.into(), value: v, mod_revision, lease_id: None }
+    let value = Json::of(&ClusterRecord { version: crate::upgrade::VERSION });
+    KeyValue { key: CLUSTER_VERSION_KEY.into(), value, mod_revision, lease_id: None }
 }
 
-/// The store's answer to the announcement of node one among the effects, without which it
-/// acquires nothing.
+/// Returns the store's reply that commits the announcement of node "one", if it is among the
+/// effects. Without the reply the node acquires no partition.
 pub(crate) fn commit_announcement(effects: &[Effect]) -> Option<Command> {
     let call_id = effects.iter().find_map(|effect| match effect {
         Effect::Store { call_id, call: StoreCall::Txn(txn), .. } => {
@@ -200,7 +211,8 @@
     Some(Command::StoreReply { call_id, result: Ok(StoreReply::Committed(19)) })
 }
 
-/// A core with a copy of the records, in which these nodes hold partitions.
+/// Returns a controller with a loaded cache in which these partitions are led: name, node and
+/// modification revision of the key.
 pub(crate) fn with_cache(partitions: &[(&str, &str, u64)]) -> Core {
     let mut core = core();
     core.cache.set_loaded(true);
@@ -214,12 +226,14 @@
     core
 }
 
+/// Returns the record of a machine of a partition, otherwise like that of "n-1".
 pub(crate) fn machine_record_of(name: &str, partition: &str) -> MachineRecord {
     let record = core().partitions["one"].machines["n-1"].record.clone();
     MachineRecord { partition: partition.into(), address: format!("{name}:9000"), ..record }
 }
 
-pub(crate) fn idle_heartbeat(name: &str, tick: u64, fencing_token: u64) -> Heartbeat {
+/// Returns a heartbeat of a machine that runs nothing.
+pub(crate) fn idle_heartbeat(name: &str, sequence: u64, fencing_token: u64) -> Heartbeat {
     Heartbeat {
         machine: name.into(),
         address: format!("{name}:9000"),
@@ -227,14 +241,14 @@
         zone: "a".into(),
         spot: true,
         incarnation: 1,
-        sequence: tick,
+        sequence,
         fencing_token,
         warning_s: None,
         tasks: Vec::new(),
     }
 }
 
-/// Gives partition "one" ten machines, heard last at this time.
+/// Gives partition "one" ten machines whose last heartbeat was at this time.
 pub(crate) fn with_ten_machines(core: &mut Core, last_heartbeat_at: Micros) {
     let Some(partition) = core.partitions.get_mut("one") else { return };
     for n in 1..=10 {
@@ -243,21 +257,22 @@
         if let Some(machine) = partition.machines.get_mut(&name) {
             (machine.last_heartbeat_at, machine.last_answered_at, machine.incarnation) =
                 (last_heartbeat_at, last_heartbeat_at, 1);
-            // Idle ones go for another reason.
+            // Keeps the machines from being scaled in as idle.
             machine.idle_since = Some(NOW + 900 * SECOND);
         }
     }
 }
 
+/// Returns the number of machines that the effects scale in.
 pub(crate) fn returned(effects: &[Effect]) -> usize {
-    let names = |e: &Effect| match e {
+    let scaled_in = |e: &Effect| match e {
         Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } => machines.len(),
         _ => 0,
     };
-    effects.iter().map(names).sum()
+    effects.iter().map(scaled_in).sum()
 }
 
-/// Submits a job of so many tasks of 2 processors for 3 s each into partition "one".
+/// Queues job "req-1" in partition "one", with tasks of 3 s on `cpus` processors each.
 pub(crate) fn queue_tasks(core: &mut Core, tasks: u32, priority: Priority, cpus: f64) {
     let job = JobSpec { priority, cpus, ..spec(tasks) };
     let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(tasks) };
@@ -266,7 +281,7 @@
     core.reconcile_job(ActiveJobRecord { finished, ..ActiveJobRecord::new(job, NOW, shares) }, 10);
 }
 
-/// Makes the machine of partition "one" usable.
+/// Makes machine "n-1" of partition "one" usable by its first heartbeat.
 pub(crate) fn ready_machine(core: &mut Core) {
     let config = core.config.clone();
     if let Some(partition) = core.partitions.get_mut("one") {
@@ -280,7 +295,7 @@
     }
 }
 
-/// The record of a job, all of whose tasks are one partition's.
+/// Returns the record of job "req-`number`" with all its tasks in one partition.
 pub(crate) fn record_of(number: u32, tasks: u32, partition: &str) -> ActiveJobRecord {
     let mut job = spec(tasks);
     job.id = format!("req-{number}");
@@ -288,8 +303,8 @@
     ActiveJobRecord::new(job, NOW, shares)
 }
 
-/// A heartbeat of the machine of partition "one" that is there from the beginning, and runs an attempt.
-pub(crate) fn report_of_one(tick: u64, attempt: Option<u64>) -> Heartbeat {
+/// Returns a heartbeat of machine "n-1", which runs an attempt of task 0 of job "req-1" or nothing.
+pub(crate) fn report_of_one(sequence: u64, attempt: Option<u64>) -> Heartbeat {
     let running = |attempt| TaskStatus {
         task: TaskId { job: "req-1".into(), index: 0 },
         attempt,
@@ -304,13 +319,15 @@
         zone: "a".into(),
         spot: true,
         incarnation: 1,
-        sequence: tick,
+        sequence,
         fencing_token: 5,
         warning_s: None,
         tasks: attempt.map(running).into_iter().collect(),
     }
 }
 
+/// Returns a controller with a loaded cache in which each of the nodes "one" and "two" leads its
+/// own partition.
 pub(crate) fn with_leaders(machine_capacity: usize) -> Core {
     let mut core = core();
     core.config.machine_capacity = machine_capacity;
@@ -323,9 +340,10 @@
     core
 }
 
-/// Adds open machines of 8 processors: name, type, zone, spot.
+/// Replaces machine "n-1" of partition "one" by usable machines of 8 processors: name, type ("m" or
+/// "x"), zone, spot.
 pub(crate) fn machines(core: &mut Core, list: &[(&str, &str, &str, bool)]) {
-    // The only partition there is, so that limited teams are at home in it too.
+    // With a single partition, the jobs of limited teams run in it too.
     core.config.nodes = vec!["one".into()];
     let config = core.config.clone();
     if let Some(types) = core.types.as_mut().map(std::sync::Arc::make_mut) {
@@ -369,6 +387,7 @@
     }
 }
 
+/// Queues a job in partition "one" and places the queue 50 ms later.
 pub(crate) fn queue_job(core: &mut Core, spec: &JobSpec, mod_revision: u64) {
     let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), NOW, vec![share]);
@@ -377,35 +396,35 @@
     core.place("one");
 }
 
-/// How many of a job's tasks went to each machine, by the machines' names.
+/// Returns the number of a job's attempts on each machine that has any, with the machine's name.
 pub(crate) fn placed(core: &Core, id: &str) -> Vec<(String, usize)> {
-    let on = |m: &crate::machines::machine::Machine| {
+    let attempts_on = |m: &crate::machines::machine::Machine| {
         m.attempts.keys().filter(|key| key.task.job == id).count()
     };
     let partition = &core.partitions["one"];
-    let counts = partition.machines.values().map(|m| (m.name.clone(), on(m)));
+    let counts = partition.machines.values().map(|m| (m.name.clone(), attempts_on(m)));
     counts.filter(|(_, n)| *n > 0).collect()
 }
 
-/// The key of a partition, held by a process of a node.
+/// Returns the key of a partition that a process of a node leads, as the store lists it.
 pub(crate) fn partition_entry(
     partition: &str,
     node: &str,
     process: u64,
     mod_revision: u64,
 ) -> KeyValue {
-    let v = Json::of(&PartitionRecord { node: node.into(), process });
-    KeyValue { key: format!("parts/{partition}"), value: v, mod_revision, lease_id: Some(1) }
+    let value = Json::of(&PartitionRecord { node: node.into(), process });
+    KeyValue { key: format!("parts/{partition}"), value, mod_revision, lease_id: Some(1) }
 }
 
-/// Has all records listed anew: these rows, at this revision.
-pub(crate) fn list_records(core: &mut Core, rows: &[KeyValue], revision: u64) {
+/// Lists all records again, with these entries at this revision as the result.
+pub(crate) fn list_records(core: &mut Core, entries: &[KeyValue], revision: u64) {
     core.listing.begin(core.now, &mut core.outbox);
     let number = core.listing.latest();
     for section in Section::ALL {
-        let of = |entry: &&KeyValue| entry.key.starts_with(section.prefix());
-        let rows = rows.iter().filter(of).cloned().collect();
-        let page = ListPage { entries: rows, has_next: false, revision };
+        let in_section = |entry: &&KeyValue| entry.key.starts_with(section.prefix());
+        let entries = entries.iter().filter(in_section).cloned().collect();
+        let page = ListPage { entries, has_next: false, revision };
         core.page_listed(number, section, Ok(StoreReply::Listed(page)));
     }
 }
