--- a/crates/quartzlever-recovery/src/rebuild.rs
+++ b/crates/quartzlever-recovery/src/rebuild.rs
@@ -1,26 +1,27 @@
-//! The rebuild: from the start of a process to a store that it may work with.
+//! Rebuilds the records of a store that has lost data, from the start of a process to a usable store.
 //!
-//! A controller that finds the store intact, or rebuilt by another controller, continues at once. Otherwise
-//! every controller announces itself as a candidate with what it could rebuild the records from. The
-//! candidate with the latest records takes a lock that is bound to its lease, writes the records, and makes
-//! them the next generation by one conditional write.
+//! [`open`] runs the whole procedure. A controller that finds the store intact, or already rebuilt by
+//! another controller, continues at once. Otherwise every controller announces itself as a candidate, with
+//! the revisions of the records that it could rebuild from. The candidate with the latest records acquires a
+//! lock that is bound to its lease, writes the records, and makes them the next generation by one
+//! conditional write.
 //!
-//! Invariant: the generation changes by that one write only, on condition of the lock and of the identity
-//! that was read before. A controller that dies at any earlier step has changed nothing, and the next
-//! candidate starts over in a namespace of its own.
+//! Invariant: only that write creates a generation, on condition of the lock and of the identity that was
+//! read before. A controller that dies at any earlier step leaves no generation behind, and the next
+//! candidate starts over: in a new namespace, unless the store's revisions continue those known so far.
 //!
 //! - `state_machine`: the states of the process and the transitions between them.
-//! - `election`: the stages of a candidate, up to the lock.
-//! - `writer`: writing the next generation as the leader of the lock.
-//! - `successor`: the identity of the next generation, and what of the store's records can be compared.
-//! - `acceptance`: taking over a generation that serves.
-//! - `contribution`: what a controller that was away knows and the records lack.
-//! - `extras`: the last changes that candidates tell each other of.
+//! - `election`: the stages of a candidate, up to the acquisition of the lock.
+//! - `writer`: writing the next generation while holding the lock.
+//! - `successor`: the identity of the next generation, and the surviving records of the store.
+//! - `acceptance`: opening the store with a generation that is already serving.
+//! - `contribution`: adding the jobs that only a controller absent from the rebuild knows.
+//! - `extras`: the exchange of the last changes between candidates.
 //! - `inheritance`: final states that are written after the next generation serves.
-//! - `session`: lease, commits and progress notes of the process.
-//! - `batches`: changes in transactions that the store takes.
-//! - `listing`: reading whole prefixes of the store.
-//! - `settings`, `outcome`: what goes into a rebuild and what comes out.
+//! - `session`: lease, commits and progress events of the process.
+//! - `batches`: splitting changes into transactions within the store's limits.
+//! - `listing`: listed whole prefixes of the store.
+//! - `settings`, `outcome`: the inputs and the results of a rebuild.
 
 mod acceptance;
 mod batches;
--- a/crates/quartzlever-recovery/src/rebuild/acceptance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/acceptance.rs
@@ -1,14 +1,15 @@
-//! Taking over a generation that serves.
+//! Opening the store with a generation that is already serving.
 //!
-//! Invariant: a [`Reading`] exists only if the same identity stood at the same modification revision after the records were
-//! read as before, so none of them is from a store that was replaced meanwhile.
+//! Invariant: a [`ListedGeneration`] exists only if the identity had the same value and modification
+//! revision before and after the records were read. None of them comes from a store that was replaced
+//! meanwhile.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Txn;
 
-use super::inheritance::{TerminalJobs, add_final_states};
+use super::inheritance::{FinalStates, add_final_states};
 use super::listing::{list_generation, observe};
-use super::outcome::{Attempt, Interruption, Opened, Progress};
+use super::outcome::{Interruption, Opened, StepOutcome, StepResult};
 use super::session::Session;
 use crate::access::StoreAccess;
 use crate::detection::{Loss, missing_records};
@@ -18,71 +19,73 @@
 use crate::identity::{IDENTITY_KEY, Observed, UNVERIFIED_PREFIX};
 use crate::picture::Picture;
 
-/// Whether this process, which has no history, has asked the others to compare the records with theirs.
+/// Whether this process, which has no history, has requested that other controllers compare the records
+/// with their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Vouching {
+pub(super) enum RecordVerification {
     NotRequested,
     Requested,
 }
 
-/// All records of a generation that served while they were read.
-pub(super) struct Reading {
+/// All records of a generation that was serving while they were read.
+pub(super) struct ListedGeneration {
     pub(super) generation: Generation,
     pub(super) picture: Picture,
-    /// The keys of this crate, read after the records.
+    /// The keys under `recovery/`, read after the records.
     pub(super) observed: Observed,
 }
 
-impl Reading {
-    pub(super) fn of<A: StoreAccess>(
+impl ListedGeneration {
+    /// Reads all records of a generation; fails with a conflict if it was replaced or given up meanwhile.
+    pub(super) fn read<A: StoreAccess>(
         session: &mut Session<'_, A>,
         generation: Generation,
-    ) -> Attempt<Reading> {
+    ) -> StepResult<ListedGeneration> {
         let picture = list_generation(session.access(), &generation)?;
         let observed = observe(session.access())?;
         let serves = observed.identity.as_ref().is_some_and(|found| {
             found.value == generation.identity && found.mod_revision == generation.mod_revision
         });
         if !serves {
-            return Err(Interruption::Overtaken);
+            return Err(Interruption::Conflict);
         }
-        Ok(Reading { generation, picture, observed })
+        Ok(ListedGeneration { generation, picture, observed })
     }
 
-    /// Records of a history that are missing here in a way that no change explains.
-    pub(super) fn loss_since(&self, history: &History) -> Option<Loss> {
+    /// Returns a loss if records of the history are missing here and no change can have removed them.
+    pub(super) fn detect_loss(&self, history: &History) -> Option<Loss> {
         let base = self.generation.identity.base;
         missing_records(&history.picture, base, self.picture.rows())
     }
 }
 
-/// Opens the store with the records that were read, once every final state is at hand and the others know
-/// whether this process has a history.
+/// Opens the store with the records that were read, once every final state is available and a process
+/// without a history has requested verification of the records.
 pub(super) fn accept<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: Option<&History>,
-    reading: Reading,
-    vouching: &mut Vouching,
-) -> Attempt<Progress> {
-    let Reading { generation, mut picture, observed } = reading;
-    if add_final_states(&mut picture, history, &generation, &observed) == TerminalJobs::Incomplete {
+    listed: ListedGeneration,
+    verification: &mut RecordVerification,
+) -> StepResult<StepOutcome> {
+    let ListedGeneration { generation, mut picture, observed } = listed;
+    if add_final_states(&mut picture, history, &generation, &observed) == FinalStates::Incomplete {
         session.log_progress(RebuildEvent::FinalStatesAwaited);
-        return Ok(Progress::LookAgain);
+        return Ok(StepOutcome::ObserveAgain);
     }
-    if history.is_none() && *vouching == Vouching::NotRequested {
-        request_vouching(session, &generation)?;
-        // If the key is gone at the next look, others have vouched for the records.
-        *vouching = Vouching::Requested;
-        return Ok(Progress::LookAgain);
+    if history.is_none() && *verification == RecordVerification::NotRequested {
+        request_verification(session, &generation)?;
+        // If the key is gone at the next observation, another controller has verified the records.
+        *verification = RecordVerification::Requested;
+        return Ok(StepOutcome::ObserveAgain);
     }
     let lacks_jobs = observed.lacks_jobs(session.node());
-    Ok(Progress::Opened(Opened { generation, picture, revision: observed.revision, lacks_jobs }))
+    Ok(StepOutcome::Opened(Opened { generation, picture, revision: observed.revision, lacks_jobs }))
 }
 
-fn request_vouching<A: StoreAccess>(
+fn request_verification<A: StoreAccess>(
     session: &mut Session<'_, A>,
     generation: &Generation,
-) -> Attempt<()> {
+) -> StepResult<()> {
     let key = format!("{UNVERIFIED_PREFIX}{}", session.node());
     let txn = Txn::default().if_mod_revision(IDENTITY_KEY, generation.mod_revision);
     session.commit(txn.write(key, Json::of(&generation.identity.generation)))
--- a/crates/quartzlever-recovery/src/rebuild/batches.rs
+++ b/crates/quartzlever-recovery/src/rebuild/batches.rs
@@ -1,16 +1,16 @@
-//! Changes in transactions that the store takes.
+//! Splitting changes into transactions within the store's limits.
 //!
-//! Pure functions. Invariant: the batches hold all changes in their order, and no batch has more than the
-//! given number of them, nor more than [`MAX_TXN_BYTES`] unless a single change has.
+//! Pure functions. Invariant: the batches hold all changes in their order. No batch exceeds the given number
+//! of changes, and none exceeds [`MAX_TXN_BYTES`] unless it consists of a single larger change.
 
 use quartzlever_wire::store::Change;
 
 use crate::identity::Identity;
 
-/// Bytes of keys and values in one transaction, which leaves room for its conditions.
+/// Maximum bytes of keys and values in one transaction; the rest of its size limit is for conditions.
 const MAX_TXN_BYTES: usize = 48 * 1024;
 
-/// Splits changes into batches of `max_changes` at most.
+/// Splits changes into batches of at most `max_changes` and [`MAX_TXN_BYTES`].
 pub(super) fn batches(changes: Vec<Change>, max_changes: usize) -> Vec<Vec<Change>> {
     let mut all: Vec<Vec<Change>> = Vec::new();
     let mut batch_bytes = 0;
@@ -32,7 +32,7 @@
     all
 }
 
-/// The same change at the key that it has in the store under a generation's namespace.
+/// Returns the change with its key prefixed by the generation's namespace.
 pub(super) fn in_namespace(change: Change, identity: &Identity) -> Change {
     let namespace = &identity.namespace;
     match change {
@@ -43,6 +43,7 @@
     }
 }
 
+/// Returns the bytes of a change's key and value.
 fn size_of_change(change: &Change) -> usize {
     match change {
         Change::Write { write, v, .. } => write.len() + v.text().len(),
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -1,15 +1,16 @@
-//! What a controller that had no part in a rebuild still knows: jobs that were accepted, done or cancelled
-//! in the last moments before the loss.
+//! Adding to a rebuilt generation the jobs that only an absent controller knows: those accepted, finished or
+//! cancelled in the last moments before the loss.
 //!
-//! Invariant: a contribution never replaces a record of the generation that serves, except a live job's by
-//! its final state; each transaction is on condition that the records are as they were read.
+//! Invariant: a contribution never replaces a record of the serving generation, except the record of an
+//! active job by its final state. Each transaction has the revisions of the affected records, as they were
+//! read, as its conditions.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::pages::{PAGE_PREFIX, page_of_key};
 use quartzlever_wire::store::{ACTIVE_JOB_PREFIX, StoreCall, StoreReply, TERMINAL_JOB_PREFIX, Txn};
 
-use super::acceptance::Reading;
-use super::outcome::{Attempt, Interruption};
+use super::acceptance::ListedGeneration;
+use super::outcome::{Interruption, StepResult};
 use super::session::Session;
 use crate::access::StoreAccess;
 use crate::events::RebuildEvent;
@@ -18,84 +19,99 @@
 use crate::identity::{ABSENT_PREFIX, Observed};
 use crate::picture::{Picture, Record};
 
-/// Whether this process knew anything that the records lacked.
+/// Whether this process knew jobs that the records lacked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Contribution {
-    /// It did, and the records have changed since they were read.
-    HandedIn,
+    /// It did and has submitted them, so the records may have changed since they were read.
+    Submitted,
+    /// It did not.
     Nothing,
 }
 
-/// Hands in what this process knows and the records of a newer generation lack. Once there is nothing left,
-/// the key that says that this controller is awaited goes.
+/// Submits the jobs that this process knows and the records of a newer generation lack. Once none are left,
+/// deletes the key that marks this controller as absent from the rebuild.
 pub(super) fn contribute<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: Option<&History>,
-    reading: &Reading,
-) -> Attempt<Contribution> {
-    let Reading { generation, picture, observed } = reading;
-    let calls = history.map(|history| transactions(history, picture, generation));
+    listed: &ListedGeneration,
+) -> StepResult<Contribution> {
+    let ListedGeneration { generation, picture, observed } = listed;
+    let calls = history.map(|history| missing_job_txns(history, picture, generation));
     let calls = calls.unwrap_or_default();
     for call in &calls {
         match session.access().call(&generation.to_store(call))? {
             StoreReply::Committed(_) => {}
-            StoreReply::Conflict(_) => return Err(Interruption::Overtaken),
+            StoreReply::Conflict(_) => return Err(Interruption::Conflict),
             _ => session.access().log(RebuildEvent::ContributionRefused { call: call.clone() }),
         }
     }
     if !calls.is_empty() {
         session.access().log(RebuildEvent::JobsContributed { count: calls.len() });
-        return Ok(Contribution::HandedIn);
+        return Ok(Contribution::Submitted);
     }
-    remove_absence(session, observed)?;
+    delete_absent_key(session, observed)?;
     Ok(Contribution::Nothing)
 }
 
-fn remove_absence<A: StoreAccess>(
+/// Deletes the key that marks this controller as absent from the rebuild, if it exists.
+fn delete_absent_key<A: StoreAccess>(
     session: &mut Session<'_, A>,
     observed: &Observed,
-) -> Attempt<()> {
+) -> StepResult<()> {
     let Some(absent) = observed.absent.get(session.node()) else { return Ok(()) };
     let key = format!("{ABSENT_PREFIX}{}", session.node());
     session.commit(Txn::default().if_mod_revision(&key, absent.mod_revision).delete(&key))
 }
 
-/// Jobs that the records lack, or show as live though they are over, each as a transaction.
-fn transactions(history: &History, records: &Picture, generation: &Generation) -> Vec<StoreCall> {
+/// Returns one transaction for each job that the records lack, or show as active though it has ended.
+fn missing_job_txns(
+    history: &History,
+    records: &Picture,
+    generation: &Generation,
+) -> Vec<StoreCall> {
     let known = &history.picture;
-    // With a new line of revisions, final states are inherited, but for those of jobs that the records
-    // show as live.
+    // After a change of the revision base, final states are inherited, except those of jobs that the
+    // records show as active.
     let inherits = generation.identity.base != history.identity.base;
-    let over = known.rows().iter().filter_map(|(key, record)| {
-        final_state(key, record, records).filter(|found| !inherits || found.contradicts_live)
+    let ended = known.rows().iter().filter_map(|(key, record)| {
+        missing_final_state(key, record, records)
+            .filter(|found| !inherits || found.is_recorded_as_active)
     });
-    let live =
-        known.rows().iter().filter_map(|(key, record)| live_job(key, record, known, records));
-    over.map(|found| found.txn).chain(live).map(StoreCall::Txn).collect()
+    let active = known
+        .rows()
+        .iter()
+        .filter_map(|(key, record)| missing_active_job(key, record, known, records));
+    ended.map(|found| found.txn).chain(active).map(StoreCall::Txn).collect()
 }
 
 /// A final state that the records lack.
-struct FinalState {
+struct MissingFinalState {
     txn: Txn,
-    /// The records show the job as live.
-    contradicts_live: bool,
+    /// Whether the records show the job as active.
+    is_recorded_as_active: bool,
 }
 
-fn final_state(key: &str, record: &Record, records: &Picture) -> Option<FinalState> {
+/// Returns the write of a final state that the records lack; `None` for any other key.
+fn missing_final_state(key: &str, record: &Record, records: &Picture) -> Option<MissingFinalState> {
     let job = key.strip_prefix(TERMINAL_JOB_PREFIX).filter(|_| records.get(key).is_none())?;
     let active_job_key = format!("{ACTIVE_JOB_PREFIX}{job}");
-    let live = records.get(&active_job_key);
+    let active = records.get(&active_job_key);
     let txn = Txn::default()
         .if_mod_revision(key, 0)
-        .if_mod_revision(&active_job_key, live.map_or(0, |record| record.mod_revision))
+        .if_mod_revision(&active_job_key, active.map_or(0, |record| record.mod_revision))
         .write(key, Json::from_text(&record.value)?);
-    let contradicts_live = live.is_some();
-    let txn = if contradicts_live { txn.delete(active_job_key) } else { txn };
-    Some(FinalState { txn, contradicts_live })
+    let is_recorded_as_active = active.is_some();
+    let txn = if is_recorded_as_active { txn.delete(active_job_key) } else { txn };
+    Some(MissingFinalState { txn, is_recorded_as_active })
 }
 
-/// A live job that the records lack, with its pages.
-fn live_job(key: &str, record: &Record, known: &Picture, records: &Picture) -> Option<Txn> {
+/// Returns the write of an active job that the records lack, with its pages; `None` for any other key.
+fn missing_active_job(
+    key: &str,
+    record: &Record,
+    known: &Picture,
+    records: &Picture,
+) -> Option<Txn> {
     let job = key.strip_prefix(ACTIVE_JOB_PREFIX)?;
     let terminal_job_key = format!("{TERMINAL_JOB_PREFIX}{job}");
     let is_in_records = [key, &terminal_job_key].iter().any(|key| records.get(key).is_some());
@@ -103,11 +119,11 @@
         return None;
     }
     let txn = Txn::default().if_mod_revision(key, 0).if_mod_revision(terminal_job_key, 0);
-    Some(with_pages(txn.write(key, Json::from_text(&record.value)?), job, known))
+    Some(add_pages(txn.write(key, Json::from_text(&record.value)?), job, known))
 }
 
-/// A job's pages of finished tasks go with its record.
-fn with_pages(txn: Txn, job: &str, known: &Picture) -> Txn {
+/// Adds the writes of a job's pages of finished tasks to the transaction that writes its record.
+fn add_pages(txn: Txn, job: &str, known: &Picture) -> Txn {
     let prefix = format!("{PAGE_PREFIX}{job}/");
     let pages =
         known.rows().range(prefix.clone()..).take_while(|(key, _)| key.starts_with(&prefix));
--- a/crates/quartzlever-recovery/src/rebuild/extras.rs
+++ b/crates/quartzlever-recovery/src/rebuild/extras.rs
@@ -1,8 +1,8 @@
-//! What one candidate knows and another may lack: the last changes before the loss. They pass through the
-//! store, in pieces that a value holds, since the controllers may not reach each other.
+//! The exchange of the last changes before the loss, which one candidate may know and another lack.
 //!
-//! Pure functions from an observation to writes and changes. Invariant: [`collect`] returns exactly the
-//! changes that [`writes`] was given, whatever their length and characters.
+//! The changes pass through the store, since the controllers may be unable to reach each other, in pieces
+//! that fit into its values. Pure functions between changes, writes and observations. Invariant: [`collect`]
+//! returns exactly the changes that [`piece_writes`] was given, whatever their length and characters.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Change;
@@ -10,31 +10,39 @@
 use crate::identity::{Candidate, EXTRA_PREFIX, ExtraPiece, Observed};
 use crate::picture::{KeyChange, Update};
 
-/// A piece takes a third of a value at the most: quotes in it are escaped, and its key comes on top.
+/// A piece takes at most a third of the size limit of a value: escaping of quotes makes it longer, and the
+/// key is stored along with it.
 const PIECES_PER_VALUE: usize = 3;
+/// Size of the largest piece if a long key leaves less than this.
 const MIN_PIECE_BYTES: usize = 64;
 
-/// The candidates that have a history of the latest generation.
-pub(super) fn informed(observed: &Observed) -> impl Iterator<Item = (&String, &Candidate)> {
+/// Returns the candidates whose history is of the latest generation that any candidate has.
+pub(super) fn latest_generation_candidates(
+    observed: &Observed,
+) -> impl Iterator<Item = (&String, &Candidate)> {
     let latest = observed.candidates.values().filter_map(|c| c.value.generation).max();
     let all = observed.candidates.iter().map(|(node, c)| (node, &c.value));
     all.filter(move |(_, c)| c.generation.is_some() && c.generation == latest)
 }
 
-/// The revision up to which each informed candidate knows everything.
+/// Returns the revision up to which every candidate of the latest generation knows all changes.
 pub(super) fn common_revision(observed: &Observed) -> u64 {
-    informed(observed).map(|(_, c)| c.complete_to).min().unwrap_or(0)
+    latest_generation_candidates(observed).map(|(_, c)| c.complete_to).min().unwrap_or(0)
 }
 
-/// Informed candidates whose changes after the common revision are not there yet.
-pub(super) fn unpublished(observed: &Observed) -> Vec<String> {
+/// Returns the candidates of the latest generation that have not published all their changes after the
+/// common revision.
+pub(super) fn unpublished_candidates(observed: &Observed) -> Vec<String> {
     let common = common_revision(observed);
     let is_unpublished = |c: &Candidate| c.extras_after.is_none_or(|after| after > common);
-    informed(observed).filter(|(_, c)| is_unpublished(c)).map(|(node, _)| node.clone()).collect()
+    latest_generation_candidates(observed)
+        .filter(|(_, c)| is_unpublished(c))
+        .map(|(node, _)| node.clone())
+        .collect()
 }
 
 /// Cuts a text into pieces of at most `max_bytes`, between characters.
-fn split(text: &str, max_bytes: usize) -> Vec<&str> {
+fn split_text(text: &str, max_bytes: usize) -> Vec<&str> {
     let mut pieces = Vec::new();
     let mut rest = text;
     while rest.len() > max_bytes {
@@ -47,6 +55,7 @@
     pieces
 }
 
+/// Returns the pieces of a change, sized for values of at most `value_bytes`.
 fn pieces_of(change: &KeyChange, value_bytes: usize) -> Vec<ExtraPiece> {
     let max_bytes =
         (value_bytes / PIECES_PER_VALUE).saturating_sub(change.key.len()).max(MIN_PIECE_BYTES);
@@ -59,15 +68,15 @@
     match &change.value {
         None => vec![piece(None, false)],
         Some(value) => {
-            let texts = split(value, max_bytes);
+            let texts = split_text(value, max_bytes);
             let last = texts.len() - 1;
             texts.iter().enumerate().map(|(n, text)| piece(Some(text), n < last)).collect()
         }
     }
 }
 
-/// The writes that tell the others of a candidate's changes.
-pub(super) fn writes(
+/// Returns the writes that publish a candidate's changes, in pieces numbered in their order.
+pub(super) fn piece_writes(
     node: &str,
     changes: &[KeyChange],
     value_bytes: usize,
@@ -82,14 +91,14 @@
     pieces.enumerate().map(write).collect()
 }
 
-/// The changes that all candidates have told of.
+/// Joins the pieces published by all candidates into changes, ordered by revision.
 pub(super) fn collect(observed: &Observed) -> Update {
     let mut changes = Vec::new();
-    let mut begun = String::new();
+    let mut value_so_far = String::new();
     for ExtraPiece { key, mod_revision, text, continues } in &observed.extras {
-        begun += text.as_deref().unwrap_or("");
+        value_so_far += text.as_deref().unwrap_or("");
         if !continues {
-            let whole = std::mem::take(&mut begun);
+            let whole = std::mem::take(&mut value_so_far);
             let value = text.as_ref().map(|_| whole);
             changes.push(KeyChange { key: key.clone(), mod_revision: *mod_revision, value });
         }
--- a/crates/quartzlever-recovery/src/rebuild/inheritance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/inheritance.rs
@@ -1,9 +1,9 @@
 //! Final states that are written after the next generation serves.
 //!
-//! Final states are most of the records, and only read. Those that every candidate knows are inherited: each
-//! controller keeps them in its picture at the modification revision of the last generation's end until they are written.
-//! Invariant: a controller serves a generation only when it has every final state at hand, from the store or
-//! from its own history.
+//! Most records are final states, which are only read, so writing them can wait. Those that every candidate
+//! knows are inherited: until they are written, each controller keeps them in its picture, at the
+//! modification revision at which the previous generation ended. Invariant: a controller serves a generation
+//! only if it has every final state, from the store or from its own history.
 
 use quartzlever_wire::store::{StoreCall, StoreReply, TERMINAL_JOB_PREFIX, Txn};
 use quartzlever_wire::{CallError, Json};
@@ -13,20 +13,20 @@
 use crate::identity::Observed;
 use crate::picture::{Picture, Record, Update};
 
-/// Whether a process has every final state of a generation at hand.
+/// Whether a process has every final state of a generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum TerminalJobs {
-    /// All are in the picture.
+pub(super) enum FinalStates {
+    /// All final states are in the picture.
     Complete,
-    /// Some are neither written yet nor known to this process.
+    /// Some final states may be neither written yet nor known to this process.
     Incomplete,
 }
 
-/// Writes inherited final states, which must fit into one transaction, and returns the change if it was
-/// committed. Other controllers write them too: a record that exists already stays as it is.
+/// Writes inherited final states, which must fit into one transaction, and returns the update if it was
+/// committed. Other controllers write them too, so nothing is written if any of the records exists already.
 ///
 /// # Errors
-/// The error of the call, whose outcome may be unknown; writing the same records again does no harm.
+/// Returns the error of the call, whose outcome may be unknown. Writing the same records again is harmless.
 pub fn restore_final_states(
     store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
     generation: &Generation,
@@ -43,35 +43,36 @@
     Ok(Update::shown_by(&call, &reply))
 }
 
-/// Adds to a generation's records the final states that this process knows and that may not be written yet.
+/// Adds the final states that this process knows, and that may not be written yet, to a generation's records.
 pub(super) fn add_final_states(
     picture: &mut Picture,
     history: Option<&History>,
     generation: &Generation,
     observed: &Observed,
-) -> TerminalJobs {
+) -> FinalStates {
     let base = generation.identity.base;
     let Some(history) = history else {
         return match observed.pending_final_states {
-            None => TerminalJobs::Complete,
-            Some(_) => TerminalJobs::Incomplete,
+            None => FinalStates::Complete,
+            Some(_) => FinalStates::Incomplete,
         };
     };
     if history.identity.generation == generation.identity.generation {
-        // What was inherited before this process was started anew, and is not written yet.
+        // Final states that were inherited before this process restarted, and are not written yet.
         carry_over(picture, history.picture.carried_over(base, ""), base);
-        return TerminalJobs::Complete;
+        return FinalStates::Complete;
     }
     let known_to = history.picture.revision();
     if observed.pending_final_states.as_ref().is_some_and(|i| known_to < i.value.known_to) {
-        return TerminalJobs::Incomplete;
+        return FinalStates::Incomplete;
     }
     let final_states =
         history.picture.rows().iter().filter(|(key, _)| key.starts_with(TERMINAL_JOB_PREFIX));
     carry_over(picture, final_states, base);
-    TerminalJobs::Complete
+    FinalStates::Complete
 }
 
+/// Adds records to the picture at the revision `base`, unless it has them.
 fn carry_over<'a>(
     picture: &mut Picture,
     records: impl Iterator<Item = (&'a String, &'a Record)>,
--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -1,7 +1,8 @@
-//! Reading whole prefixes of the store, page by page.
+//! ListedGeneration whole prefixes of the store, page by page.
 //!
-//! A listing of several pages is no snapshot: its revision is that of the first page where completeness is
-//! claimed ([`list_generation`]), and that of the last where only the latest state counts ([`observe`]).
+//! A listing of several pages is not a consistent snapshot. Where completeness up to a revision is claimed,
+//! that is the revision of the first page ([`list_generation`]); where only the latest state counts, it is the
+//! revision of the last page ([`observe`]).
 
 use std::collections::BTreeMap;
 
@@ -13,10 +14,10 @@
 use crate::identity::{Observed, RECOVERY_PREFIX};
 use crate::picture::{Picture, Record};
 
-/// Reads the keys of this crate.
+/// Reads all keys under `recovery/`.
 ///
 /// # Errors
-/// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
+/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a listing.
 pub fn observe(access: &mut impl StoreAccess) -> Result<Observed, CallError> {
     let mut all = Vec::new();
     let mut from: Option<String> = None;
@@ -34,10 +35,10 @@
     }
 }
 
-/// Reads all records of a generation; the picture is complete up to the revision of the first page.
+/// Reads all records of a generation. The picture is complete up to the revision of the first page.
 ///
 /// # Errors
-/// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
+/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a listing.
 pub fn list_generation(
     access: &mut impl StoreAccess,
     generation: &Generation,
--- a/crates/quartzlever-recovery/src/rebuild/outcome.rs
+++ b/crates/quartzlever-recovery/src/rebuild/outcome.rs
@@ -1,53 +1,56 @@
-//! What comes out of a rebuild, and how a single step of it can fail.
+//! The results of a rebuild and of its single steps.
 //!
-//! Only [`RebuildError`] leaves the crate. An [`Interruption`] never does: the state machine looks at the
-//! store again and decides anew.
+//! [`RebuildError`] is the only error that leaves the crate. After an [`Interruption`] the state machine
+//! observes the store again and determines its state from that.
 
 use quartzlever_wire::CallError;
 
 use crate::generation::Generation;
 use crate::picture::Picture;
 
-/// A store that may be worked with.
+/// A store that may be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opened {
-    /// The generation that serves.
+    /// The generation that is serving.
     pub generation: Generation,
     /// All records of the generation.
     pub picture: Picture,
-    /// The store's own revision that the records were read at, at least.
+    /// Revision of the store, not translated to the generation, at which the records were read or later.
     pub revision: u64,
-    /// Other controllers may know of jobs that the records lack.
+    /// Whether other controllers may know jobs that the records lack.
     pub lacks_jobs: bool,
 }
 
 /// Why a controller cannot continue without an operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RebuildError {
-    /// The store and the controller's directory belong to different clusters.
-    #[error("the state service has the records of another cluster than this directory")]
+    /// The store and the controller's recovery directory belong to different clusters.
+    #[error(
+        "the state service has the records of another cluster than the recovery directory of this \
+         controller: check the settings external.state and recovery.directory"
+    )]
     ForeignCluster,
 }
 
-/// Why a step did not complete.
+/// Why a step was not completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Interruption {
-    /// The store did not answer, or not as the call asks.
-    #[error("the call to the state service failed: {0}")]
+    /// The store did not reply, or its reply does not match the call.
+    #[error("call to the store failed: {0}")]
     Call(#[from] CallError),
-    /// A condition did not hold: another controller was first, or data was lost again.
-    #[error("the store has changed since it was looked at")]
-    Overtaken,
+    /// A condition did not hold, because another controller was faster or data was lost again.
+    #[error("the store has changed since it was observed")]
+    Conflict,
 }
 
 /// The result of a step.
-pub(super) type Attempt<T> = Result<T, Interruption>;
+pub(super) type StepResult<T> = Result<T, Interruption>;
 
-/// Where a step leaves the process.
+/// What a completed step means for the process.
 #[derive(Debug)]
-pub(super) enum Progress {
-    /// The store may be worked with.
+pub(super) enum StepOutcome {
+    /// The store may be used.
     Opened(Opened),
-    /// The store has to be looked at again.
-    LookAgain,
+    /// The store must be observed again.
+    ObserveAgain,
 }
--- a/crates/quartzlever-recovery/src/rebuild/session.rs
+++ b/crates/quartzlever-recovery/src/rebuild/session.rs
@@ -1,28 +1,28 @@
-//! A process's session with the store while it waits for an intact one: lease, commits and progress events.
+//! A process's session with the store during a rebuild: lease, commits and progress events.
 //!
-//! The session decides nothing about the records. Invariant: whatever it writes in many changes is written
-//! no faster than the settings allow.
+//! The session makes no decisions about records. Invariant: batches of changes are written no faster than the
+//! settings allow.
 
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Micros, SECOND};
 
-use super::outcome::{Attempt, Interruption};
+use super::outcome::{Interruption, StepResult};
 use super::settings::RebuildSettings;
 use crate::access::StoreAccess;
 use crate::events::RebuildEvent;
 
-/// Time between two looks at the store.
+/// Time between two observations of the store.
 pub(super) const POLL_INTERVAL: Micros = SECOND / 2;
-/// Time after which an event that has not changed is written again.
+/// Time after which an unchanged progress event is logged again.
 const EVENT_REPEAT_INTERVAL: Micros = 10 * SECOND;
-/// A lease is renewed when this partition of its life is over.
-const RENEWALS_PER_LIFE: Micros = 3;
+/// A lease is renewed once its lifetime divided by this number has passed.
+const RENEWALS_PER_LIFETIME: Micros = 3;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
-/// Least rate of changes that is reckoned with, so that a pause is finite.
+/// Lower bound of the configured changes per second, so that pauses are finite.
 const MIN_WRITE_RPS: f64 = 0.1;
-/// Time that leases are waited for beyond their life, for answers that are on their way.
-const LEASE_MARGIN: Micros = 3 * SECOND;
-/// Twice the drift of steady clocks, in parts of [`DRIFT_SCALE`].
+/// Time added to the lifetime of leases when waiting for their expiry, for replies in transit.
+const LEASE_EXPIRY_MARGIN: Micros = 3 * SECOND;
+/// Twice the drift of a monotonic clock, in units of 1 / [`DRIFT_SCALE`].
 const CLOCK_DRIFT: Micros = 10;
 const DRIFT_SCALE: Micros = 10_000;
 
@@ -30,14 +30,14 @@
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: u64,
-    renewed: Micros,
+    renewed_at: Micros,
 }
 
-/// The last event of progress, and when it was written.
+/// The last progress event and the time when it was logged.
 #[derive(Debug)]
 struct ProgressEvent {
     event: RebuildEvent,
-    written: Micros,
+    logged_at: Micros,
 }
 
 /// The session of one process.
@@ -66,27 +66,29 @@
         &self.settings.node
     }
 
-    /// Commits a transaction; a condition that does not hold interrupts the step.
-    pub(super) fn commit(&mut self, txn: Txn) -> Attempt<()> {
+    /// Commits a transaction; fails with a conflict if one of its conditions does not hold.
+    pub(super) fn commit(&mut self, txn: Txn) -> StepResult<()> {
         match self.access.call(&StoreCall::Txn(txn))? {
             StoreReply::Committed(_) => Ok(()),
-            _ => Err(Interruption::Overtaken),
+            _ => Err(Interruption::Conflict),
         }
     }
 
-    /// Commits many changes, and waits for as long as the store allows no more.
-    pub(super) fn commit_batch(&mut self, txn: Txn) -> Attempt<()> {
+    /// Commits a batch of changes, then pauses to stay within the configured rate of changes.
+    pub(super) fn commit_batch(&mut self, txn: Txn) -> StepResult<()> {
         let seconds = txn.changes.len() as f64 / self.settings.write_rps.max(MIN_WRITE_RPS);
         self.commit(txn)?;
         self.access.pause(quartzlever_wire::micros_from_secs(seconds));
         Ok(())
     }
 
-    /// Grants this process a lease, or renews it when that is due; the lease's number.
-    pub(super) fn ensure_lease(&mut self) -> Attempt<u64> {
+    /// Requests a lease for this process, or renews it when that is due, and returns its number.
+    pub(super) fn ensure_lease(&mut self) -> StepResult<u64> {
         let now = self.access.now();
         match self.lease {
-            Some(lease) if now < lease.renewed + self.settings.lease_life / RENEWALS_PER_LIFE => {
+            Some(lease)
+                if now < lease.renewed_at + self.settings.lease_life / RENEWALS_PER_LIFETIME =>
+            {
                 Ok(lease.id)
             }
             Some(lease) => self.renew_lease(lease, now),
@@ -94,37 +96,37 @@
         }
     }
 
-    fn renew_lease(&mut self, lease: HeldLease, now: Micros) -> Attempt<u64> {
+    fn renew_lease(&mut self, lease: HeldLease, now: Micros) -> StepResult<u64> {
         match self.access.call(&StoreCall::Renew { lease: lease.id })? {
             StoreReply::Renewed => {
-                self.lease = Some(HeldLease { renewed: now, ..lease });
+                self.lease = Some(HeldLease { renewed_at: now, ..lease });
                 Ok(lease.id)
             }
-            _ => Err(Interruption::Overtaken),
+            _ => Err(Interruption::Conflict),
         }
     }
 
-    fn grant_lease(&mut self, now: Micros) -> Attempt<u64> {
+    fn grant_lease(&mut self, now: Micros) -> StepResult<u64> {
         let life_ms = self.settings.lease_life / MICROS_PER_MILLISECOND;
         match self.access.call(&StoreCall::Grant { life_ms })? {
             StoreReply::Granted(id) => {
-                self.lease = Some(HeldLease { id, renewed: now });
+                self.lease = Some(HeldLease { id, renewed_at: now });
                 Ok(id)
             }
             _ => Err(Interruption::Call(CallError::Unknown)),
         }
     }
 
-    /// Forgets the lease, which may be gone; the next step that needs one has a new one granted.
+    /// Forgets the lease, which may have expired; the next step that needs one requests a new one.
     pub(super) fn forget_lease(&mut self) {
         self.lease = None;
     }
 
-    /// Waits until no task is on any machine: controllers that have not noticed the loss lose their right
-    /// to act, and then workers their leases.
-    pub(super) fn wait_out_worker_leases(&mut self) -> Attempt<()> {
+    /// Waits until no task runs on any machine: first the leases of controllers that have not noticed the
+    /// loss expire, and with them their right to act, and then the leases of their workers.
+    pub(super) fn await_worker_lease_expiry(&mut self) -> StepResult<()> {
         let leases = self.settings.lease_life + self.settings.worker_lease;
-        let span = leases + leases * CLOCK_DRIFT / DRIFT_SCALE + LEASE_MARGIN;
+        let span = leases + leases * CLOCK_DRIFT / DRIFT_SCALE + LEASE_EXPIRY_MARGIN;
         self.access.log(RebuildEvent::WorkerLeasesAwaited { duration: span });
         let end = self.access.now() + span;
         while self.access.now() < end {
@@ -134,15 +136,15 @@
         Ok(())
     }
 
-    /// Logs what is going on, once, and again after [`EVENT_REPEAT_INTERVAL`].
+    /// Logs a progress event, unless the same event was logged last and [`EVENT_REPEAT_INTERVAL`] is not over.
     pub(super) fn log_progress(&mut self, event: RebuildEvent) {
         let now = self.access.now();
         let is_recent = |last: &ProgressEvent| {
-            last.event == event && now < last.written + EVENT_REPEAT_INTERVAL
+            last.event == event && now < last.logged_at + EVENT_REPEAT_INTERVAL
         };
         if !self.last_progress.as_ref().is_some_and(is_recent) {
             self.access.log(event.clone());
-            self.last_progress = Some(ProgressEvent { event, written: now });
+            self.last_progress = Some(ProgressEvent { event, logged_at: now });
         }
     }
 }
--- a/crates/quartzlever-recovery/src/rebuild/settings.rs
+++ b/crates/quartzlever-recovery/src/rebuild/settings.rs
@@ -1,6 +1,6 @@
-//! What goes into a rebuild: the operator's settings, and what the process itself brings.
+//! The inputs of a rebuild: the operator's settings, and what the process has read from its own files.
 //!
-//! Plain values; nothing here changes while the rebuild runs.
+//! Plain values that do not change while the rebuild runs.
 
 use quartzlever_wire::Micros;
 
@@ -12,31 +12,31 @@
 pub struct RebuildSettings {
     /// Name of this controller.
     pub node: String,
-    /// Names of all controllers, this one among them.
+    /// Names of all controllers, including this one.
     pub nodes: Vec<String>,
-    /// Random number that tells this process from an earlier one of the same name.
+    /// Random number that distinguishes this process from earlier ones of the same name.
     pub process: u64,
-    /// How long to wait for other controllers that might know more, in microseconds.
+    /// How long to wait for other controllers that might have later records, in microseconds.
     pub gather: Micros,
-    /// Life of the lease that candidates and the lock are bound to, in microseconds.
+    /// Lifetime of the lease that candidates and the lock are bound to, in microseconds.
     pub lease_life: Micros,
-    /// Life of a worker's lease, in microseconds.
+    /// Lifetime of a worker's lease, in microseconds.
     pub worker_lease: Micros,
-    /// Changes in one transaction, at most.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
-    /// Changes per second, at most.
+    /// Maximum number of changes per second.
     pub write_rps: f64,
-    /// Bytes in one value of the store, at most.
+    /// Maximum size of one value of the store, in bytes.
     pub value_bytes: usize,
 }
 
-/// What a controller has to rebuild from.
+/// What a controller can rebuild the records from.
 #[derive(Clone, Debug, Default)]
 pub struct Local {
-    /// The records as the controller's own files have them; `None` if there is no readable snapshot.
+    /// The records in the controller's own files; `None` if there is no readable snapshot.
     pub history: Option<History>,
-    /// The mark was found that says that the log is written before anything is done.
+    /// Whether the mark was found by which an earlier process states that it wrote its log before it acted.
     pub marked: bool,
-    /// A loss that was found earlier, while the store looks intact otherwise.
+    /// A loss that was detected earlier, although the store's identity may look intact.
     pub found: Option<Loss>,
 }
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -1,28 +1,28 @@
-//! The states of a process on its way to an intact store, and the transitions between them.
+//! The states of a process during a rebuild, and the transitions between them.
 //!
-//! What all controllers together have reached stands in the store alone, so a process derives its state anew
-//! from every look at the store ([`StateMachine::state`]), takes the one step of that state
-//! ([`StateMachine::advance`]), and looks again. A step that fails is never repeated by itself: the next look
-//! may lead to another state.
+//! The common progress of all controllers is recorded only in the store. A process therefore determines its
+//! state from each observation of the store ([`StateMachine::state`]), performs the single step of that state
+//! ([`StateMachine::advance`]), and observes the store again. A failed step is not simply retried, because
+//! the next observation may lead to another state.
 //!
 //! ```text
 //! no identity, identity lost or given up -> Electing   -> (lock won) next generation written -> Joining
 //! generation of the own history          -> Verifying  -> opened, or records missing -> GivingUp
-//! records found missing                  -> GivingUp   -> Electing
-//! generation newer than the own history  -> Joining    -> own knowledge handed in -> opened
+//! records missing                        -> GivingUp   -> Electing
+//! generation newer than the own history  -> Joining    -> own jobs contributed -> opened
 //! ```
 //!
-//! Invariant: the process opens the store only in `Verifying` and `Joining`, after the records were read
-//! while one and the same generation served.
+//! Invariant: the process opens the store only in `Verifying` and `Joining`, after all records were read
+//! while the same generation was serving.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Txn;
 
-use super::acceptance::{Reading, Vouching, accept};
+use super::acceptance::{ListedGeneration, RecordVerification, accept};
 use super::contribution::{Contribution, contribute};
-use super::election::{Candidacy, Cause, Election};
+use super::election::{Candidacy, Cause, ElectionOutcome};
 use super::listing::observe;
-use super::outcome::{Attempt, Opened, Progress, RebuildError};
+use super::outcome::{Opened, RebuildError, StepOutcome, StepResult};
 use super::session::{POLL_INTERVAL, Session};
 use super::settings::{Local, RebuildSettings};
 use super::writer::Writer;
@@ -33,10 +33,11 @@
 use crate::history::History;
 use crate::identity::{IDENTITY_KEY, Identity, Observed, Phase};
 
-/// Returns a store that may be worked with; blocks, and asks the store again, until there is one.
+/// Opens the store, after a rebuild if it has lost data. Blocks until the store may be used.
 ///
 /// # Errors
-/// [`RebuildError`] if only an operator can help. Calls that fail are no error here.
+/// Returns a [`RebuildError`] if an operator has to intervene. Failed calls to the store are not errors;
+/// the store is observed again.
 pub fn open(
     access: &mut impl StoreAccess,
     settings: &RebuildSettings,
@@ -45,27 +46,27 @@
     StateMachine::new(access, settings, local).run()
 }
 
-/// What the process does next, as one look at the store shows.
+/// State of the process, determined from one observation of the store.
 #[derive(Debug)]
 enum State {
-    /// The generation of the own history serves; its records are compared with the history.
+    /// The generation of the own history is serving; its records are compared with the history.
     Verifying(Generation),
-    /// A generation serves that is newer than the own history; what it lacks is handed in.
+    /// A generation newer than the own history is serving; jobs that it lacks are contributed.
     Joining(Generation),
-    /// The generation of the own history serves, but lacks records.
+    /// The generation of the own history is serving but lacks records.
     GivingUp { generation: Generation, loss: Loss },
-    /// No generation serves; the controllers determine which of them writes the next one.
+    /// No generation is serving; the controllers elect the one that writes the next generation.
     Electing(Cause),
 }
 
-/// One process on its way to an intact store.
+/// The rebuild as one process performs it.
 struct StateMachine<'a, A> {
     session: Session<'a, A>,
     history: Option<&'a History>,
-    /// Lasting records that were missing though the identity is intact.
-    missing: Option<Loss>,
+    /// Permanent records that are missing although the identity is intact.
+    missing_records: Option<Loss>,
     candidacy: Candidacy<'a>,
-    vouching: Vouching,
+    verification: RecordVerification,
 }
 
 impl<'a, A: StoreAccess> StateMachine<'a, A> {
@@ -76,9 +77,9 @@
         StateMachine {
             session: Session::new(access, settings),
             history,
-            missing: local.found.clone(),
+            missing_records: local.found.clone(),
             candidacy: Candidacy::new(history, is_verified),
-            vouching: Vouching::NotRequested,
+            verification: RecordVerification::NotRequested,
         }
     }
 
@@ -89,9 +90,9 @@
                 Ok(observed) => {
                     let state = self.state(&observed)?;
                     match self.advance(state, &observed) {
-                        Ok(Progress::Opened(opened)) => return Ok(opened),
-                        Ok(Progress::LookAgain) => {}
-                        Err(_) => self.forget_what_is_leased(),
+                        Ok(StepOutcome::Opened(opened)) => return Ok(opened),
+                        Ok(StepOutcome::ObserveAgain) => {}
+                        Err(_) => self.reset_leased_state(),
                     }
                 }
             }
@@ -99,11 +100,12 @@
         }
     }
 
+    /// Determines the state from an observation of the store.
     fn state(&self, observed: &Observed) -> Result<State, RebuildError> {
         let known = self.history.map(History::known);
         let state = match assess(self.session.node(), known.as_ref(), observed) {
             Assessment::ForeignCluster => return Err(RebuildError::ForeignCluster),
-            Assessment::Intact(generation) => match self.missing.clone() {
+            Assessment::Intact(generation) => match self.missing_records.clone() {
                 Some(loss) => State::GivingUp { generation, loss },
                 None => State::Verifying(generation),
             },
@@ -114,7 +116,8 @@
         Ok(state)
     }
 
-    fn advance(&mut self, state: State, observed: &Observed) -> Attempt<Progress> {
+    /// Performs the step of a state.
+    fn advance(&mut self, state: State, observed: &Observed) -> StepResult<StepOutcome> {
         match state {
             State::Verifying(generation) => self.verify(generation),
             State::Joining(generation) => self.join(generation),
@@ -123,28 +126,30 @@
         }
     }
 
-    fn verify(&mut self, generation: Generation) -> Attempt<Progress> {
-        let reading = Reading::of(&mut self.session, generation)?;
-        if let Some(loss) = self.history.and_then(|history| reading.loss_since(history)) {
-            self.missing = Some(loss);
-            return Ok(Progress::LookAgain);
+    /// Opens the store, unless records of the history are missing from it.
+    fn verify(&mut self, generation: Generation) -> StepResult<StepOutcome> {
+        let listed = ListedGeneration::read(&mut self.session, generation)?;
+        if let Some(loss) = self.history.and_then(|history| listed.detect_loss(history)) {
+            self.missing_records = Some(loss);
+            return Ok(StepOutcome::ObserveAgain);
         }
-        accept(&mut self.session, self.history, reading, &mut self.vouching)
+        accept(&mut self.session, self.history, listed, &mut self.verification)
     }
 
-    fn join(&mut self, generation: Generation) -> Attempt<Progress> {
-        let reading = Reading::of(&mut self.session, generation)?;
-        match contribute(&mut self.session, self.history, &reading)? {
-            // The next look reads the records with what was contributed.
-            Contribution::HandedIn => Ok(Progress::LookAgain),
+    /// Contributes the jobs that a newer generation lacks, then opens the store with it.
+    fn join(&mut self, generation: Generation) -> StepResult<StepOutcome> {
+        let listed = ListedGeneration::read(&mut self.session, generation)?;
+        match contribute(&mut self.session, self.history, &listed)? {
+            // The next observation reads the records together with the contribution.
+            Contribution::Submitted => Ok(StepOutcome::ObserveAgain),
             Contribution::Nothing => {
-                accept(&mut self.session, self.history, reading, &mut self.vouching)
+                accept(&mut self.session, self.history, listed, &mut self.verification)
             }
         }
     }
 
-    /// Gives up a generation that lacks records: from then on no change of it comes into force.
-    fn give_up(&mut self, generation: &Generation, loss: &Loss) -> Attempt<Progress> {
+    /// Gives up a generation that lacks records, after which none of its transactions can be committed.
+    fn give_up(&mut self, generation: &Generation, loss: &Loss) -> StepResult<StepOutcome> {
         self.session.access().log(RebuildEvent::GenerationGivenUp {
             generation: generation.identity.generation,
             loss: loss.clone(),
@@ -152,27 +157,28 @@
         let identity = Identity { phase: Phase::Rebuilding, ..generation.identity.clone() };
         let txn = Txn::default().if_mod_revision(IDENTITY_KEY, generation.mod_revision);
         self.session.commit(txn.write(IDENTITY_KEY, Json::of(&identity)))?;
-        Ok(Progress::LookAgain)
+        Ok(StepOutcome::ObserveAgain)
     }
 
-    fn elect(&mut self, cause: &Cause, observed: &Observed) -> Attempt<Progress> {
+    /// Performs one step of the election, and writes the next generation if it is won.
+    fn elect(&mut self, cause: &Cause, observed: &Observed) -> StepResult<StepOutcome> {
         match self.candidacy.campaign(&mut self.session, observed, cause)? {
-            Election::Undecided => {}
-            Election::Won { lock_stamp } => {
+            ElectionOutcome::Undecided => {}
+            ElectionOutcome::Won { lock_revision } => {
                 let is_verified = self.candidacy.is_verified();
-                let mut writer = Writer::new(&mut self.session, observed, lock_stamp);
+                let mut writer = Writer::new(&mut self.session, observed, lock_revision);
                 match self.history {
                     Some(history) => writer.rebuild_from(history, is_verified)?,
-                    None => writer.found()?,
+                    None => writer.found_generation()?,
                 }
             }
         }
-        Ok(Progress::LookAgain)
+        Ok(StepOutcome::ObserveAgain)
     }
 
-    /// What was announced or acquired may be gone after a step that failed.
-    fn forget_what_is_leased(&mut self) {
+    /// Resets the state that is bound to the lease, which may have expired when a step fails.
+    fn reset_leased_state(&mut self) {
         self.session.forget_lease();
-        self.candidacy.forget_extras();
+        self.candidacy.reset_extras();
     }
 }
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -1,10 +1,10 @@
-//! The identity of the next generation, and what of the store's records can be compared with a history.
+//! The identity of the next generation, and the surviving records of the store.
 //!
-//! Invariant: revisions of the next generation are above every revision that any candidate has seen, since
-//! fencing tokens and attempts are made of them.
+//! Invariant: all revisions of the next generation are higher than any revision that a candidate has seen,
+//! since fencing tokens and attempt numbers are derived from them.
 
 use super::listing::list_generation;
-use super::outcome::Attempt;
+use super::outcome::StepResult;
 use super::session::Session;
 use crate::access::StoreAccess;
 use crate::detection::{Assessment, Known, assess};
@@ -13,24 +13,25 @@
 use crate::identity::{Identity, Observed, Phase, Stamped};
 use crate::plan::Survivors;
 
-/// How far the revisions of a new line start above all that were seen: more than any store takes in changes
-/// between a controller's last write to its log and the loss, for months. It leaves room for
-/// thousands of rebuilds below the 2^42 that attempts can be made of.
+/// Distance of the base of a new revision sequence above the highest revision that was seen. It exceeds the
+/// number of changes that any store commits within months, and so between a controller's last write to its
+/// log and the loss. Thousands of rebuilds stay below 2^42, the limit of the revisions that attempt numbers
+/// can be derived from.
 const REVISION_HEADROOM: u64 = 1 << 30;
 
-/// Reads what the store still holds of the generation that this process knows.
+/// Reads the records that the store still holds of the generation that this process knows.
 pub(super) fn read_survivors<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: &History,
     observed: &Observed,
-) -> Attempt<Survivors> {
+) -> StepResult<Survivors> {
     let same_lineage = is_same_lineage(session.node(), history, observed);
     let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
     let picture = list_generation(session.access(), &generation)?;
     Ok(Survivors { rows: picture.rows().clone(), same_lineage })
 }
 
-/// The identity of the generation after the one that was lost.
+/// Returns the identity of the generation that follows the lost one.
 pub(super) fn next_identity<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: &History,
@@ -53,8 +54,8 @@
     Identity { namespace, base: newest_seen + REVISION_HEADROOM, ..next }
 }
 
-/// Whether the store's revisions went on from those that any candidate has seen, apart from the phase of the
-/// generation, which may have been given up.
+/// Reports whether the store's revisions continue those that the candidates have seen. The phase is ignored,
+/// since the generation may have been given up.
 fn is_same_lineage(node: &str, history: &History, observed: &Observed) -> bool {
     let identity = observed.identity.as_ref().map(|found| Stamped {
         value: Identity { phase: Phase::Serving, ..found.value.clone() },
@@ -66,6 +67,7 @@
     is_intact && observed.revision + history.identity.base >= latest_candidate_revision(observed)
 }
 
+/// Returns the latest revision that any candidate knows.
 fn latest_candidate_revision(observed: &Observed) -> u64 {
     observed.candidates.values().map(|found| found.value.revision).max().unwrap_or(0)
 }
--- a/crates/quartzlever-recovery/src/rebuild/writer.rs
+++ b/crates/quartzlever-recovery/src/rebuild/writer.rs
@@ -1,15 +1,14 @@
-//! Writing the next generation as the leader of the lock.
+//! Writing the next generation while holding the lock.
 //!
-//! Invariant: every transaction here is on condition of the lock and of the identity that was observed (the
-//! fence), so nothing of a writer that has lost the lock comes into force; the identity itself is written
-//! last.
+//! Invariant: every transaction has the lock and the observed identity as conditions (the fence), so a writer
+//! that has lost the lock cannot commit anything. The identity itself is written last.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::{Change, Condition, Txn};
 
 use super::batches::{batches, in_namespace};
 use super::extras;
-use super::outcome::Attempt;
+use super::outcome::StepResult;
 use super::session::Session;
 use super::successor::{next_identity, read_survivors};
 use crate::access::StoreAccess;
@@ -22,7 +21,7 @@
 use crate::picture::Picture;
 use crate::plan::{Survivors, plan};
 
-/// The leader of the lock.
+/// Writes the next generation for the process that holds the lock.
 pub(super) struct Writer<'s, 'a, A> {
     session: &'s mut Session<'a, A>,
     observed: &'s Observed,
@@ -33,28 +32,29 @@
     pub(super) fn new(
         session: &'s mut Session<'a, A>,
         observed: &'s Observed,
-        lock_stamp: u64,
+        lock_revision: u64,
     ) -> Self {
-        let identity_stamp = observed.identity.as_ref().map_or(0, |identity| identity.mod_revision);
+        let identity_revision =
+            observed.identity.as_ref().map_or(0, |identity| identity.mod_revision);
         let fence = vec![
-            Condition { path: LOCK_KEY.into(), mod_revision: lock_stamp },
-            Condition { path: IDENTITY_KEY.into(), mod_revision: identity_stamp },
+            Condition { path: LOCK_KEY.into(), mod_revision: lock_revision },
+            Condition { path: IDENTITY_KEY.into(), mod_revision: identity_revision },
         ];
         Writer { session, observed, fence }
     }
 
-    /// Rebuilds the records from this process's history, what the other candidates have published, and what
-    /// the store still holds.
+    /// Rebuilds the records from this process's history, the changes that other candidates have published,
+    /// and the records that the store still holds.
     pub(super) fn rebuild_from(
         &mut self,
         history: &History,
-        own_log_is_proven: bool,
-    ) -> Attempt<()> {
+        is_own_log_verified: bool,
+    ) -> StepResult<()> {
         let begin = self.session.access().now();
         let mut picture = history.picture.clone();
         picture.apply(extras::collect(self.observed));
-        if !(own_log_is_proven && self.others_are_proven(history)) {
-            self.session.wait_out_worker_leases()?;
+        if !(is_own_log_verified && self.are_other_logs_verified(history)) {
+            self.session.await_worker_lease_expiry()?;
         }
         let survivors = read_survivors(self.session, history, self.observed)?;
         let plan = plan(&picture, &survivors);
@@ -68,12 +68,12 @@
         Ok(())
     }
 
-    /// No controller has any history: the records are those that there are. They are those of the very
-    /// first generation, unless one was given up and every directory lost since.
-    pub(super) fn found(&mut self) -> Attempt<()> {
+    /// Creates a generation from the records in the store as they are, since no controller has a history.
+    /// This is the first generation, unless one was given up and every recovery directory was lost since.
+    pub(super) fn found_generation(&mut self) -> StepResult<()> {
         let identity = match &self.observed.identity {
             Some(given_up) => {
-                self.session.wait_out_worker_leases()?;
+                self.session.await_worker_lease_expiry()?;
                 let generation = given_up.value.generation + 1;
                 Identity { generation, phase: Phase::Serving, ..given_up.value.clone() }
             }
@@ -92,16 +92,17 @@
         Ok(())
     }
 
-    /// Whether each controller that was up is a candidate whose log surely holds everything it acted on.
-    fn others_are_proven(&self, history: &History) -> bool {
+    /// Reports whether each controller that was up is a candidate whose log is verified to hold every change
+    /// that it acted on.
+    fn are_other_logs_verified(&self, history: &History) -> bool {
         let candidates = &self.observed.candidates;
         let is_verified =
             |node: &str| candidates.get(node).is_some_and(|candidate| candidate.value.proven);
         history.picture.nodes_up().all(is_verified)
     }
 
-    /// Writes the records in transactions that the store takes, no faster than it allows.
-    fn write_records(&mut self, changes: Vec<Change>, next: &Identity) -> Attempt<()> {
+    /// Writes the records in transactions within the store's limits of size and rate.
+    fn write_records(&mut self, changes: Vec<Change>, next: &Identity) -> StepResult<()> {
         let total = changes.len();
         let mut written = 0;
         for batch in batches(changes, self.session.settings().txn_ops) {
@@ -115,14 +116,14 @@
         Ok(())
     }
 
-    /// Makes the records that were written the next generation, in one transaction.
+    /// Makes the written records the next generation, in one transaction that also releases the lock.
     fn commit_generation(
         &mut self,
         next: &Identity,
         picture: &Picture,
         survivors: &Survivors,
         known_to: u64,
-    ) -> Attempt<()> {
+    ) -> StepResult<()> {
         let mut txn = self.fenced(Vec::new());
         if !survivors.same_lineage {
             txn = txn.write(PENDING_FINAL_STATES_KEY, Json::of(&PendingFinalStates { known_to }));
@@ -135,6 +136,7 @@
         self.session.commit(txn.write(IDENTITY_KEY, Json::of(next)).delete(LOCK_KEY))
     }
 
+    /// Returns a transaction with the fence as its conditions.
     fn fenced(&self, changes: Vec<Change>) -> Txn {
         Txn { conditions: self.fence.clone(), changes }
     }
