--- a/crates/quartzlever-recovery/src/rebuild/acceptance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/acceptance.rs
@@ -1,8 +1,8 @@
 //! Opening the store with a generation that is already serving.
 //!
-//! Invariant: a [`ListedGeneration`] exists only if the identity had the same value and modification
-//! revision before and after the records were read. None of them comes from a store that was replaced
-//! meanwhile.
+//! Invariant: a [`ListedGeneration`] exists only if the identity had the same value and
+//! modification revision before and after the records were read. None of them comes from a store
+//! that was replaced meanwhile.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Txn;
@@ -19,8 +19,8 @@
 use crate::identity::{IDENTITY_KEY, Observed, UNVERIFIED_PREFIX};
 use crate::picture::Picture;
 
-/// Whether this process, which has no history, has requested that other controllers compare the records
-/// with their own.
+/// Whether this process, which has no history, has requested that other controllers compare the
+/// records with their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordVerification {
     NotRequested,
@@ -36,7 +36,8 @@
 }
 
 impl ListedGeneration {
-    /// Reads all records of a generation; fails with a conflict if it was replaced or given up meanwhile.
+    /// Reads all records of a generation; fails with a conflict if it was replaced or given up
+    /// meanwhile.
     pub(super) fn read<A: StoreAccess>(
         session: &mut Session<'_, A>,
         generation: Generation,
@@ -52,15 +53,16 @@
         Ok(ListedGeneration { generation, picture, observed })
     }
 
-    /// Returns a loss if records of the history are missing here and no change can have removed them.
+    /// Returns a loss if records of the history are missing or older here and no change explains
+    /// that.
     pub(super) fn detect_loss(&self, history: &History) -> Option<Loss> {
         let base = self.generation.identity.base;
         missing_records(&history.picture, base, self.picture.rows())
     }
 }
 
-/// Opens the store with the records that were read, once every final state is available and a process
-/// without a history has requested verification of the records.
+/// Opens the store with the records that were read, once every final state is available and a
+/// process without a history has requested verification of the records.
 pub(super) fn accept<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: Option<&History>,
--- a/crates/quartzlever-recovery/src/rebuild/batches.rs
+++ b/crates/quartzlever-recovery/src/rebuild/batches.rs
@@ -1,13 +1,15 @@
 //! Splitting changes into transactions within the store's limits.
 //!
-//! Pure functions. Invariant: the batches hold all changes in their order. No batch exceeds the given number
-//! of changes, and none exceeds [`MAX_TXN_BYTES`] unless it consists of a single larger change.
+//! Pure functions. Invariant: the batches hold all changes in their order. No batch exceeds the
+//! given number of changes, and none exceeds [`MAX_TXN_BYTES`] unless it consists of a single
+//! larger change.
 
 use quartzlever_wire::store::Change;
 
 use crate::identity::Identity;
 
-/// Maximum bytes of keys and values in one transaction; the rest of its size limit is for conditions.
+/// Maximum bytes of keys and values in one transaction; the rest of its size limit is for
+/// conditions.
 const MAX_TXN_BYTES: usize = 48 * 1024;
 
 /// Splits changes into batches of at most `max_changes` and [`MAX_TXN_BYTES`].
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -1,9 +1,9 @@
-//! Adding to a rebuilt generation the jobs that only an absent controller knows: those accepted, finished or
-//! cancelled in the last moments before the loss.
+//! Adding to a rebuilt generation the jobs that only an absent controller knows: those accepted,
+//! finished or cancelled in the last moments before the loss.
 //!
-//! Invariant: a contribution never replaces a record of the serving generation, except the record of an
-//! active job by its final state. Each transaction has the revisions of the affected records, as they were
-//! read, as its conditions.
+//! Invariant: a contribution never replaces a record of the serving generation, except the record
+//! of an active job by its final state. Each transaction has the revisions of the affected records,
+//! as they were read, as its conditions.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::pages::{PAGE_PREFIX, page_of_key};
@@ -28,8 +28,8 @@
     Nothing,
 }
 
-/// Submits the jobs that this process knows and the records of a newer generation lack. Once none are left,
-/// deletes the key that marks this controller as absent from the rebuild.
+/// Submits the jobs that this process knows and the records of a newer generation lack. Once none
+/// are left, deletes the key that marks this controller as absent from the rebuild.
 pub(super) fn contribute<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: Option<&History>,
@@ -63,15 +63,16 @@
     session.commit(Txn::default().if_mod_revision(&key, absent.mod_revision).delete(&key))
 }
 
-/// Returns one transaction for each job that the records lack, or show as active though it has ended.
+/// Returns one transaction for each job that the records lack, or show as active though it has
+/// ended.
 fn missing_job_txns(
     history: &History,
     records: &Picture,
     generation: &Generation,
 ) -> Vec<StoreCall> {
     let known = &history.picture;
-    // After a change of the revision base, final states are inherited, except those of jobs that the
-    // records show as active.
+    // After a change of the revision base, final states are inherited, except those of jobs that
+    // the records show as active.
     let inherits = generation.identity.base != history.identity.base;
     let ended = known.rows().iter().filter_map(|(key, record)| {
         missing_final_state(key, record, records)
@@ -105,7 +106,8 @@
     Some(MissingFinalState { txn, is_recorded_as_active })
 }
 
-/// Returns the write of an active job that the records lack, with its pages; `None` for any other key.
+/// Returns the write of an active job that the records lack, with its pages; `None` for any other
+/// key.
 fn missing_active_job(
     key: &str,
     record: &Record,
--- a/crates/quartzlever-recovery/src/rebuild/election.rs
+++ b/crates/quartzlever-recovery/src/rebuild/election.rs
@@ -1,9 +1,10 @@
 //! The stages of a candidate, from its announcement to the acquisition of the lock.
 //!
-//! The stage of this candidate is determined from each observation of the store ([`Candidacy::stage`]), and
-//! each stage has one step. There are no votes: all candidates determine from the same keys which of them
-//! has the latest records, and the lock decides if they disagree. Invariant: a candidate wins only while it
-//! holds the lock and the last changes of every candidate of the latest generation are in the store.
+//! The stage of this candidate is determined from each observation of the store
+//! ([`Candidacy::stage`]), and each stage has one step. There are no votes: all candidates
+//! determine from the same keys which of them has the latest records, and the lock decides if they
+//! disagree. Invariant: a candidate wins only while it holds the lock and the last changes of every
+//! candidate of the latest generation are in the store.
 
 use quartzlever_wire::store::Txn;
 use quartzlever_wire::{Json, Micros};
@@ -36,8 +37,8 @@
     Undecided,
     /// This candidate holds the lock and may write the next generation.
     Won {
-        /// Modification revision of the lock's key, a fencing token: conditions on it fail once the lock is
-        /// lost.
+        /// Modification revision of the lock's key, a fencing token: conditions on it fail once the
+        /// lock is lost.
         lock_revision: u64,
     },
 }
@@ -63,7 +64,7 @@
     LockSecured { lock_revision: u64 },
 }
 
-/// The candidacy of one process.
+/// Participation of one process in the election.
 pub(super) struct Candidacy<'a> {
     history: Option<&'a History>,
     /// Whether this controller's log is verified to hold every change that it acted on.
@@ -171,7 +172,8 @@
         }
     }
 
-    /// Reports whether enough controllers have announced themselves, or the time to wait for them is over.
+    /// Reports whether enough controllers have announced themselves, or the time to wait for them
+    /// is over.
     fn has_gathered(
         &self,
         settings: &RebuildSettings,
@@ -182,13 +184,13 @@
         let no_candidate_has_history =
             observed.candidates.values().all(|found| found.value.generation.is_none());
         let waited = now - self.announced_at.unwrap_or(0);
-        // If no candidate has a history, the first start cannot be told from a loss, so all controllers must
-        // have announced that they have none, however long that takes.
+        // If no candidate has a history, the first start cannot be told from a loss, so all
+        // controllers must have announced that they have none, however long that takes.
         unannounced.is_empty() || (!no_candidate_has_history && waited >= settings.gather)
     }
 
-    /// Returns the stage that publishes the last changes of this process; `None` if they are published
-    /// already or its history is not of the latest generation.
+    /// Returns the stage that publishes the last changes of this process; `None` if they are
+    /// published already or its history is not of the latest generation.
     fn extras_to_publish(&self, settings: &RebuildSettings, observed: &Observed) -> Option<Stage> {
         let common = extras::common_revision(observed);
         let is_of_latest_generation =
--- a/crates/quartzlever-recovery/src/rebuild/extras.rs
+++ b/crates/quartzlever-recovery/src/rebuild/extras.rs
@@ -1,8 +1,9 @@
 //! The exchange of the last changes before the loss, which one candidate may know and another lack.
 //!
-//! The changes pass through the store, since the controllers may be unable to reach each other, in pieces
-//! that fit into its values. Pure functions between changes, writes and observations. Invariant: [`collect`]
-//! returns exactly the changes that [`piece_writes`] was given, whatever their length and characters.
+//! The changes pass through the store, since the controllers may be unable to reach each other, in
+//! pieces that fit into its values. Pure functions between changes, writes and observations.
+//! Invariant: [`collect`] returns exactly the changes that [`piece_writes`] was given, whatever
+//! their length and characters.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Change;
@@ -10,10 +11,10 @@
 use crate::identity::{Candidate, EXTRA_PREFIX, ExtraPiece, Observed};
 use crate::picture::{KeyChange, Update};
 
-/// A piece takes at most a third of the size limit of a value: escaping of quotes makes it longer, and the
-/// key is stored along with it.
+/// A piece takes at most a third of the size limit of a value: escaping of quotes makes it longer,
+/// and the key is stored along with it.
 const PIECES_PER_VALUE: usize = 3;
-/// Size of the largest piece if a long key leaves less than this.
+/// Lower bound of the size limit of a piece, which applies if the key is long.
 const MIN_PIECE_BYTES: usize = 64;
 
 /// Returns the candidates whose history is of the latest generation that any candidate has.
@@ -30,8 +31,8 @@
     latest_generation_candidates(observed).map(|(_, c)| c.complete_to).min().unwrap_or(0)
 }
 
-/// Returns the candidates of the latest generation that have not published all their changes after the
-/// common revision.
+/// Returns the candidates of the latest generation that have not published all their changes after
+/// the common revision.
 pub(super) fn unpublished_candidates(observed: &Observed) -> Vec<String> {
     let common = common_revision(observed);
     let is_unpublished = |c: &Candidate| c.extras_after.is_none_or(|after| after > common);
--- a/crates/quartzlever-recovery/src/rebuild/inheritance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/inheritance.rs
@@ -1,9 +1,10 @@
 //! Final states that are written after the next generation serves.
 //!
-//! Most records are final states, which are only read, so writing them can wait. Those that every candidate
-//! knows are inherited: until they are written, each controller keeps them in its picture, at the
-//! modification revision at which the previous generation ended. Invariant: a controller serves a generation
-//! only if it has every final state, from the store or from its own history.
+//! Most records are final states, which are only read, so writing them can wait. Those that every
+//! candidate knows are inherited: until they are written, each controller keeps them in its
+//! picture, with the base revision of the generation as their modification revision, which counts
+//! as the end of the previous generation. Invariant: a controller serves a generation only if it
+//! has every final state, from the store or from its own history.
 
 use quartzlever_wire::store::{StoreCall, StoreReply, TERMINAL_JOB_PREFIX, Txn};
 use quartzlever_wire::{CallError, Json};
@@ -22,11 +23,13 @@
     Incomplete,
 }
 
-/// Writes inherited final states, which must fit into one transaction, and returns the update if it was
-/// committed. Other controllers write them too, so nothing is written if any of the records exists already.
+/// Writes inherited final states, which must fit into one transaction, and returns the update if it
+/// was committed. Other controllers write them too, so nothing is written if any of the records
+/// exists already.
 ///
 /// # Errors
-/// Returns the error of the call, whose outcome may be unknown. Writing the same records again is harmless.
+/// Returns the error of the call, whose outcome may be unknown. Writing the same records again is
+/// harmless.
 pub fn restore_final_states(
     store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
     generation: &Generation,
@@ -43,7 +46,8 @@
     Ok(Update::shown_by(&call, &reply))
 }
 
-/// Adds the final states that this process knows, and that may not be written yet, to a generation's records.
+/// Adds the final states that this process knows, and that may not be written yet, to a
+/// generation's records.
 pub(super) fn add_final_states(
     picture: &mut Picture,
     history: Option<&History>,
--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -1,8 +1,8 @@
-//! ListedGeneration whole prefixes of the store, page by page.
+//! Reading whole prefixes of the store, page by page.
 //!
-//! A listing of several pages is not a consistent snapshot. Where completeness up to a revision is claimed,
-//! that is the revision of the first page ([`list_generation`]); where only the latest state counts, it is the
-//! revision of the last page ([`observe`]).
+//! A listing of several pages is not a consistent snapshot. Where completeness up to a revision is
+//! claimed, that is the revision of the first page ([`list_generation`]); where only the latest
+//! state counts, it is the revision of the last page ([`observe`]).
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,8 @@
 /// Reads all keys under `recovery/`.
 ///
 /// # Errors
-/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a listing.
+/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a
+/// listing.
 pub fn observe(access: &mut impl StoreAccess) -> Result<Observed, CallError> {
     let mut all = Vec::new();
     let mut from: Option<String> = None;
@@ -38,7 +39,8 @@
 /// Reads all records of a generation. The picture is complete up to the revision of the first page.
 ///
 /// # Errors
-/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a listing.
+/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a
+/// listing.
 pub fn list_generation(
     access: &mut impl StoreAccess,
     generation: &Generation,
--- a/crates/quartzlever-recovery/src/rebuild/outcome.rs
+++ b/crates/quartzlever-recovery/src/rebuild/outcome.rs
@@ -1,7 +1,7 @@
 //! The results of a rebuild and of its single steps.
 //!
-//! [`RebuildError`] is the only error that leaves the crate. After an [`Interruption`] the state machine
-//! observes the store again and determines its state from that.
+//! Of the two errors, only [`RebuildError`] leaves the crate. After an [`Interruption`], the state
+//! machine observes the store again and determines its state from that.
 
 use quartzlever_wire::CallError;
 
@@ -15,7 +15,7 @@
     pub generation: Generation,
     /// All records of the generation.
     pub picture: Picture,
-    /// Revision of the store, not translated to the generation, at which the records were read or later.
+    /// The store's own revision, not the generation's, at or after the reading of the records.
     pub revision: u64,
     /// Whether other controllers may know jobs that the records lack.
     pub lacks_jobs: bool,
--- a/crates/quartzlever-recovery/src/rebuild/session.rs
+++ b/crates/quartzlever-recovery/src/rebuild/session.rs
@@ -1,7 +1,7 @@
 //! A process's session with the store during a rebuild: lease, commits and progress events.
 //!
-//! The session makes no decisions about records. Invariant: batches of changes are written no faster than the
-//! settings allow.
+//! The session makes no decisions about records. Invariant: batches of changes are written no
+//! faster than the settings allow.
 
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Micros, SECOND};
@@ -22,11 +22,11 @@
 const MIN_WRITE_RPS: f64 = 0.1;
 /// Time added to the lifetime of leases when waiting for their expiry, for replies in transit.
 const LEASE_EXPIRY_MARGIN: Micros = 3 * SECOND;
-/// Twice the drift of a monotonic clock, in units of 1 / [`DRIFT_SCALE`].
+/// Twice the drift of monotonic clocks, in units of 1 / [`DRIFT_SCALE`].
 const CLOCK_DRIFT: Micros = 10;
 const DRIFT_SCALE: Micros = 10_000;
 
-/// The lease of this process.
+/// A lease granted to this process, and the time when it was granted or last renewed.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     id: u64,
@@ -40,7 +40,7 @@
     logged_at: Micros,
 }
 
-/// The session of one process.
+/// Access to the store with the lease of one process and a limited rate of changes.
 pub(super) struct Session<'a, A> {
     access: &'a mut A,
     settings: &'a RebuildSettings,
@@ -61,7 +61,7 @@
         self.settings
     }
 
-    /// Name of this controller.
+    /// Returns the name of this controller.
     pub(super) fn node(&self) -> &'a str {
         &self.settings.node
     }
@@ -122,8 +122,9 @@
         self.lease = None;
     }
 
-    /// Waits until no task runs on any machine: first the leases of controllers that have not noticed the
-    /// loss expire, and with them their right to act, and then the leases of their workers.
+    /// Waits until no task runs on any machine: first the leases of controllers that have not
+    /// noticed the loss expire, and with them their right to act, and then the leases of their
+    /// workers.
     pub(super) fn await_worker_lease_expiry(&mut self) -> StepResult<()> {
         let leases = self.settings.lease_life + self.settings.worker_lease;
         let span = leases + leases * CLOCK_DRIFT / DRIFT_SCALE + LEASE_EXPIRY_MARGIN;
@@ -136,7 +137,8 @@
         Ok(())
     }
 
-    /// Logs a progress event, unless the same event was logged last and [`EVENT_REPEAT_INTERVAL`] is not over.
+    /// Logs a progress event, unless the same event was logged last and [`EVENT_REPEAT_INTERVAL`]
+    /// is not over.
     pub(super) fn log_progress(&mut self, event: RebuildEvent) {
         let now = self.access.now();
         let is_recent = |last: &ProgressEvent| {
--- a/crates/quartzlever-recovery/src/rebuild/settings.rs
+++ b/crates/quartzlever-recovery/src/rebuild/settings.rs
@@ -1,4 +1,5 @@
-//! The inputs of a rebuild: the operator's settings, and what the process has read from its own files.
+//! The inputs of a rebuild: the operator's settings, and what the process has read from its own
+//! files.
 //!
 //! Plain values that do not change while the rebuild runs.
 
@@ -35,8 +36,8 @@
 pub struct Local {
     /// The records in the controller's own files; `None` if there is no readable snapshot.
     pub history: Option<History>,
-    /// Whether the mark was found by which an earlier process states that it wrote its log before it acted.
+    /// Whether the recovery directory has the mark that the log is written before any action.
     pub marked: bool,
-    /// A loss that was detected earlier, although the store's identity may look intact.
+    /// A loss that was detected earlier although the store otherwise looks intact.
     pub found: Option<Loss>,
 }
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -1,9 +1,9 @@
 //! The states of a process during a rebuild, and the transitions between them.
 //!
-//! The common progress of all controllers is recorded only in the store. A process therefore determines its
-//! state from each observation of the store ([`StateMachine::state`]), performs the single step of that state
-//! ([`StateMachine::advance`]), and observes the store again. A failed step is not simply retried, because
-//! the next observation may lead to another state.
+//! The common progress of all controllers is recorded only in the store. A process therefore
+//! determines its state from each observation of the store ([`StateMachine::state`]), performs the
+//! single step of that state ([`StateMachine::advance`]), and observes the store again. A failed
+//! step is not simply retried, because the next observation may lead to another state.
 //!
 //! ```text
 //! no identity, identity lost or given up -> Electing   -> (lock won) next generation written -> Joining
@@ -12,8 +12,8 @@
 //! generation newer than the own history  -> Joining    -> own jobs contributed -> opened
 //! ```
 //!
-//! Invariant: the process opens the store only in `Verifying` and `Joining`, after all records were read
-//! while the same generation was serving.
+//! Invariant: the process opens the store only in `Verifying` and `Joining`, after all records were
+//! read while the same generation was serving.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Txn;
@@ -36,8 +36,8 @@
 /// Opens the store, after a rebuild if it has lost data. Blocks until the store may be used.
 ///
 /// # Errors
-/// Returns a [`RebuildError`] if an operator has to intervene. Failed calls to the store are not errors;
-/// the store is observed again.
+/// Returns a [`RebuildError`] if an operator has to intervene. Failed calls to the store are not
+/// errors; the store is observed again.
 pub fn open(
     access: &mut impl StoreAccess,
     settings: &RebuildSettings,
@@ -59,7 +59,7 @@
     Electing(Cause),
 }
 
-/// The rebuild as one process performs it.
+/// Runs the rebuild for one process.
 struct StateMachine<'a, A> {
     session: Session<'a, A>,
     history: Option<&'a History>,
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Gives up a generation that lacks records, after which none of its transactions can be committed.
+    /// Gives up a generation that lacks records, after which none of its transactions can be
+    /// committed.
     fn give_up(&mut self, generation: &Generation, loss: &Loss) -> StepResult<StepOutcome> {
         self.session.access().log(RebuildEvent::GenerationGivenUp {
             generation: generation.identity.generation,
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -1,7 +1,7 @@
 //! The identity of the next generation, and the surviving records of the store.
 //!
-//! Invariant: all revisions of the next generation are higher than any revision that a candidate has seen,
-//! since fencing tokens and attempt numbers are derived from them.
+//! Invariant: all revisions of the next generation are higher than any revision that a candidate
+//! has seen, since fencing tokens and attempt numbers are derived from them.
 
 use super::listing::list_generation;
 use super::outcome::StepResult;
@@ -13,10 +13,10 @@
 use crate::identity::{Identity, Observed, Phase, Stamped};
 use crate::plan::Survivors;
 
-/// Distance of the base of a new revision sequence above the highest revision that was seen. It exceeds the
-/// number of changes that any store commits within months, and so between a controller's last write to its
-/// log and the loss. Thousands of rebuilds stay below 2^42, the limit of the revisions that attempt numbers
-/// can be derived from.
+/// Distance of the base of a new revision sequence above the highest revision that was seen. It
+/// exceeds the number of changes that any store commits within months, and so between a
+/// controller's last write to its log and the loss. Thousands of rebuilds stay below 2^42, the
+/// limit of the revisions that attempt numbers can be derived from.
 const REVISION_HEADROOM: u64 = 1 << 30;
 
 /// Reads the records that the store still holds of the generation that this process knows.
@@ -54,8 +54,8 @@
     Identity { namespace, base: newest_seen + REVISION_HEADROOM, ..next }
 }
 
-/// Reports whether the store's revisions continue those that the candidates have seen. The phase is ignored,
-/// since the generation may have been given up.
+/// Reports whether the store's revisions continue those that the candidates have seen. The phase is
+/// ignored, since the generation may have been given up.
 fn is_same_lineage(node: &str, history: &History, observed: &Observed) -> bool {
     let identity = observed.identity.as_ref().map(|found| Stamped {
         value: Identity { phase: Phase::Serving, ..found.value.clone() },
--- a/crates/quartzlever-recovery/src/rebuild/writer.rs
+++ b/crates/quartzlever-recovery/src/rebuild/writer.rs
@@ -1,7 +1,7 @@
 //! Writing the next generation while holding the lock.
 //!
-//! Invariant: every transaction has the lock and the observed identity as conditions (the fence), so a writer
-//! that has lost the lock cannot commit anything. The identity itself is written last.
+//! Invariant: every transaction has the lock and the observed identity as conditions (the fence),
+//! so a writer that has lost the lock cannot commit anything. The identity itself is written last.
 
 use quartzlever_wire::Json;
 use quartzlever_wire::store::{Change, Condition, Txn};
@@ -43,8 +43,8 @@
         Writer { session, observed, fence }
     }
 
-    /// Rebuilds the records from this process's history, the changes that other candidates have published,
-    /// and the records that the store still holds.
+    /// Rebuilds the records from this process's history, the changes that other candidates have
+    /// published, and the records that the store still holds.
     pub(super) fn rebuild_from(
         &mut self,
         history: &History,
@@ -68,8 +68,9 @@
         Ok(())
     }
 
-    /// Creates a generation from the records in the store as they are, since no controller has a history.
-    /// This is the first generation, unless one was given up and every recovery directory was lost since.
+    /// Creates a generation from the records in the store as they are, since no controller has a
+    /// history. This is the first generation, unless one was given up and every recovery directory
+    /// was lost since.
     pub(super) fn found_generation(&mut self) -> StepResult<()> {
         let identity = match &self.observed.identity {
             Some(given_up) => {
@@ -92,8 +93,8 @@
         Ok(())
     }
 
-    /// Reports whether each controller that was up is a candidate whose log is verified to hold every change
-    /// that it acted on.
+    /// Reports whether each controller that was up is a candidate whose log is verified to hold
+    /// every change that it acted on.
     fn are_other_logs_verified(&self, history: &History) -> bool {
         let candidates = &self.observed.candidates;
         let is_verified =
@@ -116,7 +117,8 @@
         Ok(())
     }
 
-    /// Makes the written records the next generation, in one transaction that also releases the lock.
+    /// Makes the written records the next generation, in one transaction that also releases the
+    /// lock.
     fn commit_generation(
         &mut self,
         next: &Identity,
--- a/crates/quartzlever-recovery/tests/files.rs
+++ b/crates/quartzlever-recovery/tests/files.rs
@@ -1,4 +1,4 @@
-//! Snapshots and logs that are torn, corrupt or missing.
+//! Tests of reading snapshots and logs that are truncated, corrupt or missing.
 
 use quartzlever_recovery::format::{
     FormatError, LogEntry, Snapshot, WriteTimes, log_frame, log_header, read_log,
@@ -49,55 +49,56 @@
     LogEntry::Begin { identity: identity(), revision }
 }
 
-/// A power cut may leave any partition of the last entries: what is whole counts, and nothing else does.
+/// A power failure may truncate a log at any byte. Exactly the entries that are whole must be read.
 #[test]
-fn a_log_may_end_anywhere() {
+fn a_truncated_log_yields_exactly_its_whole_entries() {
     let entries =
         [begin(1), update(vec![written("live/a", 2)], 2), update(vec![deleted("live/a", 3)], 3)];
     let bytes = log(&entries);
-    let mut seen = Vec::new();
+    let mut entry_counts = Vec::new();
     for end in log_header().len()..=bytes.len() {
         let content = read_log(&bytes[..end]).expect("a log");
         let count = content.entries.len();
         assert_eq!(content.entries, entries[..count], "{end}");
         assert_eq!(content.torn_bytes, end - log(&entries[..count]).len(), "{end}");
-        seen.push(count);
+        entry_counts.push(count);
     }
-    seen.dedup();
-    assert_eq!(seen, [0, 1, 2, 3]);
+    entry_counts.dedup();
+    assert_eq!(entry_counts, [0, 1, 2, 3]);
 }
 
 #[test]
-fn no_damaged_byte_goes_unnoticed() {
+fn every_damaged_byte_and_every_truncation_of_a_snapshot_is_detected() {
     let good = snapshot(7, &[("live/a", 3), ("over/b", 6)]);
     assert!(Snapshot::from_bytes(&good).is_ok());
     for at in 0..good.len() {
         let mut bad = good.clone();
         bad[at] ^= 0x10;
-        assert!(Snapshot::from_bytes(&bad).is_err(), "byte {at}");
-        assert!(Snapshot::from_bytes(&good[..at]).is_err(), "cut at {at}");
+        assert!(Snapshot::from_bytes(&bad).is_err(), "damaged at byte {at}");
+        assert!(Snapshot::from_bytes(&good[..at]).is_err(), "truncated to {at} bytes");
     }
-    let mut later = good.clone();
-    later[8] = 9;
-    assert_eq!(Snapshot::from_bytes(&later), Err(FormatError::Version(9)));
+    let mut newer_version = good.clone();
+    newer_version[8] = 9;
+    assert_eq!(Snapshot::from_bytes(&newer_version), Err(FormatError::Version(9)));
     assert_eq!(Snapshot::from_bytes(b"something else"), Err(FormatError::Foreign));
 }
 
-/// What is left of two pairs of files, one of them damaged, and whether it is known to be everything.
+/// Reads two pairs of snapshot and log of which some are damaged or missing. The history must hold
+/// what can be recovered, and must be marked complete only if no change can be missing from it.
 #[test]
-fn a_damaged_snapshot_falls_back_to_the_one_before() {
+fn a_damaged_snapshot_falls_back_to_the_previous_one() {
     let first = || snapshot(10, &[("live/a", 3)]);
     let first_log = || log(&[begin(10), update(vec![written("live/b", 12)], 12)]);
     let second = || snapshot(12, &[("live/a", 3), ("live/b", 12)]);
     let second_log = || log(&[begin(12), update(vec![deleted("live/a", 15)], 15)]);
-    let damaged = || second()[..40].to_vec();
-    let torn = || {
+    let truncated_snapshot = || second()[..40].to_vec();
+    let truncated_log = || {
         let mut bytes = first_log();
         bytes.truncate(bytes.len() - 3);
         bytes
     };
     type Files = [Option<Vec<u8>>; 2];
-    /// Snapshots, logs, keys, complete to, whole, complaints.
+    /// Snapshots, logs, expected keys, expected revision, completeness, number of complaints.
     type Case<'a> = (Files, Files, &'a [&'a str], u64, bool, usize);
     let cases: Vec<Case> = vec![
         (
@@ -109,7 +110,7 @@
             0,
         ),
         (
-            [Some(first()), Some(damaged())],
+            [Some(first()), Some(truncated_snapshot())],
             [Some(first_log()), Some(second_log())],
             &["live/b"],
             15,
@@ -125,10 +126,17 @@
             false,
             1,
         ),
-        ([Some(first()), Some(damaged())], [None, Some(second_log())], &["live/a"], 10, false, 3),
         (
-            [Some(first()), Some(damaged())],
-            [Some(torn()), Some(second_log())],
+            [Some(first()), Some(truncated_snapshot())],
+            [None, Some(second_log())],
+            &["live/a"],
+            10,
+            false,
+            3,
+        ),
+        (
+            [Some(first()), Some(truncated_snapshot())],
+            [Some(truncated_log()), Some(second_log())],
             &["live/a"],
             10,
             false,
@@ -154,10 +162,10 @@
     }
 }
 
-/// Own changes are known before earlier ones of others, and watches tell things twice: whatever the
-/// order, the latest change of a key stands.
+/// A controller learns its own changes before earlier ones of other controllers, and a watch may
+/// deliver a change that is already known. Whatever the order, the latest change of a key must win.
 #[test]
-fn changes_may_come_in_any_order_and_twice() {
+fn the_latest_change_of_a_key_wins_whatever_the_order_and_repetition() {
     let changes = [
         (vec![written("live/a", 11)], Some(11)),
         (vec![written("live/a", 11), written("live/a", 12), written("live/b", 13)], Some(13)),
@@ -174,7 +182,10 @@
             let (changes, complete_to) = changes[n].clone();
             picture.apply(Update { changes, complete_to });
             is_deleted |= [2, 4].contains(&n);
-            assert!(!is_deleted || picture.get("live/a").is_none(), "{order:?}: back at {n}");
+            assert!(
+                !is_deleted || picture.get("live/a").is_none(),
+                "{order:?}: deleted record reappeared at update {n}"
+            );
         }
         assert_eq!(picture.get("live/a"), None, "{order:?}");
         assert_eq!(picture.get("live/b").map(|r| r.mod_revision), Some(15), "{order:?}");
--- a/crates/quartzlever-recovery/tests/plans.rs
+++ b/crates/quartzlever-recovery/tests/plans.rs
@@ -1,4 +1,5 @@
-//! Which records a rebuild takes from a controller's picture, and which from what the store still holds.
+//! Tests of which records a rebuild takes from a controller's picture, and which from the surviving
+//! records of the store.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +8,81 @@
 
 type Rows<'a> = &'a [(&'a str, u64)];
 
-/// Records whose values tell where they come from, and their modification revisions.
-fn records(from: &str, rows: Rows) -> BTreeMap<String, Record> {
+/// Returns records whose values consist of their source and their modification revision.
+fn records(source: &str, rows: Rows) -> BTreeMap<String, Record> {
     let record = |mod_revision: &u64| Record {
-        value: format!("\"{from}{mod_revision}\""),
+        value: format!("\"{source}{mod_revision}\""),
         mod_revision: *mod_revision,
     };
     rows.iter().map(|(key, mod_revision)| ((*key).to_owned(), record(mod_revision))).collect()
 }
 
-/// The picture is complete to revision 20.
+/// Final states take precedence over records of active jobs. Of two records of a key the later one
+/// does, if their revisions can be compared, and else the picture's. The picture is complete up to
+/// revision 20.
 #[test]
-fn final_states_and_later_changes_stand() {
-    // (what, picture, store, its revisions never went back, the records)
+fn final_states_and_later_changes_take_precedence() {
+    // (name, picture, store, whether the revisions can be compared, expected records)
     type Case<'a> = (&'a str, Rows<'a>, Rows<'a>, bool, &'a [(&'a str, &'a str)]);
     let cases: &[Case] = &[
-        ("lost", &[("live/a", 5), ("over/b", 6)], &[], true, &[("live/a", "p5"), ("over/b", "p6")]),
-        ("changed since", &[("live/a", 5)], &[("live/a", 25)], true, &[("live/a", "s25")]),
-        ("a new line", &[("live/a", 5)], &[("live/a", 25)], false, &[("live/a", "p5")]),
-        ("ended since", &[("live/a", 5)], &[("over/a", 25)], true, &[("over/a", "s25")]),
-        ("ended by others", &[("live/a", 5)], &[("over/a", 3)], false, &[("over/a", "s3")]),
-        ("came back", &[("over/a", 9)], &[("live/a", 7)], false, &[("over/a", "p9")]),
-        ("ended, then came back", &[], &[("live/a", 7)], true, &[]),
-        ("accepted since", &[], &[("live/a", 22)], true, &[("live/a", "s22")]),
-        ("accepted by others", &[], &[("live/a", 2)], false, &[("live/a", "s2")]),
-        ("pages alone", &[("pages/a/00000001", 5)], &[], true, &[]),
+        (
+            "missing from the store",
+            &[("live/a", 5), ("over/b", 6)],
+            &[],
+            true,
+            &[("live/a", "p5"), ("over/b", "p6")],
+        ),
+        (
+            "changed in the store after the picture",
+            &[("live/a", 5)],
+            &[("live/a", 25)],
+            true,
+            &[("live/a", "s25")],
+        ),
+        (
+            "changed in a new revision sequence",
+            &[("live/a", 5)],
+            &[("live/a", 25)],
+            false,
+            &[("live/a", "p5")],
+        ),
+        (
+            "ended in the store after the picture",
+            &[("live/a", 5)],
+            &[("over/a", 25)],
+            true,
+            &[("over/a", "s25")],
+        ),
+        (
+            "ended in a new revision sequence",
+            &[("live/a", 5)],
+            &[("over/a", 3)],
+            false,
+            &[("over/a", "s3")],
+        ),
+        (
+            "active in the store although ended in the picture",
+            &[("over/a", 9)],
+            &[("live/a", 7)],
+            false,
+            &[("over/a", "p9")],
+        ),
+        (
+            "active in the store at a revision that the picture covers without it",
+            &[],
+            &[("live/a", 7)],
+            true,
+            &[],
+        ),
+        (
+            "accepted in the store after the picture",
+            &[],
+            &[("live/a", 22)],
+            true,
+            &[("live/a", "s22")],
+        ),
+        ("accepted in a new revision sequence", &[], &[("live/a", 2)], false, &[("live/a", "s2")]),
+        ("pages without their job", &[("pages/a/00000001", 5)], &[], true, &[]),
         (
             "pages with their job",
             &[("live/a", 4), ("pages/a/00000001", 5)],
@@ -47,28 +98,28 @@
             &[("over/a", "p9")],
         ),
         (
-            "what is on leases",
+            "records bound to leases",
             &[("parts/one", 5), ("heard/one/two", 6), ("cluster/nodes/one", 7)],
             &[("parts/one", 25)],
             true,
             &[],
         ),
         (
-            "the cluster's own",
+            "records of the cluster",
             &[("cluster/version", 3), ("catalogue", 4)],
             &[("cluster/version", 1)],
             false,
             &[("catalogue", "p4"), ("cluster/version", "p3")],
         ),
     ];
-    for (what, picture, store, same_lineage, expected) in cases {
+    for (name, picture, store, same_lineage, expected) in cases {
         let picture = Picture::new(20, records("p", picture));
         let survivors = Survivors { rows: records("s", store), same_lineage: *same_lineage };
         let plan = plan(&picture, &survivors);
         let found: Vec<(&str, &str)> =
             plan.records.iter().map(|(key, v)| (key.as_str(), v.trim_matches('"'))).collect();
-        assert_eq!(found, *expected, "{what}");
-        // Writing the changes brings the store to exactly these records.
+        assert_eq!(found, *expected, "{name}");
+        // The changes of the plan must turn the store's records into exactly the planned ones.
         let mut after: BTreeMap<String, String> = BTreeMap::new();
         if *same_lineage {
             after.extend(survivors.rows.iter().map(|(key, r)| (key.clone(), r.value.clone())));
@@ -83,6 +134,6 @@
                 }
             }
         }
-        assert_eq!(after, plan.records, "{what}");
+        assert_eq!(after, plan.records, "{name}");
     }
 }
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -1,4 +1,4 @@
-//! From a store that has lost data to one that may be worked with, whatever fails on the way.
+//! Tests of the whole rebuild of a store that has lost data, with failures at every step.
 
 mod world;
 
@@ -14,8 +14,10 @@
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, SECOND};
 
-use world::{Access, START, Shared, WORKER_LEASE, fill, history, local, opened, settings, start};
-use world::{values, world};
+use world::{
+    START, SharedWorld, TestAccess, WORKER_LEASE, history, local, open_store, run_open, settings,
+    values, world, write_records,
+};
 
 const RECORDS: &[(&str, &str)] = &[
     ("cluster/version", r#"{"version":2}"#),
@@ -26,16 +28,16 @@
     ("over/req-4", r#"{"phase":"aborted","done":0}"#),
 ];
 
-/// The other controllers have announced themselves, with nothing beyond what is known to all.
-fn announce_others(world: &Shared) {
+/// Announces the other controllers as candidates without changes of their own.
+fn announce_others(world: &SharedWorld) {
     announce(world, &["two", "three"]);
 }
 
-fn announce(world: &Shared, nodes: &[&str]) {
+fn announce(world: &SharedWorld, nodes: &[&str]) {
     announce_with_extras(world, nodes, Some(0));
 }
 
-fn announce_with_extras(world: &Shared, nodes: &[&str], extras_after: Option<u64>) {
+fn announce_with_extras(world: &SharedWorld, nodes: &[&str], extras_after: Option<u64>) {
     let now = world.borrow().now;
     for node in nodes {
         let candidate = Candidate {
@@ -50,63 +52,65 @@
     }
 }
 
-/// A rebuild that ends at any call leaves the store as lost as it was, or rebuilt in full; the next
-/// controller goes on from there.
+/// A process that dies at any call of its rebuild must leave the store either not rebuilt or
+/// rebuilt completely, and the next process must be able to continue from there.
 #[test]
-fn a_rebuild_may_end_at_any_call() {
+fn a_rebuild_killed_at_any_call_is_completed_by_the_next_process() {
     let mut killed = 0;
     for call in 1.. {
         let world = world();
-        fill(&world, RECORDS);
+        write_records(&world, RECORDS);
         let history = history(&world);
         world.borrow_mut().store.wipe();
         announce_others(&world);
-        let mut first = Access::new(&world);
+        let mut first = TestAccess::new(&world);
         first.killed_at = Some(call);
-        if start(&mut first, &settings("one", 1), &local(&history)).is_some() {
+        if run_open(&mut first, &settings("one", 1), &local(&history)).is_some() {
             break;
         }
         killed += 1;
-        // The store may lose everything once more meanwhile.
+        // In one of three cases the store loses all data again before the next process starts.
         if call % 3 == 0 {
             world.borrow_mut().store.wipe();
             announce_others(&world);
         }
-        let mut second = Access::new(&world);
-        let result = start(&mut second, &settings("one", 2), &local(&history));
+        let mut second = TestAccess::new(&world);
+        let result = run_open(&mut second, &settings("one", 2), &local(&history));
         let opened = result.expect("not killed").expect("opened");
         assert_eq!(values(&opened.picture), RECORDS.to_vec(), "killed at call {call}");
         assert!(opened.generation.identity.generation > 0, "killed at call {call}");
     }
-    assert!(killed > 10, "{killed}");
+    assert!(killed > 10, "killed at only {killed} calls");
 }
 
-/// Tokens and attempts are made of revisions: workers drop what is lower than they have seen.
+/// Fencing tokens and attempt numbers are derived from revisions, and workers ignore numbers lower
+/// than those they have seen.
 #[test]
-fn revisions_never_sink_and_nothing_of_an_earlier_generation_comes_into_force() {
+fn revisions_never_decrease_and_transactions_of_earlier_generations_are_rejected() {
     let world = world();
-    fill(&world, RECORDS);
+    write_records(&world, RECORDS);
     let mut history = history(&world);
     let mut seen = history.picture.newest();
-    let mut late: Vec<StoreCall> = Vec::new();
+    let mut stale_calls: Vec<StoreCall> = Vec::new();
     for round in 1..4 {
-        // Decided before the loss, at whatever modification revisions: those of the next line are as small.
+        // Transactions planned before the loss, with all low modification revisions: the store,
+        // which counts from the beginning again, reaches the same ones after the loss.
         for (identity, record) in (1..30).flat_map(|i| (1..30).map(move |r| (i, r))) {
             let known = history.identity.clone();
             let generation = Generation { identity: known, mod_revision: identity };
             let mod_revision = generation.revision(record);
             let txn =
                 Txn::default().if_mod_revision("live/req-1", mod_revision).delete("live/req-1");
-            late.push(generation.to_store(&StoreCall::Txn(txn)));
+            stale_calls.push(generation.to_store(&StoreCall::Txn(txn)));
         }
         world.borrow_mut().store.wipe();
         announce_others(&world);
-        let opened = opened(&world, "one", &local(&history));
+        let opened = open_store(&world, "one", &local(&history));
         assert_eq!(opened.generation.identity.generation, round);
         assert!(opened.picture.revision() > seen + 1_000_000, "{round}");
         let oldest = opened.picture.rows().values().map(|r| r.mod_revision).min();
         assert!(oldest > Some(seen), "{round}: {oldest:?}, {seen}");
-        for call in &late {
+        for call in &stale_calls {
             let now = world.borrow().now;
             let reply = world.borrow_mut().store.call(now, call);
             assert!(matches!(reply, Ok(StoreReply::Conflict(_))), "{round}: {call:?} {reply:?}");
@@ -118,10 +122,12 @@
     }
 }
 
-/// Where the log may lack what was done last, no order leaves before every worker's lease has ended.
+/// If the log may lack the last actions before the loss, no worker may get a command before the
+/// leases of all workers have expired.
 #[test]
-fn an_unproven_log_waits_out_the_workers() {
-    // (mark, age of the log, whole, controllers that were up and are away, waits)
+fn an_unverified_log_delays_the_rebuild_until_worker_leases_expire() {
+    // (marked, age of the log, whether it is complete, controllers that were up, whether the
+    // rebuild waits)
     let cases: &[(bool, u64, bool, &[&str], bool)] = &[
         (true, 0, true, &[], false),
         (true, 10 * SECOND, true, &["one", "two"], false),
@@ -132,7 +138,7 @@
     ];
     for (marked, age, is_complete, up, waits) in cases {
         let world = world();
-        fill(&world, RECORDS);
+        write_records(&world, RECORDS);
         let mut history = history(&world);
         for node in *up {
             let change = KeyChange {
@@ -147,25 +153,26 @@
         announce_others(&world);
         let mut local = local(&history);
         local.marked = *marked;
-        let opened = opened(&world, "one", &local);
+        let opened = open_store(&world, "one", &local);
         let took = world.borrow().now - START;
         assert_eq!(took > WORKER_LEASE, *waits, "{marked} {age} {is_complete} {up:?}: {took}");
-        // A controller that was up and is away may alone know of some jobs.
+        // A controller that was up and is absent may know jobs that no other controller knows.
         assert_eq!(opened.lacks_jobs, up.contains(&"four"), "{up:?}");
     }
 }
 
-/// Each candidate may alone know of a change that it has made just before the loss.
+/// Each candidate may be the only one that knows a change that it made just before the loss.
 #[test]
-fn the_last_changes_of_all_candidates_are_in_the_records() {
+fn a_rebuild_includes_the_last_changes_of_all_candidates() {
     let world = world();
-    fill(&world, RECORDS);
+    write_records(&world, RECORDS);
     let history = history(&world);
     world.borrow_mut().store.wipe();
     let newest = history.picture.newest();
-    // Longer than a value of the store, with characters that no piece may cut or escape wrongly.
+    // Longer than a value of the store may be, with characters that must not be split or escaped
+    // wrongly.
     let long = format!(r#"{{"a":"{}"}}"#, r#"\"é"#.repeat(300));
-    let known_to = |changes: Vec<(&str, Option<&str>, u64)>| {
+    let local_with = |changes: Vec<(&str, Option<&str>, u64)>| {
         let mut history = history.clone();
         let changes = changes.into_iter().map(|(key, value, after)| KeyChange {
             key: key.into(),
@@ -175,23 +182,24 @@
         history.picture.apply(Update { changes: changes.collect(), complete_to: None });
         local(&history)
     };
-    let one = known_to(vec![("live/req-5", Some(&long), 3), ("over/req-7", Some("{}"), 3)]);
-    let two = known_to(vec![("live/req-1", None, 2), ("over/req-1", Some("{}"), 2)]);
-    // Both announce themselves, and one of them tells the other of its last changes; then the one that
-    // knows the latest rebuilds.
+    let one = local_with(vec![("live/req-5", Some(&long), 3), ("over/req-7", Some("{}"), 3)]);
+    let two = local_with(vec![("live/req-1", None, 2), ("over/req-1", Some("{}"), 2)]);
+    // Both announce themselves, and one of them publishes its last changes; then the one with the
+    // latest records rebuilds.
     announce(&world, &["three"]);
     for (node, local, killed_at) in [("one", &one, 4), ("two", &two, 12)] {
-        let mut access = Access::new(&world);
+        let mut access = TestAccess::new(&world);
         access.killed_at = Some(killed_at);
-        assert!(start(&mut access, &settings(node, 1), local).is_none(), "{node}");
+        assert!(run_open(&mut access, &settings(node, 1), local).is_none(), "{node}");
     }
-    let opened = opened(&world, "one", &one);
+    let opened = open_store(&world, "one", &one);
     let mut expected = RECORDS.to_vec();
     expected.retain(|(key, _)| *key != "live/req-1");
     expected.extend([("live/req-5", long.as_str()), ("over/req-1", "{}"), ("over/req-7", "{}")]);
     expected.sort();
-    // Final states that a candidate did not know are not left to be written later: it would answer by what it
-    // knows. A controller whose disk had been full called a job running that was done.
+    // Final states that some candidate does not know must be written at once, since that candidate
+    // answers from its picture: a controller whose disk had been full reported a finished job as
+    // running.
     let in_store = world.borrow().store.keys("generation/");
     for (job, there) in [("req-1", true), ("req-7", true), ("req-3", false)] {
         let found = in_store.iter().any(|key| key.ends_with(&format!("/over/{job}")));
@@ -200,61 +208,61 @@
     assert_eq!(values(&opened.picture), expected, "{:#?}", world.borrow().events);
 }
 
-/// A controller that has lost the lock makes nothing the next generation, at whatever step it was.
+/// A controller that has lost the lock must not commit a generation, whichever step it has reached.
 #[test]
-fn who_has_lost_the_lock_rebuilds_nothing() {
-    let mut overtaken = 0;
+fn a_controller_that_lost_the_lock_commits_no_generation() {
+    let mut aborted = 0;
     for pause in 1..30 {
         let world = world();
-        fill(&world, RECORDS);
+        write_records(&world, RECORDS);
         let history = history(&world);
         world.borrow_mut().store.wipe();
         announce_others(&world);
-        let mut access = Access::new(&world);
+        let mut access = TestAccess::new(&world);
         access.killed_at = Some(100);
-        access.later = Some((pause, |w| {
+        access.scheduled_change = Some((pause, |w| {
             let lock = Lock { node: "two".into(), process: 9 };
             let txn =
-                Txn::default().write(LOCK_KEY, Json::of(&lock)).write("overtaken", Json::of(&1));
+                Txn::default().write(LOCK_KEY, Json::of(&lock)).write("lock_lost", Json::of(&1));
             w.store.call(w.now, &StoreCall::Txn(txn)).expect("written");
         }));
-        start(&mut access, &settings("one", 1), &local(&history));
+        run_open(&mut access, &settings("one", 1), &local(&history));
         let world = world.borrow();
         let mod_revision = |key: &str| world.store.get(key).map(|(_, mod_revision)| mod_revision);
-        match (mod_revision(IDENTITY_KEY), mod_revision("overtaken")) {
+        match (mod_revision(IDENTITY_KEY), mod_revision("lock_lost")) {
             (Some(rebuilt), Some(lost)) => assert!(rebuilt < lost, "pause {pause}"),
             (Some(_), None) => {}
-            (None, _) => overtaken += 1,
+            (None, _) => aborted += 1,
         }
     }
-    assert!((1..29).contains(&overtaken), "{overtaken}");
+    assert!((1..29).contains(&aborted), "{aborted} rebuilds aborted");
 }
 
-/// Final states need not be written before the next generation serves: who knew them has them at hand, and
-/// who knows none waits until they are written.
+/// Final states need not be written before the next generation serves: a controller that knew them
+/// inherits them, and a controller without a history waits until they are written.
 #[test]
-fn final_states_are_inherited_and_written_later() {
+fn final_states_are_inherited_and_written_after_the_rebuild() {
     let world = world();
-    fill(&world, RECORDS);
+    write_records(&world, RECORDS);
     let known = history(&world);
     world.borrow_mut().store.wipe();
     announce_others(&world);
-    let opened = opened(&world, "one", &local(&known));
+    let opened = open_store(&world, "one", &local(&known));
     let (generation, base) = (&opened.generation, opened.generation.identity.base);
-    let in_store = |world: &Shared| world.borrow().store.keys("generation/").len();
+    let in_store = |world: &SharedWorld| world.borrow().store.keys("generation/").len();
     assert_eq!(values(&opened.picture), RECORDS.to_vec());
     assert_eq!(in_store(&world), RECORDS.len() - 2, "all but the final states");
 
-    let waits = |world: &Shared| {
-        let mut access = Access::new(world);
+    let waits = |world: &SharedWorld| {
+        let mut access = TestAccess::new(world);
         access.killed_at = Some(30);
-        start(&mut access, &settings("two", 1), &Default::default()).is_none()
+        run_open(&mut access, &settings("two", 1), &Default::default()).is_none()
     };
     assert!(waits(&world), "a controller without a history");
     let carried_over: Vec<_> =
         opened.picture.carried_over(base, "").map(|(k, r)| (k.clone(), r.clone())).collect();
     assert_eq!(carried_over.len(), 2);
-    // Two controllers write them; one that comes later changes nothing.
+    // Two controllers write them; the second write changes nothing.
     for written in [true, false] {
         let mut store = |call: &StoreCall| {
             let mut world = world.borrow_mut();
@@ -268,32 +276,33 @@
     assert_eq!(in_store(&world), RECORDS.len());
     let gone = Txn::default().delete(PENDING_FINAL_STATES_KEY);
     world.borrow_mut().store.call(START, &StoreCall::Txn(gone)).expect("written");
-    assert!(!waits(&world), "all are there");
+    assert!(!waits(&world), "all final states are written");
 }
 
-/// Nothing is rebuilt before a candidate that is there has told of its last changes.
+/// A rebuild that did not wait for a present candidate to publish its last changes would lose them.
 #[test]
-fn the_last_changes_of_a_candidate_are_awaited() {
+fn a_rebuild_waits_for_the_last_changes_of_every_candidate() {
     let world = world();
-    fill(&world, RECORDS);
+    write_records(&world, RECORDS);
     let history = history(&world);
     world.borrow_mut().store.wipe();
     announce(&world, &["three"]);
     announce_with_extras(&world, &["two"], None);
-    let mut access = Access::new(&world);
+    let mut access = TestAccess::new(&world);
     access.killed_at = Some(100);
-    assert!(start(&mut access, &settings("one", 1), &local(&history)).is_none());
-    assert!(world.borrow().store.get(IDENTITY_KEY).is_none(), "rebuilt without them");
+    assert!(run_open(&mut access, &settings("one", 1), &local(&history)).is_none());
+    assert!(world.borrow().store.get(IDENTITY_KEY).is_none(), "rebuilt without the last changes");
     announce(&world, &["two"]);
-    let opened = opened(&world, "one", &local(&history));
+    let opened = open_store(&world, "one", &local(&history));
     assert_eq!(values(&opened.picture), RECORDS.to_vec());
 }
 
-/// A controller that was away during the rebuild hands in the jobs that it alone knows.
+/// A controller that was absent during the rebuild contributes the jobs that no other controller
+/// knows.
 #[test]
-fn a_controller_that_comes_back_contributes_what_it_alone_knows() {
+fn a_returning_controller_contributes_the_jobs_that_it_alone_knows() {
     let world = world();
-    fill(&world, RECORDS);
+    write_records(&world, RECORDS);
     let before = history(&world);
     let now = world.borrow().now;
     let txn = Txn::default()
@@ -301,87 +310,93 @@
         .delete("live/req-2")
         .write("over/req-2", Json::from_text("{}").expect("JSON"));
     world.borrow_mut().store.call(now, &StoreCall::Txn(txn)).expect("written");
-    let away = history(&world);
+    let absent = history(&world);
     world.borrow_mut().store.wipe();
     announce_others(&world);
-    let rebuilt = opened(&world, "one", &local(&before));
-    assert!(rebuilt.picture.get("live/req-2").is_some(), "not known yet");
-    let back = opened(&world, "two", &local(&away));
-    assert_eq!(back.generation, rebuilt.generation, "nothing is rebuilt again");
+    let rebuilt = open_store(&world, "one", &local(&before));
+    assert!(rebuilt.picture.get("live/req-2").is_some(), "the end of req-2 is not known yet");
+    let returned = open_store(&world, "two", &local(&absent));
+    assert_eq!(returned.generation, rebuilt.generation, "no second rebuild");
     for (key, there) in [("live/req-2", false), ("over/req-2", true), ("live/req-6", true)] {
-        assert_eq!(back.picture.get(key).is_some(), there, "{key}");
+        assert_eq!(returned.picture.get(key).is_some(), there, "{key}");
     }
 }
 
-/// A controller without a history says so: it cannot tell a record that is lost from one that never was, and
-/// answered 404 about a job that was done.
+/// A controller without a history cannot tell a lost record from one that never existed, and so
+/// answered 404 for a finished job. It must report that jobs may be missing until another
+/// controller verifies the records.
 #[test]
-fn a_controller_without_a_history_is_to_be_vouched_for() {
+fn a_controller_without_a_history_may_lack_jobs_until_the_records_are_verified() {
     let world = world();
-    fill(&world, RECORDS);
+    write_records(&world, RECORDS);
     let history = history(&world);
-    assert!(opened(&world, "two", &Default::default()).lacks_jobs);
-    assert!(opened(&world, "two", &local(&history)).lacks_jobs, "started again, unvouched");
-    assert!(!opened(&world, "one", &local(&history)).lacks_jobs);
+    assert!(open_store(&world, "two", &Default::default()).lacks_jobs);
+    assert!(
+        open_store(&world, "two", &local(&history)).lacks_jobs,
+        "restarted before the verification"
+    );
+    assert!(!open_store(&world, "one", &local(&history)).lacks_jobs);
 }
 
-/// What a controller finds at its start, and whether it rebuilds.
+/// A controller must rebuild if the store shows a loss at its start, and must not after an outage
+/// or after changes that other controllers may have made.
 #[test]
-fn only_what_the_store_shows_is_taken_for_a_loss() {
+fn only_a_loss_shown_by_the_store_causes_a_rebuild() {
     let write = |w: &mut world::World, key: &str, value: &str| {
         let txn = Txn::default().write(key, Json::from_text(value).expect("JSON"));
         w.store.call(START, &StoreCall::Txn(txn)).expect("written");
     };
-    /// What befalls the store, and the generation that serves then.
+    /// Name, fault, and the number of the generation that serves afterwards.
     type Case = (&'static str, fn(&mut world::World), u32);
     let cases: &[Case] = &[
-        ("nothing", |_| {}, 0),
-        ("an outage", |w| w.store.outage = true, 0),
-        ("an identity that is gone", |w| w.store.lose(|key| key == IDENTITY_KEY), 1),
-        ("a final state that is gone", |w| w.store.lose(|key| key == "over/req-3"), 1),
-        ("a job that is gone", |w| w.store.lose(|key| key == "live/req-1"), 1),
-        ("the cluster's version that is gone", |w| w.store.lose(|k| k == "cluster/version"), 1),
-        ("machines that were returned", |w| w.store.lose(|key| key.starts_with("hosts/")), 0),
-        ("everything gone", |w| w.store.wipe(), 1),
-        ("a witness that went back", |w| w.store.lose(|key| key.starts_with(WITNESS_PREFIX)), 1),
+        ("no fault", |_| {}, 0),
+        ("outage", |w| w.store.outage = true, 0),
+        ("missing identity", |w| w.store.lose(|key| key == IDENTITY_KEY), 1),
+        ("missing final state", |w| w.store.lose(|key| key == "over/req-3"), 1),
+        ("missing active job", |w| w.store.lose(|key| key == "live/req-1"), 1),
+        ("missing cluster version", |w| w.store.lose(|k| k == "cluster/version"), 1),
+        ("machines that were terminated", |w| w.store.lose(|key| key.starts_with("hosts/")), 0),
+        ("all data missing", |w| w.store.wipe(), 1),
+        ("missing witness counter", |w| w.store.lose(|key| key.starts_with(WITNESS_PREFIX)), 1),
     ];
-    for (what, injects, generation) in cases {
+    for (name, inject, generation) in cases {
         let world = world();
-        fill(&world, RECORDS);
+        write_records(&world, RECORDS);
         write(&mut world.borrow_mut(), &format!("{WITNESS_PREFIX}one"), r#"{"count":7}"#);
         let mut history = history(&world);
         history.witness = 7;
-        injects(&mut world.borrow_mut());
+        inject(&mut world.borrow_mut());
         if !world.borrow().store.outage {
             announce_others(&world);
         }
-        let mut access = Access::new(&world);
-        access.later = Some((20, |w| w.store.end_outage(w.now)));
-        let result = start(&mut access, &settings("one", 1), &local(&history));
+        let mut access = TestAccess::new(&world);
+        access.scheduled_change = Some((20, |w| w.store.end_outage(w.now)));
+        let result = run_open(&mut access, &settings("one", 1), &local(&history));
         let opened = result.expect("not killed").expect("opened");
-        assert_eq!(opened.generation.identity.generation, *generation, "{what}");
-        let lost_machines = what.starts_with("machines");
+        assert_eq!(opened.generation.identity.generation, *generation, "{name}");
+        let lost_machines = name.starts_with("machines");
         let kept = RECORDS.iter().filter(|(key, _)| !lost_machines || !key.starts_with("hosts"));
         let expected: Vec<_> = kept.copied().collect();
-        assert_eq!(values(&opened.picture), expected, "{what}");
+        assert_eq!(values(&opened.picture), expected, "{name}");
     }
 }
 
-/// The first start founds a cluster only when all controllers say that they know of none: one whose
-/// directory is empty may have been away when everything was lost.
+/// A cluster is founded only once all controllers have announced that they have no history. An
+/// empty store and an empty directory alone may also mean that everything was lost while this
+/// controller was absent.
 #[test]
-fn a_cluster_is_founded_by_all_controllers_together() {
+fn a_cluster_is_founded_only_once_all_controllers_are_candidates() {
     let world = world();
-    let mut access = Access::new(&world);
+    let mut access = TestAccess::new(&world);
     access.killed_at = Some(60);
-    assert!(start(&mut access, &settings("one", 1), &Default::default()).is_none());
+    assert!(run_open(&mut access, &settings("one", 1), &Default::default()).is_none());
     assert!(world.borrow().store.get(IDENTITY_KEY).is_none(), "founded alone");
     for node in ["three", "two"] {
-        let mut access = Access::new(&world);
+        let mut access = TestAccess::new(&world);
         access.killed_at = Some(6);
-        assert!(start(&mut access, &settings(node, 1), &Default::default()).is_none());
+        assert!(run_open(&mut access, &settings(node, 1), &Default::default()).is_none());
     }
-    let founded = opened(&world, "one", &Default::default());
+    let founded = open_store(&world, "one", &Default::default());
     assert_eq!(founded.generation.identity.generation, 0);
 
     let foreign = local(&{
@@ -389,19 +404,20 @@
         history.identity.cluster = "another".into();
         history
     });
-    let mut access = Access::new(&world);
-    let refused = start(&mut access, &settings("two", 1), &foreign);
+    let mut access = TestAccess::new(&world);
+    let refused = run_open(&mut access, &settings("two", 1), &foreign);
     assert_eq!(refused, Some(Err(RebuildError::ForeignCluster)));
 }
 
-/// Answers of a store that has lost data reach nobody; a loss is not made of refusals.
+/// The guard must reject every reply of a store that has lost data, and must not report a loss when
+/// a call is refused.
 #[test]
-fn no_answer_of_a_store_that_lost_data_counts() {
+fn the_guard_rejects_every_reply_of_a_store_that_lost_data() {
     let lost = |loss| Err(GuardError::Lost(loss));
     let gone = || lost(Loss::IdentityGone);
     let absent = "over/req-9".to_owned();
     let txn = Txn::default().if_mod_revision("over/req-9", 0).write("over/req-9", Json::of(&1));
-    /// A call, what befalls the store before it, and what becomes of it; None for an answer.
+    /// A call, the fault injected before it, and its result; `None` if the reply must pass.
     type Case<'a> = (StoreCall, fn(&mut world::World), Option<Result<StoreReply, GuardError>>);
     let wipe: fn(&mut world::World) = |w| w.store.wipe();
     let renew = StoreCall::Renew { lease: 1 };
@@ -418,7 +434,8 @@
         ),
         (StoreCall::Revision, wipe, Some(gone())),
         (StoreCall::Grant { life_ms: 1000 }, wipe, Some(gone())),
-        // Whoever held that lease then: a store that begins again grants its number anew.
+        // The lease may be another controller's: a store that has lost all data grants the same
+        // numbers again.
         (
             renew,
             |w| {
@@ -435,16 +452,16 @@
             Some(Err(GuardError::Call(CallError::Refused))),
         ),
     ];
-    for (call, injects, expected) in cases {
+    for (call, inject, expected) in cases {
         let world = world();
-        fill(&world, RECORDS);
+        write_records(&world, RECORDS);
         let picture = history(&world).picture;
-        let mut access = Access::new(&world);
+        let mut access = TestAccess::new(&world);
         let observed: Observed = observe(&mut access).expect("observed");
         let identity = observed.identity.expect("an identity");
         let generation = Generation::new(identity);
         let guard = Guard::new(generation, observed.revision);
-        injects(&mut world.borrow_mut());
+        inject(&mut world.borrow_mut());
         let mut store = |call: &StoreCall| {
             let mut world = world.borrow_mut();
             let now = world.now;
--- a/crates/quartzlever-recovery/tests/rebuilding/world.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/world.rs
@@ -1,4 +1,4 @@
-//! A store with a clock, and controllers that may end at any of their calls.
+//! A simulated store with a clock, and controllers that can be killed at any of their calls.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,45 +20,52 @@
 pub const WORKER_LEASE: Micros = 30 * SECOND;
 pub const NODES: [&str; 3] = ["one", "two", "three"];
 
-/// What all controllers share.
+/// The store, the clock and the events, shared by all controllers.
 #[derive(Debug)]
 pub struct World {
     pub store: Store,
     pub now: Micros,
-    draws: u64,
+    draw_count: u64,
     pub events: Vec<RebuildEvent>,
 }
 
-pub type Shared = Rc<RefCell<World>>;
+pub type SharedWorld = Rc<RefCell<World>>;
 
-pub fn world() -> Shared {
-    let world = World { store: Store::default(), now: START, draws: 0, events: Vec::new() };
+pub fn world() -> SharedWorld {
+    let world = World { store: Store::default(), now: START, draw_count: 0, events: Vec::new() };
     Rc::new(RefCell::new(world))
 }
 
-/// What a controller's process is ended with.
+/// Panic payload that ends a controller's process.
 struct Killed;
 
-/// What befalls the world.
-pub type Befalls = fn(&mut World);
+/// A function that changes the world, for example by injecting a fault.
+pub type WorldChange = fn(&mut World);
 
-/// A controller's way to the world; it is killed at the call with this number, if any.
-pub struct Access {
-    pub world: Shared,
+/// One controller's access to the shared world.
+pub struct TestAccess {
+    pub world: SharedWorld,
     pub calls: usize,
+    /// Number of the call at which the controller is killed.
     pub killed_at: Option<usize>,
-    /// What befalls the world after so many pauses.
-    pub later: Option<(usize, Befalls)>,
+    /// Number of pauses after which the world is changed, and the change.
+    pub scheduled_change: Option<(usize, WorldChange)>,
     pauses: usize,
 }
 
-impl Access {
-    pub fn new(world: &Shared) -> Access {
-        Access { world: world.clone(), calls: 0, killed_at: None, later: None, pauses: 0 }
+impl TestAccess {
+    pub fn new(world: &SharedWorld) -> TestAccess {
+        TestAccess {
+            world: world.clone(),
+            calls: 0,
+            killed_at: None,
+            scheduled_change: None,
+            pauses: 0,
+        }
     }
 }
 
-impl StoreAccess for Access {
+impl StoreAccess for TestAccess {
     fn call(&mut self, call: &StoreCall) -> Result<StoreReply, CallError> {
         self.calls += 1;
         if self.killed_at == Some(self.calls) {
@@ -79,11 +86,12 @@
 
     fn pause(&mut self, span: Micros) {
         self.pauses += 1;
-        assert!(self.pauses < 5_000, "{:#?}", self.world.borrow().events);
+        assert!(self.pauses < 5_000, "the store was not opened: {:#?}", self.world.borrow().events);
         let mut world = self.world.borrow_mut();
         world.now += span;
-        if let Some((_, injects)) = self.later.filter(|(after, _)| *after == self.pauses) {
-            injects(&mut world);
+        if let Some((_, change)) = self.scheduled_change.filter(|(after, _)| *after == self.pauses)
+        {
+            change(&mut world);
         }
     }
 
@@ -93,8 +101,8 @@
 
     fn draw(&mut self) -> u64 {
         let mut world = self.world.borrow_mut();
-        world.draws += 1;
-        world.draws
+        world.draw_count += 1;
+        world.draw_count
     }
 }
 
@@ -112,7 +120,7 @@
     }
 }
 
-/// The identity of the first generation.
+/// Returns the identity of the first generation.
 pub fn identity() -> Identity {
     Identity {
         cluster: "c".into(),
@@ -123,11 +131,11 @@
     }
 }
 
-/// Writes records to the store, each in a change of its own, after the identity.
-pub fn fill(world: &Shared, records: &[(&str, &str)]) {
+/// Writes the identity and then the records to the store, each in a transaction of its own.
+pub fn write_records(world: &SharedWorld, records: &[(&str, &str)]) {
     let mut world = world.borrow_mut();
     let now = world.now;
-    let identity = serde_text(&identity());
+    let identity = json_text(&identity());
     for (key, value) in [(IDENTITY_KEY, identity.as_str())].iter().chain(records) {
         let value = Json::from_text(value).expect("JSON");
         let txn = Txn::default().write(*key, value);
@@ -138,12 +146,12 @@
     }
 }
 
-pub fn serde_text(value: &impl serde::Serialize) -> String {
+pub fn json_text(value: &impl serde::Serialize) -> String {
     Json::of(value).text().to_owned()
 }
 
-/// What a controller that has seen everything knows.
-pub fn history(world: &Shared) -> History {
+/// Returns the history of a controller that knows all records in the store.
+pub fn history(world: &SharedWorld) -> History {
     let world = world.borrow();
     let generation = Generation { identity: identity(), mod_revision: 1 };
     let keys = world.store.keys("").into_iter().filter(|key| !key.starts_with("recovery/"));
@@ -170,9 +178,9 @@
     Local { history: Some(history.clone()), marked: true, found: None }
 }
 
-/// Runs a controller's start to its end, or to the call at which it is killed.
-pub fn start(
-    access: &mut Access,
+/// Opens the store for a controller; returns `None` if the controller is killed.
+pub fn run_open(
+    access: &mut TestAccess,
     settings: &RebuildSettings,
     local: &Local,
 ) -> Option<Result<Opened, RebuildError>> {
@@ -183,13 +191,13 @@
     }
 }
 
-/// Runs a controller's start.
-pub fn opened(world: &Shared, node: &str, local: &Local) -> Opened {
-    let mut access = Access::new(world);
-    start(&mut access, &settings(node, 1), local).expect("not killed").expect("opened")
+/// Opens the store for a controller that is not killed.
+pub fn open_store(world: &SharedWorld, node: &str, local: &Local) -> Opened {
+    let mut access = TestAccess::new(world);
+    run_open(&mut access, &settings(node, 1), local).expect("not killed").expect("opened")
 }
 
-/// The records of a generation without their modification revisions.
+/// Returns the keys and values of a picture, without their modification revisions.
 pub fn values(picture: &Picture) -> Vec<(&str, &str)> {
     picture.rows().iter().map(|(key, r)| (key.as_str(), r.value.as_str())).collect()
 }
