--- a/crates/quartzlever-recovery/src/access.rs
+++ b/crates/quartzlever-recovery/src/access.rs
@@ -1,28 +1,28 @@
-//! The environment that the rebuild runs in.
+//! The environment in which a rebuild runs.
 //!
-//! This module owns the single trait by which the crate reaches a store, a clock and a log; no other module
-//! performs I/O or reads a clock. It knows nothing of the rebuild itself.
+//! [`StoreAccess`] is the only way by which this crate reaches a store, a clock and a log. No other
+//! module performs I/O or reads a clock.
 
 use quartzlever_wire::store::{StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Micros};
 
 use crate::events::RebuildEvent;
 
-/// Store, clocks, log and random numbers of the process that runs a rebuild.
+/// The store, clocks, log and random numbers of the process that runs a rebuild.
 pub trait StoreAccess {
     /// Makes one call to the store.
     ///
     /// # Errors
-    /// The call's [`CallError`], which says whether the call may have been carried out.
+    /// Returns the call's [`CallError`], which says whether the call may have been carried out.
     fn call(&mut self, call: &StoreCall) -> Result<StoreReply, CallError>;
-    /// The steady clock, in microseconds since an arbitrary moment; it never goes back.
+    /// Returns the time of a monotonic clock, in microseconds since an arbitrary moment.
     fn now(&mut self) -> Micros;
-    /// The time of day, in microseconds since 1970.
-    fn wall(&mut self) -> Micros;
+    /// Returns the wall clock time, in microseconds since 1970.
+    fn wall_time(&mut self) -> Micros;
     /// Blocks for this many microseconds.
     fn pause(&mut self, span: Micros);
     /// Writes an event to the operator's log.
     fn log(&mut self, event: RebuildEvent);
-    /// A random number that no other attempt has drawn.
-    fn draw(&mut self) -> u64;
+    /// Returns a random number that differs from those of all other rebuild attempts.
+    fn random_number(&mut self) -> u64;
 }
--- a/crates/quartzlever-recovery/src/detection.rs
+++ b/crates/quartzlever-recovery/src/detection.rs
@@ -1,7 +1,8 @@
-//! What counts as a loss of the store's data.
+//! The rules by which the store's data counts as lost.
 //!
-//! Pure functions that compare what the store shows with what was known. Invariant: only an answer of the
-//! store itself shows a loss; an outage, a refusal, a watch that is too old or late never does.
+//! Pure functions that compare the current state of the store with the state that was known before.
+//! Invariant: only a reply of the store can show a loss. An outage, a rejected call, or a watch that
+//! is late or starts at a compacted revision never counts as one.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +12,8 @@
 
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{Identity, Observed, Phase, Stamped};
-use crate::picture::{Picture, Record};
+use crate::identity::{Identity, Phase, StoreObservation, Versioned};
+use crate::records::{Record, RecordSet};
 
 /// Why the store's data counts as lost.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -23,69 +24,74 @@
     /// The store's identity is not the one that this process works with.
     #[error("the identity of the records is another one")]
     IdentityDiffers,
-    /// The store's revision is lower than one that was seen before.
+    /// The store's revision is lower than one seen before.
     #[error("the revision went back from {from} to {to}")]
     RevisionWentBack {
-        /// The revision that was seen before, as the generation counts.
+        /// The revision seen before, as a revision of the generation.
         from: u64,
-        /// The revision that the store shows, as the generation counts.
+        /// The store's current revision, as a revision of the generation.
         to: u64,
     },
-    /// The witness key of this controller has an earlier count than it has written.
+    /// The witness counter of this controller is lower than the controller has written it.
     #[error(
         "a key of this controller is older than it has written it: {found} instead of {written}"
     )]
     WitnessWentBack {
-        /// The count that was written last.
+        /// The counter that was written last.
         written: u64,
-        /// The count in the store; zero without a key.
+        /// The counter in the store; zero if the key is absent.
         found: u64,
     },
-    /// Records are absent, or older, that no change can have removed.
+    /// Records are missing or older, and no change can explain that.
     #[error("{count} lasting records are missing or older than before, {example} among them")]
     RecordsMissing {
-        /// How many records.
+        /// Number of records.
         count: usize,
-        /// Key of one of them.
+        /// Key of one of the records.
         example: String,
     },
-    /// The generation is no longer served, and the next one is not written yet.
+    /// The generation was given up, and the next one is not serving yet.
     #[error("another controller has given the generation up")]
     GivenUp,
 }
 
-/// What a controller knew of the store when it last looked.
+/// The state of the store that a controller knows from before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known<'a> {
+pub struct LastKnownState<'a> {
     identity: &'a Identity,
-    /// The latest revision that was seen, as the generation counts.
+    /// The latest revision seen, as a revision of the generation.
     revision: u64,
-    /// The count of the own witness key that was written last.
+    /// The witness counter that this controller has written last.
     witness: u64,
 }
 
-/// What an observation means for a controller.
+/// The meaning of an observation of the store for a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Assessment {
-    /// Neither the store nor this controller knows of any cluster.
-    Unfounded,
-    /// The store is as it was, or further.
+    /// Neither the store nor this controller knows any cluster.
+    NoCluster,
+    /// The generation that this controller knows is serving, and no loss is visible.
     Intact(Generation),
-    /// The store serves a generation that is new to this controller.
+    /// A generation is serving that is newer than the one this controller knows, if any.
     Newer(Generation),
-    /// The store has another cluster's records.
+    /// The store has the records of another cluster.
     ForeignCluster,
     /// The store has lost data.
     Lost(Loss),
 }
 
-/// Judges an observation by what `node` knew of the store; `None` if it has no history.
-pub fn assess(node: &str, known: Option<&Known<'_>>, observed: &Observed) -> Assessment {
-    let Some(Stamped { value: identity, mod_revision }) = &observed.identity else {
+/// Compares an observation with the state that `node` knows from before; `known` is `None` if the
+/// node has no history.
+pub fn assess(
+    node: &str,
+    known: Option<&LastKnownState<'_>>,
+    observed: &StoreObservation,
+) -> Assessment {
+    let Some(Versioned { value: identity, mod_revision }) = &observed.identity else {
         return if known.is_some() {
             Assessment::Lost(Loss::IdentityGone)
         } else {
-            Assessment::Unfounded
+            Assessment::NoCluster
         };
     };
     let generation = Generation { identity: identity.clone(), mod_revision: *mod_revision };
@@ -100,19 +106,19 @@
         Some(known) if identity.generation > known.identity.generation => {
             Assessment::Newer(generation)
         }
-        Some(known) => match regression(node, known, identity, observed) {
+        Some(known) => match detect_regression(node, known, identity, observed) {
             Some(loss) => Assessment::Lost(loss),
             None => Assessment::Intact(generation),
         },
     }
 }
 
-/// How the store stands behind what was known of the same generation.
-fn regression(
+/// Returns a loss if the store does not have the generation that was known, or is behind it.
+fn detect_regression(
     node: &str,
-    known: &Known<'_>,
+    known: &LastKnownState<'_>,
     identity: &Identity,
-    observed: &Observed,
+    observed: &StoreObservation,
 ) -> Option<Loss> {
     let same_lineage = identity.generation == known.identity.generation
         && identity.namespace == known.identity.namespace
@@ -129,21 +135,21 @@
 }
 
 impl History {
-    /// What this history knows of the store.
-    pub fn known(&self) -> Known<'_> {
-        let revision = self.picture.newest();
-        Known { identity: &self.identity, revision, witness: self.witness }
+    /// Returns the state of the store that this history implies.
+    pub fn last_known_state(&self) -> LastKnownState<'_> {
+        let revision = self.records.latest_revision();
+        LastKnownState { identity: &self.identity, revision, witness: self.witness }
     }
 }
 
-/// Whether a record is never deleted.
+/// Reports whether records at this key are never deleted.
 fn is_permanent(key: &str) -> bool {
     key.starts_with(TERMINAL_JOB_PREFIX)
         || [CLUSTER_VERSION_KEY, GROUP_SIZE_KEY, CATALOGUE_KEY].contains(&key)
 }
 
-/// Whether a record of the picture is missing from the store's records, or older there, in a way that no
-/// change explains. The records were listed after the picture was taken.
+/// Reports whether a known record is missing from the store's records, or older there, and no change
+/// explains that. The store's records must have been listed after the record became known.
 fn is_missing(key: &str, record: &Record, store: &BTreeMap<String, Record>) -> bool {
     if let Some(found) = store.get(key) {
         return found.mod_revision < record.mod_revision;
@@ -154,14 +160,15 @@
     }
 }
 
-/// Records of the picture that the store's records lack in a way that no change explains, as a loss; `None`
-/// if there are none. Records up to the generation's `base` are inherited and may not be written yet.
-pub fn missing_records(
-    picture: &Picture,
+/// Returns a loss if known records are missing from the store's records, or older there, and no
+/// change explains that. Records up to the generation's `base` are ignored: they are carried over
+/// from the previous generation and may not be written yet.
+pub fn detect_missing_records(
+    known: &RecordSet,
     base: u64,
     store: &BTreeMap<String, Record>,
 ) -> Option<Loss> {
-    let rows = picture.rows().iter().filter(|(_, record)| record.mod_revision > base);
+    let rows = known.rows().iter().filter(|(_, record)| record.mod_revision > base);
     let mut missing = rows.filter(|(key, record)| is_missing(key, record, store));
     let (example, _) = missing.next()?;
     Some(Loss::RecordsMissing { count: 1 + missing.count(), example: example.clone() })
--- a/crates/quartzlever-recovery/src/events.rs
+++ b/crates/quartzlever-recovery/src/events.rs
@@ -1,7 +1,8 @@
-//! What a rebuild tells its operator: the events of the log.
+//! The log events of a rebuild, for operators.
 //!
-//! Each event has a name in snake case and fields; `Display` writes the fields as `key=value` pairs in a fixed
-//! order. All events have the level `info`. Times are written in milliseconds, with `_ms` in the key.
+//! Each event has a name in snake case and fields. `Display` writes the fields as `key=value` pairs
+//! in a fixed order. All events have the level `info`. Durations are written in milliseconds, with
+//! `_ms` in the key.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -14,57 +15,60 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// One event for the log.
+/// A log event of a rebuild.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RebuildEvent {
-    /// The store does not answer; it is asked again.
+    /// The store does not reply; the call is repeated.
     StoreAwaited,
-    /// A rebuild waits for what other controllers know.
+    /// The rebuild waits for other controllers to announce themselves, since they may have later
+    /// records.
     ControllersAwaited {
-        /// What was lost; none at the first start.
+        /// The loss; `None` at the first start.
         loss: Option<Loss>,
         /// Names of the controllers that have not announced themselves.
         controllers: Vec<String>,
     },
-    /// Another controller has the latest records and rebuilds.
+    /// Another controller has the latest records and performs the rebuild.
     RebuildLeftTo {
         /// Name of that controller.
         controller: String,
     },
-    /// Another controller's attempt to rebuild has not ended yet.
+    /// Another controller holds the lock, and its attempt to rebuild has not ended yet.
     RebuildLockAwaited {
         /// Name of the controller that holds the lock.
         controller: String,
     },
-    /// A rebuild waits for the last changes that other controllers know.
+    /// The rebuild waits for other controllers to publish the last changes that they know.
     LastChangesAwaited {
         /// Names of these controllers.
         controllers: Vec<String>,
     },
-    /// The own log may lack what was done last: no rebuild before no task is on any machine.
+    /// The logs of the controllers may lack their last actions, so the rebuild waits until the
+    /// leases of all workers have expired and no task runs on any machine.
     WorkerLeasesAwaited {
-        /// How long that takes, in microseconds.
+        /// Length of the wait, in microseconds.
         duration: Micros,
     },
     /// Records of the next generation were written.
     RebuildProgress {
-        /// Number of that generation.
+        /// Number of the next generation.
         generation: u32,
-        /// Records that were written so far.
+        /// Number of changes written so far.
         written: usize,
-        /// Records that are to be written.
+        /// Number of changes to write in total.
         total: usize,
     },
-    /// The next generation serves.
+    /// The rebuild is complete, and the next generation is serving.
     GenerationRebuilt {
-        /// Its number.
+        /// Number of the generation.
         generation: u32,
-        /// How long the rebuild took, in microseconds.
+        /// Duration of the rebuild, in microseconds.
         duration: Micros,
-        /// What has become of the records.
+        /// Counts of the records by what the rebuild did with them.
         summary: Summary,
     },
-    /// A generation begins with the records that there are, since no controller has any history.
+    /// A generation begins with the records in the store as they are, since no controller has a
+    /// history.
     GenerationFounded {
         /// Identity of the cluster.
         cluster: String,
@@ -73,27 +77,27 @@
     },
     /// A generation that lacks records is given up.
     GenerationGivenUp {
-        /// Its number.
+        /// Number of the generation.
         generation: u32,
-        /// What was lost.
+        /// The loss.
         loss: Loss,
     },
-    /// The others have not written all final states yet.
+    /// Other controllers have not written all final states yet.
     FinalStatesAwaited,
-    /// Jobs that were known to this controller alone were handed in.
+    /// This controller has added jobs that only it knew to the records.
     JobsContributed {
-        /// How many.
+        /// Number of jobs.
         count: usize,
     },
-    /// The store does not take what this controller hands in.
+    /// The store has rejected a job that this controller tried to add to the records.
     ContributionRefused {
-        /// The call that it did not take.
+        /// The rejected call.
         call: StoreCall,
     },
 }
 
 impl RebuildEvent {
-    /// Name of the event, by which logs are searched.
+    /// Returns the event's name in the log.
     pub fn name(&self) -> &'static str {
         match self {
             RebuildEvent::StoreAwaited => "store_awaited",
@@ -113,7 +117,7 @@
     }
 }
 
-/// The fields alone, without level and name.
+/// Writes the fields only, without level and name.
 impl Display for RebuildEvent {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let fields = Fields::new(f);
--- a/crates/quartzlever-recovery/src/events/tests.rs
+++ b/crates/quartzlever-recovery/src/events/tests.rs
@@ -1,10 +1,10 @@
-//! Names and fields of the events.
+//! Tests of the names and fields of the log events.
 
 use super::*;
 
-/// Name and fields of each event, as they stand in the log.
+/// Operators search the log for these names and fields, so they must not change by accident.
 #[test]
-fn each_event_has_one_form() {
+fn every_event_is_logged_with_a_fixed_name_and_fixed_fields() {
     let controller = "two".to_owned();
     let controllers = vec!["two".to_owned(), "three".to_owned()];
     for (event, line) in [
--- a/crates/quartzlever-recovery/src/guard.rs
+++ b/crates/quartzlever-recovery/src/guard.rs
@@ -1,11 +1,12 @@
 //! Calls to the store whose answers are checked for a loss of data.
 //!
-//! This module owns the highest revision of the store that any answer has shown. Absence is what a loss looks
-//! like, so an answer that says that something is absent, or that prolongs the right to act, counts only
-//! after the identity of the records was read once more, later.
+//! The guard keeps the latest revision of the store that any reply has shown. A store that has lost
+//! data reports keys as absent. Therefore a reply that may report an absence, or that grants or
+//! renews a lease and with it the right to act, is returned only after the identity of the records
+//! was read again and found unchanged.
 //!
-//! Invariant: no answer of a store that has lost data passes. An outage or a refusal is never taken for a
-//! loss.
+//! Invariant: no reply of a store that has lost data is returned. An outage or a rejected call never
+//! counts as a loss.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -14,69 +15,72 @@
 
 use crate::detection::Loss;
 use crate::generation::Generation;
-use crate::identity::{IDENTITY_KEY, Observed};
+use crate::identity::{IDENTITY_KEY, StoreObservation};
 
-/// Why a call has no answer that may be used.
+/// Why a call has no reply that may be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GuardError {
     /// The call failed, or its outcome is unknown.
     #[error("the call to the state service failed: {0}")]
     Call(#[from] CallError),
-    /// The store has lost data. Nothing that this process knows may be acted on any more.
+    /// The store has lost data. The process may not act on anything that it knows.
     #[error("the state service has lost data: {0}")]
     Lost(Loss),
-    /// A record that this process knows was not found. It may have been deleted since; an audit of all
-    /// records tells.
-    #[error("the state service lacks a record that is known here")]
-    Suspect,
+    /// A record that this process knows was not found. It may have been deleted since, or lost; an
+    /// audit of all records decides which.
+    #[error("the state service lacks a record that this controller knows")]
+    KnownRecordAbsent,
 }
 
-/// The generation and the revision that the store's answers are checked against.
+/// Checks the store's replies against the generation of this process and the latest revision seen.
 #[derive(Debug)]
 pub struct Guard {
     /// The generation that this process works with.
     pub generation: Generation,
-    /// The latest revision of the store that any answer has told of.
-    highest: AtomicU64,
+    /// The latest revision of the store that any reply has shown.
+    latest_store_revision: AtomicU64,
 }
 
 impl Guard {
-    /// A guard for a generation, whose identity was read at the store's revision `revision` or before.
-    pub fn new(generation: Generation, revision: u64) -> Guard {
-        Guard { generation, highest: AtomicU64::new(revision) }
+    /// Creates a guard for a generation whose identity was read at the store's revision
+    /// `store_revision` or before.
+    pub fn new(generation: Generation, store_revision: u64) -> Guard {
+        Guard { generation, latest_store_revision: AtomicU64::new(store_revision) }
     }
 
-    /// Makes a call in the generation's keys and revisions. `is_known` says whether a record is in this
-    /// process's picture.
+    /// Makes a call with the generation's keys and revisions. `is_known` reports whether this process
+    /// knows a record at a key that must therefore be in the store.
     ///
     /// # Errors
-    /// [`GuardError`]; after [`GuardError::Lost`] no answer that came before may be acted on either.
+    /// Returns a [`GuardError`]. After [`GuardError::Lost`], replies to earlier calls may not be acted
+    /// on either.
     pub fn call(
         &self,
         store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
         call: &StoreCall,
         is_known: impl Fn(&str) -> bool,
     ) -> Result<StoreReply, GuardError> {
-        let floor = self.highest.load(Ordering::SeqCst);
+        let min_revision = self.latest_store_revision.load(Ordering::SeqCst);
         let reply = store(&self.generation.to_store(call))?;
         match (call, &reply) {
             (StoreCall::Revision, StoreReply::Listed(page)) => {
-                let revision = self.check(&Observed::of(page), floor)?;
-                return Ok(StoreReply::Revision(self.generation.revision(revision)));
+                let revision =
+                    self.check_observation(&StoreObservation::from_page(page), min_revision)?;
+                return Ok(StoreReply::Revision(self.generation.revision_from_store(revision)));
             }
             (StoreCall::Get(key), StoreReply::Read(None)) if is_known(key) => {
-                self.verify(store)?;
-                return Err(GuardError::Suspect);
+                self.verify_identity(store)?;
+                return Err(GuardError::KnownRecordAbsent);
             }
             (_, StoreReply::Read(None) | StoreReply::Listed(_))
             | (_, StoreReply::Renewed | StoreReply::Granted(_)) => {
-                self.verify(store)?;
+                self.verify_identity(store)?;
             }
             (_, StoreReply::Conflict(keys)) if keys.iter().any(|key| key == IDENTITY_KEY) => {
                 return Err(GuardError::Lost(Loss::IdentityDiffers));
             }
             (StoreCall::Watch { from, .. }, StoreReply::Watched(answer)) => {
-                let to = self.generation.revision(answer.revision);
+                let to = self.generation.revision_from_store(answer.revision);
                 if to < *from {
                     return Err(GuardError::Lost(Loss::RevisionWentBack { from: *from, to }));
                 }
@@ -86,27 +90,34 @@
         Ok(self.generation.reply_from_store(reply))
     }
 
-    /// Reads the identity of the records once more and checks it.
+    /// Reads the identity of the records and checks that it is unchanged.
     ///
     /// # Errors
-    /// As of [`Guard::call`].
-    pub fn verify(
+    /// Returns the errors of [`Guard::call`].
+    pub fn verify_identity(
         &self,
         store: &mut impl FnMut(&StoreCall) -> Result<StoreReply, CallError>,
     ) -> Result<(), GuardError> {
-        let floor = self.highest.load(Ordering::SeqCst);
+        let min_revision = self.latest_store_revision.load(Ordering::SeqCst);
         match store(&StoreCall::List { prefix: IDENTITY_KEY.into(), from: None })? {
-            StoreReply::Listed(page) => self.check(&Observed::of(&page), floor).map(drop),
+            StoreReply::Listed(page) => {
+                self.check_observation(&StoreObservation::from_page(&page), min_revision).map(drop)
+            }
             _ => Err(GuardError::Call(CallError::Unknown)),
         }
     }
 
-    /// Checks an observation against the identity and against `floor`, the highest revision of the store
-    /// that was known when the call was sent; returns the store's revision.
+    /// Checks an observation against the identity and against `min_revision`, the latest revision of
+    /// the store that was known when the call was sent, and returns the store's revision.
     ///
     /// # Errors
-    /// [`GuardError::Lost`] if the identity is absent or another one, or the revision is below `floor`.
-    pub fn check(&self, observed: &Observed, floor: u64) -> Result<u64, GuardError> {
+    /// Returns [`GuardError::Lost`] if the identity is absent or has changed, or if the store's
+    /// revision is below `min_revision`.
+    pub fn check_observation(
+        &self,
+        observed: &StoreObservation,
+        min_revision: u64,
+    ) -> Result<u64, GuardError> {
         let Some(identity) = &observed.identity else {
             return Err(GuardError::Lost(Loss::IdentityGone));
         };
@@ -115,17 +126,17 @@
         {
             return Err(GuardError::Lost(Loss::IdentityDiffers));
         }
-        if observed.revision < floor {
-            let from = self.generation.revision(floor);
-            let to = self.generation.revision(observed.revision);
+        if observed.revision < min_revision {
+            let from = self.generation.revision_from_store(min_revision);
+            let to = self.generation.revision_from_store(observed.revision);
             return Err(GuardError::Lost(Loss::RevisionWentBack { from, to }));
         }
-        self.highest.fetch_max(observed.revision, Ordering::SeqCst);
+        self.latest_store_revision.fetch_max(observed.revision, Ordering::SeqCst);
         Ok(observed.revision)
     }
 
-    /// The latest revision of the store that any answer has shown.
-    pub fn highest(&self) -> u64 {
-        self.highest.load(Ordering::SeqCst)
+    /// Returns the latest revision of the store that any reply has shown.
+    pub fn latest_store_revision(&self) -> u64 {
+        self.latest_store_revision.load(Ordering::SeqCst)
     }
 }
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -1,7 +1,8 @@
-//! Which records a rebuild writes: those of a controller's picture, and what the store still holds.
+//! The records that a rebuild writes, which come from the records that the controller knows and from
+//! those that the store still has.
 //!
-//! Pure functions of the two. Invariant: a final state always stands before a live record of its job, and of
-//! two records of one key the later one stands where their revisions can be compared.
+//! Pure functions. Invariant: a final state takes precedence over the record of its job as active,
+//! and of two records of a key the later one takes precedence if their revisions can be compared.
 
 use std::collections::BTreeMap;
 
@@ -13,32 +14,33 @@
     PARTITION_PREFIX, TERMINAL_JOB_PREFIX, machine_records_in,
 };
 
-use crate::picture::{Picture, Record};
+use crate::records::{Record, RecordSet};
 
-/// What the store still holds of the generation that was given up, as that generation counts.
+/// The records that the store still has of the generation that was given up, with revisions of that
+/// generation.
 #[derive(Clone, Debug, Default)]
-pub struct Survivors {
+pub struct SurvivingRecords {
     /// The records by the generation's own keys.
     pub rows: BTreeMap<String, Record>,
-    /// The store's revisions never went back, so that its records and those of the picture can be
-    /// compared by their modification revisions.
+    /// Whether the store's revisions continue those that were known, so that its records and the known
+    /// ones can be compared by their modification revisions.
     pub same_lineage: bool,
 }
 
-/// What becomes of the records, for operators.
+/// Counts of the records by what a rebuild does with them, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Jobs that are neither done nor cancelled.
+    /// Number of jobs that are neither done nor cancelled.
     active_jobs: usize,
-    /// Jobs that are done or cancelled.
+    /// Number of jobs that are done or cancelled.
     ended_jobs: usize,
-    /// Machines that will be asked what they run, and adopted, or returned if they stay silent.
+    /// Number of machines. Each will be asked for its tasks, and is terminated if it does not reply.
     machines: usize,
-    /// Records of the picture that the store lacks.
+    /// Number of planned records that the store lacks.
     restored: usize,
-    /// Records that only the store has.
+    /// Number of planned records that only the store has.
     only_in_store: usize,
-    /// Records of the store that are left out, since a later state is known.
+    /// Number of records of the store that are not planned as they are, since a later state is known.
     superseded: usize,
 }
 
@@ -47,43 +49,42 @@
 pub struct Plan {
     /// JSON texts by key.
     pub records: BTreeMap<String, String>,
-    /// What becomes of the records.
+    /// Counts of the records.
     pub summary: Summary,
 }
 
-/// Whether a record belongs to a process that was up and is acquired anew.
+/// Reports whether records at this key are bound to the lease of a process. A rebuild leaves them out,
+/// since processes write them again.
 fn is_bound_to_lease(key: &str) -> bool {
     [PARTITION_PREFIX, MACHINES_SEEN_PREFIX, NODE_VERSION_PREFIX]
         .iter()
         .any(|prefix| key.starts_with(prefix))
 }
 
-/// The record of a key that stands: of two the later one where their revisions can be compared, and else
-/// that of the picture.
-fn standing_record<'a>(
+/// Returns the record of a key that takes precedence. Of two records this is the later one if their
+/// revisions can be compared, and the known one otherwise.
+fn preferred_record<'a>(
     key: &str,
-    picture: &'a Picture,
-    survivors: &'a Survivors,
+    known: &'a RecordSet,
+    survivors: &'a SurvivingRecords,
 ) -> Option<&'a Record> {
-    let (known, found) = (picture.get(key), survivors.rows.get(key));
-    match (known, found) {
-        (Some(known), Some(found))
-            if survivors.same_lineage && found.mod_revision > known.mod_revision =>
+    match (known.get(key), survivors.rows.get(key)) {
+        (Some(record), Some(found))
+            if survivors.same_lineage && found.mod_revision > record.mod_revision =>
         {
             Some(found)
         }
-        (Some(known), _) => Some(known),
-        // It came back, with a backup: the picture has seen its deletion.
-        (None, Some(found))
-            if survivors.same_lineage && found.mod_revision <= picture.revision() =>
-        {
+        (Some(record), _) => Some(record),
+        // The known records include the deletion, so a backup has restored the record.
+        (None, Some(found)) if survivors.same_lineage && found.mod_revision <= known.revision() => {
             key.starts_with(TERMINAL_JOB_PREFIX).then_some(found)
         }
         (None, found) => found,
     }
 }
 
-/// Whether `records` show the job of a live record as over, or the job of a page as over or unknown.
+/// Reports whether a record is superseded by `records`: the record of an active job or a page if the
+/// job has a final state, and a page also if its job has no record.
 fn is_obsolete(key: &str, records: &BTreeMap<String, String>) -> bool {
     if let Some(job) = key.strip_prefix(ACTIVE_JOB_PREFIX) {
         return records.contains_key(&format!("{TERMINAL_JOB_PREFIX}{job}"));
@@ -95,12 +96,12 @@
     is_terminal || !records.contains_key(&format!("{ACTIVE_JOB_PREFIX}{job}"))
 }
 
-/// Determines the records of the next generation.
-pub fn plan(picture: &Picture, survivors: &Survivors) -> Plan {
-    let keys = picture.rows().keys().chain(survivors.rows.keys());
+/// Determines the records of the next generation from the known and the surviving ones.
+pub fn plan(known: &RecordSet, survivors: &SurvivingRecords) -> Plan {
+    let keys = known.rows().keys().chain(survivors.rows.keys());
     let mut records: BTreeMap<String, String> = BTreeMap::new();
     for key in keys.filter(|key| !is_bound_to_lease(key)) {
-        if let Some(record) = standing_record(key, picture, survivors) {
+        if let Some(record) = preferred_record(key, known, survivors) {
             records.insert(key.clone(), record.value.clone());
         }
     }
@@ -109,14 +110,14 @@
     for key in &obsolete {
         records.remove(key);
     }
-    let summary = summarise(&records, picture, survivors);
+    let summary = summarise(&records, known, survivors);
     Plan { records, summary }
 }
 
 fn summarise(
     records: &BTreeMap<String, String>,
-    picture: &Picture,
-    survivors: &Survivors,
+    known: &RecordSet,
+    survivors: &SurvivingRecords,
 ) -> Summary {
     let count = |prefix: &str| records.keys().filter(|key| key.starts_with(prefix)).count();
     let machines =
@@ -130,25 +131,31 @@
         ended_jobs: count(TERMINAL_JOB_PREFIX),
         machines: machines.sum(),
         restored: records.keys().filter(|key| !survivors.rows.contains_key(*key)).count(),
-        only_in_store: records.keys().filter(|key| picture.get(key).is_none()).count(),
+        only_in_store: records.keys().filter(|key| known.get(key).is_none()).count(),
         superseded: store.filter(|(key, r)| records.get(*key) != Some(&r.value)).count(),
     }
 }
 
 impl Plan {
-    /// The changes that make the store's records those of the plan, by the generation's own keys: only what
-    /// differs where the generation keeps its namespace, and else all but the final states up to `known_to`,
-    /// the revision up to which every candidate knows all changes; those are written later.
-    pub fn changes(&self, survivors: &Survivors, picture: &Picture, known_to: u64) -> Vec<Change> {
-        let is_known =
-            |key: &str| picture.get(key).is_some_and(|record| record.mod_revision <= known_to);
-        let is_inherited = |key: &str| {
-            !survivors.same_lineage && key.starts_with(TERMINAL_JOB_PREFIX) && is_known(key)
+    /// Returns the changes that turn the store's records into the planned ones, by the generation's own
+    /// keys. If the generation keeps its namespace, these are the differences. Otherwise they write all
+    /// planned records except the final states up to `known_up_to`, the revision up to which every
+    /// candidate knows all changes; these are carried over and written after the rebuild.
+    pub fn changes(
+        &self,
+        survivors: &SurvivingRecords,
+        known: &RecordSet,
+        known_up_to: u64,
+    ) -> Vec<Change> {
+        let is_known_by_all =
+            |key: &str| known.get(key).is_some_and(|record| record.mod_revision <= known_up_to);
+        let is_carried_over = |key: &str| {
+            !survivors.same_lineage && key.starts_with(TERMINAL_JOB_PREFIX) && is_known_by_all(key)
         };
         let kept = |key: &str| survivors.rows.get(key).filter(|_| survivors.same_lineage);
         let mut changes = Vec::new();
         for (key, value) in &self.records {
-            if is_inherited(key) || kept(key).is_some_and(|record| record.value == *value) {
+            if is_carried_over(key) || kept(key).is_some_and(|record| record.value == *value) {
                 continue;
             }
             if let Some(v) = Json::from_text(value) {
@@ -164,7 +171,7 @@
 }
 
 impl Summary {
-    /// Adds the counts to the fields of an event.
+    /// Adds the counts to the fields of a log event.
     pub(crate) fn add_to<'a, 'b>(&self, fields: Fields<'a, 'b>) -> Fields<'a, 'b> {
         fields
             .field("active_jobs", self.active_jobs)
--- a/crates/quartzlever-recovery/src/rebuild.rs
+++ b/crates/quartzlever-recovery/src/rebuild.rs
@@ -19,7 +19,7 @@
 //! - `acceptance`: opening the store with a generation that is already serving.
 //! - `contribution`: adding the jobs that only a controller absent from the rebuild knows.
 //! - `extras`: the exchange of the last changes between candidates.
-//! - `inheritance`: final states that are written after the next generation serves.
+//! - `final_states`: final states that are written after the next generation serves.
 //! - `session`: lease, commits and progress events of the process.
 //! - `batches`: splitting changes into transactions within the store's limits.
 //! - `listing`: reading whole prefixes of the store.
@@ -30,7 +30,7 @@
 mod contribution;
 mod election;
 mod extras;
-mod inheritance;
+mod final_states;
 mod listing;
 mod outcome;
 mod session;
@@ -39,8 +39,8 @@
 mod successor;
 mod writer;
 
-pub use inheritance::restore_final_states;
+pub use final_states::restore_final_states;
 pub use listing::{list_generation, observe};
-pub use outcome::{Opened, RebuildError};
-pub use settings::{Local, RebuildSettings};
+pub use outcome::{OpenedStore, RebuildError};
+pub use settings::{LocalState, RebuildSettings};
 pub use state_machine::open;
--- a/crates/quartzlever-recovery/src/rebuild/acceptance.rs
+++ b/crates/quartzlever-recovery/src/rebuild/acceptance.rs
@@ -7,17 +7,17 @@
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Txn;
 
-use super::inheritance::{FinalStates, add_final_states};
+use super::final_states::{FinalStates, add_final_states};
 use super::listing::{list_generation, observe};
-use super::outcome::{Interruption, Opened, StepOutcome, StepResult};
+use super::outcome::{Interruption, OpenedStore, StepOutcome, StepResult};
 use super::session::Session;
 use crate::access::StoreAccess;
-use crate::detection::{Loss, missing_records};
+use crate::detection::{Loss, detect_missing_records};
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{IDENTITY_KEY, Observed, UNVERIFIED_PREFIX};
-use crate::picture::Picture;
+use crate::identity::{IDENTITY_KEY, StoreObservation, UNVERIFIED_PREFIX};
+use crate::records::RecordSet;
 
 /// Whether this process, which has no history, has requested that other controllers compare the
 /// records with their own.
@@ -30,9 +30,9 @@
 /// All records of a generation that was serving while they were read.
 pub(super) struct ListedGeneration {
     pub(super) generation: Generation,
-    pub(super) picture: Picture,
+    pub(super) records: RecordSet,
     /// The keys under `recovery/`, read after the records.
-    pub(super) observed: Observed,
+    pub(super) observed: StoreObservation,
 }
 
 impl ListedGeneration {
@@ -42,7 +42,7 @@
         session: &mut Session<'_, A>,
         generation: Generation,
     ) -> StepResult<ListedGeneration> {
-        let picture = list_generation(session.access(), &generation)?;
+        let records = list_generation(session.access(), &generation)?;
         let observed = observe(session.access())?;
         let serves = observed.identity.as_ref().is_some_and(|found| {
             found.value == generation.identity && found.mod_revision == generation.mod_revision
@@ -50,14 +50,14 @@
         if !serves {
             return Err(Interruption::Conflict);
         }
-        Ok(ListedGeneration { generation, picture, observed })
+        Ok(ListedGeneration { generation, records, observed })
     }
 
     /// Returns a loss if records of the history are missing or older here and no change explains
     /// that.
     pub(super) fn detect_loss(&self, history: &History) -> Option<Loss> {
         let base = self.generation.identity.base;
-        missing_records(&history.picture, base, self.picture.rows())
+        detect_missing_records(&history.records, base, self.records.rows())
     }
 }
 
@@ -69,8 +69,8 @@
     listed: ListedGeneration,
     verification: &mut RecordVerification,
 ) -> StepResult<StepOutcome> {
-    let ListedGeneration { generation, mut picture, observed } = listed;
-    if add_final_states(&mut picture, history, &generation, &observed) == FinalStates::Incomplete {
+    let ListedGeneration { generation, mut records, observed } = listed;
+    if add_final_states(&mut records, history, &generation, &observed) == FinalStates::Incomplete {
         session.log_progress(RebuildEvent::FinalStatesAwaited);
         return Ok(StepOutcome::ObserveAgain);
     }
@@ -80,8 +80,13 @@
         *verification = RecordVerification::Requested;
         return Ok(StepOutcome::ObserveAgain);
     }
-    let lacks_jobs = observed.lacks_jobs(session.node());
-    Ok(StepOutcome::Opened(Opened { generation, picture, revision: observed.revision, lacks_jobs }))
+    let may_lack_jobs = observed.may_lack_jobs(session.node());
+    Ok(StepOutcome::Opened(OpenedStore {
+        generation,
+        records,
+        revision: observed.revision,
+        may_lack_jobs,
+    }))
 }
 
 fn request_verification<A: StoreAccess>(
--- a/crates/quartzlever-recovery/src/rebuild/contribution.rs
+++ b/crates/quartzlever-recovery/src/rebuild/contribution.rs
@@ -16,8 +16,8 @@
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{ABSENT_PREFIX, Observed};
-use crate::picture::{Picture, Record};
+use crate::identity::{ABSENT_PREFIX, StoreObservation};
+use crate::records::{Record, RecordSet};
 
 /// Whether this process knew jobs that the records lacked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,8 +35,8 @@
     history: Option<&History>,
     listed: &ListedGeneration,
 ) -> StepResult<Contribution> {
-    let ListedGeneration { generation, picture, observed } = listed;
-    let calls = history.map(|history| missing_job_txns(history, picture, generation));
+    let ListedGeneration { generation, records, observed } = listed;
+    let calls = history.map(|history| missing_job_txns(history, records, generation));
     let calls = calls.unwrap_or_default();
     for call in &calls {
         match session.access().call(&generation.to_store(call))? {
@@ -56,7 +56,7 @@
 /// Deletes the key that marks this controller as absent from the rebuild, if it exists.
 fn delete_absent_key<A: StoreAccess>(
     session: &mut Session<'_, A>,
-    observed: &Observed,
+    observed: &StoreObservation,
 ) -> StepResult<()> {
     let Some(absent) = observed.absent.get(session.node()) else { return Ok(()) };
     let key = format!("{ABSENT_PREFIX}{}", session.node());
@@ -67,16 +67,16 @@
 /// ended.
 fn missing_job_txns(
     history: &History,
-    records: &Picture,
+    records: &RecordSet,
     generation: &Generation,
 ) -> Vec<StoreCall> {
-    let known = &history.picture;
-    // After a change of the revision base, final states are inherited, except those of jobs that
+    let known = &history.records;
+    // After a change of the revision base, final states are carried over, except those of jobs that
     // the records show as active.
-    let inherits = generation.identity.base != history.identity.base;
+    let are_carried_over = generation.identity.base != history.identity.base;
     let ended = known.rows().iter().filter_map(|(key, record)| {
         missing_final_state(key, record, records)
-            .filter(|found| !inherits || found.is_recorded_as_active)
+            .filter(|found| !are_carried_over || found.is_recorded_as_active)
     });
     let active = known
         .rows()
@@ -93,7 +93,11 @@
 }
 
 /// Returns the write of a final state that the records lack; `None` for any other key.
-fn missing_final_state(key: &str, record: &Record, records: &Picture) -> Option<MissingFinalState> {
+fn missing_final_state(
+    key: &str,
+    record: &Record,
+    records: &RecordSet,
+) -> Option<MissingFinalState> {
     let job = key.strip_prefix(TERMINAL_JOB_PREFIX).filter(|_| records.get(key).is_none())?;
     let active_job_key = format!("{ACTIVE_JOB_PREFIX}{job}");
     let active = records.get(&active_job_key);
@@ -111,8 +115,8 @@
 fn missing_active_job(
     key: &str,
     record: &Record,
-    known: &Picture,
-    records: &Picture,
+    known: &RecordSet,
+    records: &RecordSet,
 ) -> Option<Txn> {
     let job = key.strip_prefix(ACTIVE_JOB_PREFIX)?;
     let terminal_job_key = format!("{TERMINAL_JOB_PREFIX}{job}");
@@ -125,7 +129,7 @@
 }
 
 /// Adds the writes of a job's pages of finished tasks to the transaction that writes its record.
-fn add_pages(txn: Txn, job: &str, known: &Picture) -> Txn {
+fn add_pages(txn: Txn, job: &str, known: &RecordSet) -> Txn {
     let prefix = format!("{PAGE_PREFIX}{job}/");
     let pages =
         known.rows().range(prefix.clone()..).take_while(|(key, _)| key.starts_with(&prefix));
--- a/crates/quartzlever-recovery/src/rebuild/election.rs
+++ b/crates/quartzlever-recovery/src/rebuild/election.rs
@@ -18,8 +18,8 @@
 use crate::detection::Loss;
 use crate::events::RebuildEvent;
 use crate::history::History;
-use crate::identity::{CANDIDATE_PREFIX, Candidate, LOCK_KEY, Lock, Observed};
-use crate::picture::KeyChange;
+use crate::identity::{CANDIDATE_PREFIX, Candidate, LOCK_KEY, Lock, StoreObservation};
+use crate::records::KeyChange;
 
 /// Why no generation is serving.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -94,7 +94,7 @@
     pub(super) fn campaign<A: StoreAccess>(
         &mut self,
         session: &mut Session<'_, A>,
-        observed: &Observed,
+        observed: &StoreObservation,
         cause: &Cause,
     ) -> StepResult<ElectionOutcome> {
         let lease = session.ensure_lease()?;
@@ -141,7 +141,7 @@
     }
 
     /// Determines the stage of this candidate from an observation of the store.
-    fn stage(&self, settings: &RebuildSettings, observed: &Observed, now: Micros) -> Stage {
+    fn stage(&self, settings: &RebuildSettings, observed: &StoreObservation, now: Micros) -> Stage {
         let candidate = self.candidate();
         let announced = observed.candidates.get(&settings.node).map(|found| &found.value);
         if announced != Some(&candidate) {
@@ -165,10 +165,10 @@
     fn candidate(&self) -> Candidate {
         Candidate {
             generation: self.history.map(|history| history.identity.generation),
-            revision: self.history.map_or(0, |history| history.picture.newest()),
-            complete_to: self.history.map_or(0, |history| history.picture.revision()),
+            revision: self.history.map_or(0, |history| history.records.latest_revision()),
+            complete_up_to: self.history.map_or(0, |history| history.records.revision()),
             extras_after: self.extras_after,
-            proven: self.is_verified,
+            is_verified: self.is_verified,
         }
     }
 
@@ -177,7 +177,7 @@
     fn has_gathered(
         &self,
         settings: &RebuildSettings,
-        observed: &Observed,
+        observed: &StoreObservation,
         unannounced: &[String],
         now: Micros,
     ) -> bool {
@@ -186,24 +186,28 @@
         let waited = now - self.announced_at.unwrap_or(0);
         // If no candidate has a history, the first start cannot be told from a loss, so all
         // controllers must have announced that they have none, however long that takes.
-        unannounced.is_empty() || (!no_candidate_has_history && waited >= settings.gather)
+        unannounced.is_empty() || (!no_candidate_has_history && waited >= settings.gather_timeout)
     }
 
     /// Returns the stage that publishes the last changes of this process; `None` if they are
     /// published already or its history is not of the latest generation.
-    fn extras_to_publish(&self, settings: &RebuildSettings, observed: &Observed) -> Option<Stage> {
+    fn extras_to_publish(
+        &self,
+        settings: &RebuildSettings,
+        observed: &StoreObservation,
+    ) -> Option<Stage> {
         let common = extras::common_revision(observed);
         let is_of_latest_generation =
             extras::latest_generation_candidates(observed).any(|(node, _)| *node == settings.node);
         let is_published = self.extras_after.is_some_and(|after| after <= common);
         let history = self.history.filter(|_| is_of_latest_generation && !is_published)?;
-        let changes = history.picture.changes_after(common);
+        let changes = history.records.changes_after(common);
         Some(Stage::PublishingExtras { after: common, changes })
     }
 }
 
 /// Returns the stage of the candidate with the latest records, which depends on the lock.
-fn lock_stage(settings: &RebuildSettings, observed: &Observed) -> Stage {
+fn lock_stage(settings: &RebuildSettings, observed: &StoreObservation) -> Stage {
     let Some(lock) = &observed.lock else { return Stage::Locking };
     if lock.value.process != settings.process || lock.value.node != settings.node {
         return Stage::AwaitingLock { leader: lock.value.node.clone() };
@@ -222,8 +226,8 @@
     lease: u64,
 ) -> StepResult<()> {
     let settings = session.settings();
-    let writes = extras::piece_writes(&settings.node, changes, settings.value_bytes, lease);
-    for changes in batches(writes, settings.txn_ops) {
+    let writes = extras::piece_writes(&settings.node, changes, settings.max_value_bytes, lease);
+    for changes in batches(writes, settings.max_txn_changes) {
         session.commit_batch(Txn { conditions: Vec::new(), changes })?;
     }
     Ok(())
@@ -241,13 +245,13 @@
 }
 
 /// Returns the controllers that have not announced themselves.
-fn unannounced_controllers(settings: &RebuildSettings, observed: &Observed) -> Vec<String> {
+fn unannounced_controllers(settings: &RebuildSettings, observed: &StoreObservation) -> Vec<String> {
     let is_unannounced = |node: &&String| !observed.candidates.contains_key(*node);
     settings.nodes.iter().filter(is_unannounced).cloned().collect()
 }
 
 /// Returns the candidate with the latest records; among equals, the first by name.
-fn best_candidate(observed: &Observed) -> Option<&str> {
+fn best_candidate(observed: &StoreObservation) -> Option<&str> {
     let rank = |candidate: &Candidate| (candidate.generation, candidate.revision);
     let mut best: Option<(&str, &Candidate)> = None;
     for (node, candidate) in &observed.candidates {
--- a/crates/quartzlever-recovery/src/rebuild/extras.rs
+++ b/crates/quartzlever-recovery/src/rebuild/extras.rs
@@ -8,8 +8,8 @@
 use quartzlever_wire::Json;
 use quartzlever_wire::store::Change;
 
-use crate::identity::{Candidate, EXTRA_PREFIX, ExtraPiece, Observed};
-use crate::picture::{KeyChange, Update};
+use crate::identity::{Candidate, EXTRA_PREFIX, ExtraPiece, StoreObservation};
+use crate::records::{KeyChange, Update};
 
 /// A piece takes at most a third of the size limit of a value: escaping of quotes makes it longer,
 /// and the key is stored along with it.
@@ -19,7 +19,7 @@
 
 /// Returns the candidates whose history is of the latest generation that any candidate has.
 pub(super) fn latest_generation_candidates(
-    observed: &Observed,
+    observed: &StoreObservation,
 ) -> impl Iterator<Item = (&String, &Candidate)> {
     let latest = observed.candidates.values().filter_map(|c| c.value.generation).max();
     let all = observed.candidates.iter().map(|(node, c)| (node, &c.value));
@@ -27,13 +27,13 @@
 }
 
 /// Returns the revision up to which every candidate of the latest generation knows all changes.
-pub(super) fn common_revision(observed: &Observed) -> u64 {
-    latest_generation_candidates(observed).map(|(_, c)| c.complete_to).min().unwrap_or(0)
+pub(super) fn common_revision(observed: &StoreObservation) -> u64 {
+    latest_generation_candidates(observed).map(|(_, c)| c.complete_up_to).min().unwrap_or(0)
 }
 
 /// Returns the candidates of the latest generation that have not published all their changes after
 /// the common revision.
-pub(super) fn unpublished_candidates(observed: &Observed) -> Vec<String> {
+pub(super) fn unpublished_candidates(observed: &StoreObservation) -> Vec<String> {
     let common = common_revision(observed);
     let is_unpublished = |c: &Candidate| c.extras_after.is_none_or(|after| after > common);
     latest_generation_candidates(observed)
@@ -93,7 +93,7 @@
 }
 
 /// Joins the pieces published by all candidates into changes, ordered by revision.
-pub(super) fn collect(observed: &Observed) -> Update {
+pub(super) fn collect(observed: &StoreObservation) -> Update {
     let mut changes = Vec::new();
     let mut value_so_far = String::new();
     for ExtraPiece { key, mod_revision, text, continues } in &observed.extras {
@@ -105,5 +105,5 @@
         }
     }
     changes.sort_by_key(|change| change.mod_revision);
-    Update { changes, complete_to: None }
+    Update { changes, complete_up_to: None }
 }
--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -11,22 +11,22 @@
 
 use crate::access::StoreAccess;
 use crate::generation::Generation;
-use crate::identity::{Observed, RECOVERY_PREFIX};
-use crate::picture::{Picture, Record};
+use crate::identity::{RECOVERY_PREFIX, StoreObservation};
+use crate::records::{Record, RecordSet};
 
 /// Reads all keys under `recovery/`.
 ///
 /// # Errors
 /// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a
 /// listing.
-pub fn observe(access: &mut impl StoreAccess) -> Result<Observed, CallError> {
+pub fn observe(access: &mut impl StoreAccess) -> Result<StoreObservation, CallError> {
     let mut all = Vec::new();
     let mut from: Option<String> = None;
     loop {
         let page = read_page(access, RECOVERY_PREFIX, from)?;
         all.extend(page.entries);
         if !page.has_next {
-            return Ok(Observed::of(&ListPage {
+            return Ok(StoreObservation::from_page(&ListPage {
                 entries: all,
                 has_next: false,
                 revision: page.revision,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads all records of a generation. The picture is complete up to the revision of the first page.
+/// Reads all records of a generation. The set is complete up to the revision of the first page.
 ///
 /// # Errors
 /// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a
@@ -44,7 +44,7 @@
 pub fn list_generation(
     access: &mut impl StoreAccess,
     generation: &Generation,
-) -> Result<Picture, CallError> {
+) -> Result<RecordSet, CallError> {
     let mut records: BTreeMap<String, Record> = BTreeMap::new();
     let mut from: Option<String> = None;
     let mut revision = None;
@@ -59,7 +59,7 @@
         records.extend(records_of(own));
         match last.filter(|_| has_next) {
             Some(last) => from = Some(last),
-            None => return Ok(Picture::new(revision.unwrap_or(0), records)),
+            None => return Ok(RecordSet::new(revision.unwrap_or(0), records)),
         }
     }
 }
--- a/crates/quartzlever-recovery/src/rebuild/outcome.rs
+++ b/crates/quartzlever-recovery/src/rebuild/outcome.rs
@@ -6,19 +6,19 @@
 use quartzlever_wire::CallError;
 
 use crate::generation::Generation;
-use crate::picture::Picture;
+use crate::records::RecordSet;
 
 /// A store that may be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opened {
+pub struct OpenedStore {
     /// The generation that is serving.
     pub generation: Generation,
     /// All records of the generation.
-    pub picture: Picture,
+    pub records: RecordSet,
     /// The store's own revision, not the generation's, at or after the reading of the records.
     pub revision: u64,
     /// Whether other controllers may know jobs that the records lack.
-    pub lacks_jobs: bool,
+    pub may_lack_jobs: bool,
 }
 
 /// Why a controller cannot continue without an operator.
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(super) enum StepOutcome {
     /// The store may be used.
-    Opened(Opened),
+    Opened(OpenedStore),
     /// The store must be observed again.
     ObserveAgain,
 }
--- a/crates/quartzlever-recovery/src/rebuild/session.rs
+++ b/crates/quartzlever-recovery/src/rebuild/session.rs
@@ -19,7 +19,7 @@
 const RENEWALS_PER_LIFETIME: Micros = 3;
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 /// Lower bound of the configured changes per second, so that pauses are finite.
-const MIN_WRITE_RPS: f64 = 0.1;
+const MIN_CHANGES_PER_SECOND: f64 = 0.1;
 /// Time added to the lifetime of leases when waiting for their expiry, for replies in transit.
 const LEASE_EXPIRY_MARGIN: Micros = 3 * SECOND;
 /// Twice the drift of monotonic clocks, in units of 1 / [`DRIFT_SCALE`].
@@ -76,7 +76,8 @@
 
     /// Commits a batch of changes, then pauses to stay within the configured rate of changes.
     pub(super) fn commit_batch(&mut self, txn: Txn) -> StepResult<()> {
-        let seconds = txn.changes.len() as f64 / self.settings.write_rps.max(MIN_WRITE_RPS);
+        let seconds = txn.changes.len() as f64
+            / self.settings.max_changes_per_second.max(MIN_CHANGES_PER_SECOND);
         self.commit(txn)?;
         self.access.pause(quartzlever_wire::micros_from_secs(seconds));
         Ok(())
@@ -87,7 +88,8 @@
         let now = self.access.now();
         match self.lease {
             Some(lease)
-                if now < lease.renewed_at + self.settings.lease_life / RENEWALS_PER_LIFETIME =>
+                if now
+                    < lease.renewed_at + self.settings.lease_lifetime / RENEWALS_PER_LIFETIME =>
             {
                 Ok(lease.id)
             }
@@ -107,7 +109,7 @@
     }
 
     fn grant_lease(&mut self, now: Micros) -> StepResult<u64> {
-        let life_ms = self.settings.lease_life / MICROS_PER_MILLISECOND;
+        let life_ms = self.settings.lease_lifetime / MICROS_PER_MILLISECOND;
         match self.access.call(&StoreCall::Grant { life_ms })? {
             StoreReply::Granted(id) => {
                 self.lease = Some(HeldLease { id, renewed_at: now });
@@ -126,7 +128,7 @@
     /// noticed the loss expire, and with them their right to act, and then the leases of their
     /// workers.
     pub(super) fn await_worker_lease_expiry(&mut self) -> StepResult<()> {
-        let leases = self.settings.lease_life + self.settings.worker_lease;
+        let leases = self.settings.lease_lifetime + self.settings.worker_lease_lifetime;
         let span = leases + leases * CLOCK_DRIFT / DRIFT_SCALE + LEASE_EXPIRY_MARGIN;
         self.access.log(RebuildEvent::WorkerLeasesAwaited { duration: span });
         let end = self.access.now() + span;
--- a/crates/quartzlever-recovery/src/rebuild/settings.rs
+++ b/crates/quartzlever-recovery/src/rebuild/settings.rs
@@ -18,26 +18,26 @@
     /// Random number that distinguishes this process from earlier ones of the same name.
     pub process: u64,
     /// How long to wait for other controllers that might have later records, in microseconds.
-    pub gather: Micros,
+    pub gather_timeout: Micros,
     /// Lifetime of the lease that candidates and the lock are bound to, in microseconds.
-    pub lease_life: Micros,
+    pub lease_lifetime: Micros,
     /// Lifetime of a worker's lease, in microseconds.
-    pub worker_lease: Micros,
+    pub worker_lease_lifetime: Micros,
     /// Maximum number of changes in one transaction.
-    pub txn_ops: usize,
+    pub max_txn_changes: usize,
     /// Maximum number of changes per second.
-    pub write_rps: f64,
+    pub max_changes_per_second: f64,
     /// Maximum size of one value of the store, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
 }
 
 /// What a controller can rebuild the records from.
 #[derive(Clone, Debug, Default)]
-pub struct Local {
+pub struct LocalState {
     /// The records in the controller's own files; `None` if there is no readable snapshot.
     pub history: Option<History>,
     /// Whether the recovery directory has the mark that the log is written before any action.
-    pub marked: bool,
+    pub is_marked: bool,
     /// A loss that was detected earlier although the store otherwise looks intact.
-    pub found: Option<Loss>,
+    pub known_loss: Option<Loss>,
 }
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -22,16 +22,16 @@
 use super::contribution::{Contribution, contribute};
 use super::election::{Candidacy, Cause, ElectionOutcome};
 use super::listing::observe;
-use super::outcome::{Opened, RebuildError, StepOutcome, StepResult};
+use super::outcome::{OpenedStore, RebuildError, StepOutcome, StepResult};
 use super::session::{POLL_INTERVAL, Session};
-use super::settings::{Local, RebuildSettings};
+use super::settings::{LocalState, RebuildSettings};
 use super::writer::Writer;
 use crate::access::StoreAccess;
 use crate::detection::{Assessment, Loss, assess};
 use crate::events::RebuildEvent;
 use crate::generation::Generation;
 use crate::history::History;
-use crate::identity::{IDENTITY_KEY, Identity, Observed, Phase};
+use crate::identity::{IDENTITY_KEY, Identity, Phase, StoreObservation};
 
 /// Opens the store, after a rebuild if it has lost data. Blocks until the store may be used.
 ///
@@ -41,8 +41,8 @@
 pub fn open(
     access: &mut impl StoreAccess,
     settings: &RebuildSettings,
-    local: &Local,
-) -> Result<Opened, RebuildError> {
+    local: &LocalState,
+) -> Result<OpenedStore, RebuildError> {
     StateMachine::new(access, settings, local).run()
 }
 
@@ -70,20 +70,21 @@
 }
 
 impl<'a, A: StoreAccess> StateMachine<'a, A> {
-    fn new(access: &'a mut A, settings: &'a RebuildSettings, local: &'a Local) -> Self {
-        let wall = access.wall();
+    fn new(access: &'a mut A, settings: &'a RebuildSettings, local: &'a LocalState) -> Self {
+        let wall_time = access.wall_time();
         let history = local.history.as_ref();
-        let is_verified = history.is_some_and(|history| history.is_verified(local.marked, wall));
+        let is_verified =
+            history.is_some_and(|history| history.is_verified(local.is_marked, wall_time));
         StateMachine {
             session: Session::new(access, settings),
             history,
-            missing_records: local.found.clone(),
+            missing_records: local.known_loss.clone(),
             candidacy: Candidacy::new(history, is_verified),
             verification: RecordVerification::NotRequested,
         }
     }
 
-    fn run(&mut self) -> Result<Opened, RebuildError> {
+    fn run(&mut self) -> Result<OpenedStore, RebuildError> {
         loop {
             match observe(self.session.access()) {
                 Err(_) => self.session.log_progress(RebuildEvent::StoreAwaited),
@@ -101,8 +102,8 @@
     }
 
     /// Determines the state from an observation of the store.
-    fn state(&self, observed: &Observed) -> Result<State, RebuildError> {
-        let known = self.history.map(History::known);
+    fn state(&self, observed: &StoreObservation) -> Result<State, RebuildError> {
+        let known = self.history.map(History::last_known_state);
         let state = match assess(self.session.node(), known.as_ref(), observed) {
             Assessment::ForeignCluster => return Err(RebuildError::ForeignCluster),
             Assessment::Intact(generation) => match self.missing_records.clone() {
@@ -110,14 +111,14 @@
                 None => State::Verifying(generation),
             },
             Assessment::Newer(generation) => State::Joining(generation),
-            Assessment::Unfounded => State::Electing(Cause::FirstStart),
+            Assessment::NoCluster => State::Electing(Cause::FirstStart),
             Assessment::Lost(loss) => State::Electing(Cause::Lost(loss)),
         };
         Ok(state)
     }
 
     /// Performs the step of a state.
-    fn advance(&mut self, state: State, observed: &Observed) -> StepResult<StepOutcome> {
+    fn advance(&mut self, state: State, observed: &StoreObservation) -> StepResult<StepOutcome> {
         match state {
             State::Verifying(generation) => self.verify(generation),
             State::Joining(generation) => self.join(generation),
@@ -162,7 +163,7 @@
     }
 
     /// Performs one step of the election, and writes the next generation if it is won.
-    fn elect(&mut self, cause: &Cause, observed: &Observed) -> StepResult<StepOutcome> {
+    fn elect(&mut self, cause: &Cause, observed: &StoreObservation) -> StepResult<StepOutcome> {
         match self.candidacy.campaign(&mut self.session, observed, cause)? {
             ElectionOutcome::Undecided => {}
             ElectionOutcome::Won { lock_revision } => {
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -7,11 +7,11 @@
 use super::outcome::StepResult;
 use super::session::Session;
 use crate::access::StoreAccess;
-use crate::detection::{Assessment, Known, assess};
+use crate::detection::{Assessment, LastKnownState, assess};
 use crate::generation::{GENERATION_PREFIX, Generation};
 use crate::history::History;
-use crate::identity::{Identity, Observed, Phase, Stamped};
-use crate::plan::Survivors;
+use crate::identity::{Identity, Phase, StoreObservation, Versioned};
+use crate::plan::SurvivingRecords;
 
 /// Distance of the base of a new revision sequence above the highest revision that was seen. It
 /// exceeds the number of changes that any store commits within months, and so between a
@@ -23,20 +23,20 @@
 pub(super) fn read_survivors<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: &History,
-    observed: &Observed,
-) -> StepResult<Survivors> {
+    observed: &StoreObservation,
+) -> StepResult<SurvivingRecords> {
     let same_lineage = is_same_lineage(session.node(), history, observed);
     let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
-    let picture = list_generation(session.access(), &generation)?;
-    Ok(Survivors { rows: picture.rows().clone(), same_lineage })
+    let records = list_generation(session.access(), &generation)?;
+    Ok(SurvivingRecords { rows: records.rows().clone(), same_lineage })
 }
 
 /// Returns the identity of the generation that follows the lost one.
 pub(super) fn next_identity<A: StoreAccess>(
     session: &mut Session<'_, A>,
     history: &History,
-    observed: &Observed,
-    survivors: &Survivors,
+    observed: &StoreObservation,
+    survivors: &SurvivingRecords,
 ) -> Identity {
     let found = observed.identity.as_ref().map(|identity| &identity.value);
     let last = found.map_or(0, |i| i.generation).max(history.identity.generation);
@@ -48,26 +48,26 @@
     let base = found.map_or(0, |i| i.base).max(next.base);
     let newest_seen = latest_candidate_revision(observed)
         .max(base + observed.revision)
-        .max(history.picture.newest());
+        .max(history.records.latest_revision());
     let namespace =
-        format!("{GENERATION_PREFIX}{}-{:x}/", next.generation, session.access().draw());
+        format!("{GENERATION_PREFIX}{}-{:x}/", next.generation, session.access().random_number());
     Identity { namespace, base: newest_seen + REVISION_HEADROOM, ..next }
 }
 
 /// Reports whether the store's revisions continue those that the candidates have seen. The phase is
 /// ignored, since the generation may have been given up.
-fn is_same_lineage(node: &str, history: &History, observed: &Observed) -> bool {
-    let identity = observed.identity.as_ref().map(|found| Stamped {
+fn is_same_lineage(node: &str, history: &History, observed: &StoreObservation) -> bool {
+    let identity = observed.identity.as_ref().map(|found| Versioned {
         value: Identity { phase: Phase::Serving, ..found.value.clone() },
         mod_revision: found.mod_revision,
     });
-    let serving = Observed { identity, ..observed.clone() };
-    let known: Known<'_> = history.known();
+    let serving = StoreObservation { identity, ..observed.clone() };
+    let known: LastKnownState<'_> = history.last_known_state();
     let is_intact = matches!(assess(node, Some(&known), &serving), Assessment::Intact(_));
     is_intact && observed.revision + history.identity.base >= latest_candidate_revision(observed)
 }
 
 /// Returns the latest revision that any candidate knows.
-fn latest_candidate_revision(observed: &Observed) -> u64 {
+fn latest_candidate_revision(observed: &StoreObservation) -> u64 {
     observed.candidates.values().map(|found| found.value.revision).max().unwrap_or(0)
 }
--- a/crates/quartzlever-recovery/src/rebuild/writer.rs
+++ b/crates/quartzlever-recovery/src/rebuild/writer.rs
@@ -15,23 +15,23 @@
 use crate::events::RebuildEvent;
 use crate::history::History;
 use crate::identity::{
-    ABSENT_PREFIX, AbsentNode, IDENTITY_KEY, Identity, LOCK_KEY, Observed,
-    PENDING_FINAL_STATES_KEY, PendingFinalStates, Phase,
+    ABSENT_PREFIX, AbsentNode, IDENTITY_KEY, Identity, LOCK_KEY, PENDING_FINAL_STATES_KEY,
+    PendingFinalStates, Phase, StoreObservation,
 };
-use crate::picture::Picture;
-use crate::plan::{Survivors, plan};
+use crate::plan::{SurvivingRecords, plan};
+use crate::records::RecordSet;
 
 /// Writes the next generation for the process that holds the lock.
 pub(super) struct Writer<'s, 'a, A> {
     session: &'s mut Session<'a, A>,
-    observed: &'s Observed,
+    observed: &'s StoreObservation,
     fence: Vec<Condition>,
 }
 
 impl<'s, 'a, A: StoreAccess> Writer<'s, 'a, A> {
     pub(super) fn new(
         session: &'s mut Session<'a, A>,
-        observed: &'s Observed,
+        observed: &'s StoreObservation,
         lock_revision: u64,
     ) -> Self {
         let identity_revision =
@@ -51,17 +51,17 @@
         is_own_log_verified: bool,
     ) -> StepResult<()> {
         let begin = self.session.access().now();
-        let mut picture = history.picture.clone();
-        picture.apply(extras::collect(self.observed));
+        let mut records = history.records.clone();
+        records.apply(extras::collect(self.observed));
         if !(is_own_log_verified && self.are_other_logs_verified(history)) {
             self.session.await_worker_lease_expiry()?;
         }
         let survivors = read_survivors(self.session, history, self.observed)?;
-        let plan = plan(&picture, &survivors);
+        let plan = plan(&records, &survivors);
         let next = next_identity(self.session, history, self.observed, &survivors);
-        let known_to = extras::common_revision(self.observed);
-        self.write_records(plan.changes(&survivors, &picture, known_to), &next)?;
-        self.commit_generation(&next, &picture, &survivors, known_to)?;
+        let known_up_to = extras::common_revision(self.observed);
+        self.write_records(plan.changes(&survivors, &records, known_up_to), &next)?;
+        self.commit_generation(&next, &records, &survivors, known_up_to)?;
         let duration = self.session.access().now() - begin;
         let (generation, summary) = (next.generation, plan.summary);
         self.log(RebuildEvent::GenerationRebuilt { generation, duration, summary });
@@ -79,7 +79,7 @@
                 Identity { generation, phase: Phase::Serving, ..given_up.value.clone() }
             }
             None => Identity {
-                cluster: format!("{:016x}", self.session.access().draw()),
+                cluster: format!("{:016x}", self.session.access().random_number()),
                 generation: 0,
                 namespace: String::new(),
                 base: 0,
@@ -98,15 +98,15 @@
     fn are_other_logs_verified(&self, history: &History) -> bool {
         let candidates = &self.observed.candidates;
         let is_verified =
-            |node: &str| candidates.get(node).is_some_and(|candidate| candidate.value.proven);
-        history.picture.nodes_up().all(is_verified)
+            |node: &str| candidates.get(node).is_some_and(|candidate| candidate.value.is_verified);
+        history.records.nodes_up().all(is_verified)
     }
 
     /// Writes the records in transactions within the store's limits of size and rate.
     fn write_records(&mut self, changes: Vec<Change>, next: &Identity) -> StepResult<()> {
         let total = changes.len();
         let mut written = 0;
-        for batch in batches(changes, self.session.settings().txn_ops) {
+        for batch in batches(changes, self.session.settings().max_txn_changes) {
             self.session.ensure_lease()?;
             written += batch.len();
             let changes = batch.into_iter().map(|change| in_namespace(change, next)).collect();
@@ -122,16 +122,17 @@
     fn commit_generation(
         &mut self,
         next: &Identity,
-        picture: &Picture,
-        survivors: &Survivors,
-        known_to: u64,
+        records: &RecordSet,
+        survivors: &SurvivingRecords,
+        known_up_to: u64,
     ) -> StepResult<()> {
         let mut txn = self.fenced(Vec::new());
         if !survivors.same_lineage {
-            txn = txn.write(PENDING_FINAL_STATES_KEY, Json::of(&PendingFinalStates { known_to }));
+            txn =
+                txn.write(PENDING_FINAL_STATES_KEY, Json::of(&PendingFinalStates { known_up_to }));
         }
         let is_absent = |node: &&str| !self.observed.candidates.contains_key(*node);
-        for node in picture.nodes_up().filter(is_absent) {
+        for node in records.nodes_up().filter(is_absent) {
             let absent = AbsentNode { generation: next.generation };
             txn = txn.write(format!("{ABSENT_PREFIX}{node}"), Json::of(&absent));
         }
--- a/crates/quartzlever-recovery/src/picture.rs
+++ b/crates/quartzlever-recovery/src/records.rs
@@ -1,8 +1,8 @@
-//! All records that a controller has seen, complete up to a revision.
+//! The records that a controller knows, complete up to a revision.
 //!
-//! The picture is plain memory: it takes in updates and never calls the store. Invariant: whatever the order
-//! in which updates arrive, and however often, the latest change of each key stands, and all changes up to
-//! [`Picture::revision`] are in it.
+//! A [`RecordSet`] is held in memory. Updates are applied to it; it never calls the store. Invariant:
+//! in whatever order updates are applied, and however often, the latest change of each key wins, and
+//! all changes up to [`RecordSet::revision`] are included.
 
 mod update;
 
@@ -15,52 +15,53 @@
 
 pub use update::{KeyChange, Update};
 
-/// A record: its JSON text, and the revision of its last change.
+/// The value of a record, and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// JSON text.
+    /// JSON text of the record.
     pub value: String,
-    /// Revision of the last change, as the generation counts.
+    /// Revision of the last change, as a revision of the generation.
     pub mod_revision: u64,
 }
 
-/// The records of a generation.
+/// The records of a generation that a controller knows, by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Picture {
+pub struct RecordSet {
     revision: u64,
     rows: BTreeMap<String, Record>,
-    /// Deletions that were learned before all earlier changes: an earlier write of the same key, which
-    /// is told later, is no news.
+    /// Revisions of deletions, by key, that were applied before all earlier changes are known. An
+    /// earlier write of the same key that arrives later must not restore the record.
     early_deletions: BTreeMap<String, u64>,
 }
 
-impl Picture {
-    /// A picture of these records, which are all there were at this revision.
-    pub fn new(revision: u64, rows: BTreeMap<String, Record>) -> Picture {
-        Picture { revision, rows, early_deletions: BTreeMap::new() }
+impl RecordSet {
+    /// Creates a set of these records, which must be all that existed at this revision.
+    pub fn new(revision: u64, rows: BTreeMap<String, Record>) -> RecordSet {
+        RecordSet { revision, rows, early_deletions: BTreeMap::new() }
     }
 
-    /// All changes up to this revision are in the picture.
+    /// Returns the revision up to which all changes are included.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The records by key.
+    /// Returns the records by key.
     pub fn rows(&self) -> &BTreeMap<String, Record> {
         &self.rows
     }
 
-    /// The record at a key.
+    /// Returns the record at a key.
     pub fn get(&self, key: &str) -> Option<&Record> {
         self.rows.get(key)
     }
 
-    /// Takes changes in; those that are known already, or older than what is known, change nothing.
+    /// Applies changes. Changes that are already included, or older than the known state of their
+    /// key, have no effect.
     pub fn apply(&mut self, update: Update) {
         for change in update.changes {
             self.apply_change(change);
         }
-        if let Some(revision) = update.complete_to {
+        if let Some(revision) = update.complete_up_to {
             self.revision = self.revision.max(revision);
             let complete = self.revision;
             self.early_deletions.retain(|_, mod_revision| *mod_revision > complete);
@@ -85,8 +86,9 @@
         }
     }
 
-    /// Adds records of the generation before that are not written anew yet, at the modification revision of its end, which
-    /// is before every change of this one. What is known already stays.
+    /// Adds records that are carried over from the previous generation and not written yet, unless
+    /// the set has a record at their key. `mod_revision` is the revision at which the previous
+    /// generation ended, which is before every change of this one.
     pub fn carry_over(
         &mut self,
         records: impl IntoIterator<Item = (String, String)>,
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Inherited records that are not written anew yet, those up to the generation's `base`, at keys after
-    /// `after`.
+    /// Returns the carried-over records that are not written yet, at keys greater than `after`. These
+    /// are the records with modification revisions up to the generation's `base`.
     pub fn carried_over<'a>(
         &'a self,
         base: u64,
@@ -108,8 +110,8 @@
         self.rows.range(bounds).filter(move |(_, record)| record.mod_revision <= base)
     }
 
-    /// What is known of changes after a revision. Of the deletions only those that came early are
-    /// known; a job's end shows by its final state.
+    /// Returns the known changes after a revision. Of the deletions, only those applied before all
+    /// earlier changes are included; the end of a job is visible from its final state anyway.
     pub(crate) fn changes_after(&self, revision: u64) -> Vec<KeyChange> {
         let later = self.rows.iter().filter(|(_, record)| record.mod_revision > revision);
         let written = later.map(|(key, record)| KeyChange {
@@ -127,14 +129,15 @@
         written.chain(deleted).collect()
     }
 
-    /// The latest modification revision of any change in the picture.
-    pub fn newest(&self) -> u64 {
+    /// Returns the latest revision of any change that is included, which may be later than
+    /// [`RecordSet::revision`].
+    pub fn latest_revision(&self) -> u64 {
         let latest = self.rows.values().map(|record| record.mod_revision).max().unwrap_or(0);
         let deleted = self.early_deletions.values().copied().max().unwrap_or(0);
         self.revision.max(latest).max(deleted)
     }
 
-    /// The nodes whose processes were up.
+    /// Returns the names of the nodes that had announced their version, so were up.
     pub(crate) fn nodes_up(&self) -> impl Iterator<Item = &str> {
         let announced = self.rows.iter().filter(|(key, _)| key.starts_with(NODE_VERSION_PREFIX));
         let readable = announced.filter(|(_, record)| is_node_record(&record.value));
--- a/crates/quartzlever-recovery/src/picture/update.rs
+++ b/crates/quartzlever-recovery/src/records/update.rs
@@ -1,12 +1,12 @@
-//! The changes that an answer of the store shows.
+//! The changes that a reply of the store shows.
 //!
-//! Pure conversions from the wire's answers; both types are written to the log, so their fields may not
-//! change without a new format version.
+//! Pure conversions of the store's replies. Both types are written to the log, so their fields may
+//! not change without a new format version.
 
 use quartzlever_wire::store::{Change, Event, KeyValue, StoreCall, StoreReply};
 use serde::{Deserialize, Serialize};
 
-/// A change of one key; without a value it was deleted.
+/// A write or deletion of one record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyChange {
     /// Key of the record.
@@ -17,32 +17,33 @@
     pub value: Option<String>,
 }
 
-/// Changes that an answer of the store has shown.
+/// Changes that a reply of the store has shown.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Changes of single keys.
+    /// Changes of single records.
     pub changes: Vec<KeyChange>,
-    /// Together with what was known before, these are all changes up to this revision.
-    pub complete_to: Option<u64>,
+    /// Revision up to which these changes and all that were known before are complete; `None` if
+    /// there may be other changes.
+    pub complete_up_to: Option<u64>,
 }
 
 impl Update {
-    /// What an answer to a call shows; nothing if it shows no change.
-    pub fn shown_by(call: &StoreCall, reply: &StoreReply) -> Option<Update> {
+    /// Returns the changes that the reply to a call shows; `None` if it shows none.
+    pub fn from_reply(call: &StoreCall, reply: &StoreReply) -> Option<Update> {
         match (call, reply) {
             (StoreCall::Txn(txn), StoreReply::Committed(mod_revision))
                 if !txn.changes.is_empty() =>
             {
                 let changes =
                     txn.changes.iter().map(|change| change_made(change, *mod_revision)).collect();
-                Some(Update { changes, complete_to: None })
+                Some(Update { changes, complete_up_to: None })
             }
             (StoreCall::Watch { .. }, StoreReply::Watched(answer)) => {
                 let changes = answer.log.iter().map(change_watched).collect();
-                Some(Update { changes, complete_to: Some(answer.revision) })
+                Some(Update { changes, complete_up_to: Some(answer.revision) })
             }
             (StoreCall::Get(_), StoreReply::Read(Some(entry))) => {
-                Some(Update { changes: vec![change_read(entry)], complete_to: None })
+                Some(Update { changes: vec![change_read(entry)], complete_up_to: None })
             }
             _ => None,
         }
--- a/crates/quartzlever-recovery/tests/files.rs
+++ b/crates/quartzlever-recovery/tests/files.rs
@@ -5,7 +5,7 @@
 };
 use quartzlever_recovery::history::{StoredFiles, read_history};
 use quartzlever_recovery::identity::{Identity, Phase};
-use quartzlever_recovery::picture::{KeyChange, Picture, Record, Update};
+use quartzlever_recovery::records::{KeyChange, Record, RecordSet, Update};
 
 fn identity() -> Identity {
     Identity {
@@ -23,7 +23,7 @@
     };
     let write_times = WriteTimes::default();
     let rows = keys.iter().map(row).collect();
-    Snapshot { identity: identity(), revision, wall: 5, write_times, rows }
+    Snapshot { identity: identity(), revision, wall_time: 5, write_times, rows }
         .to_bytes()
         .expect("bytes")
 }
@@ -36,8 +36,8 @@
     KeyChange { key: key.into(), mod_revision, value: None }
 }
 
-fn update(changes: Vec<KeyChange>, complete_to: u64) -> LogEntry {
-    LogEntry::Update(Update { changes, complete_to: Some(complete_to) })
+fn update(changes: Vec<KeyChange>, complete_up_to: u64) -> LogEntry {
+    LogEntry::Update(Update { changes, complete_up_to: Some(complete_up_to) })
 }
 
 fn log(entries: &[LogEntry]) -> Vec<u8> {
@@ -79,8 +79,8 @@
     }
     let mut newer_version = good.clone();
     newer_version[8] = 9;
-    assert_eq!(Snapshot::from_bytes(&newer_version), Err(FormatError::Version(9)));
-    assert_eq!(Snapshot::from_bytes(b"something else"), Err(FormatError::Foreign));
+    assert_eq!(Snapshot::from_bytes(&newer_version), Err(FormatError::UnknownVersion(9)));
+    assert_eq!(Snapshot::from_bytes(b"something else"), Err(FormatError::WrongMagic));
 }
 
 /// Reads two pairs of snapshot and log of which some are damaged or missing. The history must hold
@@ -98,7 +98,7 @@
         bytes
     };
     type Files = [Option<Vec<u8>>; 2];
-    /// Snapshots, logs, expected keys, expected revision, completeness, number of complaints.
+    /// Snapshots, logs, expected keys, expected revision, completeness, number of file errors.
     type Case<'a> = (Files, Files, &'a [&'a str], u64, bool, usize);
     let cases: Vec<Case> = vec![
         (
@@ -143,7 +143,7 @@
             3,
         ),
     ];
-    for (n, (snapshots, logs, keys, complete_to, is_complete, complaints)) in
+    for (n, (snapshots, logs, keys, complete_up_to, is_complete, file_errors)) in
         cases.into_iter().enumerate()
     {
         let files: Vec<StoredFiles> = snapshots
@@ -154,11 +154,11 @@
             .collect();
         let loaded = read_history(&files);
         let history = loaded.history.expect("a history");
-        let found: Vec<&str> = history.picture.rows().keys().map(String::as_str).collect();
+        let found: Vec<&str> = history.records.rows().keys().map(String::as_str).collect();
         assert_eq!(found, keys, "case {n}");
-        assert_eq!(history.picture.revision(), complete_to, "case {n}");
+        assert_eq!(history.records.revision(), complete_up_to, "case {n}");
         assert_eq!(history.is_complete, is_complete, "case {n}");
-        assert_eq!(loaded.complaints.len(), complaints, "case {n}: {:?}", loaded.complaints);
+        assert_eq!(loaded.file_errors.len(), file_errors, "case {n}: {:?}", loaded.file_errors);
     }
 }
 
@@ -176,19 +176,19 @@
     let orders =
         [[0, 1, 2, 3, 4], [2, 0, 3, 1, 4], [3, 2, 1, 0, 4], [2, 3, 4, 1, 0], [4, 1, 2, 0, 3]];
     for order in orders {
-        let mut picture = Picture::new(10, Default::default());
+        let mut records = RecordSet::new(10, Default::default());
         let mut is_deleted = false;
         for n in order {
-            let (changes, complete_to) = changes[n].clone();
-            picture.apply(Update { changes, complete_to });
+            let (changes, complete_up_to) = changes[n].clone();
+            records.apply(Update { changes, complete_up_to });
             is_deleted |= [2, 4].contains(&n);
             assert!(
-                !is_deleted || picture.get("live/a").is_none(),
+                !is_deleted || records.get("live/a").is_none(),
                 "{order:?}: deleted record reappeared at update {n}"
             );
         }
-        assert_eq!(picture.get("live/a"), None, "{order:?}");
-        assert_eq!(picture.get("live/b").map(|r| r.mod_revision), Some(15), "{order:?}");
-        assert_eq!(picture.revision(), 15, "{order:?}");
+        assert_eq!(records.get("live/a"), None, "{order:?}");
+        assert_eq!(records.get("live/b").map(|r| r.mod_revision), Some(15), "{order:?}");
+        assert_eq!(records.revision(), 15, "{order:?}");
     }
 }
--- a/crates/quartzlever-recovery/tests/plans.rs
+++ b/crates/quartzlever-recovery/tests/plans.rs
@@ -1,10 +1,10 @@
-//! Tests of which records a rebuild takes from a controller's picture, and which from the surviving
-//! records of the store.
+//! Tests of which records a rebuild takes from those that a controller knows, and which from the
+//! surviving ones of the store.
 
 use std::collections::BTreeMap;
 
-use quartzlever_recovery::picture::{Picture, Record};
-use quartzlever_recovery::plan::{Survivors, plan};
+use quartzlever_recovery::plan::{SurvivingRecords, plan};
+use quartzlever_recovery::records::{Record, RecordSet};
 
 type Rows<'a> = &'a [(&'a str, u64)];
 
@@ -18,11 +18,11 @@
 }
 
 /// Final states take precedence over records of active jobs. Of two records of a key the later one
-/// does, if their revisions can be compared, and else the picture's. The picture is complete up to
-/// revision 20.
+/// does, if their revisions can be compared, and else the known one. The known
+/// records are complete up to revision 20.
 #[test]
 fn final_states_and_later_changes_take_precedence() {
-    // (name, picture, store, whether the revisions can be compared, expected records)
+    // (name, known records, store, whether the revisions can be compared, expected records)
     type Case<'a> = (&'a str, Rows<'a>, Rows<'a>, bool, &'a [(&'a str, &'a str)]);
     let cases: &[Case] = &[
         (
@@ -33,7 +33,7 @@
             &[("live/a", "p5"), ("over/b", "p6")],
         ),
         (
-            "changed in the store after the picture",
+            "changed in the store after the known records",
             &[("live/a", 5)],
             &[("live/a", 25)],
             true,
@@ -47,7 +47,7 @@
             &[("live/a", "p5")],
         ),
         (
-            "ended in the store after the picture",
+            "ended in the store after the known records",
             &[("live/a", 5)],
             &[("over/a", 25)],
             true,
@@ -61,21 +61,21 @@
             &[("over/a", "s3")],
         ),
         (
-            "active in the store although ended in the picture",
+            "active in the store although ended in the known records",
             &[("over/a", 9)],
             &[("live/a", 7)],
             false,
             &[("over/a", "p9")],
         ),
         (
-            "active in the store at a revision that the picture covers without it",
+            "active in the store at a revision that the known records cover without it",
             &[],
             &[("live/a", 7)],
             true,
             &[],
         ),
         (
-            "accepted in the store after the picture",
+            "accepted in the store after the known records",
             &[],
             &[("live/a", 22)],
             true,
@@ -112,10 +112,10 @@
             &[("catalogue", "p4"), ("cluster/version", "p3")],
         ),
     ];
-    for (name, picture, store, same_lineage, expected) in cases {
-        let picture = Picture::new(20, records("p", picture));
-        let survivors = Survivors { rows: records("s", store), same_lineage: *same_lineage };
-        let plan = plan(&picture, &survivors);
+    for (name, known, store, same_lineage, expected) in cases {
+        let known = RecordSet::new(20, records("p", known));
+        let survivors = SurvivingRecords { rows: records("s", store), same_lineage: *same_lineage };
+        let plan = plan(&known, &survivors);
         let found: Vec<(&str, &str)> =
             plan.records.iter().map(|(key, v)| (key.as_str(), v.trim_matches('"'))).collect();
         assert_eq!(found, *expected, "{name}");
@@ -124,7 +124,7 @@
         if *same_lineage {
             after.extend(survivors.rows.iter().map(|(key, r)| (key.clone(), r.value.clone())));
         }
-        for change in plan.changes(&survivors, &picture, 0) {
+        for change in plan.changes(&survivors, &known, 0) {
             match change {
                 quartzlever_wire::store::Change::Write { write, v, .. } => {
                     after.insert(write, v.text().to_owned());
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -6,11 +6,11 @@
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::guard::{Guard, GuardError};
 use quartzlever_recovery::identity::{
-    CANDIDATE_PREFIX, Candidate, IDENTITY_KEY, LOCK_KEY, Lock, Observed, PENDING_FINAL_STATES_KEY,
-    WITNESS_PREFIX,
+    CANDIDATE_PREFIX, Candidate, IDENTITY_KEY, LOCK_KEY, Lock, PENDING_FINAL_STATES_KEY,
+    StoreObservation, WITNESS_PREFIX,
 };
-use quartzlever_recovery::picture::{KeyChange, Update};
 use quartzlever_recovery::rebuild::{RebuildError, observe, restore_final_states};
+use quartzlever_recovery::records::{KeyChange, Update};
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, SECOND};
 
@@ -43,9 +43,9 @@
         let candidate = Candidate {
             generation: Some(0),
             revision: 0,
-            complete_to: u64::MAX >> 4,
+            complete_up_to: u64::MAX >> 4,
             extras_after,
-            proven: true,
+            is_verified: true,
         };
         let txn = Txn::default().write(format!("{CANDIDATE_PREFIX}{node}"), Json::of(&candidate));
         world.borrow_mut().store.call(now, &StoreCall::Txn(txn)).expect("written");
@@ -77,7 +77,7 @@
         let mut second = TestAccess::new(&world);
         let result = run_open(&mut second, &settings("one", 2), &local(&history));
         let opened = result.expect("not killed").expect("opened");
-        assert_eq!(values(&opened.picture), RECORDS.to_vec(), "killed at call {call}");
+        assert_eq!(values(&opened.records), RECORDS.to_vec(), "killed at call {call}");
         assert!(opened.generation.identity.generation > 0, "killed at call {call}");
     }
     assert!(killed > 10, "killed at only {killed} calls");
@@ -90,7 +90,7 @@
     let world = world();
     write_records(&world, RECORDS);
     let mut history = history(&world);
-    let mut seen = history.picture.newest();
+    let mut seen = history.records.latest_revision();
     let mut stale_calls: Vec<StoreCall> = Vec::new();
     for round in 1..4 {
         // Transactions planned before the loss, with all low modification revisions: the store,
@@ -98,7 +98,7 @@
         for (identity, record) in (1..30).flat_map(|i| (1..30).map(move |r| (i, r))) {
             let known = history.identity.clone();
             let generation = Generation { identity: known, mod_revision: identity };
-            let mod_revision = generation.revision(record);
+            let mod_revision = generation.revision_from_store(record);
             let txn =
                 Txn::default().if_mod_revision("live/req-1", mod_revision).delete("live/req-1");
             stale_calls.push(generation.to_store(&StoreCall::Txn(txn)));
@@ -107,18 +107,18 @@
         announce_others(&world);
         let opened = open_store(&world, "one", &local(&history));
         assert_eq!(opened.generation.identity.generation, round);
-        assert!(opened.picture.revision() > seen + 1_000_000, "{round}");
-        let oldest = opened.picture.rows().values().map(|r| r.mod_revision).min();
+        assert!(opened.records.revision() > seen + 1_000_000, "{round}");
+        let oldest = opened.records.rows().values().map(|r| r.mod_revision).min();
         assert!(oldest > Some(seen), "{round}: {oldest:?}, {seen}");
         for call in &stale_calls {
             let now = world.borrow().now;
             let reply = world.borrow_mut().store.call(now, call);
             assert!(matches!(reply, Ok(StoreReply::Conflict(_))), "{round}: {call:?} {reply:?}");
         }
-        seen = opened.picture.newest();
+        seen = opened.records.latest_revision();
         history.identity = opened.generation.identity.clone();
-        history.picture = opened.picture;
-        history.wall = world.borrow().now;
+        history.records = opened.records;
+        history.wall_time = world.borrow().now;
     }
 }
 
@@ -143,21 +143,21 @@
         for node in *up {
             let change = KeyChange {
                 key: format!("cluster/nodes/{node}"),
-                mod_revision: history.picture.newest() + 1,
+                mod_revision: history.records.latest_revision() + 1,
                 value: Some(r#"{"version":2,"process":1}"#.into()),
             };
-            history.picture.apply(Update { changes: vec![change], complete_to: None });
+            history.records.apply(Update { changes: vec![change], complete_up_to: None });
         }
-        (history.wall, history.is_complete) = (START - age, *is_complete);
+        (history.wall_time, history.is_complete) = (START - age, *is_complete);
         world.borrow_mut().store.wipe();
         announce_others(&world);
         let mut local = local(&history);
-        local.marked = *marked;
+        local.is_marked = *marked;
         let opened = open_store(&world, "one", &local);
         let took = world.borrow().now - START;
         assert_eq!(took > WORKER_LEASE, *waits, "{marked} {age} {is_complete} {up:?}: {took}");
         // A controller that was up and is absent may know jobs that no other controller knows.
-        assert_eq!(opened.lacks_jobs, up.contains(&"four"), "{up:?}");
+        assert_eq!(opened.may_lack_jobs, up.contains(&"four"), "{up:?}");
     }
 }
 
@@ -168,7 +168,7 @@
     write_records(&world, RECORDS);
     let history = history(&world);
     world.borrow_mut().store.wipe();
-    let newest = history.picture.newest();
+    let newest = history.records.latest_revision();
     // Longer than a value of the store may be, with characters that must not be split or escaped
     // wrongly.
     let long = format!(r#"{{"a":"{}"}}"#, r#"\"é"#.repeat(300));
@@ -179,7 +179,7 @@
             mod_revision: newest + after,
             value: value.map(str::to_owned),
         });
-        history.picture.apply(Update { changes: changes.collect(), complete_to: None });
+        history.records.apply(Update { changes: changes.collect(), complete_up_to: None });
         local(&history)
     };
     let one = local_with(vec![("live/req-5", Some(&long), 3), ("over/req-7", Some("{}"), 3)]);
@@ -198,14 +198,14 @@
     expected.extend([("live/req-5", long.as_str()), ("over/req-1", "{}"), ("over/req-7", "{}")]);
     expected.sort();
     // Final states that some candidate does not know must be written at once, since that candidate
-    // answers from its picture: a controller whose disk had been full reported a finished job as
+    // answers from its own records: a controller whose disk had been full reported a finished job as
     // running.
     let in_store = world.borrow().store.keys("generation/");
     for (job, there) in [("req-1", true), ("req-7", true), ("req-3", false)] {
         let found = in_store.iter().any(|key| key.ends_with(&format!("/over/{job}")));
         assert_eq!(found, there, "{job}: {in_store:?}");
     }
-    assert_eq!(values(&opened.picture), expected, "{:#?}", world.borrow().events);
+    assert_eq!(values(&opened.records), expected, "{:#?}", world.borrow().events);
 }
 
 /// A controller that has lost the lock must not commit a generation, whichever step it has reached.
@@ -239,9 +239,9 @@
 }
 
 /// Final states need not be written before the next generation serves: a controller that knew them
-/// inherits them, and a controller without a history waits until they are written.
+/// carries them over, and a controller without a history waits until they are written.
 #[test]
-fn final_states_are_inherited_and_written_after_the_rebuild() {
+fn final_states_are_carried_over_and_written_after_the_rebuild() {
     let world = world();
     write_records(&world, RECORDS);
     let known = history(&world);
@@ -250,7 +250,7 @@
     let opened = open_store(&world, "one", &local(&known));
     let (generation, base) = (&opened.generation, opened.generation.identity.base);
     let in_store = |world: &SharedWorld| world.borrow().store.keys("generation/").len();
-    assert_eq!(values(&opened.picture), RECORDS.to_vec());
+    assert_eq!(values(&opened.records), RECORDS.to_vec());
     assert_eq!(in_store(&world), RECORDS.len() - 2, "all but the final states");
 
     let waits = |world: &SharedWorld| {
@@ -260,7 +260,7 @@
     };
     assert!(waits(&world), "a controller without a history");
     let carried_over: Vec<_> =
-        opened.picture.carried_over(base, "").map(|(k, r)| (k.clone(), r.clone())).collect();
+        opened.records.carried_over(base, "").map(|(k, r)| (k.clone(), r.clone())).collect();
     assert_eq!(carried_over.len(), 2);
     // Two controllers write them; the second write changes nothing.
     for written in [true, false] {
@@ -294,7 +294,7 @@
     assert!(world.borrow().store.get(IDENTITY_KEY).is_none(), "rebuilt without the last changes");
     announce(&world, &["two"]);
     let opened = open_store(&world, "one", &local(&history));
-    assert_eq!(values(&opened.picture), RECORDS.to_vec());
+    assert_eq!(values(&opened.records), RECORDS.to_vec());
 }
 
 /// A controller that was absent during the rebuild contributes the jobs that no other controller
@@ -314,11 +314,11 @@
     world.borrow_mut().store.wipe();
     announce_others(&world);
     let rebuilt = open_store(&world, "one", &local(&before));
-    assert!(rebuilt.picture.get("live/req-2").is_some(), "the end of req-2 is not known yet");
+    assert!(rebuilt.records.get("live/req-2").is_some(), "the end of req-2 is not known yet");
     let returned = open_store(&world, "two", &local(&absent));
     assert_eq!(returned.generation, rebuilt.generation, "no second rebuild");
     for (key, there) in [("live/req-2", false), ("over/req-2", true), ("live/req-6", true)] {
-        assert_eq!(returned.picture.get(key).is_some(), there, "{key}");
+        assert_eq!(returned.records.get(key).is_some(), there, "{key}");
     }
 }
 
@@ -330,12 +330,12 @@
     let world = world();
     write_records(&world, RECORDS);
     let history = history(&world);
-    assert!(open_store(&world, "two", &Default::default()).lacks_jobs);
+    assert!(open_store(&world, "two", &Default::default()).may_lack_jobs);
     assert!(
-        open_store(&world, "two", &local(&history)).lacks_jobs,
+        open_store(&world, "two", &local(&history)).may_lack_jobs,
         "restarted before the verification"
     );
-    assert!(!open_store(&world, "one", &local(&history)).lacks_jobs);
+    assert!(!open_store(&world, "one", &local(&history)).may_lack_jobs);
 }
 
 /// A controller must rebuild if the store shows a loss at its start, and must not after an outage
@@ -377,7 +377,7 @@
         let lost_machines = name.starts_with("machines");
         let kept = RECORDS.iter().filter(|(key, _)| !lost_machines || !key.starts_with("hosts"));
         let expected: Vec<_> = kept.copied().collect();
-        assert_eq!(values(&opened.picture), expected, "{name}");
+        assert_eq!(values(&opened.records), expected, "{name}");
     }
 }
 
@@ -430,7 +430,7 @@
         (
             StoreCall::Get("over/req-3".into()),
             |w| w.store.lose(|key| key == "over/req-3"),
-            Some(Err(GuardError::Suspect)),
+            Some(Err(GuardError::KnownRecordAbsent)),
         ),
         (StoreCall::Revision, wipe, Some(gone())),
         (StoreCall::Grant { life_ms: 1000 }, wipe, Some(gone())),
@@ -455,9 +455,9 @@
     for (call, inject, expected) in cases {
         let world = world();
         write_records(&world, RECORDS);
-        let picture = history(&world).picture;
+        let records = history(&world).records;
         let mut access = TestAccess::new(&world);
-        let observed: Observed = observe(&mut access).expect("observed");
+        let observed: StoreObservation = observe(&mut access).expect("observed");
         let identity = observed.identity.expect("an identity");
         let generation = Generation::new(identity);
         let guard = Guard::new(generation, observed.revision);
@@ -467,7 +467,7 @@
             let now = world.now;
             world.store.call(now, call)
         };
-        let result = guard.call(&mut store, &call, |key| picture.get(key).is_some());
+        let result = guard.call(&mut store, &call, |key| records.get(key).is_some());
         match expected {
             Some(expected) => assert_eq!(result, expected, "{call:?}"),
             None => assert!(result.is_ok(), "{call:?}: {result:?}"),
--- a/crates/quartzlever-recovery/tests/rebuilding/world.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/world.rs
@@ -10,8 +10,8 @@
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::History;
 use quartzlever_recovery::identity::{IDENTITY_KEY, Identity, Phase};
-use quartzlever_recovery::picture::{Picture, Record};
-use quartzlever_recovery::rebuild::{Local, Opened, RebuildError, RebuildSettings, open};
+use quartzlever_recovery::rebuild::{LocalState, OpenedStore, RebuildError, RebuildSettings, open};
+use quartzlever_recovery::records::{Record, RecordSet};
 use quartzlever_testkit::Store;
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
@@ -80,7 +80,7 @@
         self.world.borrow().now
     }
 
-    fn wall(&mut self) -> Micros {
+    fn wall_time(&mut self) -> Micros {
         self.world.borrow().now
     }
 
@@ -99,7 +99,7 @@
         self.world.borrow_mut().events.push(event);
     }
 
-    fn draw(&mut self) -> u64 {
+    fn random_number(&mut self) -> u64 {
         let mut world = self.world.borrow_mut();
         world.draw_count += 1;
         world.draw_count
@@ -111,12 +111,12 @@
         node: node.into(),
         nodes: NODES.iter().map(|n| (*n).to_owned()).collect(),
         process,
-        gather: 5 * SECOND,
-        lease_life: 6 * SECOND,
-        worker_lease: WORKER_LEASE,
-        txn_ops: 3,
-        write_rps: 100.0,
-        value_bytes: 512,
+        gather_timeout: 5 * SECOND,
+        lease_lifetime: 6 * SECOND,
+        worker_lease_lifetime: WORKER_LEASE,
+        max_txn_changes: 3,
+        max_changes_per_second: 100.0,
+        max_value_bytes: 512,
     }
 }
 
@@ -159,31 +159,31 @@
         let (value, mod_revision) = world.store.get(key)?;
         Some(Record {
             value: value.text().to_owned(),
-            mod_revision: generation.revision(mod_revision),
+            mod_revision: generation.revision_from_store(mod_revision),
         })
     };
     let rows: BTreeMap<String, Record> =
         keys.filter_map(|key| Some((key.clone(), record(&key)?))).collect();
     History {
         identity: identity(),
-        picture: Picture::new(world.store.revision(), rows),
+        records: RecordSet::new(world.store.revision(), rows),
         witness: 0,
-        wall: world.now,
+        wall_time: world.now,
         is_complete: true,
         write_times: Default::default(),
     }
 }
 
-pub fn local(history: &History) -> Local {
-    Local { history: Some(history.clone()), marked: true, found: None }
+pub fn local(history: &History) -> LocalState {
+    LocalState { history: Some(history.clone()), is_marked: true, known_loss: None }
 }
 
 /// Opens the store for a controller; returns `None` if the controller is killed.
 pub fn run_open(
     access: &mut TestAccess,
     settings: &RebuildSettings,
-    local: &Local,
-) -> Option<Result<Opened, RebuildError>> {
+    local: &LocalState,
+) -> Option<Result<OpenedStore, RebuildError>> {
     match catch_unwind(AssertUnwindSafe(|| open(access, settings, local))) {
         Ok(result) => Some(result),
         Err(cause) if cause.is::<Killed>() => None,
@@ -192,12 +192,12 @@
 }
 
 /// Opens the store for a controller that is not killed.
-pub fn open_store(world: &SharedWorld, node: &str, local: &Local) -> Opened {
+pub fn open_store(world: &SharedWorld, node: &str, local: &LocalState) -> OpenedStore {
     let mut access = TestAccess::new(world);
     run_open(&mut access, &settings(node, 1), local).expect("not killed").expect("opened")
 }
 
-/// Returns the keys and values of a picture, without their modification revisions.
-pub fn values(picture: &Picture) -> Vec<(&str, &str)> {
-    picture.rows().iter().map(|(key, r)| (key.as_str(), r.value.as_str())).collect()
+/// Returns the keys and values of a record set, without their modification revisions.
+pub fn values(records: &RecordSet) -> Vec<(&str, &str)> {
+    records.rows().iter().map(|(key, r)| (key.as_str(), r.value.as_str())).collect()
 }
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -22,7 +22,7 @@
 use quartzlever_clients::StoreClient;
 use quartzlever_recovery::guard::Guard;
 use quartzlever_recovery::history::{LoadedHistory, read_history};
-use quartzlever_recovery::rebuild::{self, Local, RebuildSettings};
+use quartzlever_recovery::rebuild::{self, LocalState, RebuildSettings};
 
 use crate::clock::Clock;
 use crate::log::ProgramEvent;
@@ -37,7 +37,7 @@
 pub use peer_log::{OwnLog, take_changes};
 pub use state::StoreService;
 
-/// Share of the store's changes that may write inherited final states.
+/// Share of the store's changes that may write carried-over final states.
 const RESTORE_SHARE: f64 = 0.25;
 
 /// What the operator has switched on.
@@ -59,12 +59,12 @@
         node: core.node.clone(),
         nodes: core.nodes.clone(),
         process: random_number(),
-        gather: recovery.gather,
-        lease_life: core.operator.lease_life,
-        worker_lease: core.workers.lease,
-        txn_ops: core.txn_ops,
-        write_rps: core.store_write_rps,
-        value_bytes: core.value_bytes,
+        gather_timeout: recovery.gather,
+        lease_lifetime: core.operator.lease_life,
+        worker_lease_lifetime: core.workers.lease,
+        max_txn_changes: core.txn_ops,
+        max_changes_per_second: core.store_write_rps,
+        max_value_bytes: core.value_bytes,
     }
 }
 
@@ -73,13 +73,13 @@
 pub fn open(settings: &Settings, recovery: Recovery, log: &OwnLog) -> io::Result<StoreService> {
     let Recovery { settings: own, directory } = recovery;
     let (loaded, marked) = load(&directory.directory)?;
-    for complaint in &loaded.complaints {
-        ProgramEvent::RecoveryFileUnusable { reason: complaint }.log();
+    for error in &loaded.file_errors {
+        ProgramEvent::RecoveryFileUnusable { reason: error }.log();
     }
     let witness = loaded.history.as_ref().map_or(0, |history| history.witness);
     let client = StoreClient::new(&settings.state);
     let mut access = ClientAccess { client: client.clone(), clock: Clock::new() };
-    let local = Local { history: loaded.history, marked, found: None };
+    let local = LocalState { history: loaded.history, is_marked: marked, known_loss: None };
     let opened = rebuild::open(&mut access, &rebuild_settings(settings, &own), &local)
         .map_err(io::Error::other)?;
     // A new generation knows of no witness yet, or of the one that was written last.
@@ -88,7 +88,7 @@
     let identity = opened.generation.identity.clone();
     let timeout = Duration::from_micros(own.acknowledge);
     let replication = Replication::start(identity.clone(), &settings.peers, timeout)?;
-    let journal = Journal::start(directory, &own, identity, opened.picture)?;
+    let journal = Journal::start(directory, &own, identity, opened.records)?;
     journal.witness_written(witness);
     let state = Arc::new(GuardedStore {
         client,
@@ -96,7 +96,7 @@
         journal,
         replication,
         suspects: AtomicBool::new(false),
-        lacks_jobs: AtomicBool::new(opened.lacks_jobs),
+        may_lack_jobs: AtomicBool::new(opened.may_lack_jobs),
     });
     let core = &settings.core;
     let rate = core.store_write_rps * RESTORE_SHARE / core.nodes.len() as f64;
--- a/crates/quartzlever/src/recovery/commands.rs
+++ b/crates/quartzlever/src/recovery/commands.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 
 use quartzlever_clients::StoreClient;
-use quartzlever_recovery::detection::{Assessment, assess, missing_records};
+use quartzlever_recovery::detection::{Assessment, assess, detect_missing_records};
 use quartzlever_recovery::format::{Snapshot, WriteTimes, read_log};
 use quartzlever_recovery::generation::Generation;
 use quartzlever_recovery::history::{History, StoredFiles, read_history};
-use quartzlever_recovery::plan::{Survivors, plan};
+use quartzlever_recovery::plan::{SurvivingRecords, plan};
 use quartzlever_recovery::rebuild::{list_generation, observe};
 
 use crate::clock::{Clock, wall};
@@ -66,8 +66,8 @@
 pub fn verify(path: &Path) -> Outcome {
     let (_, files) = read(path)?;
     let loaded = read_history(&files);
-    for complaint in &loaded.complaints {
-        println!("{complaint}");
+    for error in &loaded.file_errors {
+        println!("{error}");
     }
     let bad_snapshot = |file: &&StoredFiles| {
         file.snapshot.as_ref().is_none_or(|bytes| Snapshot::from_bytes(bytes).is_err())
@@ -77,7 +77,7 @@
     if unusable > 0 || !history.is_complete {
         return Err(CommandError::Unusable(unusable.max(1)));
     }
-    println!("fine: complete to revision {}", history.picture.revision());
+    println!("fine: complete to revision {}", history.records.revision());
     Ok(())
 }
 
@@ -92,10 +92,10 @@
     let (directory, history) = load(path)?;
     let identity = &history.identity;
     println!("cluster {}, generation {}", identity.cluster, identity.generation);
-    println!("complete to revision {}", history.picture.revision());
-    let age = wall().saturating_sub(history.wall) / 1_000_000;
+    println!("complete to revision {}", history.records.revision());
+    let age = wall().saturating_sub(history.wall_time) / 1_000_000;
     println!("written last {age} s ago");
-    println!("{}", plan(&history.picture, &Survivors::default()).summary);
+    println!("{}", plan(&history.records, &SurvivingRecords::default()).summary);
     let WriteTimes { count, median, p99, longest } = history.write_times;
     println!(
         "{count} writes before the snapshot: median {median} us, 99% {p99} us, longest {longest} us"
@@ -113,24 +113,24 @@
     let (directory, history) = load(path)?;
     let mut access = ClientAccess { client: StoreClient::new(state), clock: Clock::new() };
     let observed = observe(&mut access).map_err(|_| CommandError::NoAnswer)?;
-    let assessment = assess(node, Some(&history.known()), &observed);
+    let assessment = assess(node, Some(&history.last_known_state()), &observed);
     let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
     let listed = list_generation(&mut access, &generation).map_err(|_| CommandError::NoAnswer)?;
     let same_lineage = matches!(assessment, Assessment::Intact(_));
-    let missing = missing_records(&history.picture, history.identity.base, listed.rows())
+    let missing = detect_missing_records(&history.records, history.identity.base, listed.rows())
         .filter(|_| same_lineage);
     let reason = match (&assessment, &missing) {
         (Assessment::Lost(loss), _) | (_, Some(loss)) => format!("would rebuild: {loss}"),
         (Assessment::Intact(_), None) => "would not rebuild: the records are intact".into(),
         (Assessment::Newer(_), _) => "would not rebuild: another controller has".into(),
-        (Assessment::Unfounded, _) => "would wait for all controllers: the first start".into(),
+        (Assessment::NoCluster, _) => "would wait for all controllers: the first start".into(),
         (Assessment::ForeignCluster, _) => {
             "would not start: the state service has another cluster's records".into()
         }
     };
     println!("{reason}");
-    let survivors = Survivors { rows: listed.rows().clone(), same_lineage };
-    println!("{}", plan(&history.picture, &survivors).summary);
+    let survivors = SurvivingRecords { rows: listed.rows().clone(), same_lineage };
+    println!("{}", plan(&history.records, &survivors).summary);
     if !history.is_verified(directory.is_marked(), wall()) {
         println!("the log may lack what was done last: would wait until no task is on any machine");
     }
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -1,10 +1,10 @@
-//! The thread that owns the picture of all records, and writes each change to the log before the rest of
+//! The thread that owns the set of all records, and writes each change to the log before the rest of
 //! the program learns of it.
 //!
 //! So nothing that the program does rests on a record that its log lacks. Where the disk fails, or takes too
 //! long, the program goes on without it and says so: the mark in the directory is removed first.
 //!
-//! Owns the picture and the files of the directory. Never calls the store. Its thread ends when nobody
+//! Owns the record set and the files of the directory. Never calls the store. Its thread ends when nobody
 //! holds a way to it any more, which is with the process; nobody joins it.
 
 use std::io;
@@ -17,7 +17,7 @@
 use hdrhistogram::Histogram;
 use quartzlever_recovery::format::{LogEntry, Snapshot, WriteTimes};
 use quartzlever_recovery::identity::Identity;
-use quartzlever_recovery::picture::{Picture, Record, Update};
+use quartzlever_recovery::records::{Record, RecordSet, Update};
 
 use crate::clock::wall;
 use crate::log::ProgramEvent;
@@ -40,20 +40,20 @@
     },
     /// The records were listed anew.
     Replace {
-        picture: Picture,
+        records: RecordSet,
         written: Sender<()>,
     },
     Get {
         key: String,
         answer: Sender<Option<Record>>,
     },
-    Inherited {
+    CarriedOver {
         after: String,
         most: usize,
         answer: Sender<Vec<(String, Record)>>,
     },
-    Picture {
-        answer: Sender<Picture>,
+    GetAll {
+        answer: Sender<RecordSet>,
     },
     /// The process has written its witness key so often.
     Witness(u64),
@@ -63,25 +63,25 @@
 #[derive(Clone)]
 pub struct Journal {
     requests: Sender<Request>,
-    /// All changes up to this revision are in the picture.
-    complete_to: Arc<AtomicU64>,
+    /// All changes up to this revision are in the record set.
+    complete_up_to: Arc<AtomicU64>,
     /// The program goes on without the log.
     unprotected: Arc<AtomicBool>,
     directory: Directory,
 }
 
 impl Journal {
-    /// Writes a snapshot of the picture and starts the journal with it.
+    /// Writes a snapshot of the record set and starts the journal with it.
     pub fn start(
         own: OwnDirectory,
         settings: &RecoverySettings,
         identity: Identity,
-        picture: Picture,
+        records: RecordSet,
     ) -> io::Result<Journal> {
         let (requests, receiver) = unbounded();
         let journal = Journal {
             requests,
-            complete_to: Arc::new(AtomicU64::new(picture.revision())),
+            complete_up_to: Arc::new(AtomicU64::new(records.revision())),
             unprotected: Arc::new(AtomicBool::new(false)),
             directory: own.directory.clone(),
         };
@@ -89,13 +89,13 @@
             own,
             settings: settings.clone(),
             identity,
-            picture,
+            records,
             witness: 0,
             log: None,
             mark_due: false,
             snapshot_at: Instant::now(),
             retry_at: Instant::now(),
-            complete_to: journal.complete_to.clone(),
+            complete_up_to: journal.complete_up_to.clone(),
             unprotected: journal.unprotected.clone(),
             times: Times::new()?,
         };
@@ -113,10 +113,10 @@
         self.await_write(&done);
     }
 
-    /// The same for a picture that takes the present one's place.
-    pub fn replace(&self, picture: Picture) {
+    /// The same for a record set that takes the present one's place.
+    pub fn replace(&self, records: RecordSet) {
         let (written, done) = bounded(1);
-        let _ = self.requests.send(Request::Replace { picture, written });
+        let _ = self.requests.send(Request::Replace { records, written });
         self.await_write(&done);
     }
 
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A record of the picture.
+    /// A record of the record set.
     pub fn get(&self, key: &str) -> Option<Record> {
         let (answer, record) = bounded(1);
         let key = key.to_owned();
@@ -139,19 +139,19 @@
         record.recv_timeout(PATIENCE).ok()?
     }
 
-    /// Inherited records that are not written yet, after a key; none if the journal is too slow to tell.
+    /// Carried-over records that are not written yet, after a key; none if the journal is too slow to tell.
     pub fn carried_over(&self, after: &str, most: usize) -> Option<Vec<(String, Record)>> {
         let (answer, records) = bounded(1);
         let after = after.to_owned();
-        self.requests.send(Request::Inherited { after, most, answer }).ok()?;
+        self.requests.send(Request::CarriedOver { after, most, answer }).ok()?;
         records.recv_timeout(PATIENCE).ok()
     }
 
-    /// The picture as it is now.
-    pub fn picture(&self) -> Option<Picture> {
-        let (answer, picture) = bounded(1);
-        self.requests.send(Request::Picture { answer }).ok()?;
-        picture.recv_timeout(PATIENCE).ok()
+    /// The record set as it is now.
+    pub fn records(&self) -> Option<RecordSet> {
+        let (answer, records) = bounded(1);
+        self.requests.send(Request::GetAll { answer }).ok()?;
+        records.recv_timeout(PATIENCE).ok()
     }
 
     /// Tells the log how often the process has written its witness key.
@@ -159,9 +159,9 @@
         let _ = self.requests.send(Request::Witness(count));
     }
 
-    /// The revision up to which all changes are in the picture.
-    pub fn complete_to(&self) -> u64 {
-        self.complete_to.load(Ordering::SeqCst)
+    /// The revision up to which all changes are in the record set.
+    pub fn complete_up_to(&self) -> u64 {
+        self.complete_up_to.load(Ordering::SeqCst)
     }
 }
 
@@ -222,7 +222,7 @@
     entries: Vec<LogEntry>,
     /// Those who wait until it is there.
     waiting: Vec<Sender<()>>,
-    /// Another picture has taken the present one's place.
+    /// Another record set has taken the present one's place.
     is_replaced: bool,
 }
 
@@ -231,7 +231,7 @@
     own: OwnDirectory,
     settings: RecoverySettings,
     identity: Identity,
-    picture: Picture,
+    records: RecordSet,
     witness: u64,
     /// None while the disk fails.
     log: Option<LogFile>,
@@ -239,7 +239,7 @@
     mark_due: bool,
     snapshot_at: Instant,
     retry_at: Instant,
-    complete_to: Arc<AtomicU64>,
+    complete_up_to: Arc<AtomicU64>,
     unprotected: Arc<AtomicBool>,
     times: Times,
 }
@@ -264,13 +264,13 @@
         for request in requests {
             self.take_request(request, &mut batch);
         }
-        batch.entries.push(LogEntry::Alive { wall: wall(), witness: self.witness });
+        batch.entries.push(LogEntry::Heartbeat { wall_time: wall(), witness: self.witness });
         self.append(&batch.entries);
         self.set_due_mark();
         if batch.is_replaced || self.needs_snapshot() {
             self.take_snapshot();
         }
-        self.complete_to.store(self.picture.revision(), Ordering::SeqCst);
+        self.complete_up_to.store(self.records.revision(), Ordering::SeqCst);
         for written in batch.waiting {
             // Whoever no longer waits has been told that the disk is slow.
             let _ = written.send(());
@@ -281,37 +281,37 @@
         match request {
             Request::Record { update, written } => {
                 batch.entries.push(LogEntry::Update(update.clone()));
-                self.picture.apply(update);
+                self.records.apply(update);
                 batch.waiting.push(written);
             }
-            Request::Replace { picture, written } => {
-                if picture.revision() >= self.picture.revision() {
-                    self.replace(picture);
+            Request::Replace { records, written } => {
+                if records.revision() >= self.records.revision() {
+                    self.replace(records);
                     batch.is_replaced = true;
                 }
                 batch.waiting.push(written);
             }
             Request::Get { key, answer } => {
-                let _ = answer.send(self.picture.get(&key).cloned());
+                let _ = answer.send(self.records.get(&key).cloned());
             }
-            Request::Inherited { after, most, answer } => {
-                let carried_over = self.picture.carried_over(self.identity.base, &after).take(most);
+            Request::CarriedOver { after, most, answer } => {
+                let carried_over = self.records.carried_over(self.identity.base, &after).take(most);
                 let _ = answer.send(carried_over.map(|(k, r)| (k.clone(), r.clone())).collect());
             }
-            Request::Picture { answer } => {
-                let _ = answer.send(self.picture.clone());
+            Request::GetAll { answer } => {
+                let _ = answer.send(self.records.clone());
             }
             Request::Witness(count) => self.witness = self.witness.max(count),
         }
     }
 
-    /// Puts a picture in the present one's place; what that one has inherited stays.
-    fn replace(&mut self, picture: Picture) {
+    /// Puts a record set in the present one's place; what that one has carried over stays.
+    fn replace(&mut self, records: RecordSet) {
         let base = self.identity.base;
-        let before = std::mem::replace(&mut self.picture, picture);
+        let before = std::mem::replace(&mut self.records, records);
         let carried_over = before.carried_over(base, "");
         let carried_over = carried_over.map(|(key, r)| (key.clone(), r.value.clone()));
-        self.picture.carry_over(carried_over, base);
+        self.records.carry_over(carried_over, base);
     }
 
     /// Sets the mark again. Whatever was told to the program without being waited for was in the queue before
@@ -346,10 +346,10 @@
     fn take_snapshot(&mut self) {
         let snapshot = Snapshot {
             identity: self.identity.clone(),
-            revision: self.picture.revision(),
-            wall: wall(),
+            revision: self.records.revision(),
+            wall_time: wall(),
             write_times: self.times.summary(),
-            rows: self.picture.rows().iter().map(|(k, r)| (k.clone(), r.clone())).collect(),
+            rows: self.records.rows().iter().map(|(k, r)| (k.clone(), r.clone())).collect(),
         };
         self.snapshot_at = Instant::now();
         match self.write_snapshot(&snapshot) {
@@ -368,7 +368,7 @@
         let directory = &self.own.directory;
         let number = directory.next_number()?;
         let mut log = directory.write_snapshot(number, snapshot, self.settings.max_bytes / 2)?;
-        log.append(&[LogEntry::Alive { wall: wall(), witness: self.witness }])?;
+        log.append(&[LogEntry::Heartbeat { wall_time: wall(), witness: self.witness }])?;
         Ok(log)
     }
 
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -1,6 +1,6 @@
 //! The thread that looks for loss where nothing else would notice it.
 //!
-//! Owns this controller's witness key and the writing of inherited final states. Never mends a loss: the
+//! Owns this controller's witness key and the writing of carried-over final states. Never mends a loss: the
 //! process begins anew instead.
 
 use std::collections::BTreeMap;
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use quartzlever_recovery::detection::{Loss, missing_records};
+use quartzlever_recovery::detection::{Loss, detect_missing_records};
 use quartzlever_recovery::guard::GuardError;
 use quartzlever_recovery::identity::{
-    IDENTITY_KEY, Observed, PENDING_FINAL_STATES_KEY, PendingFinalStates, Stamped,
-    UNVERIFIED_PREFIX, WITNESS_PREFIX, Witness,
+    IDENTITY_KEY, PENDING_FINAL_STATES_KEY, PendingFinalStates, StoreObservation,
+    UNVERIFIED_PREFIX, Versioned, WITNESS_PREFIX, Witness,
 };
 use quartzlever_recovery::rebuild::{list_generation, observe, restore_final_states};
 use quartzlever_wire::store::{StoreCall, StoreReply, Txn};
@@ -29,7 +29,7 @@
 /// Records that are suspected to be missing are looked for no more often.
 const SUSPICION_PAUSE: Duration = Duration::from_secs(5);
 
-/// Looks at the identity of the records now and then, and compares all records with the picture.
+/// Looks at the identity of the records now and then, and compares all records with the record set.
 pub struct Monitor {
     state: Arc<GuardedStore>,
     settings: RecoverySettings,
@@ -38,12 +38,12 @@
     looks: u64,
     witness: u64,
     audited: Instant,
-    /// Inherited final states up to this key were written, or seen to be.
+    /// Carried-over final states up to this key were written, or seen to be.
     restored_to: String,
     pace: Pace,
 }
 
-/// What the settings say: what this controller may take of the store's changes for inherited final states.
+/// What the settings say: what this controller may take of the store's changes for carried-over final states.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     pub txn_ops: usize,
@@ -107,11 +107,11 @@
         }
     }
 
-    fn check_identity(&mut self) -> Result<Observed, GuardError> {
-        let floor = self.state.guard.highest();
+    fn check_identity(&mut self) -> Result<StoreObservation, GuardError> {
+        let floor = self.state.guard.latest_store_revision();
         let observed = observe(&mut self.access)?;
-        self.state.guard.check(&observed, floor)?;
-        self.state.lacks_jobs.store(observed.lacks_jobs(&self.node), Ordering::SeqCst);
+        self.state.guard.check_observation(&observed, floor)?;
+        self.state.may_lack_jobs.store(observed.may_lack_jobs(&self.node), Ordering::SeqCst);
         let found = observed.witnesses.get(&self.node).copied().unwrap_or(0);
         if found < self.witness {
             let written = self.witness;
@@ -120,7 +120,7 @@
         Ok(observed)
     }
 
-    /// Compares the records with the picture for controllers that came without a history, and removes
+    /// Compares the records with the record set for controllers that came without a history, and removes
     /// their keys. Where all came without one, nobody knows better than the store.
     fn announce_verified(
         &mut self,
@@ -142,10 +142,10 @@
         Ok(())
     }
 
-    /// Writes inherited final states for as long as a look takes, and says so when all are there.
+    /// Writes carried-over final states for as long as a look takes, and says so when all are there.
     fn restore(
         &mut self,
-        pending_final_states: Option<Stamped<PendingFinalStates>>,
+        pending_final_states: Option<Versioned<PendingFinalStates>>,
     ) -> Result<(), GuardError> {
         let Some(pending_final_states) = pending_final_states else { return Ok(()) };
         let seconds = self.settings.check as f64 / 1e6;
@@ -173,10 +173,10 @@
     }
 
     /// Every final state was written by now, or another controller has written it. Those are seen by the
-    /// watch; whatever is inherited still is tried again, and when nothing is, the key goes.
+    /// watch; whatever is carried over still is tried again, and when nothing is, the key goes.
     fn finish_restoring(
         &mut self,
-        pending_final_states: &Stamped<PendingFinalStates>,
+        pending_final_states: &Versioned<PendingFinalStates>,
     ) -> Result<(), GuardError> {
         self.restored_to.clear();
         if self.state.journal.carried_over("", 1).is_none_or(|left| !left.is_empty()) {
@@ -215,16 +215,16 @@
         since.as_micros() as u64 >= self.settings.audit || (suspects && since >= SUSPICION_PAUSE)
     }
 
-    /// Compares all records with the picture as it was before they were listed.
+    /// Compares all records with the record set as it was before they were listed.
     fn audit(&mut self) -> Result<(), GuardError> {
         self.audited = Instant::now();
         self.state.suspects.store(false, Ordering::SeqCst);
-        let Some(picture) = self.state.journal.picture() else { return Ok(()) };
+        let Some(records) = self.state.journal.records() else { return Ok(()) };
         let listed = list_generation(&mut self.access, &self.state.guard.generation)?;
         let mut store = |call: &StoreCall| self.state.client.call(call);
-        self.state.guard.verify(&mut store)?;
+        self.state.guard.verify_identity(&mut store)?;
         let base = self.state.guard.generation.identity.base;
-        match missing_records(&picture, base, listed.rows()) {
+        match detect_missing_records(&records, base, listed.rows()) {
             Some(loss) => Err(GuardError::Lost(loss)),
             None => Ok(()),
         }
--- a/crates/quartzlever/src/recovery/peer_log.rs
+++ b/crates/quartzlever/src/recovery/peer_log.rs
@@ -4,7 +4,7 @@
 
 use std::sync::{Arc, OnceLock};
 
-use quartzlever_recovery::picture::{KeyChange, Update};
+use quartzlever_recovery::records::{KeyChange, Update};
 use quartzlever_wire::peers::{LoggedChanges, PeerAnswer};
 
 use crate::recovery::state::GuardedStore;
@@ -21,6 +21,6 @@
         return PeerAnswer::Nothing;
     }
     let changes = changes.into_iter().map(|(key, value)| KeyChange { key, mod_revision, value });
-    state.journal.record(Update { changes: changes.collect(), complete_to: None });
+    state.journal.record(Update { changes: changes.collect(), complete_up_to: None });
     PeerAnswer::Logged
 }
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -15,7 +15,7 @@
 use crossbeam_channel::{Receiver, Sender, bounded};
 use quartzlever_clients::PeerClient;
 use quartzlever_recovery::identity::Identity;
-use quartzlever_recovery::picture::Update;
+use quartzlever_recovery::records::Update;
 use quartzlever_wire::peers::{LoggedChanges, PeerAnswer, PeerRequest};
 
 use crate::settings::Peer;
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -16,8 +16,8 @@
 use quartzlever_recovery::detection::Loss;
 use quartzlever_recovery::events::RebuildEvent;
 use quartzlever_recovery::guard::{Guard, GuardError};
-use quartzlever_recovery::picture::{Record, Update};
 use quartzlever_recovery::rebuild::list_generation;
+use quartzlever_recovery::records::{Record, Update};
 use quartzlever_wire::store::{KeyValue, StoreCall, StoreReply, TERMINAL_JOB_PREFIX};
 use quartzlever_wire::{CallError, Json, Micros};
 
@@ -54,13 +54,13 @@
     pub suspects: AtomicBool,
     /// Some jobs may be known to a controller alone that had no part in the rebuild: that a record is not
     /// there does not show that nobody was told of its job.
-    pub lacks_jobs: AtomicBool,
+    pub may_lack_jobs: AtomicBool,
 }
 
 impl GuardedStore {
     fn call(&self, call: &StoreCall) -> Result<StoreReply, CallError> {
-        let call = &self.joined_to_picture(call);
-        if let Some(reply) = self.refused_by_inheritance(call) {
+        let call = &self.limit_watch_start(call);
+        if let Some(reply) = self.conflict_with_carried_over(call) {
             return Ok(reply);
         }
         let mut store = |call: &StoreCall| self.client.call(call);
@@ -72,7 +72,7 @@
                 Err(CallError::Unknown)
             }
             Ok(reply) => {
-                if let Some(update) = Update::shown_by(call, &reply) {
+                if let Some(update) = Update::from_reply(call, &reply) {
                     self.journal.record(update.clone());
                     if matches!(call, StoreCall::Txn(_)) {
                         self.replication.share(&update);
@@ -83,7 +83,7 @@
                 Ok(reply)
             }
             Err(GuardError::Call(error)) => Err(error),
-            Err(GuardError::Suspect) => {
+            Err(GuardError::KnownRecordAbsent) => {
                 self.suspects.store(true, Ordering::SeqCst);
                 Err(CallError::Unknown)
             }
@@ -91,12 +91,12 @@
         }
     }
 
-    /// Whether a record of the picture is in the store too, as far as the picture goes.
+    /// Whether a record of the record set is in the store too, by the record set.
     fn is_written(&self, key: &str) -> bool {
         self.journal.get(key).is_some_and(|r| r.mod_revision > self.guard.generation.identity.base)
     }
 
-    fn inherited_record(&self, key: &str) -> Option<Record> {
+    fn carried_over_record(&self, key: &str) -> Option<Record> {
         let base = self.guard.generation.identity.base;
         let record =
             self.journal.get(key).filter(|_| base > 0 && key.starts_with(TERMINAL_JOB_PREFIX))?;
@@ -106,7 +106,7 @@
     /// A final state that is not written yet, as the answer to a read of it.
     fn carried_over(&self, call: &StoreCall) -> Option<KeyValue> {
         let StoreCall::Get(key) = call else { return None };
-        let Record { value, mod_revision } = self.inherited_record(key)?;
+        let Record { value, mod_revision } = self.carried_over_record(key)?;
         Some(KeyValue {
             key: key.clone(),
             value: Json::from_text(&value)?,
@@ -116,7 +116,7 @@
     }
 
     /// A job is not accepted if it is over by a final state that is not written yet.
-    fn refused_by_inheritance(&self, call: &StoreCall) -> Option<StoreReply> {
+    fn conflict_with_carried_over(&self, call: &StoreCall) -> Option<StoreReply> {
         let StoreCall::Txn(txn) = call else { return None };
         let absent = txn
             .conditions
@@ -124,7 +124,7 @@
             .filter(|c| c.mod_revision == 0 && c.path.starts_with(TERMINAL_JOB_PREFIX));
         let over: Vec<String> = absent
             .map(|condition| condition.path.clone())
-            .filter(|key| self.inherited_record(key).is_some())
+            .filter(|key| self.carried_over_record(key).is_some())
             .collect();
         (!over.is_empty()).then_some(StoreReply::Conflict(over))
     }
@@ -132,15 +132,15 @@
     fn may_be_known_elsewhere(&self, call: &StoreCall) -> bool {
         // Whether a job is live is asked first, and says nothing alone.
         let is_final = matches!(call, StoreCall::Get(key) if key.starts_with(TERMINAL_JOB_PREFIX));
-        is_final && self.lacks_jobs.load(Ordering::SeqCst)
+        is_final && self.may_lack_jobs.load(Ordering::SeqCst)
     }
 
-    /// A watch begins where the picture is complete, at the latest: the core, which has listed the records
+    /// A watch begins where the record set is complete, at the latest: the core, which has listed the records
     /// later, knows what comes twice.
-    fn joined_to_picture(&self, call: &StoreCall) -> StoreCall {
+    fn limit_watch_start(&self, call: &StoreCall) -> StoreCall {
         match call {
             StoreCall::Watch { from, hold_ms } => {
-                let from = (*from).min(self.journal.complete_to());
+                let from = (*from).min(self.journal.complete_up_to());
                 StoreCall::Watch { from, hold_ms: *hold_ms }
             }
             call => call.clone(),
@@ -150,13 +150,13 @@
     /// Lists all records after the watch has missed some.
     fn read_anew(&self) -> Result<(), CallError> {
         let mut access = ClientAccess { client: self.client.clone(), clock: Clock::new() };
-        let picture = list_generation(&mut access, &self.guard.generation)?;
+        let records = list_generation(&mut access, &self.guard.generation)?;
         let mut store = |call: &StoreCall| self.client.call(call);
-        match self.guard.verify(&mut store) {
-            Ok(()) => self.journal.replace(picture),
+        match self.guard.verify_identity(&mut store) {
+            Ok(()) => self.journal.replace(records),
             Err(GuardError::Lost(loss)) => reset_cache(&loss),
             Err(GuardError::Call(error)) => return Err(error),
-            Err(GuardError::Suspect) => return Err(CallError::Unknown),
+            Err(GuardError::KnownRecordAbsent) => return Err(CallError::Unknown),
         }
         Ok(())
     }
@@ -196,7 +196,7 @@
         self.clock.now()
     }
 
-    fn wall(&mut self) -> Micros {
+    fn wall_time(&mut self) -> Micros {
         wall()
     }
 
@@ -208,7 +208,7 @@
         log_event(LogLevel::Info, event.name(), &event);
     }
 
-    fn draw(&mut self) -> u64 {
+    fn random_number(&mut self) -> u64 {
         random_number()
     }
 }
