--- a/crates/quartzlever-recovery/src/identity.rs
+++ b/crates/quartzlever-recovery/src/identity.rs
@@ -2,9 +2,9 @@
 //! during a rebuild.
 //!
 //! This module defines the keys and the JSON of their values. Controllers of other versions read
-//! both, so neither may change. The keys are outside every generation's namespace, so that a
-//! controller finds them whichever generation is serving. Invariant: of all keys under `recovery/`,
-//! only the [`Identity`] decides which records are valid.
+//! both, so neither may change. The keys belong to no generation, so that a controller finds them
+//! whichever generation is serving. Invariant: of all keys under `recovery/`, only the [`Identity`]
+//! decides which records are valid.
 
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
 /// a condition, so a decision made before a rebuild cannot be committed after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Random name of the cluster, chosen when the cluster was founded.
+    /// Random identifier of the cluster, chosen when the cluster was founded.
     pub cluster: String,
     /// Number of the generation, which each rebuild increments.
     pub generation: u32,
@@ -141,12 +141,14 @@
     pub mod_revision: u64,
 }
 
-/// The keys under `recovery/` at one revision of the store.
+/// The keys under `recovery/`, or the identity's key alone, as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreObservation {
     /// The identity of the records; `None` if the store has none.
     pub identity: Option<Versioned<Identity>>,
+    /// The lock; `None` if no controller holds it.
     pub(crate) lock: Option<Versioned<Lock>>,
+    /// The announced candidates, by node.
     pub(crate) candidates: BTreeMap<String, Versioned<Candidate>>,
     /// Witness counters, by node.
     pub witnesses: BTreeMap<String, u64>,
@@ -158,7 +160,7 @@
     pub pending_final_states: Option<Versioned<PendingFinalStates>>,
     /// Modification revisions of the keys that mark controllers without a history, by node.
     pub unverified: BTreeMap<String, u64>,
-    /// The store's own revision.
+    /// The store's own revision when the keys were read.
     pub revision: u64,
 }
 
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -40,7 +40,8 @@
     restored: usize,
     /// Number of planned records that only the store has.
     only_in_store: usize,
-    /// Number of records of the store that are not planned as they are, since a later state is known.
+    /// Number of records of the store that the plan replaces or leaves out, since a later state is
+    /// known.
     superseded: usize,
 }
 
@@ -75,7 +76,8 @@
             Some(found)
         }
         (Some(record), _) => Some(record),
-        // The known records include the deletion, so a backup has restored the record.
+        // The known records include its deletion, so a backup has restored this record. Only final
+        // states are valid then, since they are never deleted.
         (None, Some(found)) if survivors.same_lineage && found.mod_revision <= known.revision() => {
             key.starts_with(TERMINAL_JOB_PREFIX).then_some(found)
         }
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Whether a record of the record set is in the store too, by the record set.
+    /// Reports whether the record set has a record at a key that is written in the store, rather than
+    /// only carried over from the previous generation.
     fn is_written(&self, key: &str) -> bool {
         self.journal.get(key).is_some_and(|r| r.mod_revision > self.guard.generation.identity.base)
     }
