--- a/crates/quartzlever-recovery/src/guard.rs
+++ b/crates/quartzlever-recovery/src/guard.rs
@@ -1,4 +1,4 @@
-//! Calls to the store whose answers are checked for a loss of data.
+//! Calls to the store whose replies are checked for a loss of data.
 //!
 //! The guard keeps the latest revision of the store that any reply has shown. A store that has lost
 //! data reports keys as absent. Therefore a reply that may report an absence, or that grants or
--- a/crates/quartzlever-recovery/src/records.rs
+++ b/crates/quartzlever-recovery/src/records.rs
@@ -137,7 +137,7 @@
         self.revision.max(latest).max(deleted)
     }
 
-    /// Returns the names of the nodes that had announced their version, so were up.
+    /// Returns the names of the nodes that have announced their version, whose processes were up.
     pub(crate) fn nodes_up(&self) -> impl Iterator<Item = &str> {
         let announced = self.rows.iter().filter(|(key, _)| key.starts_with(NODE_VERSION_PREFIX));
         let readable = announced.filter(|(_, record)| is_node_record(&record.value));
