--- a/crates/quartzlever-clients/src/budget/tests.rs
+++ b/crates/quartzlever-clients/src/budget/tests.rs
@@ -1,19 +1,19 @@
-//! How often calls are let through.
+//! Tests of the token bucket.
 
 use super::*;
 
 #[test]
-fn a_bucket_keeps_its_reserve() {
+fn a_bucket_keeps_its_reserve_and_its_tokens_within_a_changed_rate() {
     let budget = Budget::new(10.0);
-    // (count, share kept, whether it passes), one after the other on a fresh bucket.
-    for (n, (count, keep, passes)) in
+    // (tokens, reserve, whether they are taken), in this order from one bucket.
+    for (n, (count, reserve, taken)) in
         [(6.0, 0.0, true), (1.0, 0.9, false), (3.0, 0.0, true), (9.0, 0.0, false)]
             .into_iter()
             .enumerate()
     {
-        assert_eq!(budget.take(count, keep).is_ok(), passes, "case {n}");
+        assert_eq!(budget.take(count, reserve).is_ok(), taken, "case {n}");
     }
-    // A smaller share empties the bucket as far as it is too full, a larger one does not fill it.
+    // A lower rate discards the tokens above the new capacity; a higher rate adds none at once.
     let budget = Budget::new(30.0);
     budget.set_rate(2.0);
     assert!(budget.take(2.0, 0.0).is_ok());
--- a/crates/quartzlever-clients/src/cloud.rs
+++ b/crates/quartzlever-clients/src/cloud.rs
@@ -1,4 +1,4 @@
-//! Client of the cloud.
+//! HTTP client of the cloud.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::cloud::{
@@ -8,7 +8,7 @@
 use crate::http::HttpClient;
 use crate::policy::CallPolicy;
 
-/// Client of the cloud.
+/// Calls the cloud over HTTP.
 #[derive(Clone, Debug)]
 pub struct CloudClient {
     base: String,
@@ -16,17 +16,17 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud at this address and port.
+    /// Creates a client of the cloud at `address`, a host and port.
     pub fn new(address: &str) -> Self {
         CloudClient { base: format!("http://{address}"), http: HttpClient::new(CallPolicy::CLOUD) }
     }
 
-    /// Makes one call and waits for its answer.
-    pub fn call(&self, what: &CloudCall) -> Result<CloudReply, CallError> {
-        match what {
+    /// Makes one call and waits for the answer.
+    pub fn call(&self, call: &CloudCall) -> Result<CloudReply, CallError> {
+        match call {
             CloudCall::Catalogue => self.catalogue(),
             CloudCall::ScaleOut(request) => self.scale_out(request),
-            CloudCall::ScaleIn(machines) => self.return_machines(machines),
+            CloudCall::ScaleIn(machines) => self.scale_in(machines),
             CloudCall::List { from } => self.list(from.as_deref()),
         }
     }
@@ -35,7 +35,7 @@
         let reply = self.http.get(&format!("{}/catalog", self.base), &[])?;
         match reply.status {
             200 => Ok(CloudReply::Catalogue(reply.json::<Catalogue>()?)),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
@@ -43,19 +43,19 @@
         let reply = self.http.post(&format!("{}/rentals", self.base), request)?;
         match reply.status {
             200 => Ok(CloudReply::ScaledOut(reply.json::<MachineNames>()?.machines)),
-            503 if reply.says("no capacity") => Ok(CloudReply::NoCapacity),
-            // Malformed for the cloud, so never to be had.
+            503 if reply.contains("no capacity") => Ok(CloudReply::NoCapacity),
+            // The cloud rejects the request as malformed, so a repetition cannot succeed either.
             400 => Ok(CloudReply::NoCapacity),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
-    fn return_machines(&self, machines: &[String]) -> Result<CloudReply, CallError> {
+    fn scale_in(&self, machines: &[String]) -> Result<CloudReply, CallError> {
         let names = MachineNames { machines: machines.to_vec() };
         let reply = self.http.post(&format!("{}/rentals/return", self.base), &names)?;
         match reply.status {
             200 => Ok(CloudReply::ScaledIn),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
@@ -65,7 +65,7 @@
         let reply = self.http.get(&format!("{}/rentals", self.base), &query)?;
         match reply.status {
             200 => Ok(CloudReply::Listed(reply.json::<InstancePage>()?)),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 }
--- a/crates/quartzlever-clients/src/http.rs
+++ b/crates/quartzlever-clients/src/http.rs
@@ -1,4 +1,4 @@
-//! What the HTTP clients share.
+//! The HTTP calls on which the clients of the store, the cloud and the workers are built.
 
 use std::io::Read;
 
@@ -6,34 +6,38 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::policy::{CallPolicy, transport_failure};
+use crate::policy::{CallPolicy, classify_transport_error};
 
-/// The longest answer that is read, in bytes. Pages of the store hold 512 KiB, those of the cloud
-/// 500 machines, and all groups of 4,000 machines together half a megabyte. Only a watch that has
-/// missed a lot brings more; its answer is cut short and the records are listed instead, in pages.
-const MAX_ANSWER: u64 = 4 << 20;
+/// The longest response body that is read, in bytes. A page of the store holds 512 KiB and one of
+/// the cloud 500 machines; the records of all groups of 4,000 machines take half a megabyte. Only a
+/// watch that is far behind receives more. Its answer is truncated, and the records are listed in
+/// pages instead.
+const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// A status with its body.
+/// A response: its status and its body.
 pub struct Reply {
     pub status: u16,
     pub body: Vec<u8>,
-    /// The body is longer than what was read of it.
-    pub cut_short: bool,
+    /// Whether the body exceeds [`MAX_RESPONSE_BYTES`] and was truncated.
+    pub truncated: bool,
 }
 
 impl Reply {
-    /// Whether the body has this text in it.
-    pub fn says(&self, text: &str) -> bool {
-        self.body.windows(text.len()).any(|part| part == text.as_bytes())
+    /// Reports whether the body contains `text`.
+    pub fn contains(&self, text: &str) -> bool {
+        self.body.windows(text.len()).any(|window| window == text.as_bytes())
     }
 
-    /// The body as JSON. An answer that cannot be read tells nothing of the outcome.
+    /// Parses the body as JSON.
+    ///
+    /// # Errors
+    /// [`CallError::Unknown`] if it does not parse: such a response does not show the outcome.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|_| CallError::Unknown)
     }
 }
 
-/// Makes HTTP calls by one policy.
+/// Makes HTTP calls under one policy.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     agent: ureq::Agent,
@@ -41,7 +45,7 @@
 }
 
 impl HttpClient {
-    /// A client with connections of its own, under this policy.
+    /// Creates a client with its own connection pool.
     pub fn new(policy: CallPolicy) -> HttpClient {
         let agent = ureq::AgentBuilder::new()
             .timeout_connect(policy.connect_timeout)
@@ -54,7 +58,7 @@
         HttpClient { agent, policy }
     }
 
-    /// Reads what stands at this address, with query fields.
+    /// Sends a GET request with these query parameters.
     pub fn get(&self, url: &str, query: &[(&str, &str)]) -> Result<Reply, CallError> {
         let mut request = self.agent.get(url);
         for (name, value) in query {
@@ -63,32 +67,32 @@
         receive(request.call())
     }
 
-    /// Sends a message to this address.
+    /// Sends a POST request with `message` as its JSON body.
     pub fn post(&self, url: &str, message: &impl Serialize) -> Result<Reply, CallError> {
-        // Our own types can always be written.
+        // Nothing was sent if this fails, which the types of quartzlever-wire never do.
         let body = serde_json::to_vec(message).map_err(|_| CallError::Refused)?;
         let request = self.agent.post(url).set("Content-Type", "application/json");
         receive(request.send_bytes(&body))
     }
 
-    /// What a reply says whose status is no answer to the call.
-    pub fn failure(&self, reply: &Reply) -> CallError {
-        (self.policy.status)(reply.status)
+    /// Returns the error for a reply whose status is not an answer to the call.
+    pub fn status_error(&self, reply: &Reply) -> CallError {
+        (self.policy.classify_status)(reply.status)
     }
 }
 
 fn receive(result: Result<ureq::Response, ureq::Error>) -> Result<Reply, CallError> {
     let response = match result {
         Ok(response) | Err(ureq::Error::Status(_, response)) => response,
-        Err(ureq::Error::Transport(error)) => return Err(transport_failure(error.kind())),
+        Err(ureq::Error::Transport(error)) => return Err(classify_transport_error(error.kind())),
     };
     let status = response.status();
     let mut body = Vec::new();
     response
         .into_reader()
-        .take(MAX_ANSWER + 1)
+        .take(MAX_RESPONSE_BYTES + 1)
         .read_to_end(&mut body)
         .map_err(|_| CallError::Unknown)?;
-    let cut_short = body.len() as u64 > MAX_ANSWER;
-    Ok(Reply { status, body, cut_short })
+    let truncated = body.len() as u64 > MAX_RESPONSE_BYTES;
+    Ok(Reply { status, body, truncated })
 }
--- a/crates/quartzlever-clients/src/lib.rs
+++ b/crates/quartzlever-clients/src/lib.rs
@@ -1,9 +1,10 @@
-//! Clients of everything that a controller calls: the store, the cloud, workers and
-//! other controllers.
+//! Blocking clients of the services that a controller calls: the store, the cloud, the workers and
+//! the other controllers.
 //!
-//! Every call has a deadline and reuses connections, by the `CallPolicy` of its client, and calls that count against a rate limit
-//! of the region go through a [`Budget`]. A call ends in an answer or in a
-//! [`CallError`](quartzlever_wire::CallError) that says whether it may have been carried out.
+//! The `CallPolicy` of a client sets the timeouts of its calls and the number of connections that
+//! it reuses. Calls that count against a rate limit of the region go through a [`Budget`]. A call
+//! returns an answer or a [`CallError`](quartzlever_wire::CallError), which says whether the call
+//! may have been carried out.
 
 #![deny(missing_docs)]
 
--- a/crates/quartzlever-clients/src/peer.rs
+++ b/crates/quartzlever-clients/src/peer.rs
@@ -1,4 +1,4 @@
-//! Client of the other controllers.
+//! TCP client of the other controllers.
 
 use std::collections::HashMap;
 use std::io::{self, ErrorKind};
@@ -10,24 +10,27 @@
 
 use crate::policy::CallPolicy;
 
-/// Client of all peers, with one idle connection kept for each.
+/// Calls peers over TCP and keeps one idle connection to each.
 #[derive(Debug, Default)]
 pub struct PeerClient {
     idle: Mutex<HashMap<SocketAddr, TcpStream>>,
 }
 
 impl PeerClient {
-    /// Asks a peer and waits for its answer.
+    /// Sends a request to a peer and waits for the answer.
+    ///
+    /// # Errors
+    /// [`CallError::Refused`] if no connection can be made, otherwise [`CallError::Unknown`].
     pub fn call(&self, peer: SocketAddr, request: &PeerRequest) -> Result<PeerAnswer, CallError> {
-        let kept = self.idle.lock().unwrap_or_else(|e| e.into_inner()).remove(&peer);
-        // A kept connection may have been closed by the other side meanwhile; then a new one is
-        // tried. A peer that merely does not answer is not asked twice.
-        if let Some(mut stream) = kept
+        let pooled = self.idle.lock().unwrap_or_else(|e| e.into_inner()).remove(&peer);
+        // The peer may have closed the idle connection since its last use; the request is then
+        // sent again over a new one. After a timeout the request is not sent again.
+        if let Some(mut stream) = pooled
             && peers::send(&mut stream, request).is_ok()
         {
             match peers::receive(&mut stream) {
                 Ok(answer) => {
-                    self.keep(peer, stream);
+                    self.keep_idle(peer, stream);
                     return Ok(answer);
                 }
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
@@ -39,11 +42,11 @@
         let mut stream = connect(peer).map_err(|_| CallError::Refused)?;
         peers::send(&mut stream, request).map_err(|_| CallError::Unknown)?;
         let answer = peers::receive(&mut stream).map_err(|_| CallError::Unknown)?;
-        self.keep(peer, stream);
+        self.keep_idle(peer, stream);
         Ok(answer)
     }
 
-    fn keep(&self, peer: SocketAddr, stream: TcpStream) {
+    fn keep_idle(&self, peer: SocketAddr, stream: TcpStream) {
         self.idle.lock().unwrap_or_else(|e| e.into_inner()).insert(peer, stream);
     }
 }
--- a/crates/quartzlever-clients/src/policy.rs
+++ b/crates/quartzlever-clients/src/policy.rs
@@ -1,37 +1,38 @@
-//! How long each client waits, how many connections it keeps, and what a failed call says of its
-//! outcome.
+//! Timeouts and connection limits of each client, and the classification of failed calls.
 //!
-//! No client repeats a call: whether that is right depends on the call, so the caller decides. Only
-//! [`PeerClient`](crate::PeerClient) connects anew, where the peer had closed a kept connection.
+//! Clients do not retry: whether a retry is safe depends on the call, so the caller decides. Only
+//! [`PeerClient`](crate::PeerClient) sends a request again, over a new connection, if the peer had
+//! closed the idle one.
 
 use std::time::Duration;
 
 use quartzlever_wire::CallError;
 
-/// The rules by which a client makes its calls.
+/// Timeouts, connection limit and error classification of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct CallPolicy {
-    /// The longest time for connecting.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// The longest time for the whole call; for a peer, for each read and each write.
+    /// Timeout of the whole call; for a peer, of each read and each write.
     pub timeout: Duration,
-    /// How many unused connections are kept open for the next calls.
+    /// Maximum number of idle connections kept open for reuse.
     pub idle_connections: usize,
-    /// What a status says that is no answer to the call.
-    pub status: fn(u16) -> CallError,
+    /// Classifies an HTTP status that is not an answer to the call.
+    pub classify_status: fn(u16) -> CallError,
 }
 
 impl CallPolicy {
-    /// All calls to the store but watches.
+    /// Calls to the store, except watches.
     pub const STORE: CallPolicy = CallPolicy {
         connect_timeout: Duration::from_millis(700),
         timeout: Duration::from_millis(1500),
         idle_connections: 10,
-        status: store_status,
+        classify_status: classify_store_status,
     };
 
-    /// Watches of the store. One stays open for its time, and in an outage for longer. One whose
-    /// connection is dead must not keep the cache of the records old for long.
+    /// Watches of the store. A watch stays open for its requested time, and for longer during an
+    /// outage. The timeout ends a watch on a dead connection before the cache of the records has
+    /// been outdated for long.
     pub const STORE_WATCH: CallPolicy =
         CallPolicy { timeout: Duration::from_secs(12), idle_connections: 2, ..CallPolicy::STORE };
 
@@ -40,27 +41,27 @@
         connect_timeout: Duration::from_secs(1),
         timeout: Duration::from_secs(5),
         idle_connections: 3,
-        status: |_| CallError::Refused,
+        classify_status: |_| CallError::Refused,
     };
 
-    /// Calls to workers, all of them together.
+    /// Calls to workers; the connection limit is for all workers together.
     pub const WORKERS: CallPolicy = CallPolicy {
         connect_timeout: Duration::from_millis(800),
         timeout: Duration::from_secs(2),
         idle_connections: 100,
-        status: worker_status,
+        classify_status: classify_worker_status,
     };
 
-    /// Calls to one peer; their answers have no status.
+    /// Calls to one peer; its answers have no HTTP status.
     pub const PEER: CallPolicy = CallPolicy {
         connect_timeout: Duration::from_millis(700),
         timeout: Duration::from_secs(2),
         idle_connections: 1,
-        status: |_| CallError::Unknown,
+        classify_status: |_| CallError::Unknown,
     };
 }
 
-fn store_status(status: u16) -> CallError {
+fn classify_store_status(status: u16) -> CallError {
     match status {
         429 => CallError::Throttled,
         400..=499 | 503 => CallError::Refused,
@@ -68,16 +69,16 @@
     }
 }
 
-fn worker_status(status: u16) -> CallError {
+fn classify_worker_status(status: u16) -> CallError {
     match status {
         400 => CallError::Refused,
         _ => CallError::Unknown,
     }
 }
 
-/// What a call without a status says. A connection that cannot be made carries nothing out; any
-/// other failure leaves the outcome open.
-pub fn transport_failure(kind: ureq::ErrorKind) -> CallError {
+/// Classifies a call that failed without an HTTP status. If no connection was made, the call was
+/// not carried out; after any other failure the outcome is unknown.
+pub fn classify_transport_error(kind: ureq::ErrorKind) -> CallError {
     match kind {
         ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns | ureq::ErrorKind::InvalidUrl => {
             CallError::Refused
--- a/crates/quartzlever-clients/src/policy/tests.rs
+++ b/crates/quartzlever-clients/src/policy/tests.rs
@@ -1,13 +1,15 @@
+//! Tests of the classification of failed calls.
+
 use quartzlever_wire::CallError::{self, Refused, Throttled, Unknown};
 use ureq::ErrorKind;
 
-use super::{CallPolicy, transport_failure};
+use super::{CallPolicy, classify_transport_error};
 
-/// What a caller takes for certainly not carried out it may do again under another name or
-/// elsewhere, so a status must never be taken for a refusal by accident.
+/// A caller may repeat a refused call under another name or elsewhere. A status that leaves the
+/// outcome open must therefore not be classified as a refusal, or the call may be carried out twice.
 #[test]
-fn a_status_says_whether_the_call_was_carried_out() {
-    // (status, at the store, at the cloud, at a worker)
+fn a_status_is_classified_by_whether_the_call_was_carried_out() {
+    // (status, class for the store, for the cloud, for a worker)
     let cases: &[(u16, CallError, CallError, CallError)] = &[
         (200, Unknown, Refused, Unknown),
         (302, Unknown, Refused, Unknown),
@@ -22,20 +24,20 @@
         (504, Unknown, Refused, Unknown),
     ];
     for &(status, store, cloud, worker) in cases {
-        assert_eq!((CallPolicy::STORE.status)(status), store, "store: {status}");
-        assert_eq!((CallPolicy::STORE_WATCH.status)(status), store, "watch: {status}");
-        assert_eq!((CallPolicy::CLOUD.status)(status), cloud, "cloud: {status}");
-        assert_eq!((CallPolicy::WORKERS.status)(status), worker, "worker: {status}");
+        assert_eq!((CallPolicy::STORE.classify_status)(status), store, "store: {status}");
+        assert_eq!((CallPolicy::STORE_WATCH.classify_status)(status), store, "watch: {status}");
+        assert_eq!((CallPolicy::CLOUD.classify_status)(status), cloud, "cloud: {status}");
+        assert_eq!((CallPolicy::WORKERS.classify_status)(status), worker, "worker: {status}");
     }
 }
 
 #[test]
-fn only_a_connection_that_was_not_made_carries_nothing_out() {
-    let not_made = [ErrorKind::ConnectionFailed, ErrorKind::Dns, ErrorKind::InvalidUrl];
-    for kind in not_made {
-        assert_eq!(transport_failure(kind), Refused, "{kind}");
+fn only_a_failure_to_connect_counts_as_not_carried_out() {
+    let connect_failures = [ErrorKind::ConnectionFailed, ErrorKind::Dns, ErrorKind::InvalidUrl];
+    for kind in connect_failures {
+        assert_eq!(classify_transport_error(kind), Refused, "{kind}");
     }
     for kind in [ErrorKind::Io, ErrorKind::BadStatus, ErrorKind::BadHeader] {
-        assert_eq!(transport_failure(kind), Unknown, "{kind}");
+        assert_eq!(classify_transport_error(kind), Unknown, "{kind}");
     }
 }
--- a/crates/quartzlever-clients/src/store.rs
+++ b/crates/quartzlever-clients/src/store.rs
@@ -1,4 +1,4 @@
-//! Client of the store.
+//! HTTP client of the store.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::store::{
@@ -10,27 +10,28 @@
 use crate::http::HttpClient;
 use crate::policy::CallPolicy;
 
-/// Client of the store.
+/// Calls the store over HTTP.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
     base: String,
     http: HttpClient,
-    watches: HttpClient,
+    /// For watches, which have a longer timeout.
+    watch_http: HttpClient,
 }
 
 impl StoreClient {
-    /// A client of the store at this address and port.
+    /// Creates a client of the store at `address`, a host and port.
     pub fn new(address: &str) -> Self {
         StoreClient {
             base: format!("http://{address}"),
             http: HttpClient::new(CallPolicy::STORE),
-            watches: HttpClient::new(CallPolicy::STORE_WATCH),
+            watch_http: HttpClient::new(CallPolicy::STORE_WATCH),
         }
     }
 
-    /// Makes one call and waits for its answer.
-    pub fn call(&self, what: &StoreCall) -> Result<StoreReply, CallError> {
-        match what {
+    /// Makes one call and waits for the answer.
+    pub fn call(&self, call: &StoreCall) -> Result<StoreReply, CallError> {
+        match call {
             StoreCall::Revision => self.revision(),
             StoreCall::Get(key) => self.get(key),
             StoreCall::List { prefix, from } => self.list(prefix, from.as_deref()),
@@ -45,7 +46,7 @@
         let reply = self.http.get(&format!("{}/keys/{REVISION_PROBE_KEY}", self.base), &[])?;
         match reply.status {
             404 => Ok(StoreReply::Revision(reply.json::<TxnAnswer>()?.revision)),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
@@ -54,7 +55,7 @@
         match reply.status {
             200 => Ok(StoreReply::Read(Some(reply.json::<KeyValue>()?))),
             404 => Ok(StoreReply::Read(None)),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
@@ -64,7 +65,7 @@
         let reply = self.http.get(&format!("{}/keys", self.base), &query)?;
         match reply.status {
             200 => Ok(StoreReply::Listed(reply.json::<ListPage>()?)),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
@@ -76,9 +77,9 @@
                 let answer = reply.json::<TxnAnswer>()?;
                 Ok(StoreReply::Conflict(answer.failed.unwrap_or_default()))
             }
-            400 if reply.says("no such lease") => Ok(StoreReply::NoLease),
+            400 if reply.contains("no such lease") => Ok(StoreReply::NoLease),
             400 => Ok(StoreReply::TooLarge),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
@@ -86,7 +87,7 @@
         let reply = self.http.post(&format!("{}/holds", self.base), &GrantRequest { life_ms })?;
         match reply.status {
             200 => Ok(StoreReply::Granted(reply.json::<GrantAnswer>()?.lease_id)),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
@@ -95,22 +96,22 @@
         match reply.status {
             200 => Ok(StoreReply::Renewed),
             404 => Ok(StoreReply::NoLease),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 
     fn watch(&self, from: u64, hold_ms: u64) -> Result<StoreReply, CallError> {
         let (from, hold_ms) = (from.to_string(), hold_ms.to_string());
         let query = [("under", ""), ("from", &*from), ("hold_ms", &*hold_ms)];
-        let reply = self.watches.get(&format!("{}/watch", self.base), &query)?;
+        let reply = self.watch_http.get(&format!("{}/watch", self.base), &query)?;
         match reply.status {
-            // It holds all changes since then, however many. Asked again it would only be
-            // longer, and nothing be known until the store had forgotten them;
-            // listed, the records come in pages.
-            200 if reply.cut_short => Ok(StoreReply::TooOld),
+            // The answer holds all changes since `from`. A repeated watch would return even more
+            // and fail again until the store had discarded the changes, so the caller lists the
+            // records instead, which come in pages.
+            200 if reply.truncated => Ok(StoreReply::TooOld),
             200 => Ok(StoreReply::Watched(reply.json::<WatchAnswer>()?)),
             410 => Ok(StoreReply::TooOld),
-            _ => Err(self.watches.failure(&reply)),
+            _ => Err(self.watch_http.status_error(&reply)),
         }
     }
 }
--- a/crates/quartzlever-clients/src/worker.rs
+++ b/crates/quartzlever-clients/src/worker.rs
@@ -1,4 +1,4 @@
-//! Client of the workers' own addresses.
+//! HTTP client of the workers.
 
 use quartzlever_wire::CallError;
 use quartzlever_wire::workers::{Heartbeat, WorkerCall, WorkerReply};
@@ -6,7 +6,7 @@
 use crate::http::HttpClient;
 use crate::policy::CallPolicy;
 
-/// Client of all workers.
+/// Calls workers over HTTP, at the addresses that they report.
 #[derive(Clone, Debug)]
 pub struct WorkerClient {
     http: HttpClient,
@@ -19,9 +19,9 @@
 }
 
 impl WorkerClient {
-    /// Makes one call and waits for its answer.
-    pub fn call(&self, address: &str, what: &WorkerCall) -> Result<WorkerReply, CallError> {
-        let reply = match what {
+    /// Makes one call to the worker at `address` and waits for the answer.
+    pub fn call(&self, address: &str, call: &WorkerCall) -> Result<WorkerReply, CallError> {
+        let reply = match call {
             WorkerCall::Status => self.http.get(&format!("http://{address}/status"), &[])?,
             WorkerCall::Command(commands) => {
                 self.http.post(&format!("http://{address}/commands"), commands)?
@@ -31,7 +31,7 @@
         match reply.status {
             200 => Ok(WorkerReply::Status(heartbeat()?)),
             409 => Ok(WorkerReply::Refused(heartbeat()?)),
-            _ => Err(self.http.failure(&reply)),
+            _ => Err(self.http.status_error(&reply)),
         }
     }
 }
