--- a/crates/quartzlever-clients/src/budget.rs
+++ b/crates/quartzlever-clients/src/budget.rs
@@ -4,6 +4,9 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
+/// Shortest sleep between two attempts to take tokens.
+const MIN_SLEEP: Duration = Duration::from_millis(2);
+
 /// A token bucket that holds at most the tokens of one second.
 #[derive(Debug)]
 pub struct Budget {
@@ -66,7 +69,7 @@
                     if remaining.is_zero() {
                         return false;
                     }
-                    std::thread::sleep(wait.min(remaining).max(Duration::from_millis(2)));
+                    std::thread::sleep(wait.min(remaining).max(MIN_SLEEP));
                 }
             }
         }
--- a/crates/quartzlever-clients/src/budget/tests.rs
+++ b/crates/quartzlever-clients/src/budget/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_bucket_keeps_its_reserve_and_its_tokens_within_a_changed_rate() {
+fn a_bucket_keeps_its_reserve_and_follows_changes_of_its_rate() {
     let budget = Budget::new(10.0);
     // (tokens, reserve, whether they are taken), in this order from one bucket.
     for (n, (count, reserve, taken)) in
--- a/crates/quartzlever-clients/src/cloud.rs
+++ b/crates/quartzlever-clients/src/cloud.rs
@@ -8,6 +8,9 @@
 use crate::http::HttpClient;
 use crate::policy::CallPolicy;
 
+/// Maximum number of instances per page of the list.
+const LIST_PAGE_LIMIT: &str = "500";
+
 /// Calls the cloud over HTTP.
 #[derive(Clone, Debug)]
 pub struct CloudClient {
@@ -60,7 +63,7 @@
     }
 
     fn list(&self, from: Option<&str>) -> Result<CloudReply, CallError> {
-        let mut query = vec![("limit", "500")];
+        let mut query = vec![("limit", LIST_PAGE_LIMIT)];
         query.extend(from.map(|from| ("from", from)));
         let reply = self.http.get(&format!("{}/rentals", self.base), &query)?;
         match reply.status {
--- a/crates/quartzlever-clients/src/policy/tests.rs
+++ b/crates/quartzlever-clients/src/policy/tests.rs
@@ -6,7 +6,8 @@
 use super::{CallPolicy, classify_transport_error};
 
 /// A caller may repeat a refused call under another name or elsewhere. A status that leaves the
-/// outcome open must therefore not be classified as a refusal, or the call may be carried out twice.
+/// outcome open must therefore not be classified as a refusal, or the call may be carried out
+/// twice.
 #[test]
 fn a_status_is_classified_by_whether_the_call_was_carried_out() {
     // (status, class for the store, for the cloud, for a worker)
--- a/crates/quartzlever-clients/src/store.rs
+++ b/crates/quartzlever-clients/src/store.rs
@@ -10,6 +10,9 @@
 use crate::http::HttpClient;
 use crate::policy::CallPolicy;
 
+/// Maximum number of keys per page of a listing.
+const LIST_PAGE_LIMIT: &str = "1000";
+
 /// Calls the store over HTTP.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
@@ -60,7 +63,7 @@
     }
 
     fn list(&self, prefix: &str, from: Option<&str>) -> Result<StoreReply, CallError> {
-        let mut query = vec![("under", prefix), ("limit", "1000")];
+        let mut query = vec![("under", prefix), ("limit", LIST_PAGE_LIMIT)];
         query.extend(from.map(|from| ("from", from)));
         let reply = self.http.get(&format!("{}/keys", self.base), &query)?;
         match reply.status {
--- a/crates/quartzlever-wire/src/cloud.rs
+++ b/crates/quartzlever-wire/src/cloud.rs
@@ -1,36 +1,37 @@
-//! The protocol between controllers and the cloud: catalogue, scale-out, return, list of machines.
+//! The protocol between controllers and the cloud: the catalogue, scale-out, scale-in and the list
+//! of instances.
 //!
-//! Prices are in the currency of the catalogue per hour.
+//! Prices are per hour, in the currency of the catalogue.
 
 use serde::{Deserialize, Serialize};
 
-/// One machine type.
+/// A machine type of the catalogue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
     pub name: String,
-    /// Processors.
+    /// Number of processors.
     pub cpus: f64,
-    /// Graphics processors.
+    /// Number of graphics processors.
     #[serde(default)]
     pub gpus: f64,
     /// Memory.
     pub ram_gb: f64,
-    /// Local disk for images.
+    /// Size of the local disk that caches images.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// How fast an image is pulled, in gigabytes a second.
+    /// Rate at which an image is pulled, in gigabytes per second.
     #[serde(default)]
     pub pull_gb_per_s: f64,
-    /// Price on demand.
+    /// Price of an on-demand instance.
     pub hourly: f64,
-    /// Price as a spot machine; absent if there are none of this type.
+    /// Price of a spot instance; absent if the type has none.
     #[serde(default)]
     pub market_price: Option<f64>,
-    /// Usual time from the request until a machine is up.
+    /// Usual time from the request until an instance is up.
     #[serde(default)]
     pub ready_s: f64,
-    /// Zones that have this type.
+    /// Zones that offer the type.
     #[serde(rename = "bays")]
     pub zones: Vec<String>,
 }
@@ -43,8 +44,8 @@
     pub types: Vec<MachineType>,
 }
 
-/// A request for machines. A repetition under the same name rents nothing more, so a name must
-/// never be used for another request.
+/// A request to launch instances. It is idempotent by its name: a repetition launches nothing more,
+/// so a name must never be used for a different request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
     /// Name of the request, chosen by the controller.
@@ -56,41 +57,41 @@
     /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: String,
-    /// Whether to rent spot machines.
+    /// Whether to launch spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many machines are wanted; the cloud may give fewer.
+    /// Number of instances to launch; the cloud may launch fewer.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Names of machines: the answer to a scale-out, or the body of a return.
+/// Names of machines: the answer to a scale-out and the body of a scale-in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
-/// The state of a rented machine as the cloud lists it.
+/// The state of an instance, as the cloud lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstancePhase {
-    /// It boots.
+    /// The instance boots.
     Starting,
-    /// It is up.
+    /// The instance is up.
     Running,
-    /// It did not come up, or has broken down.
+    /// The instance failed to boot or has failed since.
     Failed,
-    /// A state that this version does not know.
+    /// A state that is unknown to this version.
     #[serde(other)]
     Other,
 }
 
-/// One rented machine in the list.
+/// An instance in the list: a machine that is launched and not yet terminated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// The machine's name.
+    /// Name of the machine.
     #[serde(rename = "ref")]
     pub name: String,
     /// Address and port of its worker; may be empty until it is up.
@@ -102,23 +103,23 @@
     /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Its state.
+    /// State of the instance.
     pub phase: InstancePhase,
-    /// How long it has been rented.
+    /// Time since the launch.
     #[serde(default)]
     pub held_s: f64,
 }
 
-/// A page of the list.
+/// A page of the list of instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstancePage {
-    /// Rented machines, in the order of their names.
+    /// Instances, ordered by name.
     #[serde(rename = "hosts")]
     pub instances: Vec<Instance>,
-    /// Whether machines follow after the last of this page.
+    /// Whether instances follow after the last of this page.
     #[serde(default)]
     pub has_next: bool,
 }
@@ -128,27 +129,28 @@
 pub enum CloudCall {
     /// Read the catalogue.
     Catalogue,
-    /// Rent machines.
+    /// Launch instances.
     ScaleOut(ScaleOutRequest),
-    /// Return the machines of these names.
+    /// Terminate the instances with these names.
     ScaleIn(Vec<String>),
-    /// Read a page of the list of rented machines.
+    /// Read a page of the list of instances.
     List {
-        /// The last name of the page before; none for the first page.
+        /// The last name of the previous page; `None` for the first page.
         from: Option<String>,
     },
 }
 
-/// What the cloud answered.
+/// The cloud's answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     /// The catalogue.
     Catalogue(Catalogue),
-    /// Machines of these names are rented.
+    /// Instances with these names are launched.
     ScaledOut(Vec<String>),
-    /// The cloud has no machine of that type, zone and kind, or never will.
+    /// The cloud has no capacity for the machine type in the zone, on demand or spot as requested,
+    /// or rejects the request as malformed.
     NoCapacity,
-    /// The machines are returned.
+    /// The instances are terminated.
     ScaledIn,
     /// A page of the list.
     Listed(InstancePage),
--- a/crates/quartzlever-wire/src/fields.rs
+++ b/crates/quartzlever-wire/src/fields.rs
@@ -1,11 +1,12 @@
 //! The `key=value` pairs of a log line.
 //!
-//! The same form for the events of the core, of the recovery and of the program: pairs are separated by one
-//! space, and a value that would not be read back as one word is quoted.
+//! The events of the core, of the recovery and of the program share this format: one space
+//! separates the pairs, and a value that is not a single word is quoted.
 
 use std::fmt::{self, Display, Formatter};
 
-/// Writes pairs in the order in which they are given; an error ends the writing.
+/// Writes pairs to a formatter, in the order in which they are added. The first error stops the
+/// writing.
 pub struct Fields<'a, 'b> {
     formatter: &'a mut Formatter<'b>,
     is_first: bool,
@@ -13,13 +14,13 @@
 }
 
 impl<'a, 'b> Fields<'a, 'b> {
-    /// No pair yet.
+    /// Creates a writer without pairs.
     pub fn new(formatter: &'a mut Formatter<'b>) -> Self {
         Fields { formatter, is_first: true, result: Ok(()) }
     }
 
-    /// Adds a pair. A value that is empty or has a space, a quotation mark, an equals sign or a control
-    /// character is quoted and escaped, so that it stays one value on one line.
+    /// Adds a pair. A value that is empty or contains whitespace, a quotation mark, an equals sign
+    /// or a control character is quoted and escaped, so that it remains one value on one line.
     #[must_use]
     pub fn field(mut self, key: &str, value: impl Display) -> Self {
         if self.result.is_ok() {
@@ -28,17 +29,17 @@
         self
     }
 
-    /// Adds a pair whose value is a list, its items separated by commas.
+    /// Adds a pair whose value is a comma-separated list.
     #[must_use]
     pub fn list(self, key: &str, items: impl IntoIterator<Item = impl Display>) -> Self {
         let items: Vec<String> = items.into_iter().map(|item| item.to_string()).collect();
         self.field(key, items.join(","))
     }
 
-    /// How the writing went.
+    /// Returns the result of the writing.
     ///
     /// # Errors
-    /// The formatter's, if it took one of the pairs not.
+    /// The formatter's error, if it rejected one of the pairs.
     pub fn finish(self) -> fmt::Result {
         self.result
     }
--- a/crates/quartzlever-wire/src/fields/tests.rs
+++ b/crates/quartzlever-wire/src/fields/tests.rs
@@ -1,4 +1,4 @@
-//! The form of log lines.
+//! Tests of the format of log lines.
 
 use super::*;
 
@@ -20,9 +20,10 @@
     }
 }
 
-/// One space between pairs, and none where there is no pair; what is not one word is quoted.
+/// One space separates pairs, no pairs give an empty line, and a value that is not one word is
+/// quoted, so that a reader of the log cannot take it for several values or lines.
 #[test]
-fn each_value_is_read_back_as_one() {
+fn a_value_that_is_not_one_word_is_quoted() {
     for (pairs, line) in [
         (&[][..], ""),
         (&[("partition", "one")], "partition=one"),
--- a/crates/quartzlever-wire/src/json.rs
+++ b/crates/quartzlever-wire/src/json.rs
@@ -1,32 +1,33 @@
-//! JSON values that are carried but not looked into.
+//! JSON values that are passed on unparsed.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::value::RawValue;
 
-/// A JSON value as its text. The store keeps such values and brings them back; most that a
-/// watch brings are known by their modification revision already and are never taken apart.
+/// A JSON value, kept as its text. The store holds such values. Most values in the answer to a
+/// watch are already known by their modification revision, so they never need to be parsed.
 #[derive(Clone, Debug)]
 pub struct Json(Box<RawValue>);
 
 impl Json {
-    /// The text of a value; our own types can always be written.
+    /// Serializes a value. The types of this package always serialize; a value that does not
+    /// becomes `null`.
     pub fn of(value: &impl Serialize) -> Json {
         let null = || RawValue::NULL.to_owned();
         Json(serde_json::value::to_raw_value(value).unwrap_or_else(|_| null()))
     }
 
-    /// The value of a text, if it is JSON.
+    /// Wraps a text, or returns `None` if it is not valid JSON.
     pub fn from_text(text: &str) -> Option<Json> {
         RawValue::from_string(text.to_owned()).ok().map(Json)
     }
 
-    /// What the text says, if it is of that type.
+    /// Parses the text as a `T`, or returns `None` if it is not one.
     pub fn parse<T: DeserializeOwned>(&self) -> Option<T> {
         serde_json::from_str(self.text()).ok()
     }
 
-    /// The value as JSON text, as it was received or written.
+    /// Returns the JSON text as it was received or serialized.
     pub fn text(&self) -> &str {
         self.0.get()
     }
--- a/crates/quartzlever-wire/src/lib.rs
+++ b/crates/quartzlever-wire/src/lib.rs
@@ -1,13 +1,14 @@
-//! The wire formats of quartzlever, in one package that clients can use too.
+//! The wire formats of quartzlever. Clients can use this package too.
 //!
-//! Each module holds the serde types of one protocol: [`users`], [`workers`], [`cloud`],
-//! [`store`] (with [`pages`]) and [`peers`]. Names in the code are the usual terms (task, attempt,
-//! incarnation, term, lease); the names on the wire and in the store are given by serde
-//! attributes, and keys by the constants in [`store`] and [`pages`].
+//! The modules [`users`], [`workers`], [`cloud`], [`store`] (with [`pages`]) and [`peers`] each
+//! hold the serde types of one protocol. Identifiers are the usual terms (task, attempt,
+//! incarnation, term, lease). Serde attributes give the names on the wire and in the store, and the
+//! constants in [`store`] and [`pages`] give the keys.
 //!
-//! [`fields`] is the form of log lines, in which all crates write theirs.
+//! The module [`fields`] formats the log lines of all crates.
 //!
-//! Fields that end in `_s` are seconds, those in `_ms` milliseconds and those in `_gb` gigabytes.
+//! The unit of a field follows from its suffix: `_s` for seconds, `_ms` for milliseconds and `_gb`
+//! for gigabytes.
 
 #![deny(missing_docs)]
 
@@ -24,30 +25,30 @@
 pub use json::Json;
 pub use ranges::Ranges;
 
-/// A span or a point of time in whole microseconds.
+/// A duration or a point in time, in whole microseconds.
 pub type Micros = u64;
 
-/// One second in [`Micros`].
+/// One second, in [`Micros`].
 pub const SECOND: Micros = 1_000_000;
 
-/// The largest body of a user's or worker's request, in bytes.
+/// The maximum length of the body of a user's or worker's request, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
-/// Converts seconds from the wire to whole microseconds; never negative.
+/// Converts seconds from the wire to whole microseconds. Negative and non-finite values become 0.
 pub fn micros_from_secs(secs: f64) -> Micros {
     if secs.is_finite() && secs > 0.0 { (secs * 1e6).round().min(1e18) as Micros } else { 0 }
 }
 
-/// Why a call brought no answer that can be used.
+/// The reason why a call returned no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The call was certainly not carried out and will not be.
+    /// The call was not carried out and will not be.
     #[error("not carried out")]
     Refused,
-    /// The call was not carried out either, since the store allows fewer in a second (429).
+    /// The call was not carried out, because it exceeds the store's rate limit (429).
     #[error("too often")]
     Throttled,
-    /// The call may have been carried out, or may still be.
+    /// The call may have been carried out, or may be carried out later.
     #[error("outcome unknown")]
     Unknown,
 }
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -1,7 +1,8 @@
-//! The protocol between controllers: frames of a length (four bytes, most significant first) and a
-//! `bincode` message.
+//! The protocol between controllers. A frame is the length of the message (four bytes, big-endian)
+//! followed by the message in `bincode`.
 //!
-//! Variants and fields are told apart by their order alone, so the order is part of the format.
+//! `bincode` identifies variants and fields by their order alone, so the order is part of the
+//! format.
 
 use std::io::{self, Read, Write};
 
@@ -9,105 +10,110 @@
 
 use crate::users::Priority;
 
-/// The largest frame that a peer may send, in bytes. The longest request is a steal, which tells
-/// the room of each open machine: 80 bytes, so of 13,000 machines; the longest answer is a move, 48
-/// KiB of records.
-const MAX_FRAME: u32 = 1 << 20;
+/// The maximum length of a message in a frame, in bytes. The longest request is a steal: it lists
+/// the free capacity of each machine that accepts tasks, at 80 bytes each, so of up to 13,000
+/// machines. The longest answer is a move, with 48 KiB of records.
+const MAX_FRAME_BYTES: u32 = 1 << 20;
 
-/// What one controller asks another.
+/// A request of one controller to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// How many ready tasks could move, and how long are the queues? Sent by an idle controller
-    /// before it steals; answered by [`PeerAnswer::Counts`].
+    /// Asks how many ready tasks could move and how long the queues are. A thief sends it before it
+    /// steals. Answered by [`PeerAnswer::Counts`].
     Counts {
-        /// Only tasks of this priority or above count.
+        /// Lowest priority of the tasks to count.
         priority: Priority,
     },
-    /// Hand over ready tasks to a partition of the asker; answered by [`PeerAnswer::Stolen`].
+    /// Asks to move ready tasks to a partition of the sender. Answered by [`PeerAnswer::Stolen`].
     Steal {
-        /// The partition that the tasks are to move to.
+        /// The partition that the tasks move to.
         partition: String,
-        /// The term under which the asker holds it.
+        /// The sender's term of that partition.
         term: u64,
-        /// Only tasks of this priority or above are wanted.
+        /// Lowest priority of the tasks to move.
         priority: Priority,
-        /// Where the asker could run tasks.
+        /// Capacity of the sender's partition for the tasks.
         thief: ThiefCapacity,
-        /// Given by an asker that is not idle: it takes no more than evens out the two queues.
+        /// Load of the sender's partition if it is not idle: it takes no more tasks than balance
+        /// the two queues. `None` for an idle partition.
         load: Option<Load>,
     },
-    /// The asker has tasks that should start now and nowhere to start them: whoever has free
-    /// capacity may steal them without waiting out its interval.
+    /// Reports that the sender has tasks that should start now but no capacity for them. A
+    /// controller with free capacity may steal them without waiting for its next interval.
     Saturated,
-    /// The home node of a partition is up again and asks its present leader for it.
+    /// Asks the leader of a partition to hand it back. Sent by the partition's home node when it is
+    /// up again.
     HandBack {
         /// The partition.
         partition: String,
     },
-    /// Do you reach the store? Answered by [`PeerAnswer::StoreConnectivity`].
+    /// Asks whether the receiver reaches the store. Answered by [`PeerAnswer::StoreConnectivity`].
     StoreConnectivity,
-    /// Sent to the leader of a partition by a node that receives heartbeats of the partition's
+    /// Reports to the leader of a partition that the sender receives heartbeats of the partition's
     /// machines.
     MachinesSeen {
         /// The partition.
         partition: String,
-        /// How many of its machines have lately reported to the asker.
+        /// Number of its machines that have recently sent heartbeats to the sender.
         machines: u32,
     },
-    /// Machines were rented for a partition and will report soon.
+    /// Reports that machines were launched for a partition and will soon send heartbeats.
     ScaledOut {
         /// The partition.
         partition: String,
         /// The names of the machines.
         machines: Vec<String>,
     },
-    /// The cancellation of a job has just been committed.
+    /// Reports that the cancellation of a job has just been committed.
     Cancelled {
-        /// The job's id.
+        /// Id of the job.
         job: String,
-        /// How many of its tasks had run to completion.
+        /// Number of its tasks that had run to completion.
         done: u32,
     },
-    /// Changes that the asker has just committed, for the log of the asked one; answered by
-    /// [`PeerAnswer::Logged`]. Only controllers with recovery switched on send this, and then all
-    /// have it.
+    /// Sends changes that the sender has just committed, for the receiver's log. Answered by
+    /// [`PeerAnswer::Logged`]. Only controllers with recovery enabled send this, and recovery is
+    /// enabled on all controllers or none.
     Logged(LoggedChanges),
 }
 
-/// Changes of a generation of records, as the log of one controller has them.
+/// Changes to the records of one generation, as a controller logs them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoggedChanges {
-    /// The cluster's identity; changes of another cluster are not taken.
+    /// Identity of the cluster; a receiver ignores changes of another cluster.
     pub cluster: String,
-    /// The generation of the store's records: rises with each rebuild of a lost store.
+    /// Generation of the store's records, which rises with each rebuild of a lost store.
     pub generation: u32,
-    /// The revision at which the changes were committed.
+    /// Revision at which the changes were committed.
     pub mod_revision: u64,
-    /// Each key with its JSON text; without one it was deleted.
+    /// Each changed key with its JSON text, or with `None` if it was deleted.
     pub changes: Vec<(String, Option<String>)>,
 }
 
-/// What an asking partition could run, so that the asked controller does not move what would only
+/// The capacity of a partition that steals, so that the victim does not move tasks that would only
 /// wait there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ThiefCapacity {
-    /// Free capacity of each open machine.
+    /// For an idle partition, the free capacity of each machine that accepts tasks. Otherwise the
+    /// whole capacity of each machine type that the partition has, with separate entries for each
+    /// zone and for spot and on-demand instances.
     pub free: Vec<FreeCapacity>,
 }
 
-/// How long a partition's queue is.
+/// The queue of a partition and the processors that work it off.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// Expected run time of the ready tasks, in processor-seconds.
     pub work: f64,
-    /// Processors of the partition's machines.
+    /// Number of processors of the partition's machines.
     pub cpus: f64,
 }
 
 impl Load {
-    /// Seconds until the queue is gone: never, where there is work and no machine. The sum of no
-    /// processors is -0.0, and what was divided by it came out as the shortest queue of all or as
-    /// the longest, as the compiler chose.
+    /// Returns the seconds until the queue is empty: infinity if there is work but no processor.
+    ///
+    /// A sum over no machines is -0.0. A division by it makes the queue the shortest or the longest
+    /// of all, depending on the compiler, so that case is handled without a division.
     pub fn drain_s(&self) -> f64 {
         if self.work <= 0.0 {
             0.0
@@ -118,8 +124,8 @@
         }
     }
 
-    /// What has to move from this queue to another so that both last equally long, in
-    /// processor-seconds.
+    /// Returns the work that has to move from this queue to the other so that both take equally
+    /// long to drain, in processor-seconds. It is 0 if the other queue takes longer.
     pub fn excess_over(&self, other: &Load) -> f64 {
         let cpus = self.cpus + other.cpus;
         if cpus <= 0.0 {
@@ -129,50 +135,53 @@
     }
 }
 
-/// Free capacity of one machine.
+/// The free capacity of one machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FreeCapacity {
     /// Name of the machine type.
     pub machine_type: String,
     /// Name of the zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// Free processors.
+    /// Number of free processors.
     pub cpus: f64,
-    /// Free graphics processors.
+    /// Number of free graphics processors.
     pub gpus: f64,
     /// Free memory.
     pub ram_gb: f64,
 }
 
-/// What the asked controller answers.
+/// The answer of a controller to a peer's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerAnswer {
     /// Answer to [`PeerRequest::Counts`].
     Counts {
-        /// Ready tasks that could move, of all partitions held.
+        /// Number of ready tasks that could move, in all partitions that the controller leads.
         ready: u32,
-        /// The load of the partition whose queue lasts longest.
+        /// Load of the partition whose queue takes longest to drain.
         load: Load,
     },
     /// Answer to [`PeerRequest::Steal`]: the move is committed.
     Stolen {
-        /// The moved jobs: id, modification revision and record (JSON) of each.
+        /// Id, modification revision and record (JSON) of each moved job.
         jobs: Vec<(String, u64, String)>,
     },
     /// Answer to [`PeerRequest::StoreConnectivity`].
     StoreConnectivity {
-        /// Whether the store has answered lately.
+        /// Whether the store has answered recently.
         reached: bool,
     },
-    /// Nothing to move, or not able to.
+    /// Acknowledges a request that has no other answer, or reports that nothing could be moved.
     Nothing,
-    /// Answer to [`PeerRequest::Logged`]: the changes are on the disk here too.
+    /// Answer to [`PeerRequest::Logged`]: the changes are on the receiver's disk.
     Logged,
 }
 
 /// Writes one message as a frame.
+///
+/// # Errors
+/// An error of the writer, or of the encoding.
 pub fn send<T: Serialize>(out: &mut impl Write, message: &T) -> io::Result<()> {
     let body = bincode::serialize(message).map_err(io::Error::other)?;
     let length = u32::try_from(body.len()).map_err(io::Error::other)?;
@@ -182,13 +191,20 @@
     out.write_all(&frame)
 }
 
-/// Reads one message; a frame over the limit or one that does not parse is an error.
+/// Reads one message.
+///
+/// # Errors
+/// An error of the reader, or [`io::ErrorKind::InvalidData`] for a frame that is too long or whose
+/// message does not parse.
 pub fn receive<T: DeserializeOwned>(from: &mut impl Read) -> io::Result<T> {
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
     let length = u32::from_be_bytes(length);
-    if length > MAX_FRAME {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "frame too long"));
+    if length > MAX_FRAME_BYTES {
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}"),
+        ));
     }
     let mut body = vec![0; length as usize];
     from.read_exact(&mut body)?;
--- a/crates/quartzlever-wire/src/ranges.rs
+++ b/crates/quartzlever-wire/src/ranges.rs
@@ -1,4 +1,4 @@
-//! Sets of task numbers, kept and written as whole ranges.
+//! Sets of task numbers, held and written as ranges.
 
 use std::fmt;
 use std::ops::Range;
@@ -7,18 +7,18 @@
 use rangemap::RangeSet;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A set of task numbers. Its text form is `0-4,7,9-20` (both ends included), which keeps
-/// the record of a job of 100,000 tasks small as long as tasks are handed out in order.
+/// A set of task numbers. Its text form is `0-4,7,9-20`, with both ends included. The record of a
+/// job of 100,000 tasks stays small as long as its tasks are assigned in order.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Ranges(RangeSet<u32>);
 
 impl Ranges {
-    /// The set of `0..count`.
+    /// Creates the set `0..count`.
     pub fn first(count: u32) -> Self {
         Self::of(0..count)
     }
 
-    /// The set of one range.
+    /// Creates the set of one range.
     pub fn of(range: Range<u32>) -> Self {
         let mut set = RangeSet::new();
         if range.start < range.end {
@@ -27,27 +27,27 @@
         Self(set)
     }
 
-    /// Whether the set holds no task.
+    /// Reports whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many tasks the set holds.
+    /// Returns the number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|r| r.end - r.start).sum()
     }
 
-    /// Whether the set holds this task.
+    /// Reports whether the set contains a task.
     pub fn contains(&self, index: u32) -> bool {
         self.0.contains(&index)
     }
 
-    /// Adds one task.
+    /// Adds a task.
     pub fn insert(&mut self, index: u32) {
         self.0.insert(index..index + 1);
     }
 
-    /// Takes one task out.
+    /// Removes a task.
     pub fn remove(&mut self, index: u32) {
         self.0.remove(index..index + 1);
     }
@@ -59,33 +59,33 @@
         }
     }
 
-    /// Takes all tasks of another set out.
+    /// Removes all tasks of another set.
     pub fn subtract(&mut self, other: &Ranges) {
         for range in other.0.iter() {
             self.0.remove(range.clone());
         }
     }
 
-    /// The tasks of either set.
+    /// Returns the tasks that are in either set.
     pub fn union(&self, other: &Ranges) -> Ranges {
         let mut out = self.clone();
         out.add(other);
         out
     }
 
-    /// The tasks of this set that are not in the other.
+    /// Returns the tasks of this set that are not in the other.
     pub fn minus(&self, other: &Ranges) -> Ranges {
         let mut out = self.clone();
         out.subtract(other);
         out
     }
 
-    /// The tasks that both sets hold.
+    /// Returns the tasks that are in both sets.
     pub fn intersect(&self, other: &Ranges) -> Ranges {
         self.minus(&self.minus(other))
     }
 
-    /// The numbers of the set that lie within a range.
+    /// Returns the tasks of the set that lie within a range.
     pub fn within(&self, range: Range<u32>) -> Ranges {
         let mut out = RangeSet::new();
         for found in self.0.overlapping(&range) {
@@ -94,42 +94,42 @@
         Ranges(out)
     }
 
-    /// How many separate ranges the set has.
+    /// Returns the number of separate ranges in the set.
     pub fn count_ranges(&self) -> usize {
         self.0.len()
     }
 
-    /// The lowest task number of the set.
+    /// Returns the lowest task of the set, or `None` if it is empty.
     pub fn lowest(&self) -> Option<u32> {
         self.0.first().map(|r| r.start)
     }
 
-    /// The last number of the set plus one, or 0.
+    /// Returns the highest task of the set plus one, or 0 if it is empty.
     pub fn end(&self) -> u32 {
         self.0.last().map_or(0, |r| r.end)
     }
 
-    /// The ranges themselves, in order.
+    /// Iterates over the ranges, in ascending order.
     pub fn ranges(&self) -> impl Iterator<Item = Range<u32>> + '_ {
         self.0.iter().cloned()
     }
 
-    /// The task numbers, in order.
+    /// Iterates over the tasks, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().flat_map(|r| r.clone())
     }
 
-    /// Cuts the `count` highest numbers off the set, as whole ranges.
+    /// Removes the `count` highest tasks from the set, or all if it has fewer, and returns them.
     pub fn cut_last(&mut self, count: u32) -> Ranges {
         let mut cut = Ranges::default();
-        let mut left = count;
-        while left > 0 {
+        let mut remaining = count;
+        while remaining > 0 {
             let Some(last) = self.0.last().cloned() else { break };
-            let take = left.min(last.end - last.start);
+            let take = remaining.min(last.end - last.start);
             let piece = last.end - take..last.end;
             self.0.remove(piece.clone());
             cut.0.insert(piece);
-            left -= take;
+            remaining -= take;
         }
         cut
     }
@@ -147,8 +147,8 @@
 
 impl fmt::Display for Ranges {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (n, r) in self.0.iter().enumerate() {
-            if n > 0 {
+        for (i, r) in self.0.iter().enumerate() {
+            if i > 0 {
                 f.write_str(",")?;
             }
             if r.end - r.start == 1 {
@@ -167,23 +167,23 @@
     }
 }
 
-/// A text that is not a list of ranges; it is quoted in the message.
+/// The error for a text that is not a list of ranges; the message quotes the text.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not a list of ranges: {0:?}")]
-pub struct BadRanges(String);
+pub struct ParseRangesError(String);
 
 impl FromStr for Ranges {
-    type Err = BadRanges;
+    type Err = ParseRangesError;
 
-    fn from_str(text: &str) -> Result<Self, BadRanges> {
-        let bad = || BadRanges(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, ParseRangesError> {
+        let invalid = || ParseRangesError(text.to_owned());
         let mut out = Ranges::default();
         for piece in text.split(',').filter(|p| !p.is_empty()) {
             let (from, to) = piece.split_once('-').unwrap_or((piece, piece));
-            let from: u32 = from.parse().map_err(|_| bad())?;
-            let to: u32 = to.parse().map_err(|_| bad())?;
+            let from: u32 = from.parse().map_err(|_| invalid())?;
+            let to: u32 = to.parse().map_err(|_| invalid())?;
             if from > to || to == u32::MAX {
-                return Err(bad());
+                return Err(invalid());
             }
             out.0.insert(from..to + 1);
         }
--- a/crates/quartzlever-wire/src/store.rs
+++ b/crates/quartzlever-wire/src/store.rs
@@ -1,9 +1,8 @@
 //! The protocol between controllers and the store, and the records that quartzlever keeps there.
 //!
-//! The store counts its changes: that count is its revision, and the revision of a key's latest
-//! change is the key's modification revision. A transaction changes keys on the condition that
-//! others stand at given modification revisions. A key may be attached to a lease and is deleted
-//! with it.
+//! The store's revision is the count of its changes. A key's modification revision is the revision
+//! of its latest change. A transaction changes keys on the condition that keys have given
+//! modification revisions. A key may be attached to a lease and is deleted when the lease ends.
 //!
 //! | key | record | lease |
 //! | --- | --- | --- |
@@ -28,8 +27,8 @@
 
 /// Prefix of the keys of [`PartitionRecord`].
 pub const PARTITION_PREFIX: &str = "parts/";
-/// Prefix of the keys of [`MachinesSeenRecord`], one for each partition and node that its workers
-/// report to.
+/// Prefix of the keys of [`MachinesSeenRecord`], one for each partition and node that receives
+/// heartbeats of its machines.
 pub const MACHINES_SEEN_PREFIX: &str = "heard/";
 /// Prefix of the keys of [`ActiveJobRecord`].
 pub const ACTIVE_JOB_PREFIX: &str = "live/";
@@ -37,21 +36,23 @@
 pub const TERMINAL_JOB_PREFIX: &str = "over/";
 /// Prefix of the keys of [`MachineGroupRecord`].
 pub const MACHINE_PREFIX: &str = "hosts/";
-/// Prefix of the keys that are about the whole cluster: what its controllers understand.
+/// Prefix of the keys that concern the whole cluster: the versions of its controllers and the size
+/// of machine groups.
 pub const CLUSTER_PREFIX: &str = "cluster/";
-/// Key of the [`ClusterRecord`], which lasts.
+/// Key of the [`ClusterRecord`], which is permanent.
 pub const CLUSTER_VERSION_KEY: &str = "cluster/version";
-/// Key of the [`GroupSizeRecord`]; written once a value of the store takes less than the settings
-/// say.
+/// Key of the [`GroupSizeRecord`]; written once the store's limit on values is found to be lower
+/// than the settings state.
 pub const GROUP_SIZE_KEY: &str = "cluster/blocks";
-/// Prefix of the keys of [`NodeRecord`], one for each process that is up, on its own lease.
+/// Prefix of the keys of [`NodeRecord`], one for each running process, attached to its lease.
 pub const NODE_VERSION_PREFIX: &str = "cluster/nodes/";
-/// A key that nobody writes: reading it brings the present revision at little cost.
+/// A key that is never written. The answer to reading it is short and contains the present
+/// revision.
 pub const REVISION_PROBE_KEY: &str = "nobody";
-/// Key of the catalogue as the cloud last gave it, for a restart while the cloud is down.
+/// Key of the latest catalogue from the cloud, for a restart while the cloud is unreachable.
 pub const CATALOGUE_KEY: &str = "catalogue";
 
-/// A key with its value and the revision of its last change.
+/// A key with its value and modification revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// The key.
@@ -63,7 +64,7 @@
     /// Revision of the latest change of the key.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
-    /// The lease that the key is attached to.
+    /// The lease that the key is attached to, if any.
     #[serde(rename = "charter", default)]
     pub lease_id: Option<u64>,
 }
@@ -71,7 +72,7 @@
 /// A page of keys: the answer to [`StoreCall::List`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListPage {
-    /// The keys of the page, in order.
+    /// Keys of the page, in ascending order.
     #[serde(rename = "rows")]
     pub entries: Vec<KeyValue>,
     /// Whether keys follow after the last of this page.
@@ -92,7 +93,7 @@
     pub mod_revision: u64,
 }
 
-/// A change of a transaction.
+/// A change made by a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Change {
@@ -102,7 +103,7 @@
         write: String,
         /// The value.
         v: Json,
-        /// The lease that the key is to be attached to.
+        /// The lease that the key is attached to, if any.
         #[serde(rename = "charter", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
@@ -113,71 +114,71 @@
     },
 }
 
-/// A transaction: all of its changes are made at one revision if all of its conditions hold,
-/// otherwise none.
+/// A transaction. If all conditions hold, all changes are made at one revision; otherwise none is
+/// made.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
     /// The conditions.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// The changes, at most one of each key.
+    /// The changes, at most one per key.
     #[serde(rename = "apply", default)]
     pub changes: Vec<Change>,
 }
 
 impl Txn {
-    /// Adds the condition that a key has this modification revision, 0 for absent.
+    /// Adds the condition that a key has this modification revision, or is absent for 0.
     pub fn if_mod_revision(mut self, path: impl Into<String>, mod_revision: u64) -> Self {
         self.conditions.push(Condition { path: path.into(), mod_revision });
         self
     }
 
-    /// Adds the writing of a key.
+    /// Adds a write of a key.
     pub fn write(mut self, path: impl Into<String>, v: Json) -> Self {
         self.changes.push(Change::Write { write: path.into(), v, lease_id: None });
         self
     }
 
-    /// Adds the writing of a key that is attached to a lease.
+    /// Adds a write of a key that is attached to a lease.
     pub fn write_with_lease(mut self, path: impl Into<String>, v: Json, lease: u64) -> Self {
         self.changes.push(Change::Write { write: path.into(), v, lease_id: Some(lease) });
         self
     }
 
-    /// Adds the deletion of a key.
+    /// Adds a deletion of a key.
     pub fn delete(mut self, path: impl Into<String>) -> Self {
         self.changes.push(Change::Delete { delete: path.into() });
         self
     }
 }
 
-/// Answer to a transaction, and to the reading of an absent key.
+/// Answer to a transaction, and to a read of an absent key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnAnswer {
-    /// The store's revision: that of the changes, if they were made.
+    /// The store's revision; that of the changes if they were made.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The keys whose conditions did not hold, if the transaction was refused.
+    /// The keys whose conditions did not hold, if the transaction was rejected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub failed: Option<Vec<String>>,
 }
 
-/// Body of the request for a lease.
+/// Body of a request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// How long the lease lasts after its grant and after each renewal.
+    /// Duration of the lease from its grant and from each renewal.
     pub life_ms: u64,
 }
 
-/// Answer to the request for a lease.
+/// Answer to a request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantAnswer {
-    /// The number of the lease.
+    /// Id of the lease.
     #[serde(rename = "charter")]
     pub lease_id: u64,
 }
 
-/// One change that a watch tells of.
+/// A change in the answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum Event {
@@ -191,7 +192,7 @@
         #[serde(rename = "stamp")]
         mod_revision: u64,
     },
-    /// A key was deleted, or ended with its lease.
+    /// A key was deleted, by a transaction or with its lease.
     Delete {
         /// The key.
         delete: String,
@@ -201,10 +202,10 @@
     },
 }
 
-/// All that a change or an event can hold. An untagged enum would be read into values first, and
-/// those could not be carried as text.
+/// All fields of a change and of an event. Deserialization as an untagged enum would parse the
+/// value first, so that it could no longer be kept as text.
 #[derive(Deserialize)]
-struct Fields {
+struct ChangeFields {
     write: Option<String>,
     delete: Option<String>,
     v: Option<Json>,
@@ -216,11 +217,11 @@
 
 impl<'de> Deserialize<'de> for Change {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        match Fields::deserialize(d)? {
-            Fields { write: Some(write), v: Some(v), lease_id, .. } => {
+        match ChangeFields::deserialize(d)? {
+            ChangeFields { write: Some(write), v: Some(v), lease_id, .. } => {
                 Ok(Change::Write { write, v, lease_id })
             }
-            Fields { delete: Some(delete), .. } => Ok(Change::Delete { delete }),
+            ChangeFields { delete: Some(delete), .. } => Ok(Change::Delete { delete }),
             _ => Err(de::Error::custom("neither a write nor a deletion")),
         }
     }
@@ -228,11 +229,14 @@
 
 impl<'de> Deserialize<'de> for Event {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        match Fields::deserialize(d)? {
-            Fields { write: Some(write), v: Some(v), mod_revision: Some(mod_revision), .. } => {
-                Ok(Event::Write { write, v, mod_revision })
-            }
-            Fields { delete: Some(delete), mod_revision: Some(mod_revision), .. } => {
+        match ChangeFields::deserialize(d)? {
+            ChangeFields {
+                write: Some(write),
+                v: Some(v),
+                mod_revision: Some(mod_revision),
+                ..
+            } => Ok(Event::Write { write, v, mod_revision }),
+            ChangeFields { delete: Some(delete), mod_revision: Some(mod_revision), .. } => {
                 Ok(Event::Delete { delete, mod_revision })
             }
             _ => Err(de::Error::custom("neither a write nor a deletion")),
@@ -243,98 +247,98 @@
 /// Answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchAnswer {
-    /// The revision up to which the log is complete.
+    /// Revision up to which the log is complete.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// The changes since the revision that the watch began at, in order.
+    /// The changes since the start revision of the watch, in order.
     #[serde(default)]
     pub log: Vec<Event>,
 }
 
-/// Value of `heard/{partition}/{node}`: written by a node that receives heartbeats of a partition
-/// it does not hold and cannot reach the leader, for the leader to read.
+/// Value of `heard/{partition}/{node}`, for the leader of the partition: written by a node that
+/// receives heartbeats of the partition's machines, does not lead it and cannot reach the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachinesSeenRecord {
-    /// How many machines of the partition have lately reported to the node.
+    /// Number of machines of the partition that have recently sent heartbeats to the node.
     pub machines: u32,
 }
 
-/// Value of `parts/{partition}`: which process holds the partition, as its leader. The key's
-/// modification revision is the leader's term, and the fencing token of its commands to workers.
+/// Value of `parts/{partition}`: the process that leads the partition. The key's modification
+/// revision is the leader's term and the fencing token of its commands to workers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
-    /// Name of the node.
+    /// Name of the process's node.
     pub node: String,
-    /// Differs between processes of one node, so that a process knows its own write again.
+    /// Differs between processes of one node, so that a process recognizes its own write.
     pub process: u64,
 }
 
-/// Value of `cluster/version`: the version that every controller knows.
+/// Value of `cluster/version`: the version that every controller supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterRecord {
-    /// The version; records are written only in forms that it knows.
+    /// The version; controllers write records only in formats of this version.
     pub version: u32,
 }
 
-/// Value of `cluster/blocks`: how many machines a group may hold, which only ever sinks.
+/// Value of `cluster/blocks`: the maximum number of machines in a group, which never rises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupSizeRecord {
-    /// The size, a power of two.
+    /// Maximum number of machines, a power of two.
     pub size: u64,
 }
 
-/// Value of `cluster/nodes/{node}`: the version of the node's present process.
+/// Value of `cluster/nodes/{node}`: the version of the node's running process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// The newest version that the process knows.
+    /// The newest version that the process supports.
     pub version: u32,
     /// The process, as in [`PartitionRecord`].
     pub process: u64,
 }
 
-/// Tasks of a job that belong to one partition.
+/// The tasks of a job that belong to one partition since one term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The partition.
     #[serde(rename = "part")]
     pub partition: String,
-    /// The term of the partition under which the tasks entered it.
+    /// Term of the partition under which the tasks were assigned to it.
     pub term: u64,
-    /// The tasks, finished ones among them.
+    /// The tasks, including finished ones.
     pub tasks: Ranges,
 }
 
-/// Value of `live/{job}`: an accepted job that is neither done nor cancelled.
+/// Value of `live/{job}`: an accepted job that is neither completed nor cancelled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActiveJobRecord {
     /// The submission.
     pub job: JobSpec,
-    /// Time of day of the submission, in microseconds since 1970.
+    /// Wall-clock time of the submission, in microseconds since 1970.
     pub since: u64,
     /// Whether any task has been started.
     pub started: bool,
-    /// Which partition each task belongs to.
+    /// The partition that each task belongs to.
     pub shares: Vec<Share>,
-    /// The finished tasks that are recorded here.
+    /// The finished tasks that are recorded in this record.
     pub finished: Ranges,
-    /// More finished tasks are recorded in [pages](crate::pages); from the second version on.
+    /// Whether more finished tasks are recorded in [pages](crate::pages). Since version 2.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub paged: bool,
 }
 
 impl ActiveJobRecord {
-    /// The record of a job that was just accepted.
+    /// Creates the record of a newly accepted job.
     pub fn new(job: JobSpec, since: u64, shares: Vec<Share>) -> ActiveJobRecord {
         let finished = Ranges::default();
         ActiveJobRecord { job, since, started: false, shares, finished, paged: false }
     }
 
-    /// Whether the partition answers for tasks of the job, finished ones among them.
+    /// Reports whether tasks of the job belong to the partition, including finished ones.
     pub fn is_shared_by(&self, partition: &str) -> bool {
         self.shares.iter().any(|share| share.partition == partition)
     }
 
-    /// The tasks of `partition` that are not recorded as finished.
+    /// Returns the tasks of `partition` that this record does not list as finished.
     pub fn owned_by(&self, partition: &str) -> Ranges {
         let mut owned = Ranges::default();
         for share in self.shares.iter().filter(|s| s.partition == partition) {
@@ -344,7 +348,8 @@
         owned
     }
 
-    /// The partition's tasks that entered it under `term`, so never ran for an earlier leader.
+    /// Returns the tasks that were assigned to the partition under `term`, so that no earlier
+    /// leader of it has run them.
     pub fn entered_under(&self, partition: &str, term: u64) -> Ranges {
         let mut out = Ranges::default();
         for share in self.shares.iter().filter(|s| s.partition == partition && s.term == term) {
@@ -353,7 +358,7 @@
         out
     }
 
-    /// Moves tasks from one partition to another under the given term of the latter.
+    /// Moves tasks from partition `from` to partition `to`, under `term` of the latter.
     pub fn move_tasks(&mut self, tasks: &Ranges, from: &str, to: &str, term: u64) {
         for share in self.shares.iter_mut().filter(|s| s.partition == from) {
             share.tasks.subtract(tasks);
@@ -366,20 +371,20 @@
     }
 }
 
-/// Value of `over/{job}`: a job that is done or cancelled, kept for good.
+/// Value of `over/{job}`: a job that is completed or cancelled. It is kept permanently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TerminalJobRecord {
-    /// Done or cancelled.
+    /// [`Done`](JobPhase::Done) or [`Cancelled`](JobPhase::Cancelled).
     pub phase: JobPhase,
-    /// How many tasks had run to completion.
+    /// Number of tasks that had run to completion.
     pub done: u32,
 }
 
-/// Machines by name.
+/// Machine records by name.
 pub type MachineRecords = BTreeMap<String, MachineRecord>;
 
-/// Value of `hosts/{group}`: the claimed machines of a group of names. Many first heartbeats or
-/// returns at once are one change then.
+/// Value of `hosts/{group}`: the claimed machines of a group of names. Grouping lets the claims at
+/// many first heartbeats, or many scale-ins, share one change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineGroupRecord {
     /// The machines by name.
@@ -387,54 +392,58 @@
     pub machines: MachineRecords,
 }
 
-/// How many numbered names make a group of the first form, whose key does not name the size: their
-/// records stay well inside 16 KiB.
+/// Number of machines in a large group, the original form of groups, whose key does not contain the
+/// size. Their records take far less than 16 KiB.
 pub const LARGE_GROUP_SIZE: u64 = 64;
-/// What a machine's record takes at the most of a value, with its name.
-const MACHINE_RECORD_BYTES: usize = 128;
+/// The maximum length of a machine's record with its name in a value.
+const MAX_MACHINE_RECORD_BYTES: usize = 128;
 
-/// How many machines a key may hold so that a value stays inside its limit of so many bytes: a
-/// power of two, so that small groups never cross the bounds of those of the first form.
+/// Returns the maximum number of machines in a group whose value may take `value_bytes`. It is a
+/// power of two, so that each small group lies within one large group.
 pub fn group_size(value_bytes: usize) -> u64 {
-    let most = (value_bytes / MACHINE_RECORD_BYTES).clamp(1, LARGE_GROUP_SIZE as usize) as u64;
-    if most.is_power_of_two() { most } else { most.next_power_of_two() / 2 }
+    let max = (value_bytes / MAX_MACHINE_RECORD_BYTES).clamp(1, LARGE_GROUP_SIZE as usize) as u64;
+    if max.is_power_of_two() { max } else { max.next_power_of_two() / 2 }
 }
 
-fn numbered(machine: &str) -> Option<(&str, u64)> {
+/// Splits a machine's name into its stem and its number, or returns `None` if it does not end in
+/// one.
+fn split_number(machine: &str) -> Option<(&str, u64)> {
     let stem = machine.trim_end_matches(|c: char| c.is_ascii_digit());
     machine[stem.len()..].parse().ok().map(|number| (stem, number))
 }
 
-/// The key of the group of the first form that a machine's name belongs to.
+/// Returns the key of the large group that a machine belongs to.
 pub fn large_group_key(machine: &str) -> String {
-    match numbered(machine) {
+    match split_number(machine) {
         Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{}", number / LARGE_GROUP_SIZE),
         None => format!("{MACHINE_PREFIX}{machine}~"),
     }
 }
 
-/// The key of the group of so many machines that a machine's name belongs to.
+/// Returns the key of the group of `size` machines that a machine belongs to.
 pub fn group_key(machine: &str, size: u64) -> String {
-    match numbered(machine).filter(|_| size < LARGE_GROUP_SIZE) {
+    match split_number(machine).filter(|_| size < LARGE_GROUP_SIZE) {
         Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{size}~{}", number / size),
         None => large_group_key(machine),
     }
 }
 
-/// How many machines the group under a key may hold; none for the key of a single machine.
+/// Returns the maximum number of machines in the group under a key, or `None` if the key is that of
+/// a single machine.
 pub fn group_capacity(key: &str) -> Option<u64> {
-    let mut partitions = key.strip_prefix(MACHINE_PREFIX)?.rsplit('~');
-    let (_number, before) = (partitions.next()?, partitions.next()?);
-    match partitions.next() {
-        Some(_stem) => before.parse().ok(),
+    let mut segments = key.strip_prefix(MACHINE_PREFIX)?.rsplit('~');
+    let (_number, size_or_stem) = (segments.next()?, segments.next()?);
+    match segments.next() {
+        Some(_stem) => size_or_stem.parse().ok(),
         None => Some(LARGE_GROUP_SIZE),
     }
 }
 
-/// The machines under a key: a group, or one machine as an earlier version kept it.
+/// Returns the machines under a key: those of a group, or the single machine in the format of an
+/// earlier version. Returns `None` if the value has neither format.
 pub fn machine_records_in(path: &str, value: &Json) -> Option<MachineRecords> {
     #[derive(Deserialize)]
-    struct Earlier {
+    struct SingleMachineRecord {
         #[serde(rename = "part")]
         partition: String,
         address: String,
@@ -446,12 +455,13 @@
     if let Some(group) = value.parse::<MachineGroupRecord>() {
         return Some(group.machines);
     }
-    let Earlier { partition, address, machine_type, zone, spot } = value.parse()?;
+    let SingleMachineRecord { partition, address, machine_type, zone, spot } = value.parse()?;
     let name = path.strip_prefix(MACHINE_PREFIX)?.to_owned();
     Some(BTreeMap::from([(name, MachineRecord { partition, address, machine_type, zone, spot })]))
 }
 
-/// A machine and the partition that it belongs to; stored as a list of its fields, to be short.
+/// A machine and the partition that it belongs to. It is stored as a list of its fields, which is
+/// short.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "MachineRecordFields", into = "MachineRecordFields")]
 pub struct MachineRecord {
@@ -463,7 +473,7 @@
     pub machine_type: String,
     /// Name of the zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
@@ -484,61 +494,61 @@
 /// A call of a controller to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreCall {
-    /// What is the present revision?
+    /// Read the present revision.
     Revision,
-    /// Read one key.
+    /// Read a key.
     Get(String),
     /// Read a page of the keys with a prefix.
     List {
         /// The prefix.
         prefix: String,
-        /// The last key of the page before; none for the first page.
+        /// The last key of the previous page; `None` for the first page.
         from: Option<String>,
     },
-    /// Carry out a transaction.
+    /// Execute a transaction.
     Txn(Txn),
     /// Grant a lease.
     Grant {
-        /// How long it lasts after its grant and after each renewal.
+        /// Duration of the lease from its grant and from each renewal.
         life_ms: u64,
     },
     /// Renew a lease.
     Renew {
-        /// The number of the lease.
+        /// Id of the lease.
         lease: u64,
     },
     /// Wait for changes of any key.
     Watch {
-        /// Changes after this revision are told.
+        /// The answer contains the changes after this revision.
         from: u64,
-        /// How long to wait if there is none.
+        /// Maximum time to wait if there is no change.
         hold_ms: u64,
     },
 }
 
-/// What the store answered.
+/// The store's answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
     /// The present revision.
     Revision(u64),
-    /// The key, if it is there.
+    /// The key, if it exists.
     Read(Option<KeyValue>),
     /// A page of keys.
     Listed(ListPage),
-    /// The transaction is in force at this revision.
+    /// The transaction is committed at this revision.
     Committed(u64),
-    /// Some conditions did not hold: these keys.
+    /// The conditions on these keys did not hold.
     Conflict(Vec<String>),
     /// The lease that the call names has ended.
     NoLease,
-    /// The store takes no transaction of that size (400): a value, or the whole.
+    /// A value or the whole transaction exceeds the store's size limit (400).
     TooLarge,
-    /// The lease of this number is granted.
+    /// The lease with this id is granted.
     Granted(u64),
     /// The lease is renewed.
     Renewed,
-    /// The changes since the revision of the watch, or none.
+    /// The changes since the start revision of the watch, possibly none.
     Watched(WatchAnswer),
-    /// The watch started too far back; the keys have to be read again.
+    /// The start revision of the watch is too old; the keys have to be listed again.
     TooOld,
 }
--- a/crates/quartzlever-wire/src/users.rs
+++ b/crates/quartzlever-wire/src/users.rs
@@ -1,15 +1,18 @@
-//! The protocol between users and controllers: submissions, lookups, cancellations.
+//! The protocol between users and controllers: submissions, lookups and cancellations.
 //!
-//! Users send [`JobSpec`] and receive [`JobAnswer`] or [`JobView`].
+//! Users submit a [`JobSpec`] and receive a [`JobAnswer`] or, for a lookup, a [`JobView`].
 
 use serde::{Deserialize, Serialize};
 
 use crate::MAX_BODY;
 
-/// The most tasks that one job may have.
+/// The maximum number of tasks of one job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Priority of a job, highest first.
+/// The maximum number of decimal digits in a job id.
+const MAX_ID_DIGITS: usize = 20;
+
+/// The priority of a job, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
@@ -19,28 +22,28 @@
     Urgent,
     /// The usual priority.
     Standard,
-    /// Runs on what the others leave.
+    /// Runs on the capacity that the other priorities leave free.
     BestEffort,
 }
 
-/// Whether the tasks of a job end by themselves.
+/// The kind of a job: whether its tasks run to completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     Batch,
     /// A service: its tasks (replicas) run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
 }
 
-/// A submission, as users send it and as the store keeps it.
+/// A submission, as users send it and as the store holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id, chosen by the user: `req-` and a number, see [`valid_id`].
+    /// Id of the job, chosen by the user: `req-` and a number, see [`valid_id`].
     #[serde(rename = "ref")]
     pub id: String,
-    /// Jobs of one class are expected to have similar run times.
+    /// Class of the job; jobs of one class are expected to have similar run times.
     #[serde(rename = "jobclass")]
     pub class: String,
     /// The team whose quota the job counts against.
@@ -51,92 +54,96 @@
     /// Priority of all tasks.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// How many tasks the job has, 1 to [`MAX_TASKS`]; for a service, replicas.
+    /// Number of tasks, 1 to [`MAX_TASKS`]; for a service, the number of replicas.
     #[serde(rename = "shards")]
     pub tasks: u32,
-    /// Processors for each task.
+    /// Processors per task.
     pub cpus: f64,
-    /// Graphics processors for each task.
+    /// Graphics processors per task.
     pub gpus: f64,
-    /// Memory for each task.
+    /// Memory per task.
     pub ram_gb: f64,
-    /// The image that the tasks run.
+    /// Image that the tasks run.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image, which a worker pulls before the first task that needs it.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// The machine types that the tasks may run on; any if absent.
+    /// Machine types that the tasks may run on; any if absent.
     #[serde(rename = "chassis", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The zone that the tasks must run in; any if absent.
+    /// Zone that the tasks must run in; any if absent.
     #[serde(rename = "bay", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All running tasks must be in the same zone.
+    /// Whether all running tasks must be in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// No zone may have more than half of the tasks, rounded up.
+    /// Whether each zone may run at most half of the tasks, rounded up.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// The tasks may run on spot machines.
+    /// Whether the tasks may run on spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time; 0 for a service.
+    /// Estimated run time of a task, given by the team; 0 for a service.
     pub expect_s: f64,
-    /// Time between checkpoints of a task; 0 if it makes none.
+    /// Interval between checkpoints of a task; 0 if it makes none.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_s: f64,
-    /// Time that a task needs to save its work when it is stopped; 0 if it cannot.
+    /// Time that a task needs to save its work when it is stopped; 0 if it cannot save it.
     #[serde(rename = "flush_s")]
     pub save_s: f64,
-    /// Time after the submission by which the job should be done; none for a service.
+    /// Deadline of the job, in seconds after the submission; none for a service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
 }
 
-/// Why a submission is malformed.
+/// The error for a malformed submission.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum BadJob {
+pub enum SubmissionError {
     /// The body is longer than [`MAX_BODY`].
     #[error("the body holds more than {MAX_BODY} bytes")]
     TooLong,
-    /// Not JSON, or a field is missing or of another type; the parser's message.
+    /// The body is not JSON, or a field is missing or of the wrong type; with the parser's message.
     #[error("not a valid submission: {0}")]
     Json(String),
-    /// The id is not one by [`valid_id`].
+    /// The id is invalid, see [`valid_id`].
     #[error("invalid ref")]
     Id,
-    /// No task, or more than [`MAX_TASKS`].
+    /// The job has no task or more than [`MAX_TASKS`].
     #[error("shards must be 1 to {MAX_TASKS}")]
     Tasks,
-    /// The field of this name on the wire is negative or not finite.
+    /// The field with this name on the wire is negative or not finite.
     #[error("{0} must be a finite amount, not below zero")]
     Amount(&'static str),
 }
 
-/// Whether a text is a job id: `req-` and 1 to 20 decimal digits.
+/// Reports whether a text is a job id: `req-` and 1 to 20 decimal digits.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("req-")
-        .is_some_and(|n| !n.is_empty() && n.len() <= 20 && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("req-").is_some_and(|n| {
+        !n.is_empty() && n.len() <= MAX_ID_DIGITS && n.bytes().all(|b| b.is_ascii_digit())
+    })
 }
 
 impl JobSpec {
-    /// Reads and checks a submission. Whether it can ever run is not decided here.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, BadJob> {
+    /// Parses and validates a submission. It does not check whether the job can ever run.
+    ///
+    /// # Errors
+    /// The first fault that is found.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, SubmissionError> {
         if body.len() > MAX_BODY {
-            return Err(BadJob::TooLong);
+            return Err(SubmissionError::TooLong);
         }
-        // serde would read a struct from a JSON array as well.
+        // serde would also deserialize the struct from a JSON array.
         if body.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
-            return Err(BadJob::Json("not an object".into()));
+            return Err(SubmissionError::Json("not an object".into()));
         }
         let mut spec: JobSpec =
-            serde_json::from_slice(body).map_err(|e| BadJob::Json(e.to_string()))?;
+            serde_json::from_slice(body).map_err(|e| SubmissionError::Json(e.to_string()))?;
         if !valid_id(&spec.id) {
-            return Err(BadJob::Id);
+            return Err(SubmissionError::Id);
         }
         if spec.tasks == 0 || spec.tasks > MAX_TASKS {
-            return Err(BadJob::Tasks);
+            return Err(SubmissionError::Tasks);
         }
         for (name, amount) in [
             ("cpus", spec.cpus),
@@ -149,33 +156,33 @@
             ("due_s", spec.due_s.unwrap_or(0.0)),
         ] {
             if !amount.is_finite() || amount < 0.0 {
-                return Err(BadJob::Amount(name));
+                return Err(SubmissionError::Amount(name));
             }
         }
         if spec.is_service() {
-            // It has no end that could be expected or due.
+            // A service does not end, so it has neither an expected run time nor a deadline.
             (spec.expect_s, spec.due_s) = (0.0, None);
         }
         Ok(spec)
     }
 
-    /// Whether the tasks run until the job is cancelled.
+    /// Reports whether the tasks run until the job is cancelled.
     pub fn is_service(&self) -> bool {
         self.shape == Shape::Service
     }
 }
 
-/// What a user is told of a job's state.
+/// The state of a job, as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobPhase {
-    /// Accepted, no task has started.
+    /// The job is accepted; no task has started.
     Queued,
-    /// Some task has started.
+    /// At least one task has started.
     Running,
     /// Every task has run to completion.
     Done,
-    /// Cancelled by a user.
+    /// A user has cancelled the job.
     #[serde(rename = "aborted")]
     Cancelled,
 }
@@ -183,23 +190,23 @@
 /// Answer to a submission or a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobAnswer {
-    /// The job's id.
+    /// Id of the job.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Its state.
+    /// State of the job.
     pub phase: JobPhase,
 }
 
 /// Answer to a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job's id.
+    /// Id of the job.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Its state.
+    /// State of the job.
     pub phase: JobPhase,
-    /// Tasks that have run to completion.
+    /// Number of tasks that have run to completion.
     pub done: u32,
-    /// Tasks that run now, as far as the answering controller knows.
+    /// Number of tasks that run now, to the knowledge of the answering controller.
     pub running: u32,
 }
--- a/crates/quartzlever-wire/src/workers.rs
+++ b/crates/quartzlever-wire/src/workers.rs
@@ -1,19 +1,22 @@
-//! The protocol between workers and controllers: heartbeats, commands, status.
+//! The protocol between workers and controllers: heartbeats, commands and status.
 //!
-//! A worker posts its [`Heartbeat`] to a controller's `/hello` and receives [`WorkerCommands`]. The
-//! controller may also call the worker's own address: `/status` and `/commands`.
+//! A worker posts its [`Heartbeat`] to `/hello` of a controller and receives [`WorkerCommands`].
+//! The controller may also call `/status` and `/commands` at the worker's own address.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// One task of a job, written `req-000412/3`.
+/// The maximum length of a machine's name, in bytes.
+const MAX_MACHINE_NAME_BYTES: usize = 100;
+
+/// The id of a task, written `req-000412/3`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job's id.
+    /// Id of the job.
     pub job: String,
-    /// Number of the task in the job, from 0.
+    /// Number of the task within the job, from 0.
     pub index: u32,
 }
 
@@ -23,18 +26,18 @@
     }
 }
 
-/// A text that names no task; it is quoted in the message.
+/// The error for a text that is not a task id; the message quotes the text.
 #[derive(Debug, thiserror::Error)]
 #[error("not a task: {0:?}")]
-pub struct BadTask(String);
+pub struct ParseTaskIdError(String);
 
 impl FromStr for TaskId {
-    type Err = BadTask;
+    type Err = ParseTaskIdError;
 
-    fn from_str(text: &str) -> Result<Self, BadTask> {
-        let bad = || BadTask(text.to_owned());
-        let (job, index) = text.rsplit_once('/').ok_or_else(bad)?;
-        let index = index.parse().map_err(|_| bad())?;
+    fn from_str(text: &str) -> Result<Self, ParseTaskIdError> {
+        let invalid = || ParseTaskIdError(text.to_owned());
+        let (job, index) = text.rsplit_once('/').ok_or_else(invalid)?;
+        let index = index.parse().map_err(|_| invalid())?;
         Ok(TaskId { job: job.to_owned(), index })
     }
 }
@@ -47,8 +50,8 @@
 
 impl<'de> Deserialize<'de> for TaskId {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct Text;
-        impl de::Visitor<'_> for Text {
+        struct TaskIdVisitor;
+        impl de::Visitor<'_> for TaskIdVisitor {
             type Value = TaskId;
 
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -59,11 +62,11 @@
                 text.parse().map_err(E::custom)
             }
         }
-        d.deserialize_str(Text)
+        d.deserialize_str(TaskIdVisitor)
     }
 }
 
-/// State of an attempt on a worker.
+/// The state of an attempt on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
@@ -73,28 +76,28 @@
     Running,
     /// The attempt is being stopped and saves its work.
     Saving,
-    /// The attempt has ended; the worker reports it until it is told to forget it.
+    /// The attempt has ended. The worker reports it until [`WorkerCommand::Clear`].
     Exited,
 }
 
-/// Why an attempt exited.
+/// The reason why an attempt exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It ran to completion.
+    /// The attempt ran to completion.
     Done,
-    /// It was killed by a command.
+    /// A command killed the attempt.
     Halted,
-    /// It failed.
+    /// The attempt failed.
     Error,
-    /// It was not started: the machine has too little free capacity.
+    /// The attempt was not started: the machine has too little free capacity.
     #[serde(rename = "no_room")]
     NoCapacity,
-    /// It was not started: another attempt of the task is on the machine.
+    /// The attempt was not started: another attempt of the task is on the machine.
     Busy,
-    /// The worker does not know what became of it.
+    /// The worker does not know the outcome of the attempt.
     Unknown,
-    /// A cause that this version does not know; treated as a failure.
+    /// A cause that is unknown to this version; treated as a failure.
     #[serde(other)]
     Other,
 }
@@ -105,15 +108,15 @@
     /// The task.
     #[serde(rename = "shard")]
     pub task: TaskId,
-    /// The attempt of the task, as the command that started it numbered it.
+    /// Number of the attempt, from the command that started it.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// State of the attempt.
     pub phase: TaskPhase,
-    /// Why it exited; given if and only if it has.
+    /// Why the attempt exited; present if and only if it has exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// Whether a stopped attempt has saved its work. Controllers read it and do not use it.
+    /// Whether a stopped attempt has saved its work. Controllers accept it but do not use it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
 }
@@ -122,10 +125,10 @@
 /// and `/commands`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine's name, as the cloud gave it.
+    /// Name of the machine, assigned by the cloud.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Address and port where the worker takes calls.
+    /// Address and port at which the worker accepts calls.
     pub address: String,
     /// Name of the machine type.
     #[serde(rename = "frame")]
@@ -133,20 +136,20 @@
     /// Name of the zone.
     #[serde(rename = "bay")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Rises each time the worker starts anew without tasks, as when its lease has run out;
+    /// Rises each time the worker restarts without tasks, for example when its lease has expired;
     /// never 0.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
     /// Rises with each heartbeat of an incarnation.
     #[serde(rename = "tick")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has accepted a command under.
+    /// Highest fencing token under which the worker has accepted a command.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The cloud takes the machine back in so many seconds; absent if it has not said so.
+    /// Time until the cloud reclaims the machine; absent without a spot notice.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub warning_s: Option<f64>,
     /// All attempts on the machine, exited ones until they are cleared.
@@ -155,24 +158,24 @@
 }
 
 impl Heartbeat {
-    /// Reads a heartbeat; `None` for anything malformed.
+    /// Parses a heartbeat, or returns `None` if it is malformed.
     pub fn parse(body: &[u8]) -> Option<Heartbeat> {
         let heartbeat: Heartbeat = serde_json::from_slice(body).ok()?;
-        let named = !heartbeat.machine.is_empty()
-            && heartbeat.machine.len() <= 100
+        let valid_name = !heartbeat.machine.is_empty()
+            && heartbeat.machine.len() <= MAX_MACHINE_NAME_BYTES
             && heartbeat.machine.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
-        let sound =
+        let valid_causes =
             heartbeat.tasks.iter().all(|t| (t.phase == TaskPhase::Exited) == t.cause.is_some());
-        (named && heartbeat.incarnation > 0 && sound).then_some(heartbeat)
+        (valid_name && heartbeat.incarnation > 0 && valid_causes).then_some(heartbeat)
     }
 
-    /// Whether the heartbeat lists an attempt of a task.
+    /// Reports whether the heartbeat lists an attempt of a task.
     pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
         self.tasks.iter().any(|t| t.attempt == attempt && t.task == *task)
     }
 }
 
-/// One command to a worker.
+/// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum WorkerCommand {
@@ -181,7 +184,7 @@
         /// The task.
         #[serde(rename = "shard")]
         task: TaskId,
-        /// The attempt of the task.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -190,35 +193,35 @@
         /// The task.
         #[serde(rename = "shard")]
         task: TaskId,
-        /// The attempt of the task.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that it has to save its work; 0 to stop it at once.
+        /// Time that the attempt has to save its work; 0 to stop it immediately.
         leeway_s: f64,
     },
-    /// Forget an attempt that has exited.
+    /// Stop reporting an attempt that has exited.
     Clear {
         /// The task.
         #[serde(rename = "shard")]
         task: TaskId,
-        /// The attempt of the task.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// What a controller sends to a worker: the answer to a heartbeat, or the body of a post to
+/// Commands of a controller to a worker: the answer to a heartbeat, or the body of a post to
 /// `/commands`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerCommands {
-    /// The term of the partition that the machine belongs to; a worker refuses a lower one than it
-    /// has accepted.
+    /// Term of the partition that the machine belongs to. A worker refuses a lower token than the
+    /// highest it has accepted.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The incarnation that the commands are meant for; required in a post to `/commands`.
+    /// Incarnation that the commands are for; required in a post to `/commands`.
     #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<u64>,
-    /// The commands, carried out in order.
+    /// The commands, executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
@@ -226,17 +229,17 @@
 /// A call of a controller to a worker's own address.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
-    /// Ask for the state of the machine.
+    /// Query the state of the machine.
     Status,
-    /// Carry out commands.
+    /// Execute commands.
     Command(WorkerCommands),
 }
 
-/// What a worker answered.
+/// The answer of a worker to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerReply {
-    /// Status, or commands executed.
+    /// The state of the machine, after the execution of any commands.
     Status(Heartbeat),
-    /// Nothing executed: lower fencing token or another incarnation.
+    /// The worker executed no command, because of a lower fencing token or another incarnation.
     Refused(Heartbeat),
 }
--- a/crates/quartzlever-wire/tests/formats.rs
+++ b/crates/quartzlever-wire/tests/formats.rs
@@ -1,13 +1,14 @@
-//! What is read, what is refused, and what our records look like.
+//! Tests of the formats: which input is accepted or refused, and the form and length of records.
 
 use quartzlever_wire::pages::{PAGE_TASKS, PageRecord, page_key, page_of_key};
 use quartzlever_wire::peers::{self, PeerRequest};
 use quartzlever_wire::store::{ActiveJobRecord, Share};
-use quartzlever_wire::users::{BadJob, JobSpec};
+use quartzlever_wire::users::{JobSpec, SubmissionError};
 use quartzlever_wire::workers::Heartbeat;
 use quartzlever_wire::{Json, MAX_BODY, Ranges};
 use serde_json::{Value, json};
 
+/// Returns a valid submission with every field and one that this version does not know.
 fn submission() -> Value {
     json!({
         "ref": "req-000412", "jobclass": "train", "owner": "vision", "shape": "batch",
@@ -18,11 +19,13 @@
     })
 }
 
+/// An unknown field is ignored and an optional one may be absent. Any other fault must be refused
+/// with its kind, as must a submission that is too long or not a JSON object.
 #[test]
-fn submissions_are_read_or_refused() {
-    let json_error = BadJob::Json(String::new());
-    // (what is changed, its new value or none, the kind of refusal)
-    let cases: &[(&str, Option<Value>, Option<BadJob>)] = &[
+fn a_malformed_submission_is_refused() {
+    let json_error = SubmissionError::Json(String::new());
+    // (changed field, its new value or `None` to remove it, the kind of the error if it is refused)
+    let cases: &[(&str, Option<Value>, Option<SubmissionError>)] = &[
         ("ref", Some(json!("req-1")), None),
         ("chassis", None, None),
         ("bay", None, None),
@@ -31,22 +34,22 @@
         ("cpus", Some(json!(0.0)), None),
         ("cpus", Some(json!(4)), None),
         ("shards", Some(json!(100_000)), None),
-        ("ref", Some(json!("job-1")), Some(BadJob::Id)),
-        ("ref", Some(json!("req-")), Some(BadJob::Id)),
-        ("ref", Some(json!("req-1/2")), Some(BadJob::Id)),
-        ("shards", Some(json!(0)), Some(BadJob::Tasks)),
-        ("shards", Some(json!(100_001)), Some(BadJob::Tasks)),
-        ("cpus", Some(json!(-1.0)), Some(BadJob::Amount("cpus"))),
-        ("due_s", Some(json!(-1.0)), Some(BadJob::Amount("due_s"))),
-        ("shards", Some(json!(1.5)), Some(json_error.clone_kind())),
-        ("shards", Some(json!(-1)), Some(json_error.clone_kind())),
-        ("cpus", Some(json!("8")), Some(json_error.clone_kind())),
-        ("rank", Some(json!("highest")), Some(json_error.clone_kind())),
-        ("shape", Some(json!("gang")), Some(json_error.clone_kind())),
-        ("together", Some(Value::Null), Some(json_error.clone_kind())),
-        ("owner", None, Some(json_error.clone_kind())),
-        ("loaners", None, Some(json_error.clone_kind())),
-        ("ram_gb", None, Some(json_error.clone_kind())),
+        ("ref", Some(json!("job-1")), Some(SubmissionError::Id)),
+        ("ref", Some(json!("req-")), Some(SubmissionError::Id)),
+        ("ref", Some(json!("req-1/2")), Some(SubmissionError::Id)),
+        ("shards", Some(json!(0)), Some(SubmissionError::Tasks)),
+        ("shards", Some(json!(100_001)), Some(SubmissionError::Tasks)),
+        ("cpus", Some(json!(-1.0)), Some(SubmissionError::Amount("cpus"))),
+        ("due_s", Some(json!(-1.0)), Some(SubmissionError::Amount("due_s"))),
+        ("shards", Some(json!(1.5)), Some(json_error.without_message())),
+        ("shards", Some(json!(-1)), Some(json_error.without_message())),
+        ("cpus", Some(json!("8")), Some(json_error.without_message())),
+        ("rank", Some(json!("highest")), Some(json_error.without_message())),
+        ("shape", Some(json!("gang")), Some(json_error.without_message())),
+        ("together", Some(Value::Null), Some(json_error.without_message())),
+        ("owner", None, Some(json_error.without_message())),
+        ("loaners", None, Some(json_error.without_message())),
+        ("ram_gb", None, Some(json_error.without_message())),
     ];
     for (field, value, refusal) in cases {
         let mut body = submission();
@@ -55,41 +58,42 @@
             None => drop(body.as_object_mut().expect("object").remove(*field)),
         }
         let result = JobSpec::parse(body.to_string().as_bytes()).err();
-        assert_eq!(result.map(|e| e.clone_kind()), *refusal, "{field} = {value:?}");
+        assert_eq!(result.map(|e| e.without_message()), *refusal, "{field} = {value:?}");
     }
     let long = format!("{{\"ref\":\"{}\"}}", "x".repeat(MAX_BODY));
     for (text, refusal) in [
-        ("", json_error.clone_kind()),
-        ("[]", json_error.clone_kind()),
-        ("[\"req-1\"]", json_error.clone_kind()),
-        ("null", json_error.clone_kind()),
-        ("{\"ref\":\"req-1\",\"cpus\":1e999}", json_error.clone_kind()),
-        (long.as_str(), BadJob::TooLong),
+        ("", json_error.without_message()),
+        ("[]", json_error.without_message()),
+        ("[\"req-1\"]", json_error.without_message()),
+        ("null", json_error.without_message()),
+        ("{\"ref\":\"req-1\",\"cpus\":1e999}", json_error.without_message()),
+        (long.as_str(), SubmissionError::TooLong),
     ] {
         let result = JobSpec::parse(text.as_bytes()).err();
-        assert_eq!(result.map(|e| e.clone_kind()), Some(refusal), "{:.40}", text);
+        assert_eq!(result.map(|e| e.without_message()), Some(refusal), "{:.40}", text);
     }
 }
 
-/// A service is a submission like any other, but that it has no end: what it says of one is dropped.
+/// A service is validated like any other submission. As it does not end, its expected run time and
+/// its deadline are dropped.
 #[test]
-fn services_are_read_or_refused() {
-    let json_error = BadJob::Json(String::new());
-    // (what is changed, its new value or none, the kind of refusal)
-    let cases: &[(&str, Option<Value>, Option<BadJob>)] = &[
+fn a_service_is_validated_and_has_neither_run_time_nor_deadline() {
+    let json_error = SubmissionError::Json(String::new());
+    // (changed field, its new value or `None` to remove it, the kind of the error if it is refused)
+    let cases: &[(&str, Option<Value>, Option<SubmissionError>)] = &[
         ("due_s", None, None),
         ("expect_s", Some(json!(7.5)), None),
         ("shards", Some(json!(1)), None),
-        ("shape", Some(json!("demon")), Some(json_error.clone_kind())),
-        ("shape", None, Some(json_error.clone_kind())),
-        ("shards", Some(json!(0)), Some(BadJob::Tasks)),
-        ("shards", Some(json!(100_001)), Some(BadJob::Tasks)),
-        ("cpus", Some(json!(-0.5)), Some(BadJob::Amount("cpus"))),
-        ("ram_gb", Some(json!(-1)), Some(BadJob::Amount("ram_gb"))),
-        ("expect_s", Some(json!(-1.0)), Some(BadJob::Amount("expect_s"))),
-        ("expect_s", None, Some(json_error.clone_kind())),
-        ("apart", None, Some(json_error.clone_kind())),
-        ("bundle", None, Some(json_error.clone_kind())),
+        ("shape", Some(json!("demon")), Some(json_error.without_message())),
+        ("shape", None, Some(json_error.without_message())),
+        ("shards", Some(json!(0)), Some(SubmissionError::Tasks)),
+        ("shards", Some(json!(100_001)), Some(SubmissionError::Tasks)),
+        ("cpus", Some(json!(-0.5)), Some(SubmissionError::Amount("cpus"))),
+        ("ram_gb", Some(json!(-1)), Some(SubmissionError::Amount("ram_gb"))),
+        ("expect_s", Some(json!(-1.0)), Some(SubmissionError::Amount("expect_s"))),
+        ("expect_s", None, Some(json_error.without_message())),
+        ("apart", None, Some(json_error.without_message())),
+        ("bundle", None, Some(json_error.without_message())),
     ];
     for (field, value, refusal) in cases {
         let mut body = submission();
@@ -103,76 +107,78 @@
             assert!(spec.is_service(), "{field} = {value:?}");
             assert_eq!((spec.expect_s, spec.due_s), (0.0, None), "{field} = {value:?}");
         }
-        assert_eq!(result.err().map(|e| e.clone_kind()), *refusal, "{field} = {value:?}");
+        assert_eq!(result.err().map(|e| e.without_message()), *refusal, "{field} = {value:?}");
     }
-    // Numbers beyond all bounds.
+    // A number that is not finite.
     let text = submission().to_string().replace("\"cpus\":8.0", "\"cpus\":1e999");
     assert_ne!(text, submission().to_string());
     assert!(JobSpec::parse(text.as_bytes()).is_err());
 }
 
-/// The kind of a refusal, without the parser's words.
-trait Kind {
-    fn clone_kind(&self) -> BadJob;
+/// Drops the parser's message from an error, so that errors compare by their kind.
+trait WithoutMessage {
+    fn without_message(&self) -> SubmissionError;
 }
 
-impl Kind for BadJob {
-    fn clone_kind(&self) -> BadJob {
+impl WithoutMessage for SubmissionError {
+    fn without_message(&self) -> SubmissionError {
         match self {
-            BadJob::TooLong => BadJob::TooLong,
-            BadJob::Json(_) => BadJob::Json(String::new()),
-            BadJob::Id => BadJob::Id,
-            BadJob::Tasks => BadJob::Tasks,
-            BadJob::Amount(name) => BadJob::Amount(name),
+            SubmissionError::TooLong => SubmissionError::TooLong,
+            SubmissionError::Json(_) => SubmissionError::Json(String::new()),
+            SubmissionError::Id => SubmissionError::Id,
+            SubmissionError::Tasks => SubmissionError::Tasks,
+            SubmissionError::Amount(name) => SubmissionError::Amount(name),
         }
     }
 }
 
+/// A heartbeat with a cause of a later version must be accepted. One whose machine name, tasks or
+/// causes are malformed must be refused.
 #[test]
-fn reports_are_read_or_refused() {
+fn a_malformed_heartbeat_is_refused() {
     let task = json!({"shard": "req-000412/3", "try": 2, "phase": "running"});
     let heartbeat = |tasks: Value| {
         json!({"host": "n-1", "address": "10.1.0.1:9000", "frame": "g8", "bay": "a",
             "loaners": true, "tenure": 1, "tick": 88, "baton": 41, "shards": tasks})
     };
-    for (name, value, fine) in [
+    for (name, value, valid) in [
         ("no tasks", heartbeat(json!([])), true),
         ("a running task", heartbeat(json!([task])), true),
         (
-            "an exited one, with a cause of the future",
+            "an exited task with a cause that a later version added",
             heartbeat(
                 json!([{"shard": "req-1/0", "try": 1, "phase": "exited", "cause": "boredom"}]),
             ),
             true,
         ),
         (
-            "an exited one without cause",
+            "an exited task without a cause",
             heartbeat(json!([{"shard": "req-1/0", "try": 1, "phase": "exited"}])),
             false,
         ),
         (
-            "a task without number",
+            "a task id without a number",
             heartbeat(json!([{"shard": "req-1", "try": 1, "phase": "running"}])),
             false,
         ),
-        ("not a list", heartbeat(json!(7)), false),
-        ("nothing", json!({}), false),
-        ("a host that is no name", json!({"host": "a/b"}), false),
+        ("tasks that are not a list", heartbeat(json!(7)), false),
+        ("an empty object", json!({}), false),
+        ("a machine name with a slash", json!({"host": "a/b"}), false),
     ] {
-        assert_eq!(Heartbeat::parse(value.to_string().as_bytes()).is_some(), fine, "{name}");
+        assert_eq!(Heartbeat::parse(value.to_string().as_bytes()).is_some(), valid, "{name}");
     }
 }
 
 #[test]
-fn ranges_keep_their_text_short() {
-    for (text, len, again) in [
+fn ranges_are_parsed_and_written_as_the_shortest_list() {
+    for (text, len, written) in [
         ("", 0, ""),
         ("0-4,7,9-20", 18, "0-4,7,9-20"),
         ("3,4,5", 3, "3-5"),
         ("9-20,0-8", 21, "0-20"),
     ] {
         let ranges: Ranges = text.parse().expect(text);
-        assert_eq!((ranges.len(), ranges.to_string().as_str()), (len, again));
+        assert_eq!((ranges.len(), ranges.to_string().as_str()), (len, written));
     }
     for text in ["a", "5-3", "-", "1-4294967295"] {
         assert!(text.parse::<Ranges>().is_err(), "{text}");
@@ -183,7 +189,7 @@
 }
 
 #[test]
-fn moving_tasks_keeps_every_task_in_one_share() {
+fn moved_tasks_belong_to_exactly_one_share() {
     let spec: JobSpec = serde_json::from_value(submission()).expect("spec");
     let share = |partition: &str, term, tasks: &str| Share {
         partition: partition.into(),
@@ -192,7 +198,7 @@
     };
     let mut record = ActiveJobRecord::new(spec, 0, vec![share("one", 5, "0-15")]);
     record.finished = "0-1".parse().expect("ranges");
-    // (moved, from, to, its term, shares after)
+    // (tasks, from, to, term of the latter, shares after the move)
     let steps = [
         ("8-15", "one", "two", 7, vec![share("one", 5, "0-7"), share("two", 7, "8-15")]),
         (
@@ -213,23 +219,23 @@
 }
 
 #[test]
-fn peers_messages_are_framed() {
+fn a_peer_message_is_read_back_and_a_bad_frame_is_refused() {
     let request = PeerRequest::ScaledOut { partition: "one".into(), machines: vec!["n-1".into()] };
     let mut frame = Vec::new();
     peers::send(&mut frame, &request).expect("a frame");
     assert_eq!(peers::receive::<PeerRequest>(&mut frame.as_slice()).expect("a message"), request);
     for (name, bytes) in [
-        ("nothing", vec![]),
-        ("half a frame", frame[..frame.len() - 1].to_vec()),
-        ("a frame that is too long", vec![255, 255, 255, 255, 0]),
-        ("noise", vec![0, 0, 0, 4, 255, 255, 255, 255]),
+        ("no bytes", vec![]),
+        ("a truncated frame", frame[..frame.len() - 1].to_vec()),
+        ("a frame above the limit", vec![255, 255, 255, 255, 0]),
+        ("a message that does not parse", vec![0, 0, 0, 4, 255, 255, 255, 255]),
     ] {
         assert!(peers::receive::<PeerRequest>(&mut bytes.as_slice()).is_err(), "{name}");
     }
 }
 
 #[test]
-fn machines_share_keys_and_earlier_records_are_read() {
+fn machines_are_grouped_by_number_and_single_machine_records_are_read() {
     use quartzlever_wire::store::{large_group_key, machine_records_in};
     for (machine, key) in [
         ("n-000000", "hosts/n-~0"),
@@ -240,41 +246,42 @@
     ] {
         assert_eq!(large_group_key(machine), key, "{machine}");
     }
-    let earlier = json!({"part":"one","address":"a:1","kind":"m","zone":"z","spot":true});
-    let block = json!({"m":{"n-1":["one","a:1","m","z",true],"n-2":["two","b:1","m","z",false]}});
+    let single = json!({"part":"one","address":"a:1","kind":"m","zone":"z","spot":true});
+    let group = json!({"m":{"n-1":["one","a:1","m","z",true],"n-2":["two","b:1","m","z",false]}});
     for (name, path, value, machines) in [
-        ("one machine, as earlier versions wrote it", "hosts/n-1", earlier, Some(1)),
-        ("a block", "hosts/n-~0", block, Some(2)),
-        ("neither", "hosts/n-~0", json!([1, 2]), None),
-        ("a piece of one", "hosts/n-1", json!({"part":"one"}), None),
+        ("a single machine, as earlier versions wrote it", "hosts/n-1", single, Some(1)),
+        ("a group", "hosts/n-~0", group, Some(2)),
+        ("neither format", "hosts/n-~0", json!([1, 2]), None),
+        ("an incomplete single machine", "hosts/n-1", json!({"part":"one"}), None),
     ] {
         let found = machine_records_in(path, &Json::of(&value));
-        assert_eq!(found.as_ref().map(|h| h.len()), machines, "{name}");
+        assert_eq!(found.as_ref().map(|m| m.len()), machines, "{name}");
         if let Some(found) = found {
             assert_eq!(found["n-1"].partition, "one", "{name}");
         }
     }
 }
 
-/// A page takes a bounded number of bytes in whatever order its tasks finish.
+/// A list of ranges grows with each gap between finished tasks and can exceed the limit on values.
+/// A page's length must be bounded in whatever order its tasks finish.
 #[test]
-fn pages_hold_their_tasks_in_few_bytes() {
-    let alternating = |first: u32| (0..PAGE_TASKS).filter(|n| n % 2 == first).collect::<Ranges>();
-    for (name, page, finished, within) in [
-        ("none", 0, Ranges::default(), 20),
-        ("the first", 0, Ranges::of(0..1), 20),
-        ("all", 0, Ranges::of(0..PAGE_TASKS), 280),
-        ("every second", 0, alternating(0), 280),
-        ("the others", 0, alternating(1), 280),
-        ("a later page", 3, Ranges::of(3 * PAGE_TASKS + 5..4 * PAGE_TASKS), 280),
+fn the_length_of_a_page_is_bounded_in_any_order_of_finished_tasks() {
+    let every_second = |first: u32| (0..PAGE_TASKS).filter(|n| n % 2 == first).collect::<Ranges>();
+    for (name, page, finished, max_bytes) in [
+        ("no task", 0, Ranges::default(), 20),
+        ("the first task", 0, Ranges::of(0..1), 20),
+        ("all tasks", 0, Ranges::of(0..PAGE_TASKS), 280),
+        ("every even task", 0, every_second(0), 280),
+        ("every odd task", 0, every_second(1), 280),
+        ("most tasks of a later page", 3, Ranges::of(3 * PAGE_TASKS + 5..4 * PAGE_TASKS), 280),
     ] {
         let record = PageRecord::new(page, &finished);
         let text = serde_json::to_string(&record).expect("JSON");
-        assert!(text.len() <= within, "{name}: {} bytes", text.len());
+        assert!(text.len() <= max_bytes, "{name}: {} bytes", text.len());
         let read: PageRecord = serde_json::from_str(&text).expect("a page");
         assert_eq!(read.tasks(page), Some(finished), "{name}");
     }
-    // Of a larger set only the page's own tasks are taken.
+    // Tasks of other pages are ignored.
     let tasks = PageRecord::new(1, &Ranges::of(0..5 * PAGE_TASKS)).tasks(1);
     assert_eq!(tasks, Some(Ranges::of(PAGE_TASKS..2 * PAGE_TASKS)));
     for text in
