--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -94,9 +94,10 @@
 /// wait there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ThiefCapacity {
-    /// For an idle partition, the free capacity of each machine that accepts tasks. Otherwise the
-    /// whole capacity of each machine type that the partition has, with separate entries for each
-    /// zone and for spot and on-demand instances.
+    /// For an idle partition, the free capacity of each machine that accepts tasks, including what
+    /// the preemption of lower priorities would free. Otherwise the whole capacity of each machine
+    /// type that the partition has, with separate entries for each zone and for spot and on-demand
+    /// instances.
     pub free: Vec<FreeCapacity>,
 }
 
@@ -135,7 +136,7 @@
     }
 }
 
-/// The free capacity of one machine.
+/// The free capacity of a machine, or the whole capacity of a machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FreeCapacity {
     /// Name of the machine type.
