--- a/crates/quartzlever-testkit/src/cloud.rs
+++ b/crates/quartzlever-testkit/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The fake cloud: machines of one type, up as soon as they are rented.
+//! A fake cloud with one machine type, whose machines run as soon as they are launched.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,26 +7,30 @@
     ScaleOutRequest,
 };
 
-/// A fake cloud of one machine type in any number of zones. It remembers the names of requests.
+/// A fake cloud with one machine type in any number of zones.
+///
+/// Scale-out requests are idempotent: a repeated request name returns the machines of the first.
 #[derive(Debug)]
 pub struct Cloud {
-    /// What it answers when asked for the catalogue.
+    /// The catalogue that it returns.
     pub catalogue: Catalogue,
-    /// The machines of each request by its name.
+    /// Machine names of each granted scale-out request, by request name.
     scale_outs: BTreeMap<String, Vec<String>>,
-    /// Rented machines by name.
+    /// Running machines by name.
     pub machines: BTreeMap<String, Instance>,
-    /// Names that were returned.
+    /// Names of terminated machines.
     pub gone: BTreeSet<String>,
-    count: u32,
-    /// The most machines that it rents at once.
+    launched_count: u32,
+    /// Maximum number of running machines.
     pub max_machines: usize,
-    /// The most spot machines that it rents at once; their price is in the catalogue all the same.
+    /// Maximum number of running spot machines. The catalogue lists the spot price whatever the
+    /// limit.
     pub max_spot_machines: usize,
 }
 
 impl Cloud {
-    /// A cloud of machines with so many processors, of which it rents so many at once.
+    /// Creates a cloud whose machines have `cpus` processors, with at most `max_machines` of them
+    /// running.
     pub fn new(cpus: f64, zones: &[&str], max_machines: usize) -> Self {
         let machine_type = MachineType {
             name: "m".into(),
@@ -45,13 +49,13 @@
             scale_outs: BTreeMap::new(),
             machines: BTreeMap::new(),
             gone: BTreeSet::new(),
-            count: 0,
+            launched_count: 0,
             max_machines,
             max_spot_machines: usize::MAX,
         }
     }
 
-    /// Carries out one call. A list is one page.
+    /// Executes one call. A listing is always a single page.
     pub fn call(&mut self, call: &CloudCall) -> CloudReply {
         match call {
             CloudCall::Catalogue => CloudReply::Catalogue(self.catalogue.clone()),
@@ -74,24 +78,24 @@
         if let Some(machines) = self.scale_outs.get(&request.name) {
             return CloudReply::ScaledOut(machines.clone());
         }
-        let mut room = self.max_machines.saturating_sub(self.machines.len());
+        let mut capacity = self.max_machines.saturating_sub(self.machines.len());
         if request.spot {
             let spot = self.machines.values().filter(|m| m.spot).count();
-            room = room.min(self.max_spot_machines.saturating_sub(spot));
+            capacity = capacity.min(self.max_spot_machines.saturating_sub(spot));
         }
-        let count = (request.count as usize).min(room);
+        let count = (request.count as usize).min(capacity);
         if count == 0 {
             return CloudReply::NoCapacity;
         }
-        let machines: Vec<String> = (0..count).map(|_| self.rent(request)).collect();
+        let machines: Vec<String> = (0..count).map(|_| self.launch(request)).collect();
         self.scale_outs.insert(request.name.clone(), machines.clone());
         CloudReply::ScaledOut(machines)
     }
 
-    /// Adds one machine and gives its name.
-    fn rent(&mut self, request: &ScaleOutRequest) -> String {
-        self.count += 1;
-        let name = format!("n-{:06}", self.count);
+    /// Launches one machine and returns its name.
+    fn launch(&mut self, request: &ScaleOutRequest) -> String {
+        self.launched_count += 1;
+        let name = format!("n-{:06}", self.launched_count);
         let instance = Instance {
             name: name.clone(),
             address: format!("{name}:9000"),
--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A few fake workers on loopback ports, all under one lock, with a [`RuleChecker`] that is shown the
-//! whole fleet after each change. For thousands of workers see [`crate::worker_fleet`].
+//! A few fake workers on loopback ports, all under one lock, with a [`RuleChecker`] that observes
+//! the whole fleet after each change. For thousands of workers see [`crate::worker_fleet`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -15,127 +15,133 @@
 use serde_json::{Value, json};
 use tiny_http::Request;
 
-use crate::http::{body_of, listen, micros, respond, serve_cloud};
+use crate::http::{read_body, respond, serve, serve_cloud, test_time};
 use crate::rules::{MachineTasks, RuleChecker};
 use crate::{Cloud, Worker};
 
-/// A worker gives up on a heartbeat after this time.
+/// Time after which a worker gives up on an unanswered heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Threads that serve calls to the port of one worker.
 const WORKER_THREADS: usize = 2;
 
-/// How the workers of a fleet behave.
+/// Timing of the workers of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
-    /// Time between heartbeats of a worker.
+    /// Interval between the heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// Every second machine carries out calls to its own address only after this time.
+    /// Delay before machines with an odd number execute a call to their own address.
     pub slow_calls: Duration,
-    /// How long a worker runs its tasks without an answer to its heartbeats.
+    /// Lease of a worker: how long it keeps its tasks running without an answer to its heartbeats.
     pub lease: Micros,
-    /// How long a task runs.
+    /// Run time of a task.
     pub run_time: Micros,
 }
 
-/// Controllers by name, where workers report.
+/// Names and API addresses of the controllers that workers send heartbeats to.
 pub type Controllers = Arc<Mutex<Vec<(String, SocketAddr)>>>;
 
 struct State {
     workers: BTreeMap<String, Worker>,
     rules: RuleChecker,
-    endless: BTreeSet<String>,
-    /// Machines that were returned, some of them before they were up.
-    returned: BTreeSet<String>,
-    /// How many starts and ends of each worker the checker has been shown.
-    starts_shown: BTreeMap<String, usize>,
-    ends_shown: BTreeMap<String, usize>,
+    /// Jobs whose tasks run until they are stopped.
+    endless_jobs: BTreeSet<String>,
+    /// Terminated machines, some of which were terminated before their worker had started.
+    terminated: BTreeSet<String>,
+    /// Per worker, the number of task starts that the checker has seen.
+    observed_starts: BTreeMap<String, usize>,
+    /// Per worker, the number of completed tasks that the checker has seen.
+    observed_completions: BTreeMap<String, usize>,
 }
 
-/// The workers of a test and what they did.
+/// The workers of a test, with the checker of their actions.
 pub struct Fleet {
     state: Mutex<State>,
     controllers: Controllers,
     behaviour: Behaviour,
-    begin: Instant,
+    start: Instant,
 }
 
 impl Fleet {
-    /// A fleet without workers.
+    /// Creates a fleet without workers. `start` is the instant from which the test counts time.
     pub fn new(
         rules: RuleChecker,
         controllers: Controllers,
         behaviour: Behaviour,
-        begin: Instant,
+        start: Instant,
     ) -> Arc<Fleet> {
         let state = State {
             workers: BTreeMap::new(),
             rules,
-            endless: BTreeSet::new(),
-            returned: BTreeSet::new(),
-            starts_shown: BTreeMap::new(),
-            ends_shown: BTreeMap::new(),
+            endless_jobs: BTreeSet::new(),
+            terminated: BTreeSet::new(),
+            observed_starts: BTreeMap::new(),
+            observed_completions: BTreeMap::new(),
         };
-        Arc::new(Fleet { state: Mutex::new(state), controllers, behaviour, begin })
+        Arc::new(Fleet { state: Mutex::new(state), controllers, behaviour, start })
     }
 
-    /// Serves a cloud whose machines are the workers of this fleet.
+    /// Serves a cloud at a new loopback port: a launched machine becomes a worker of this fleet,
+    /// and a terminated one leaves it.
     pub fn serve_cloud(self: &Arc<Self>, cloud: Cloud) -> io::Result<SocketAddr> {
-        let (leaving, joining) = (self.clone(), self.clone());
+        let (terminating, launching) = (self.clone(), self.clone());
         serve_cloud(
             Arc::new(Mutex::new(cloud)),
-            move |machine| leaving.leave(machine),
-            move |instance| joining.clone().join(instance),
+            move |machine| terminating.remove_worker(machine),
+            move |instance| launching.clone().start_worker(instance),
         )
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A panic elsewhere is reported by the test that it ended.
+        // A panic in another thread fails the test there, so poisoning is ignored here.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes a change at one moment, after what time alone has changed, and shows the checker all
-    /// that came of it.
-    fn change<T>(&self, change: impl FnOnce(&mut State, Micros) -> T) -> T {
+    /// Applies a change to the fleet under the lock.
+    ///
+    /// The workers are advanced to the current time first. The checker sees the tasks completed by
+    /// then before the change, and the state of all machines and the started tasks after it.
+    fn update<T>(&self, change: impl FnOnce(&mut State, Micros) -> T) -> T {
         let mut state = self.lock();
-        let now = micros(self.begin);
+        let now = test_time(self.start);
         for worker in state.workers.values_mut() {
             worker.advance_to(now);
         }
-        state.show_ends();
+        state.observe_completions();
         let result = change(&mut state, now);
-        state.show_starts(now);
+        state.observe_machines_and_starts(now);
         result
     }
 
-    /// Lets time pass, and the checker look.
+    /// Advances the workers to the current time and checks the rules.
     pub fn observe(&self) {
-        self.change(|_, _| ());
+        self.update(|_, _| ());
     }
 
-    /// Tells or asks the checker something.
+    /// Calls `work` with the checker and the current time.
     pub fn rules<T>(&self, work: impl FnOnce(&mut RuleChecker, Micros) -> T) -> T {
-        self.change(|state, now| work(&mut state.rules, now))
+        self.update(|state, now| work(&mut state.rules, now))
     }
 
-    /// The tasks of this job run until they are stopped.
+    /// Makes the tasks of this job run until they are stopped, on all workers present and future.
     pub fn never_ends(&self, spec: &JobSpec) {
-        self.change(|state, _| {
-            state.endless.insert(spec.id.clone());
+        self.update(|state, _| {
+            state.endless_jobs.insert(spec.id.clone());
             for worker in state.workers.values_mut() {
-                worker.endless.insert(spec.id.clone());
+                worker.endless_jobs.insert(spec.id.clone());
             }
         });
     }
 
-    /// How many tasks of a job are on machines.
+    /// Returns the number of running tasks of a job.
     pub fn running(&self, job: &str) -> usize {
         let state = self.lock();
         let of_job = |task: &&TaskId| task.job == job;
         state.workers.values().map(|w| w.running().iter().filter(of_job).count()).sum()
     }
 
-    /// A machine that runs tasks stops for good, if there is one.
+    /// Makes one machine that runs tasks fail permanently, if there is one.
     pub fn fail_busy_machine(&self) {
-        self.change(|state, _| {
+        self.update(|state, _| {
             let busy = state.workers.iter().find(|(_, worker)| !worker.running().is_empty());
             if let Some(machine) = busy.map(|(machine, _)| machine.clone()) {
                 state.workers.remove(&machine);
@@ -143,45 +149,46 @@
         });
     }
 
-    fn leave(&self, machine: &str) {
-        self.change(|state, _| {
+    fn remove_worker(&self, machine: &str) {
+        self.update(|state, _| {
             state.workers.remove(machine);
-            state.returned.insert(machine.to_owned());
+            state.terminated.insert(machine.to_owned());
         });
     }
 
-    fn join(self: Arc<Self>, instance: Instance) {
+    fn start_worker(self: Arc<Self>, instance: Instance) {
         thread::spawn(move || {
-            // A worker that cannot serve its port is a machine that never comes up.
+            // A worker that cannot open its port counts as a machine that never starts.
             let _ = self.serve_worker(instance);
         });
     }
 
+    /// Serves a worker at a new port and sends its heartbeats until the worker is removed.
     fn serve_worker(self: Arc<Self>, mut instance: Instance) -> io::Result<()> {
         let machine = instance.name.clone();
         let (fleet, name) = (self.clone(), machine.clone());
-        let address = listen(WORKER_THREADS, move |request| fleet.command(&name, request))?;
+        let address = serve(WORKER_THREADS, move |request| fleet.handle_request(&name, request))?;
         instance.address = address.to_string();
-        self.change(|state, now| {
+        self.update(|state, now| {
             let mut worker =
                 Worker::new(instance, self.behaviour.lease, self.behaviour.run_time, now);
-            worker.endless = state.endless.clone();
-            if !state.returned.contains(&machine) {
+            worker.endless_jobs = state.endless_jobs.clone();
+            if !state.terminated.contains(&machine) {
                 state.workers.insert(machine.clone(), worker);
             }
         });
-        self.report_until_returned(&machine);
+        self.send_heartbeats_until_terminated(&machine);
         Ok(())
     }
 
-    /// A call to the worker's own address.
-    fn command(&self, machine: &str, mut request: Request) {
-        let body = body_of(&mut request);
+    /// Handles a request to a worker's own address.
+    fn handle_request(&self, machine: &str, mut request: Request) {
+        let body = read_body(&mut request);
         if machine.ends_with(['1', '3', '5', '7', '9']) {
             thread::sleep(self.behaviour.slow_calls);
         }
         let is_status = request.url() == "/status";
-        let reply = self.change(|state, now| {
+        let reply = self.update(|state, now| {
             let worker = state.workers.get_mut(machine)?;
             if is_status {
                 return Some(Ok(WorkerReply::Status(worker.heartbeat())));
@@ -195,26 +202,31 @@
             Some(Ok(WorkerReply::Status(heartbeat))) => respond(request, 200, &json!(heartbeat)),
             Some(Ok(WorkerReply::Refused(heartbeat))) => respond(request, 409, &json!(heartbeat)),
             Some(Err(_)) => respond(request, 400, &json!({})),
-            // The machine is gone: the connection closes without an answer.
+            // The machine no longer exists: the connection closes without a response.
             None => drop(request),
         }
     }
 
-    fn report_until_returned(&self, machine: &str) {
+    /// Sends the heartbeats of a worker until the worker is removed.
+    fn send_heartbeats_until_terminated(&self, machine: &str) {
         let agent = ureq::AgentBuilder::new().timeout(HEARTBEAT_TIMEOUT).build();
         let mut target = 0;
         loop {
-            let heartbeat = self.change(|state, now| {
+            let heartbeat = self.update(|state, now| {
                 let worker = state.workers.get_mut(machine)?;
                 Some((worker.heartbeat(), now))
             });
             let Some((heartbeat, sent)) = heartbeat else { return };
-            self.send_report(&agent, &mut target, &heartbeat, sent);
+            self.send_heartbeat(&agent, &mut target, &heartbeat, sent);
             thread::sleep(self.behaviour.heartbeat_interval);
         }
     }
 
-    fn send_report(
+    /// Sends one heartbeat to the controller at index `target`.
+    ///
+    /// A 421 response moves `target` to the controller that it names; a response without a known
+    /// name, or none at all, moves it to the next one.
+    fn send_heartbeat(
         &self,
         agent: &ureq::Agent,
         target: &mut usize,
@@ -232,7 +244,7 @@
             Ok(response) => {
                 let text = response.into_string().unwrap_or_default();
                 let Ok(commands) = serde_json::from_str::<WorkerCommands>(&text) else { return };
-                self.change(|state, now| {
+                self.update(|state, now| {
                     if let Some(worker) = state.workers.get_mut(&heartbeat.machine) {
                         worker.answered(&commands, sent, heartbeat.incarnation, now);
                     }
@@ -250,25 +262,27 @@
 }
 
 impl State {
-    fn show_ends(&mut self) {
+    /// Passes newly completed tasks to the checker.
+    fn observe_completions(&mut self) {
         for (machine, worker) in &self.workers {
-            let shown = self.ends_shown.entry(machine.clone()).or_default();
-            for task in &worker.completed[*shown..] {
+            let observed = self.observed_completions.entry(machine.clone()).or_default();
+            for task in &worker.completed[*observed..] {
                 self.rules.task_completed(task);
             }
-            *shown = worker.completed.len();
+            *observed = worker.completed.len();
         }
     }
 
-    fn show_starts(&mut self, now: Micros) {
+    /// Passes the state of all machines and newly started tasks to the checker.
+    fn observe_machines_and_starts(&mut self, now: Micros) {
         let machines: Vec<MachineTasks> = self.workers.values().map(machine_tasks).collect();
         self.rules.machines(now, &machines);
         for (machine, worker) in &self.workers {
-            let shown = self.starts_shown.entry(machine.clone()).or_default();
-            for (task, at) in &worker.started[*shown..] {
+            let observed = self.observed_starts.entry(machine.clone()).or_default();
+            for (task, at) in &worker.started[*observed..] {
                 self.rules.task_started(*at, task, machine, &machines);
             }
-            *shown = worker.started.len();
+            *observed = worker.started.len();
         }
     }
 }
--- a/crates/quartzlever-testkit/src/http.rs
+++ b/crates/quartzlever-testkit/src/http.rs
@@ -1,4 +1,4 @@
-//! The fakes on loopback ports, each served by `tiny_http` until the process ends.
+//! Serves the fakes over HTTP on loopback ports, with `tiny_http`, until the process exits.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -16,24 +16,23 @@
 
 use crate::{Cloud, Store};
 
-/// The fakes' time of day: microseconds since the start of the test, and a second more, so that no time
-/// is 0.
-pub(crate) fn micros(start: Instant) -> Micros {
+/// Returns the time of the test: microseconds since `start` plus one second, so that no time is 0.
+pub(crate) fn test_time(start: Instant) -> Micros {
     SECOND + start.elapsed().as_micros() as Micros
 }
 
-/// Answers a request with a JSON body.
+/// Responds to a request with a JSON body.
 pub(crate) fn respond(request: Request, status: u16, body: &Value) {
     let mut response = Response::from_string(body.to_string()).with_status_code(status);
     if let Ok(header) = Header::from_bytes("Content-Type", "application/json") {
         response.add_header(header);
     }
-    // A caller that has gone away needs no answer.
+    // Fails if the client has closed the connection, which is no fault of the test.
     let _ = request.respond(response);
 }
 
-/// The body of a request; empty if it cannot be read.
-pub(crate) fn body_of(request: &mut Request) -> Vec<u8> {
+/// Reads the body of a request. Returns an empty body if reading fails.
+pub(crate) fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     if request.as_reader().read_to_end(&mut body).is_err() {
         body.clear();
@@ -41,8 +40,9 @@
     body
 }
 
-/// The value of a query field, as our own clients write it.
-fn query(url: &str, name: &str) -> Option<String> {
+/// Returns the value of a query parameter. Decodes `%2F` only, as the clients of this project
+/// encode nothing else.
+fn query_parameter(url: &str, name: &str) -> Option<String> {
     let (_, fields) = url.split_once('?')?;
     fields.split('&').find_map(|field| {
         let (key, value) = field.split_once('=')?;
@@ -50,8 +50,8 @@
     })
 }
 
-/// Serves requests at a new loopback port, so many at a time.
-pub(crate) fn listen(
+/// Serves requests at a new loopback port with `threads` threads and returns the address.
+pub(crate) fn serve(
     threads: usize,
     handle: impl Fn(Request) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
@@ -69,15 +69,16 @@
     Ok(address)
 }
 
-/// Open watches take a thread each: two of each controller, and a few for everything else.
+/// Each open watch occupies a thread: two per controller, plus a few for all other calls.
 const STORE_THREADS: usize = 24;
 const CLOUD_THREADS: usize = 4;
 
-/// Serves a fake store at a new loopback port.
+/// Serves a fake store at a new loopback port and returns the address. `start` is the instant from
+/// which the test counts time.
 pub fn serve_store(store: Arc<Mutex<Store>>, start: Instant) -> io::Result<SocketAddr> {
-    listen(STORE_THREADS, move |mut request| match store_call(&mut request) {
+    serve(STORE_THREADS, move |mut request| match parse_store_call(&mut request) {
         Ok(call) => {
-            if let Some((status, value)) = answer_store_call(&store, start, &call) {
+            if let Some((status, value)) = execute_store_call(&store, start, &call) {
                 respond(request, status, &value);
             }
         }
@@ -85,24 +86,24 @@
     })
 }
 
-/// The call that a request to the store stands for, or what is wrong with it.
-fn store_call(request: &mut Request) -> Result<StoreCall, String> {
-    let body = body_of(request);
+/// Parses a request to the store. The error is a text for the response.
+fn parse_store_call(request: &mut Request) -> Result<StoreCall, String> {
+    let body = read_body(request);
     let url = request.url();
     let path = url.split('?').next().unwrap_or("");
-    let number = |name| query(url, name).and_then(|text| text.parse().ok()).unwrap_or(0);
+    let number = |name| query_parameter(url, name).and_then(|text| text.parse().ok()).unwrap_or(0);
     Ok(match (request.method(), path) {
         (Method::Get, "/keys") => StoreCall::List {
-            prefix: query(url, "under").unwrap_or_default(),
-            from: query(url, "from"),
+            prefix: query_parameter(url, "under").unwrap_or_default(),
+            from: query_parameter(url, "from"),
         },
         (Method::Get, "/watch") => {
             StoreCall::Watch { from: number("from"), hold_ms: number("hold_ms") }
         }
         (Method::Get, path) => StoreCall::Get(path.trim_start_matches("/keys/").to_owned()),
-        (Method::Post, "/multi") => StoreCall::Txn(parsed::<Txn>(&body)?),
+        (Method::Post, "/multi") => StoreCall::Txn(parse_json::<Txn>(&body)?),
         (Method::Post, "/holds") => {
-            StoreCall::Grant { life_ms: parsed::<GrantRequest>(&body)?.life_ms }
+            StoreCall::Grant { life_ms: parse_json::<GrantRequest>(&body)?.life_ms }
         }
         (Method::Post, path) => {
             let id = path.trim_start_matches("/holds/").trim_end_matches("/renew");
@@ -112,13 +113,16 @@
     })
 }
 
-fn parsed<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
+/// Parses a JSON body. The error is a text for the response.
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
 
-/// Carries out a call, a watch as soon as there is something or its time is over. No answer comes
-/// from a store whose user has panicked.
-fn answer_store_call(
+/// Executes a call and returns status and body of the response.
+///
+/// A watch waits until there are changes or its hold time has passed. Returns `None`, and thereby
+/// sends no response, if another thread has panicked while it held the store.
+fn execute_store_call(
     store: &Mutex<Store>,
     start: Instant,
     call: &StoreCall,
@@ -129,7 +133,7 @@
     };
     loop {
         let mut guard = store.lock().ok()?;
-        let result = guard.call(micros(start), call);
+        let result = guard.call(test_time(start), call);
         if let Ok(StoreReply::Watched(answer)) = &result
             && (guard.watches_held || (answer.log.is_empty() && Instant::now() < end))
         {
@@ -137,12 +141,12 @@
             thread::sleep(Duration::from_millis(10));
             continue;
         }
-        return Some(store_answer(&guard, call, result));
+        return Some(store_response(&guard, call, result));
     }
 }
 
-/// Status and body of an answer of the store.
-fn store_answer(
+/// Returns status and body of the response of the store.
+fn store_response(
     store: &Store,
     call: &StoreCall,
     result: Result<StoreReply, CallError>,
@@ -168,15 +172,17 @@
     }
 }
 
-/// Serves a fake cloud at a new loopback port; `terminated` is told of each returned machine, `launched` of
-/// each new one.
+/// Serves a fake cloud at a new loopback port and returns the address.
+///
+/// Calls `on_launched` for each new machine and `on_terminated` with the name of each machine in a
+/// scale-in request, before the response is sent.
 pub fn serve_cloud(
     cloud: Arc<Mutex<Cloud>>,
-    terminated: impl Fn(&str) + Send + Sync + 'static,
-    launched: impl Fn(Instance) + Send + Sync + 'static,
+    on_terminated: impl Fn(&str) + Send + Sync + 'static,
+    on_launched: impl Fn(Instance) + Send + Sync + 'static,
 ) -> io::Result<SocketAddr> {
-    listen(CLOUD_THREADS, move |mut request| {
-        let call = match cloud_call(&mut request) {
+    serve(CLOUD_THREADS, move |mut request| {
+        let call = match parse_cloud_call(&mut request) {
             Ok(call) => call,
             Err(error) => return respond(request, 400, &json!({ "error": error })),
         };
@@ -186,31 +192,31 @@
         let new: Vec<_> =
             guard.machines.values().filter(|m| !before.contains(&m.name)).cloned().collect();
         drop(guard);
-        new.into_iter().for_each(&launched);
+        new.into_iter().for_each(&on_launched);
         if let (CloudReply::ScaledIn, CloudCall::ScaleIn(machines)) = (&reply, &call) {
-            machines.iter().for_each(|machine| terminated(machine));
+            machines.iter().for_each(|machine| on_terminated(machine));
         }
-        let (status, value) = cloud_answer(reply);
+        let (status, value) = cloud_response(reply);
         respond(request, status, &value);
     })
 }
 
-/// The call that a request to the cloud stands for, or what is wrong with it.
-fn cloud_call(request: &mut Request) -> Result<CloudCall, String> {
-    let body = body_of(request);
+/// Parses a request to the cloud. The error is a text for the response.
+fn parse_cloud_call(request: &mut Request) -> Result<CloudCall, String> {
+    let body = read_body(request);
     let url = request.url();
     Ok(match url.split('?').next().unwrap_or("") {
         "/catalog" => CloudCall::Catalogue,
         "/rentals" if *request.method() == Method::Post => {
-            CloudCall::ScaleOut(parsed::<ScaleOutRequest>(&body)?)
+            CloudCall::ScaleOut(parse_json::<ScaleOutRequest>(&body)?)
         }
-        "/rentals" => CloudCall::List { from: query(url, "from") },
-        _ => CloudCall::ScaleIn(parsed::<MachineNames>(&body)?.machines),
+        "/rentals" => CloudCall::List { from: query_parameter(url, "from") },
+        _ => CloudCall::ScaleIn(parse_json::<MachineNames>(&body)?.machines),
     })
 }
 
-/// Status and body of an answer of the cloud.
-fn cloud_answer(reply: CloudReply) -> (u16, Value) {
+/// Returns status and body of the response of the cloud.
+fn cloud_response(reply: CloudReply) -> (u16, Value) {
     match reply {
         CloudReply::Catalogue(catalogue) => (200, json!(catalogue)),
         CloudReply::ScaledOut(machines) => (200, json!(MachineNames { machines })),
--- a/crates/quartzlever-testkit/src/jobs.rs
+++ b/crates/quartzlever-testkit/src/jobs.rs
@@ -1,8 +1,9 @@
-//! Jobs for tests.
+//! Job specifications for tests.
 
 use quartzlever_wire::users::{JobSpec, Priority, Shape};
 
-/// An array of so many tasks that any machine may run; what a test wants otherwise it changes.
+/// Returns a batch job of `tasks` tasks without placement constraints. Tests override fields as
+/// needed.
 pub fn array(number: u32, tasks: u32) -> JobSpec {
     JobSpec {
         id: format!("req-{number:06}"),
@@ -28,7 +29,7 @@
     }
 }
 
-/// A service of so many replicas.
+/// Returns a service of `replicas` replicas without placement constraints.
 pub fn service(number: u32, replicas: u32) -> JobSpec {
     JobSpec { shape: Shape::Service, expect_s: 0.0, cpus: 1.0, ..array(number, replicas) }
 }
--- a/crates/quartzlever-testkit/src/lib.rs
+++ b/crates/quartzlever-testkit/src/lib.rs
@@ -1,18 +1,18 @@
-//! Fakes for what surrounds a controller, for tests only.
+//! Fakes of the systems around a controller, for tests only.
 //!
-//! | module | what it is for |
+//! | item | purpose |
 //! | --- | --- |
-//! | [`Store`], [`Cloud`], [`Worker`] | the fakes themselves, without I/O: the caller says what time it is |
-//! | [`http`] | serves a fake store and a fake cloud on loopback ports, for tests of the real program |
-//! | [`fleet`] | a few fake workers that report over HTTP and are shown to the rule checker |
-//! | [`worker_fleet`] | thousands of fake workers, to measure what the real program costs |
-//! | [`rules`] | checks the rules of the protocol from what happens outside the controllers |
-//! | [`users`] | users that submit, look up and cancel jobs |
-//! | [`watchers`] | threads that watch a test of several controllers |
-//! | [`jobs`] | jobs for tests |
-//! | [`site`] | settings files of several controllers |
-//! | [`program`] | the real program as a child process |
-//! | [`production`] | builds the version in production, to run beside the present one |
+//! | [`Store`], [`Cloud`], [`Worker`] | fakes without I/O of their own; the caller passes in the time |
+//! | [`http`] | serves a fake store and a fake cloud on loopback ports, for tests that run the real program |
+//! | [`fleet`] | a few fake workers that send heartbeats over HTTP, observed by the rule checker |
+//! | [`worker_fleet`] | thousands of fake workers, to measure the resource usage of the real program |
+//! | [`rules`] | checks the rules of the protocol by events outside the controllers |
+//! | [`users`] | users who submit, look up and cancel jobs |
+//! | [`watchers`] | background threads for tests of several controllers |
+//! | [`jobs`] | job specifications for tests |
+//! | [`site`] | settings files for several controllers |
+//! | [`program`] | runs the real program as a child process |
+//! | [`production`] | builds the version in production, to run alongside the current one |
 
 #![deny(missing_docs)]
 
--- a/crates/quartzlever-testkit/src/production.rs
+++ b/crates/quartzlever-testkit/src/production.rs
@@ -1,73 +1,79 @@
-//! The version in production, built from the repository's own history, so that a test can run it
-//! beside the present one.
+//! Builds the version in production from the repository's history, so that a test can run it
+//! alongside the current one.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// Why the version in production could not be built.
+/// An error in building the version in production.
 #[derive(Debug, thiserror::Error)]
 pub enum BuildError {
-    /// The settings name no commit.
-    #[error("deploy/service.toml names no commit as `production`")]
-    NotNamed,
-    /// The repository does not have the commit.
+    /// `deploy/service.toml` has no `production = "..."` line.
+    #[error("deploy/service.toml has no `production = \"COMMIT\"` line")]
+    NoProductionCommit,
+    /// The repository lacks the commit.
     #[error(
         "this clone lacks the commit {0} that deploy/service.toml names as `production`: \
          fetch the whole history (`git fetch --unshallow`) and run the test again"
     )]
     NoSuchCommit(String),
-    /// A command has failed.
+    /// A command exited with an error.
     #[error("{step} failed: {output}")]
-    Step {
-        /// The command.
+    StepFailed {
+        /// Name of the command.
         step: &'static str,
-        /// What it wrote to its error output.
+        /// Its standard error output.
         output: String,
     },
-    /// A command could not be started, or a file not be made.
-    #[error("cannot start {step}: {error}")]
-    Start {
-        /// The command.
+    /// A command could not be started, or a file or directory could not be created.
+    #[error("cannot run {step}: {error}")]
+    StepNotStarted {
+        /// Name of the command, or `unpacking` for files and directories.
         step: &'static str,
-        /// Why.
+        /// The underlying error.
         error: io::Error,
     },
-    /// The settings could not be read.
+    /// `deploy/service.toml` could not be read.
     #[error("cannot read {path}: {error}")]
-    Read {
-        /// The file.
+    ReadSettings {
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         error: io::Error,
     },
 }
 
-/// Builds the commit that `deploy/service.toml` names, below `target`, and gives the program. What
-/// was built before is taken as it is.
+/// Builds the commit that `deploy/service.toml` names as `production` and returns the path of the
+/// program.
+///
+/// Source and build output are kept under `target`, in a directory of the commit's own, and are
+/// reused by later calls.
 pub fn build(repository: &Path, target: &Path) -> Result<PathBuf, BuildError> {
     let commit = production_commit(repository)?;
-    let known = git(repository).args(["cat-file", "-e", &format!("{commit}^{{commit}}")]).output();
-    if !known.is_ok_and(|output| output.status.success()) {
+    let found = git(repository).args(["cat-file", "-e", &format!("{commit}^{{commit}}")]).output();
+    if !found.is_ok_and(|output| output.status.success()) {
         return Err(BuildError::NoSuchCommit(commit));
     }
-    let folder = target.join(format!("production-{commit}"));
-    let source = folder.join("source");
+    let directory = target.join(format!("production-{commit}"));
+    let source = directory.join("source");
     if !source.exists() {
-        unpack(repository, &commit, &folder)?;
+        unpack(repository, &commit, &directory)?;
     }
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut command = Command::new(cargo);
     command.current_dir(&source).args(["build", "--locked", "--target-dir"]);
-    run("cargo build", command.arg(folder.join("build")))?;
-    Ok(folder.join("build/debug/quartzlever"))
+    run_step("cargo build", command.arg(directory.join("build")))?;
+    Ok(directory.join("build/debug/quartzlever"))
 }
 
+/// Reads the commit that `deploy/service.toml` names as `production`.
 fn production_commit(repository: &Path) -> Result<String, BuildError> {
     let path = repository.join("deploy/service.toml");
-    let text = std::fs::read_to_string(&path).map_err(|error| BuildError::Read { path, error })?;
+    let text =
+        std::fs::read_to_string(&path).map_err(|error| BuildError::ReadSettings { path, error })?;
     let value = text.lines().find_map(|line| line.strip_prefix("production = \""));
-    let commit = value.and_then(|value| value.strip_suffix('"')).ok_or(BuildError::NotNamed)?;
+    let commit =
+        value.and_then(|value| value.strip_suffix('"')).ok_or(BuildError::NoProductionCommit)?;
     Ok(commit.to_owned())
 }
 
@@ -77,26 +83,32 @@
     command
 }
 
-/// Writes the commit's files below `folder`; they appear under their final name at once.
-fn unpack(repository: &Path, commit: &str, folder: &Path) -> Result<(), BuildError> {
-    let unfinished = folder.join(format!("unpacking-{}", std::process::id()));
-    let start = |error| BuildError::Start { step: "unpacking", error };
-    std::fs::create_dir_all(&unfinished).map_err(start)?;
-    let archive = unfinished.join("source.tar");
-    let mut pack = git(repository);
-    run("git archive", pack.args(["archive", "-o"]).arg(&archive).arg(commit))?;
-    let files = unfinished.join("source");
-    std::fs::create_dir_all(&files).map_err(start)?;
-    run("tar", Command::new("tar").arg("-xf").arg(&archive).arg("-C").arg(&files))?;
-    std::fs::rename(&files, folder.join("source")).map_err(start)
+/// Unpacks the commit's files into `directory/source`.
+///
+/// A rename at the end makes the directory appear complete, so that an interrupted unpacking is not
+/// taken for a finished one.
+fn unpack(repository: &Path, commit: &str, directory: &Path) -> Result<(), BuildError> {
+    let temporary = directory.join(format!("unpacking-{}", std::process::id()));
+    let io_error = |error| BuildError::StepNotStarted { step: "unpacking", error };
+    std::fs::create_dir_all(&temporary).map_err(io_error)?;
+    let archive = temporary.join("source.tar");
+    let mut archive_command = git(repository);
+    run_step("git archive", archive_command.args(["archive", "-o"]).arg(&archive).arg(commit))?;
+    let files = temporary.join("source");
+    std::fs::create_dir_all(&files).map_err(io_error)?;
+    run_step("tar", Command::new("tar").arg("-xf").arg(&archive).arg("-C").arg(&files))?;
+    std::fs::rename(&files, directory.join("source")).map_err(io_error)
 }
 
-fn run(step: &'static str, command: &mut Command) -> Result<(), BuildError> {
-    let output =
-        command.stdin(Stdio::null()).output().map_err(|error| BuildError::Start { step, error })?;
+/// Runs a command to its end and returns its error output if it fails.
+fn run_step(step: &'static str, command: &mut Command) -> Result<(), BuildError> {
+    let output = command
+        .stdin(Stdio::null())
+        .output()
+        .map_err(|error| BuildError::StepNotStarted { step, error })?;
     if output.status.success() {
         return Ok(());
     }
     let output = String::from_utf8_lossy(&output.stderr).into_owned();
-    Err(BuildError::Step { step, output })
+    Err(BuildError::StepFailed { step, output })
 }
--- a/crates/quartzlever-testkit/src/program.rs
+++ b/crates/quartzlever-testkit/src/program.rs
@@ -1,4 +1,4 @@
-//! The real program as a child process.
+//! Runs the real program as a child process.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -7,21 +7,23 @@
 use std::thread;
 use std::time::Duration;
 
-/// A running controller; ended with this value.
+/// A running controller process. Dropping the value kills the process.
 #[derive(Debug)]
 pub struct Node {
     child: Child,
-    /// Where it serves users and workers.
+    /// Address of its HTTP API for users and workers.
     pub address: SocketAddr,
 }
 
 impl Node {
-    /// Starts the program with a settings file and waits until it names its port.
+    /// Starts the program with a settings file and waits until it logs the address of its API.
+    ///
+    /// Fails if the program cannot be started or exits before it serves its API.
     pub fn start(program: &str, config: &Path) -> io::Result<Node> {
         Node::start_with(Path::new(program), config, None)
     }
 
-    /// The same, with an operator's file.
+    /// Starts the program like [`Node::start`], optionally with an operator file.
     pub fn start_with(program: &Path, config: &Path, operator: Option<&Path>) -> io::Result<Node> {
         let mut command = Command::new(program);
         command.arg("--config").arg(config);
@@ -33,24 +35,25 @@
         let mut lines = BufReader::new(log).lines();
         let address = loop {
             let line = lines.next().ok_or(io::ErrorKind::UnexpectedEof)??;
-            // Programs of earlier versions, which a rolling upgrade starts, say `serves`.
+            // Earlier versions, which the tests of a rolling upgrade start, log `serves ADDRESS`.
             let served = line.split_once("api_served ").and_then(|(_, f)| f.split_once("address="));
             if let Some((_, address)) = served.or_else(|| line.split_once("serves ")) {
                 break address.trim().parse().map_err(io::Error::other)?;
             }
         };
-        // What it logs after that is read, so that it never waits for a reader.
+        // Drains the rest of the log, so that the program never blocks on a full pipe.
         thread::spawn(move || lines.for_each(drop));
         Ok(Node { child, address })
     }
 
-    /// Whether a controller at this address says that it is ready.
+    /// Reports whether the controller at this address answers `GET /ready` with success within a
+    /// second.
     pub fn is_ready(address: SocketAddr) -> bool {
         let url = format!("http://{address}/ready");
         ureq::get(&url).timeout(Duration::from_secs(1)).call().is_ok()
     }
 
-    /// The number of its process.
+    /// Returns the process id.
     pub fn process(&self) -> u32 {
         self.child.id()
     }
--- a/crates/quartzlever-testkit/src/rules.rs
+++ b/crates/quartzlever-testkit/src/rules.rs
@@ -1,6 +1,6 @@
-//! Checks every rule of the protocol from what happened outside the controllers: tasks on machines,
-//! their starts and ends, and the answers that users got. It knows nothing of what controllers
-//! believe.
+//! Checks each rule of the protocol by events outside the controllers: the tasks on machines, their
+//! starts and ends, and the responses that users receive. The checker does not read the state of
+//! controllers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,175 +8,203 @@
 use quartzlever_wire::users::JobSpec;
 use quartzlever_wire::workers::TaskId;
 
-/// What a user asked for.
+/// Kind of a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UserRequest {
-    /// To run a job.
+    /// Submits a job.
     Submit,
-    /// What has become of a job.
+    /// Looks up a job.
     Lookup,
-    /// To cancel a job.
+    /// Cancels a job.
     Cancel,
 }
 
-/// The most that all tasks of a team may use at once; 0 means no limit.
+/// Quota of a team: the maximum resources that all its tasks together may use. 0 means unlimited.
 #[derive(Clone, Debug, Default)]
 pub struct TeamLimit {
-    /// The team.
+    /// Name of the team.
     pub team: String,
-    /// Processors.
+    /// Maximum number of processors.
     pub cpus: f64,
-    /// Graphics processors.
+    /// Maximum number of GPUs.
     pub gpus: f64,
 }
 
-/// A machine with the tasks that are on it.
+/// A machine with its running tasks.
 #[derive(Clone, Debug)]
 pub struct MachineTasks {
     /// Name of the machine.
     pub machine: String,
-    /// Name of its type.
+    /// Name of its machine type.
     pub machine_type: String,
     /// Name of its zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// The tasks.
+    /// The running tasks.
     pub tasks: Vec<TaskId>,
 }
 
-/// What users were told of a job.
+/// State of a job by its users' requests and the responses to them.
 #[derive(Clone, Debug, Default)]
-struct Told {
-    accepted: Option<Micros>,
-    /// The final phase, and when any user was first told.
-    over: Option<(String, Micros)>,
-    cancel_asked: bool,
-    answered: Micros,
+struct ReportedState {
+    /// When a response first acknowledged the job.
+    accepted_at: Option<Micros>,
+    /// The first final phase that was reported, and when.
+    final_phase: Option<(String, Micros)>,
+    cancel_requested: bool,
+    /// When a request about the job last got status 200, 201 or 404.
+    last_answered: Micros,
 }
 
-/// The checker, fed by whoever runs the workers and asks as a user.
+/// Checks the rules of the protocol.
+///
+/// The test passes in the events: the code that runs the workers reports machines and tasks, and
+/// the code that acts as a user reports requests and responses.
 #[derive(Debug)]
 pub struct RuleChecker {
-    cancel: Micros,
-    limits: Vec<TeamLimit>,
-    /// Jobs that users have submitted, by id.
+    /// Time after a reported cancellation within which the tasks of the job must stop.
+    cancel_limit: Micros,
+    quotas: Vec<TeamLimit>,
+    /// Specifications of submitted jobs, by id.
     pub specs: BTreeMap<String, JobSpec>,
-    told: BTreeMap<String, Told>,
-    completed: BTreeMap<String, BTreeSet<u32>>,
-    /// Jobs that are done in the store, and since when.
-    ended: BTreeMap<String, Micros>,
-    begun: BTreeSet<String>,
-    /// When a task of each class last started.
-    class_starts: BTreeMap<String, Micros>,
-    /// Broken rules, each with its time; the name of the rule comes first.
+    job_states: BTreeMap<String, ReportedState>,
+    /// Indices of the completed tasks of each job.
+    completed_tasks: BTreeMap<String, BTreeSet<u32>>,
+    /// Jobs that are done in the store, with the time when this was first seen.
+    done_jobs: BTreeMap<String, Micros>,
+    /// Jobs of which a task has started.
+    started_jobs: BTreeSet<String>,
+    /// When a task of each job class last started.
+    last_class_starts: BTreeMap<String, Micros>,
+    /// Violations, each with the name of the rule first, then the time and the details.
     pub broken: Vec<String>,
-    /// Starts after a confirmed cancellation, still within the time for its tasks to be gone.
+    /// Number of task starts after the cancellation of their job was reported. They violate a rule
+    /// only after the time within which the tasks must stop.
     pub starts_after_cancel: usize,
-    /// Jobs that users were told are cancelled.
+    /// Number of jobs reported as cancelled.
     pub cancellations: usize,
 }
 
 impl RuleChecker {
-    /// A checker for the given quotas; tasks of a cancelled job must be gone after `cancel`.
-    pub fn new(cancel: Micros, limits: Vec<TeamLimit>) -> Self {
+    /// Creates a checker for the given quotas. The tasks of a job must stop within `cancel_limit`
+    /// after the job was first reported to a user as cancelled.
+    pub fn new(cancel_limit: Micros, quotas: Vec<TeamLimit>) -> Self {
         RuleChecker {
-            cancel,
-            limits,
+            cancel_limit,
+            quotas,
             specs: BTreeMap::new(),
-            told: BTreeMap::new(),
-            completed: BTreeMap::new(),
-            ended: BTreeMap::new(),
-            begun: BTreeSet::new(),
-            class_starts: BTreeMap::new(),
+            job_states: BTreeMap::new(),
+            completed_tasks: BTreeMap::new(),
+            done_jobs: BTreeMap::new(),
+            started_jobs: BTreeSet::new(),
+            last_class_starts: BTreeMap::new(),
             broken: Vec::new(),
             starts_after_cancel: 0,
             cancellations: 0,
         }
     }
 
-    fn breaks(&mut self, rule: &str, now: Micros, what: &str) {
+    /// Records a violation.
+    fn record_violation(&mut self, rule: &str, now: Micros, what: &str) {
         self.broken.push(format!("{rule} at {} ms: {what}", now / 1000));
     }
 
-    /// A user sends a question.
-    pub fn asked(&mut self, asked: UserRequest, job: &str, spec: Option<&JobSpec>) {
-        let told = self.told.entry(job.to_owned()).or_default();
-        told.cancel_asked |= asked == UserRequest::Cancel;
+    /// Records that a user sends a request; `spec` is the job of a submission.
+    pub fn asked(&mut self, request: UserRequest, job: &str, spec: Option<&JobSpec>) {
+        let state = self.job_states.entry(job.to_owned()).or_default();
+        state.cancel_requested |= request == UserRequest::Cancel;
         if let Some(spec) = spec {
             self.specs.entry(job.to_owned()).or_insert_with(|| spec.clone());
         }
     }
 
-    /// A user gets an answer to a question sent at `sent`.
+    /// Records and checks the response to a request that was sent at `sent`.
     pub fn answered(
         &mut self,
         now: Micros,
         sent: Micros,
-        asked: UserRequest,
+        request: UserRequest,
         job: &str,
         status: u16,
         phase: &str,
     ) {
-        let told = self.told.entry(job.to_owned()).or_default();
-        let known_before = told.accepted.is_some_and(|at| at < sent);
+        let state = self.job_states.entry(job.to_owned()).or_default();
+        let known_before = state.accepted_at.is_some_and(|at| at < sent);
         if matches!(status, 200 | 201 | 404) {
-            told.answered = now;
+            state.last_answered = now;
         }
         match status {
-            200 | 201 => self.told_phase(now, sent, job, phase),
-            404 if known_before => self.breaks("forgotten", now, &format!("{job}: 404")),
-            400 | 422 if known_before && asked == UserRequest::Submit => {
-                self.breaks("forgotten", now, &format!("{job}: {status} to its repetition"));
+            200 | 201 => self.phase_reported(now, sent, job, phase),
+            404 if known_before => self.record_violation("forgotten", now, &format!("{job}: 404")),
+            400 | 422 if known_before && request == UserRequest::Submit => {
+                self.record_violation(
+                    "forgotten",
+                    now,
+                    &format!("{job}: {status} to a repeated submission"),
+                );
             }
             _ => {}
         }
     }
 
-    /// A user was told a job's phase in answer to a question sent at `sent`.
-    fn told_phase(&mut self, now: Micros, sent: Micros, job: &str, phase: &str) {
+    /// Records and checks the phase of a job in the response to a request that was sent at `sent`.
+    ///
+    /// A request sent before the final phase was first reported may still get an earlier phase, but
+    /// no other final phase.
+    fn phase_reported(&mut self, now: Micros, sent: Micros, job: &str, phase: &str) {
         let is_final = matches!(phase, "done" | "aborted");
-        let told = self.told.entry(job.to_owned()).or_default();
-        told.accepted.get_or_insert(now);
-        let (over, cancel_asked) = (told.over.clone(), told.cancel_asked);
-        if is_final && over.is_none() {
-            told.over = Some((phase.to_owned(), now));
+        let state = self.job_states.entry(job.to_owned()).or_default();
+        state.accepted_at.get_or_insert(now);
+        let (final_phase, cancel_requested) = (state.final_phase.clone(), state.cancel_requested);
+        if is_final && final_phase.is_none() {
+            state.final_phase = Some((phase.to_owned(), now));
         }
         if !self.specs.contains_key(job) {
-            self.breaks("invented", now, job);
+            self.record_violation("invented", now, job);
         }
-        match over {
+        match final_phase {
             None if phase == "aborted" => {
                 self.cancellations += 1;
-                if !cancel_asked {
-                    self.breaks("went_back", now, &format!("{job} cancelled by nobody"));
+                if !cancel_requested {
+                    self.record_violation(
+                        "went_back",
+                        now,
+                        &format!("{job}: cancelled without a request"),
+                    );
                 }
             }
-            None if phase == "done" => self.told_done(now, job),
+            None if phase == "done" => self.done_reported(now, job),
             Some((end, at)) if phase != end && (sent > at || is_final) => {
-                self.breaks("went_back", now, &format!("{job}: {end}, then {phase}"));
+                self.record_violation("went_back", now, &format!("{job}: {end}, then {phase}"));
             }
             _ => {}
         }
     }
 
-    /// A user was told for the first time that a job is done.
-    fn told_done(&mut self, now: Micros, job: &str) {
+    /// Checks that all tasks of a job have completed when it is first reported as done. A service
+    /// is never done.
+    fn done_reported(&mut self, now: Micros, job: &str) {
         let tasks = self.specs.get(job).map_or(0, |s| s.tasks);
-        let done = self.completed.get(job).map_or(0, |c| c.len() as u32);
+        let done = self.completed_tasks.get(job).map_or(0, |c| c.len() as u32);
         if done < tasks || self.specs.get(job).is_some_and(JobSpec::is_service) {
-            self.breaks("not_done", now, &format!("{job}: {done} of {tasks}"));
+            self.record_violation(
+                "not_done",
+                now,
+                &format!("{job}: {done} of {tasks} tasks completed"),
+            );
         }
     }
 
-    /// Each machine as it is now.
+    /// Checks the running tasks of all machines: no task runs twice, no cancelled job still runs,
+    /// and no team exceeds its quota.
     pub fn machines(&mut self, now: Micros, machines: &[MachineTasks]) {
-        let mut on: BTreeMap<&TaskId, &str> = BTreeMap::new();
+        let mut machine_of: BTreeMap<&TaskId, &str> = BTreeMap::new();
         let mut used: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         let mut broken = Vec::new();
         for machine in machines {
             for task in &machine.tasks {
-                if let Some(other) = on.insert(task, &machine.machine) {
+                if let Some(other) = machine_of.insert(task, &machine.machine) {
                     broken
                         .push(("ran_twice", format!("{task} on {other} and {}", machine.machine)));
                 }
@@ -184,31 +212,35 @@
                     let sum = used.entry(spec.team.clone()).or_default();
                     *sum = (sum.0 + spec.cpus, sum.1 + spec.gpus);
                 }
-                if self.cancelled(&task.job).is_some_and(|at| now > at + self.cancel) {
+                if self.cancelled(&task.job).is_some_and(|at| now > at + self.cancel_limit) {
                     broken.push(("ran_cancelled", format!("{task} on {}", machine.machine)));
                 }
             }
         }
-        for limit in &self.limits {
+        for limit in &self.quotas {
             let (cpus, gpus) = used.get(&limit.team).copied().unwrap_or_default();
             if (limit.cpus > 0.0 && cpus > limit.cpus + 1e-6)
                 || (limit.gpus > 0.0 && gpus > limit.gpus + 1e-6)
             {
-                broken.push(("quota", format!("{} uses {cpus} and {gpus}", limit.team)));
+                broken.push((
+                    "quota",
+                    format!("{} uses {cpus} processors and {gpus} GPUs", limit.team),
+                ));
             }
         }
         for (rule, what) in broken {
-            self.breaks(rule, now, &what);
+            self.record_violation(rule, now, &what);
         }
     }
 
-    /// When a user was first told that a job is cancelled.
+    /// Returns when a job was first reported as cancelled.
     pub fn cancelled(&self, job: &str) -> Option<Micros> {
-        let (phase, at) = self.told.get(job)?.over.as_ref()?;
+        let (phase, at) = self.job_states.get(job)?.final_phase.as_ref()?;
         (phase == "aborted").then_some(*at)
     }
 
-    /// A task starts on a machine, while `machines` are as they are with it.
+    /// Records and checks the start of a task on a machine. `machines` is the state of all machines
+    /// with the task on its machine.
     pub fn task_started(
         &mut self,
         now: Micros,
@@ -216,75 +248,93 @@
         machine: &str,
         machines: &[MachineTasks],
     ) {
-        self.begun.insert(task.job.clone());
+        self.started_jobs.insert(task.job.clone());
         if let Some(at) = self.cancelled(&task.job).filter(|at| now > *at) {
             self.starts_after_cancel += 1;
-            if now > at + self.cancel {
-                self.breaks("ran_cancelled", now, &format!("{task} starts on {machine}"));
+            if now > at + self.cancel_limit {
+                self.record_violation("ran_cancelled", now, &format!("{task} starts on {machine}"));
             }
         }
-        if self.ended.get(&task.job).is_some_and(|end| now > *end) {
-            self.breaks("ran_after_end", now, &format!("{task} starts on {machine}"));
+        if self.done_jobs.get(&task.job).is_some_and(|end| now > *end) {
+            self.record_violation("ran_after_end", now, &format!("{task} starts on {machine}"));
         }
         let Some(spec) = self.specs.get(&task.job).cloned() else {
-            return self.breaks("invented", now, &format!("{task} starts"));
+            return self.record_violation("invented", now, &format!("{task} starts"));
         };
-        self.class_starts.insert(spec.class.clone(), now);
-        let Some(place) = machines.iter().find(|m| m.machine == machine) else { return };
-        let machine_type = spec.types.as_ref().is_none_or(|t| t.contains(&place.machine_type));
-        let zone = spec.zone.as_ref().is_none_or(|z| *z == place.zone);
-        let spot = spec.spot || !place.spot;
+        self.last_class_starts.insert(spec.class.clone(), now);
+        let Some(target) = machines.iter().find(|m| m.machine == machine) else { return };
+        let machine_type = spec.types.as_ref().is_none_or(|t| t.contains(&target.machine_type));
+        let zone = spec.zone.as_ref().is_none_or(|z| *z == target.zone);
+        let spot = spec.spot || !target.spot;
         let of_job = |m: &&MachineTasks| m.tasks.iter().any(|t| t.job == task.job);
-        let together =
-            !spec.one_zone || machines.iter().filter(of_job).all(|m| m.zone == place.zone);
-        let here = machines
+        let zone_shared =
+            !spec.one_zone || machines.iter().filter(of_job).all(|m| m.zone == target.zone);
+        let tasks_in_zone = machines
             .iter()
-            .filter(|m| m.zone == place.zone)
+            .filter(|m| m.zone == target.zone)
             .flat_map(|m| &m.tasks)
             .filter(|t| t.job == task.job)
             .count();
-        let apart = !spec.spread || here as u32 <= spec.tasks.div_ceil(2);
-        if !(machine_type && zone && spot && together && apart) {
-            self.breaks("wrong_place", now, &format!("{task} on {machine} in {}", place.zone));
+        let zones_spread = !spec.spread || tasks_in_zone as u32 <= spec.tasks.div_ceil(2);
+        if !(machine_type && zone && spot && zone_shared && zones_spread) {
+            self.record_violation(
+                "wrong_place",
+                now,
+                &format!("{task} on {machine} in zone {}", target.zone),
+            );
         }
     }
 
-    /// A task has run to its end.
+    /// Records that a task has completed.
     pub fn task_completed(&mut self, task: &TaskId) {
-        self.completed.entry(task.job.clone()).or_default().insert(task.index);
+        self.completed_tasks.entry(task.job.clone()).or_default().insert(task.index);
     }
 
-    /// A job is done in the store.
+    /// Records that a job is done in the store.
     pub fn job_done(&mut self, now: Micros, job: &str) {
-        self.ended.entry(job.to_owned()).or_insert(now);
+        self.done_jobs.entry(job.to_owned()).or_insert(now);
     }
 
-    /// Jobs that were accepted, are not over as far as users know, and have begun or not.
+    /// Returns the accepted jobs without a reported final phase of which no task has started.
     pub fn waiting(&self) -> Vec<&str> {
-        let open = |(job, told): &(&String, &Told)| {
-            told.accepted.is_some() && told.over.is_none() && !self.begun.contains(*job)
+        let open = |(job, state): &(&String, &ReportedState)| {
+            state.accepted_at.is_some()
+                && state.final_phase.is_none()
+                && !self.started_jobs.contains(*job)
         };
-        self.told.iter().filter(open).map(|(job, _)| job.as_str()).collect()
+        self.job_states.iter().filter(open).map(|(job, _)| job.as_str()).collect()
     }
 
-    /// The day is over: some task must have been started if there was anything to run.
+    /// Checks at the end of a test that some task has started if any job was to run.
     pub fn day_over(&mut self, now: Micros) {
         let to_run = self.unfinished().count();
-        if self.begun.is_empty() && to_run > 0 {
-            self.breaks("nothing_ran", now, &format!("none of {to_run} jobs was begun"));
+        if self.started_jobs.is_empty() && to_run > 0 {
+            self.record_violation(
+                "nothing_ran",
+                now,
+                &format!("none of {to_run} jobs has started"),
+            );
         }
     }
 
-    /// The controllers are undisturbed; so many of them act for a partition.
+    /// Checks, while no fault is active, that exactly one controller acts for a partition. `acting`
+    /// is the number of controllers that do.
     pub fn partition_held(&mut self, now: Micros, partition: &str, acting: usize) {
         if acting != 1 {
-            self.breaks("not_held", now, &format!("{partition}: {acting} controllers act for it"));
+            self.record_violation(
+                "not_held",
+                now,
+                &format!("{partition}: {acting} controllers act for it"),
+            );
         }
     }
 
-    /// The controllers have been undisturbed since `since`: each class with a job that has not begun
-    /// must have seen a start. `could_run` says whether any machine type fits such a job and its team
-    /// has room for a task of it.
+    /// Checks that tasks of each job class start while no fault is active, as has been the case
+    /// since `since`.
+    ///
+    /// Each class with a job that could run but has not started must have had a task start since
+    /// then. `could_run` reports whether some machine type fits the job and the quota of its team
+    /// has enough left for one of its tasks.
     pub fn classes_start(
         &mut self,
         now: Micros,
@@ -293,40 +343,44 @@
     ) {
         let waiting: BTreeSet<String> = self
             .unfinished()
-            .filter(|spec| !self.begun.contains(&spec.id) && could_run(spec))
+            .filter(|spec| !self.started_jobs.contains(&spec.id) && could_run(spec))
             .map(|spec| spec.class.clone())
             .collect();
         for class in waiting {
-            if self.class_starts.get(&class).is_none_or(|at| *at < since) {
-                self.breaks("class_waits", now, &format!("no task of {class} was started"));
+            if self.last_class_starts.get(&class).is_none_or(|at| *at < since) {
+                self.record_violation(
+                    "class_waits",
+                    now,
+                    &format!("no task of class {class} has started"),
+                );
             }
         }
     }
 
-    /// Jobs that were accepted and are neither over nor cancelled, as far as users know.
+    /// Returns the accepted jobs that have neither a reported final phase nor a request to cancel.
     fn unfinished(&self) -> impl Iterator<Item = &JobSpec> {
-        let open = |(_, told): &(&String, &Told)| {
-            told.accepted.is_some() && told.over.is_none() && !told.cancel_asked
+        let open = |(_, state): &(&String, &ReportedState)| {
+            state.accepted_at.is_some() && state.final_phase.is_none() && !state.cancel_requested
         };
-        self.told.iter().filter(open).filter_map(|(job, _)| self.specs.get(job))
+        self.job_states.iter().filter(open).filter_map(|(job, _)| self.specs.get(job))
     }
 
-    /// Whether any user has asked to cancel a job.
+    /// Reports whether any user has sent a request to cancel a job.
     pub fn asked_to_cancel(&self, job: &str) -> bool {
-        self.told.get(job).is_some_and(|t| t.cancel_asked)
+        self.job_states.get(job).is_some_and(|t| t.cancel_requested)
     }
 
-    /// All jobs that were accepted.
+    /// Returns the ids of all accepted jobs.
     pub fn accepted(&self) -> Vec<String> {
-        let accepted = self.told.iter().filter(|(_, t)| t.accepted.is_some());
+        let accepted = self.job_states.iter().filter(|(_, t)| t.accepted_at.is_some());
         accepted.map(|(job, _)| job.clone()).collect()
     }
 
-    /// Notes an accepted job about which no question was answered since `since`.
+    /// Checks that some request about each accepted job was answered since `since`.
     pub fn unanswered(&mut self, now: Micros, since: Micros) {
         for job in self.accepted() {
-            if self.told[&job].answered < since {
-                self.breaks("forgotten", now, &format!("{job}: no answer"));
+            if self.job_states[&job].last_answered < since {
+                self.record_violation("forgotten", now, &format!("{job}: no answer"));
             }
         }
     }
--- a/crates/quartzlever-testkit/src/site.rs
+++ b/crates/quartzlever-testkit/src/site.rs
@@ -1,4 +1,4 @@
-//! The settings of several controllers on loopback addresses of their own.
+//! Settings files for several controllers, each on a loopback address of its own.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -7,8 +7,10 @@
 const API_PORT: u16 = 7100;
 const PEER_PORT: u16 = 7200;
 
-/// Controllers with their addresses and files. The addresses differ between tests and runs, so that a
-/// process that is started again finds its port free.
+/// A group of controllers with their addresses and files.
+///
+/// The addresses depend on the name of the site and on the process id of the test, so that parallel
+/// tests and runs do not share ports and a restarted controller finds its port free.
 #[derive(Clone, Debug)]
 pub struct Site {
     name: String,
@@ -19,7 +21,9 @@
 }
 
 impl Site {
-    /// A site whose files are written to this directory; each node is in the zone of the same place.
+    /// Creates a site whose files are written to `directory`. `zones` holds the zone of each node,
+    /// in the order of `nodes`; `store_limits` is appended to the `[params.state]` section of the
+    /// settings.
     pub fn new(
         name: &str,
         directory: &Path,
@@ -37,26 +41,30 @@
         }
     }
 
+    /// Returns the loopback address of a node: one byte from the process id, one from the name of
+    /// the site, one from the index of the node.
     fn loopback(&self, node: usize) -> Ipv4Addr {
-        let run = 2 + (std::process::id() % 250) as u8;
-        let sum = |sum: u8, byte: u8| sum.wrapping_mul(31).wrapping_add(byte);
-        Ipv4Addr::new(127, run, self.name.bytes().fold(7, sum), node as u8 + 1)
+        let process_byte = 2 + (std::process::id() % 250) as u8;
+        let hash = |hash: u8, byte: u8| hash.wrapping_mul(31).wrapping_add(byte);
+        Ipv4Addr::new(127, process_byte, self.name.bytes().fold(7, hash), node as u8 + 1)
     }
 
-    /// Where users and workers find each node.
+    /// Returns the name and the API address of each node.
     pub fn addresses(&self) -> Vec<(String, SocketAddr)> {
         let nodes = self.nodes.iter().enumerate();
         nodes.map(|(n, name)| (name.clone(), (self.loopback(n), API_PORT).into())).collect()
     }
 
-    /// Writes a file of the site.
+    /// Writes a file into the directory of the site, with the name of the site as prefix, and
+    /// returns its path.
     pub fn write(&self, file: &str, text: &str) -> io::Result<PathBuf> {
         let path = self.directory.join(format!("{}-{file}", self.name));
         std::fs::write(&path, text)?;
         Ok(path)
     }
 
-    /// Writes a node's settings.
+    /// Writes the settings file of a node and returns its path. `state` and `cloud` are the
+    /// addresses of the store and the cloud.
     pub fn write_settings(
         &self,
         node: usize,
--- a/crates/quartzlever-testkit/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -1,4 +1,4 @@
-//! The fake store: keys, leases, transactions and watches, in memory.
+//! A fake store in memory, with keys, leases, transactions and watches.
 
 use std::collections::BTreeMap;
 
@@ -10,120 +10,129 @@
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Json, Micros};
 
-/// A key's value as the store keeps it.
+/// Value of a key, with its modification revision and the lease that it is attached to.
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredValue {
     value: Json,
     mod_revision: u64,
     lease_id: Option<u64>,
 }
 
-impl Stored {
+impl StoredValue {
     fn entry(&self, key: &str) -> KeyValue {
-        let Stored { value, mod_revision, lease_id } = self.clone();
+        let StoredValue { value, mod_revision, lease_id } = self.clone();
         KeyValue { key: key.to_owned(), value, mod_revision, lease_id }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Lease {
-    life: Micros,
-    end: Micros,
+    duration: Micros,
+    expires_at: Micros,
 }
 
-/// A fake store: consistent, with leases and a log of changes. The caller says what time it is, and
-/// sets limits and faults by the public fields.
+/// A fake store in memory: consistent, with leases and a log of changes.
+///
+/// The caller passes in the time, and sets limits and faults in the public fields.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     revision: u64,
-    keys: BTreeMap<String, Stored>,
+    keys: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Lease>,
-    granted: u64,
+    last_lease_id: u64,
     log: Vec<Event>,
-    /// The most bytes of a value; any number if 0.
+    /// Maximum size of a value in bytes; 0 means unlimited.
     pub value_limit: usize,
-    /// The most changes of a transaction; any number if 0.
+    /// Maximum number of changes in a transaction; 0 means unlimited.
     pub ops_limit: usize,
-    /// The most changes a second; any number if 0.
+    /// Maximum rate of changes per second; 0 means unlimited.
     pub write_rate: f64,
-    changes_left: f64,
-    counted: Micros,
-    /// How many transactions were refused for their size.
+    /// Number of changes that the rate limit allows at `budget_updated_at`.
+    change_budget: f64,
+    budget_updated_at: Micros,
+    /// Number of transactions refused as too large.
     pub too_large: usize,
-    /// How many transactions were refused since they came too often.
+    /// Number of transactions refused by the rate limit.
     pub too_often: usize,
-    /// The most keys in one page of a listing; any number if 0.
+    /// Maximum number of keys in one page of a listing; 0 means unlimited.
     pub page_limit: usize,
-    /// How many of the latest changes watches may still ask for; any number if 0.
+    /// Number of latest changes that a watch can still read; 0 means all.
     pub log_limit: usize,
-    /// How many watches began before the changes that are still there.
+    /// Number of watches refused because they start before the changes that can still be read.
     pub too_old: usize,
-    /// During an outage every call is refused and no lease ends.
+    /// Whether there is an outage: every call is refused and no lease expires.
     pub outage: bool,
-    /// Watches on loopback bring nothing while this is set.
+    /// Whether watches served by [`crate::http`] are held back without an answer.
     pub watches_held: bool,
 }
 
 impl Store {
-    /// The value of a key and its modification revision.
+    /// Returns the value of a key and its modification revision.
     pub fn get(&self, key: &str) -> Option<(&Json, u64)> {
         self.keys.get(key).map(|stored| (&stored.value, stored.mod_revision))
     }
 
-    /// All keys with a prefix, in order.
+    /// Returns all keys with a prefix, in order.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.keys.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
-    /// Whether the key is the record of a job that is done.
+    /// Reports whether the value of the key is the record of a job that is done.
     pub fn is_done_job(&self, key: &str) -> bool {
         let record = self.get(key).and_then(|(value, _)| value.parse::<TerminalJobRecord>());
         record.is_some_and(|record| record.phase == JobPhase::Done)
     }
 
-    /// The count of all changes.
+    /// Returns the current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// A key, or a value, in a form that controllers of the first version do not know.
+    /// Returns the first key that controllers of the first version do not know, or whose value is
+    /// in a form that they do not know.
     pub fn key_unknown_to_first_version(&self) -> Option<&str> {
-        let has = |value: &Json, word: &str| value.text().contains(word);
-        let unknown = |(key, stored): &(&String, &Stored)| {
+        let has_word = |value: &Json, word: &str| value.text().contains(word);
+        let is_unknown = |(key, stored): &(&String, &StoredValue)| {
             key.as_str() == CLUSTER_VERSION_KEY
                 || (key.starts_with(MACHINE_PREFIX) && key.matches('~').count() > 1)
                 || key.starts_with(PAGE_PREFIX)
                 || (key.starts_with(ACTIVE_JOB_PREFIX)
-                    && ["daemon", "paged"].iter().any(|word| has(&stored.value, word)))
+                    && ["daemon", "paged"].iter().any(|word| has_word(&stored.value, word)))
         };
-        self.keys.iter().find(unknown).map(|(key, _)| key.as_str())
+        self.keys.iter().find(is_unknown).map(|(key, _)| key.as_str())
     }
 
-    /// Forgets everything: keys, leases, and how many changes there were.
+    /// Deletes all data: keys, leases, the log and the revision. All limits stay; the counters and
+    /// faults are reset.
     pub fn wipe(&mut self) {
         let Store { value_limit, ops_limit, write_rate, page_limit, log_limit, .. } = *self;
         *self =
             Store { value_limit, ops_limit, write_rate, page_limit, log_limit, ..Store::default() };
     }
 
-    /// Loses keys, without any change that a watch could tell of.
+    /// Loses the keys for which `is_lost` returns `true`, without a change in the log that a watch
+    /// would deliver.
     pub fn lose(&mut self, mut is_lost: impl FnMut(&str) -> bool) {
         self.keys.retain(|key, _| !is_lost(key));
     }
 
-    /// Ends an outage: all leases get their full time again.
+    /// Ends an outage. All leases start again with their full duration.
     pub fn end_outage(&mut self, now: Micros) {
         self.outage = false;
         for lease in self.leases.values_mut() {
-            lease.end = now + lease.life;
+            lease.expires_at = now + lease.duration;
         }
     }
 
-    /// Ends the leases whose time is over, and deletes the keys that are attached to them.
-    fn expire(&mut self, now: Micros) {
-        let ended: Vec<u64> =
-            self.leases.iter().filter(|(_, lease)| lease.end < now).map(|(id, _)| *id).collect();
-        for lease in ended {
+    /// Removes expired leases and deletes the keys attached to them, in one revision per lease.
+    fn expire_leases(&mut self, now: Micros) {
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at < now)
+            .map(|(id, _)| *id)
+            .collect();
+        for lease in expired {
             self.leases.remove(&lease);
             let attached = self.keys.iter().filter(|(_, stored)| stored.lease_id == Some(lease));
             let keys: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
@@ -137,46 +146,49 @@
         }
     }
 
-    /// Whether a change after this revision is in the log no more.
-    fn forgets_since(&self, from: u64) -> bool {
-        let forgotten = self.log.len().saturating_sub(self.log_limit);
+    /// Reports whether a watch from revision `from` would miss changes that can no longer be read.
+    fn is_compacted_after(&self, from: u64) -> bool {
+        let compacted = self.log.len().saturating_sub(self.log_limit);
         self.log_limit > 0
-            && self.log[..forgotten].last().is_some_and(|e| mod_revision_of(e) > from)
+            && self.log[..compacted].last().is_some_and(|e| mod_revision_of(e) > from)
     }
 
-    /// Whether a transaction is beyond the limits of its size.
+    /// Reports whether a transaction exceeds a size limit. The number of conditions is limited to
+    /// four times that of changes, but at least to 96.
     fn is_too_large(&self, txn: &Txn) -> bool {
-        let long = |c: &Change| match c {
+        let value_too_long = |c: &Change| match c {
             Change::Write { v, .. } => v.text().len() > self.value_limit,
             Change::Delete { .. } => false,
         };
         (self.ops_limit > 0 && txn.changes.len() > self.ops_limit)
             || txn.conditions.len() > 4 * self.ops_limit.max(24)
-            || (self.value_limit > 0 && txn.changes.iter().any(long))
+            || (self.value_limit > 0 && txn.changes.iter().any(value_too_long))
     }
 
-    /// Counts changes against the rate, of which a second's worth may come at once.
-    fn in_rate(&mut self, now: Micros, changes: usize) -> bool {
+    /// Takes changes from the budget of the rate limit, which holds at most the changes of one
+    /// second. Returns `false` and takes nothing if the budget is too small.
+    fn take_from_budget(&mut self, now: Micros, changes: usize) -> bool {
         if self.write_rate <= 0.0 {
             return true;
         }
-        let passed = now.saturating_sub(self.counted) as f64 / 1e6;
-        self.counted = now;
-        self.changes_left =
-            (self.changes_left + passed * self.write_rate).min(self.write_rate) - changes as f64;
-        let allowed = self.changes_left >= 0.0;
+        let elapsed_s = now.saturating_sub(self.budget_updated_at) as f64 / 1e6;
+        self.budget_updated_at = now;
+        self.change_budget = (self.change_budget + elapsed_s * self.write_rate)
+            .min(self.write_rate)
+            - changes as f64;
+        let allowed = self.change_budget >= 0.0;
         if !allowed {
-            self.changes_left += changes as f64;
+            self.change_budget += changes as f64;
         }
         allowed
     }
 
-    /// Carries out one call. A watch answers at once with what there is.
+    /// Executes one call. A watch returns at once with the changes so far.
     pub fn call(&mut self, now: Micros, call: &StoreCall) -> Result<StoreReply, CallError> {
         if self.outage {
             return Err(CallError::Refused);
         }
-        self.expire(now);
+        self.expire_leases(now);
         Ok(match call {
             StoreCall::Revision => StoreReply::Revision(self.revision),
             StoreCall::Get(key) => {
@@ -190,27 +202,27 @@
         })
     }
 
-    /// A page of the keys with a prefix, after the last of the page before.
+    /// Returns a page of the keys with a prefix. `from` is the last key of the previous page.
     fn list(&self, prefix: &str, from: Option<&str>) -> StoreReply {
-        let most = if self.page_limit > 0 { self.page_limit } else { usize::MAX };
+        let max_keys = if self.page_limit > 0 { self.page_limit } else { usize::MAX };
         let listed = |key: &str| key.starts_with(prefix) && from.is_none_or(|from| key > from);
-        let has_next = self.keys.keys().filter(|key| listed(key)).count() > most;
-        let page = self.keys.iter().filter(|(key, _)| listed(key)).take(most);
+        let has_next = self.keys.keys().filter(|key| listed(key)).count() > max_keys;
+        let page = self.keys.iter().filter(|(key, _)| listed(key)).take(max_keys);
         let rows = page.map(|(key, stored)| stored.entry(key)).collect();
         StoreReply::Listed(ListPage { entries: rows, has_next, revision: self.revision })
     }
 
-    /// Makes all changes of a transaction, or none.
+    /// Commits a transaction: applies all its changes, or none.
     fn commit(&mut self, now: Micros, txn: &Txn) -> Result<StoreReply, CallError> {
         if self.is_too_large(txn) {
             self.too_large += 1;
             return Ok(StoreReply::TooLarge);
         }
-        if !self.in_rate(now, txn.changes.len()) {
+        if !self.take_from_budget(now, txn.changes.len()) {
             self.too_often += 1;
             return Err(CallError::Throttled);
         }
-        if !self.has_leases_of(txn) {
+        if !self.has_all_leases(txn) {
             return Ok(StoreReply::NoLease);
         }
         let failed = self.failed_conditions(txn);
@@ -227,29 +239,29 @@
         Ok(StoreReply::Committed(self.revision))
     }
 
-    /// Whether all leases are there that the keys of a transaction are to be attached to.
-    fn has_leases_of(&self, txn: &Txn) -> bool {
+    /// Reports whether all leases exist that a transaction attaches keys to.
+    fn has_all_leases(&self, txn: &Txn) -> bool {
         txn.changes.iter().all(|change| match change {
             Change::Write { lease_id: Some(lease), .. } => self.leases.contains_key(lease),
             _ => true,
         })
     }
 
-    /// The keys that do not stand where the conditions of a transaction want them.
+    /// Returns the keys whose modification revision differs from the condition of a transaction.
     fn failed_conditions(&self, txn: &Txn) -> Vec<String> {
         let mod_revision = |key: &str| self.get(key).map_or(0, |(_, mod_revision)| mod_revision);
         let failed = txn.conditions.iter().filter(|c| mod_revision(&c.path) != c.mod_revision);
         failed.map(|c| c.path.clone()).collect()
     }
 
-    /// Writes a key at the present revision.
+    /// Writes a key at the current revision.
     fn write(&mut self, key: &str, value: &Json, lease_id: Option<u64>) {
         let (write, value, mod_revision) = (key.to_owned(), value.clone(), self.revision);
         self.log.push(Event::Write { write: write.clone(), v: value.clone(), mod_revision });
-        self.keys.insert(write, Stored { value, mod_revision, lease_id });
+        self.keys.insert(write, StoredValue { value, mod_revision, lease_id });
     }
 
-    /// Deletes a key at the present revision, if it is there.
+    /// Deletes a key at the current revision, if it exists.
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             let (delete, mod_revision) = (key.to_owned(), self.revision);
@@ -258,25 +270,25 @@
     }
 
     fn grant(&mut self, now: Micros, life_ms: u64) -> StoreReply {
-        self.granted += 1;
-        let life = life_ms * 1000;
-        self.leases.insert(self.granted, Lease { life, end: now + life });
-        StoreReply::Granted(self.granted)
+        self.last_lease_id += 1;
+        let duration = life_ms * 1000;
+        self.leases.insert(self.last_lease_id, Lease { duration, expires_at: now + duration });
+        StoreReply::Granted(self.last_lease_id)
     }
 
     fn renew(&mut self, now: Micros, lease: u64) -> StoreReply {
         match self.leases.get_mut(&lease) {
             Some(lease) => {
-                lease.end = now + lease.life;
+                lease.expires_at = now + lease.duration;
                 StoreReply::Renewed
             }
             None => StoreReply::NoLease,
         }
     }
 
-    /// The changes after this revision.
+    /// Returns the changes after revision `from`.
     fn watch(&mut self, from: u64) -> StoreReply {
-        if self.forgets_since(from) {
+        if self.is_compacted_after(from) {
             self.too_old += 1;
             return StoreReply::TooOld;
         }
@@ -284,7 +296,7 @@
         StoreReply::Watched(WatchAnswer { revision: self.revision, log })
     }
 
-    /// What a transaction's answer looks like on the wire.
+    /// Returns the response to a transaction; `failed` holds the keys of failed conditions.
     pub(crate) fn txn_answer(&self, failed: Option<Vec<String>>) -> TxnAnswer {
         TxnAnswer { revision: self.revision, failed }
     }
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -1,5 +1,6 @@
-//! Users of a test: they submit, look up and cancel at a controller of their choice, repeat as the
-//! protocol says, and tell the checker what they asked and what they were told.
+//! Users of a test, who submit, look up and cancel jobs at a given controller. Each request and its
+//! reply is passed to the rule checker of the fleet. Tests repeat requests with [`until`], as the
+//! protocol asks of users.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,76 +13,81 @@
 use crate::fleet::Fleet;
 use crate::rules::UserRequest;
 
-const PATIENCE: Duration = Duration::from_secs(2);
-const RETRY: Duration = Duration::from_millis(500);
-/// Far longer than any takeover; a test that waits for so long has found a fault.
-const DEADLINE: Duration = Duration::from_secs(120);
+/// Time after which a user gives up on a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two attempts of [`until`].
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which [`until`] fails the test. Far longer than any takeover, so reaching it means a
+/// fault.
+const MAX_WAIT: Duration = Duration::from_secs(120);
 
-/// What a user was told.
+/// The reply to a request of a user.
 #[derive(Clone, Debug)]
 pub struct UserReply {
-    /// Status of the answer; 0 without one.
+    /// HTTP status of the response; 0 without a response.
     pub status: u16,
-    /// Phase of the job; empty if the answer names none.
+    /// Phase of the job; empty if the response names none.
     pub phase: String,
 }
 
-/// Asks controllers as users do.
+/// Sends requests to controllers as users do.
 #[derive(Clone)]
 pub struct Users {
     fleet: Arc<Fleet>,
 }
 
 impl Users {
-    /// Users who tell the checker of this fleet what they ask.
+    /// Creates users whose requests and replies go to the checker of this fleet.
     pub fn new(fleet: Arc<Fleet>) -> Users {
         Users { fleet }
     }
 
     /// Submits a job.
     pub fn submit(&self, controller: SocketAddr, spec: &JobSpec) -> UserReply {
-        let body = serde_json::to_string(spec).expect("a job is JSON");
-        self.ask(controller, UserRequest::Submit, &spec.id, Some(spec), Some(&body))
+        let body = serde_json::to_string(spec).expect("a job specification serializes to JSON");
+        self.send_and_record(controller, UserRequest::Submit, &spec.id, Some(spec), Some(&body))
     }
 
-    /// Asks what has become of a job.
+    /// Looks up a job.
     pub fn look_up(&self, controller: SocketAddr, job: &str) -> UserReply {
-        self.ask(controller, UserRequest::Lookup, job, None, None)
+        self.send_and_record(controller, UserRequest::Lookup, job, None, None)
     }
 
     /// Cancels a job.
     pub fn cancel(&self, controller: SocketAddr, job: &str) -> UserReply {
-        self.ask(controller, UserRequest::Cancel, job, None, Some(""))
+        self.send_and_record(controller, UserRequest::Cancel, job, None, Some(""))
     }
 
-    fn ask(
+    /// Sends a request and passes it and its reply to the checker.
+    fn send_and_record(
         &self,
         controller: SocketAddr,
-        asked: UserRequest,
+        request_kind: UserRequest,
         job: &str,
         spec: Option<&JobSpec>,
         body: Option<&str>,
     ) -> UserReply {
         let sent = self.fleet.rules(|rules, now| {
-            rules.asked(asked, job, spec);
+            rules.asked(request_kind, job, spec);
             now
         });
         let base = format!("http://{controller}/v2/runs");
-        let request = match asked {
+        let request = match request_kind {
             UserRequest::Submit => ureq::post(&base),
             UserRequest::Lookup => ureq::get(&format!("{base}/{job}")),
             UserRequest::Cancel => ureq::post(&format!("{base}/{job}/abort")),
         };
-        let told = send(request, body);
+        let reply = send(request, body);
         self.fleet.rules(|rules, now| {
-            rules.answered(now, sent, asked, job, told.status, &told.phase);
+            rules.answered(now, sent, request_kind, job, reply.status, &reply.phase);
         });
-        told
+        reply
     }
 }
 
+/// Sends a request, with `body` if there is one, and reads the reply.
 fn send(request: ureq::Request, body: Option<&str>) -> UserReply {
-    let request = request.timeout(PATIENCE);
+    let request = request.timeout(REQUEST_TIMEOUT);
     let result = match body {
         Some(body) => request.send_string(body),
         None => request.call(),
@@ -96,7 +102,11 @@
     UserReply { status, phase: body["phase"].as_str().unwrap_or_default().to_owned() }
 }
 
-/// Repeats something until its outcome is as wanted; far too late, the test fails.
+/// Repeats `attempt` until `wanted` accepts its outcome, and returns the outcome.
+///
+/// # Panics
+///
+/// Panics after two minutes, with `what` and the last outcome.
 pub fn until<T: std::fmt::Debug>(
     what: &str,
     mut attempt: impl FnMut() -> T,
@@ -108,7 +118,7 @@
         if wanted(&outcome) {
             return outcome;
         }
-        assert!(begin.elapsed() < DEADLINE, "{what}: last {outcome:?}");
-        thread::sleep(RETRY);
+        assert!(begin.elapsed() < MAX_WAIT, "{what}: last outcome {outcome:?}");
+        thread::sleep(RETRY_INTERVAL);
     }
 }
--- a/crates/quartzlever-testkit/src/watchers.rs
+++ b/crates/quartzlever-testkit/src/watchers.rs
@@ -1,4 +1,4 @@
-//! Threads that watch a test of several controllers until it ends.
+//! Background threads that check a test of several controllers until it ends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,61 +11,70 @@
 use crate::fleet::Fleet;
 use crate::users::Users;
 
-/// How often the workers and the store are looked at.
+/// Pause between two calls of a check.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-const POLL: Duration = Duration::from_millis(200);
-/// No question about a job may stay without an answer for longer.
-const KNOWN_WITHIN: Micros = 75 * SECOND;
+/// Pause between two rounds of lookups.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum time without an answered request about an accepted job.
+const MAX_TIME_WITHOUT_ANSWER: Micros = 75 * SECOND;
 
-/// The threads that watch a test; they run until [`Watchers::finish`].
+/// Background threads that check a test. They run until [`Watchers::finish`].
 pub struct Watchers {
     fleet: Arc<Fleet>,
-    ended: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Watchers {
-    /// No thread yet.
+    /// Creates a set without threads.
     pub fn new(fleet: Arc<Fleet>) -> Watchers {
-        Watchers { fleet, ended: Arc::default(), threads: Vec::new() }
+        Watchers { fleet, stopped: Arc::default(), threads: Vec::new() }
     }
 
-    /// Calls this again and again; time passes for the workers as often as it asks the fleet.
+    /// Starts a thread that calls `look` repeatedly, with a pause of 25 ms. Calls to the fleet such
+    /// as [`Fleet::observe`] also advance its workers to the current time.
     pub fn look(&mut self, mut look: impl FnMut(&Fleet) + Send + 'static) {
-        let (fleet, ended) = (self.fleet.clone(), self.ended.clone());
+        let (fleet, stopped) = (self.fleet.clone(), self.stopped.clone());
         self.threads.push(thread::spawn(move || {
-            while !ended.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 look(&fleet);
                 thread::sleep(CHECK_INTERVAL);
             }
         }));
     }
 
-    /// Asks again and again about every accepted job, at one controller after the other.
+    /// Starts a thread that looks up every accepted job in rounds, at a different controller each
+    /// round, and checks that no job stays without an answer for too long.
     pub fn poll_jobs(&mut self, users: Users, addresses: Vec<SocketAddr>) {
-        let (fleet, ended) = (self.fleet.clone(), self.ended.clone());
+        let (fleet, stopped) = (self.fleet.clone(), self.stopped.clone());
         self.threads.push(thread::spawn(move || {
-            for turn in 0.. {
+            for round in 0.. {
                 for job in fleet.rules(|rules, _| rules.accepted()) {
-                    if ended.load(Ordering::Relaxed) {
+                    if stopped.load(Ordering::Relaxed) {
                         return;
                     }
-                    users.look_up(addresses[turn % addresses.len()], &job);
+                    users.look_up(addresses[round % addresses.len()], &job);
                 }
-                fleet.rules(|rules, now| rules.unanswered(now, now.saturating_sub(KNOWN_WITHIN)));
-                thread::sleep(POLL);
-                if ended.load(Ordering::Relaxed) {
+                fleet.rules(|rules, now| {
+                    rules.unanswered(now, now.saturating_sub(MAX_TIME_WITHOUT_ANSWER))
+                });
+                thread::sleep(POLL_INTERVAL);
+                if stopped.load(Ordering::Relaxed) {
                     return;
                 }
             }
         }));
     }
 
-    /// Ends the threads. Fails the test if one of them has failed or any rule was broken.
+    /// Stops the threads.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a thread has panicked or any rule was broken.
     pub fn finish(self, test: &str) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         for thread in self.threads {
-            thread.join().expect("a watching thread");
+            thread.join().expect("a background thread of the test panicked");
         }
         let broken = self.fleet.rules(|rules, _| rules.broken.clone());
         assert!(broken.is_empty(), "{test}: {broken:#?}");
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -1,4 +1,4 @@
-//! The fake worker: incarnations, fencing tokens, its lease, and tasks that take a fixed time.
+//! A fake worker with incarnations, fencing tokens, a lease, and tasks of a fixed run time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,15 +8,17 @@
 };
 use quartzlever_wire::{Micros, SECOND};
 
-/// One attempt on the worker.
+/// An attempt at a task on the worker.
 #[derive(Clone, Debug)]
 struct Attempt {
     started: Micros,
     exited: Option<Cause>,
 }
 
-/// A fake worker of one machine. It does nothing until the caller lets time pass; faults are set by the
-/// public fields.
+/// A fake worker on one machine.
+///
+/// Its state changes only in calls to its methods, and the caller passes in the time. Faults are
+/// set in the public fields.
 #[derive(Debug)]
 pub struct Worker {
     /// The machine, as the cloud lists it.
@@ -25,31 +27,33 @@
     sequence: u64,
     fencing_token: u64,
     lease: Micros,
-    /// When the last answered heartbeat was sent, or the incarnation began.
-    renewed: Micros,
+    /// When the latest answered heartbeat was sent, or the incarnation began if there is none.
+    lease_renewed_at: Micros,
     attempts: BTreeMap<(TaskId, u64), Attempt>,
-    /// How long a task runs.
+    /// Run time of a task.
     pub run_time: Micros,
     /// Jobs whose tasks run until they are stopped.
-    pub endless: BTreeSet<String>,
-    /// The cloud takes the machine back in so many seconds.
+    pub endless_jobs: BTreeSet<String>,
+    /// Seconds until the cloud takes the machine back, if it has given a spot notice.
     pub warning_s: Option<f64>,
-    /// Tasks with odd numbers run until this is unset.
+    /// Whether tasks with an odd index run on until this is unset.
     pub odd_tasks_wait: bool,
-    /// Every task fails here.
+    /// Whether every task on this machine fails.
     pub faulty: bool,
     /// Jobs whose tasks fail wherever they run.
     pub fails_everywhere: BTreeSet<String>,
-    /// Executes nothing and says nothing.
+    /// Whether the worker hangs: its tasks make no progress and answers to its heartbeats are
+    /// ignored, but its lease still expires. The caller must not take heartbeats from it or send it
+    /// commands.
     pub hung: bool,
-    /// Tasks that were started here, in order.
+    /// Tasks started on this machine, with their start times, in order.
     pub started: Vec<(TaskId, Micros)>,
-    /// Tasks that ran to their end here, in order.
+    /// Tasks completed on this machine, in order.
     pub completed: Vec<TaskId>,
 }
 
 impl Worker {
-    /// A worker without tasks, whose lease begins now.
+    /// Creates a worker without tasks whose lease starts at `now`.
     pub fn new(instance: Instance, lease: Micros, run_time: Micros, now: Micros) -> Self {
         Worker {
             instance,
@@ -57,10 +61,10 @@
             sequence: 0,
             fencing_token: 0,
             lease,
-            renewed: now,
+            lease_renewed_at: now,
             attempts: BTreeMap::new(),
             run_time,
-            endless: BTreeSet::new(),
+            endless_jobs: BTreeSet::new(),
             warning_s: None,
             odd_tasks_wait: false,
             faulty: false,
@@ -71,43 +75,47 @@
         }
     }
 
-    /// The present incarnation: one more than the number of leases that have run out.
+    /// Returns the current incarnation: 1 plus the number of expired leases.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Tasks that are on the machine now.
+    /// Returns the tasks that run on the machine.
     pub fn running(&self) -> Vec<TaskId> {
-        let on = self.attempts.iter().filter(|(_, a)| a.exited.is_none());
-        on.map(|((task, _), _)| task.clone()).collect()
+        let running = self.attempts.iter().filter(|(_, a)| a.exited.is_none());
+        running.map(|((task, _), _)| task.clone()).collect()
     }
 
-    /// Lets time pass: ends tasks, and the incarnation when the lease has run out.
+    /// Advances to the time `now`: drops all attempts and starts a new incarnation if the lease has
+    /// expired, and ends the tasks that are due.
+    ///
+    /// A failing task fails half a second after its start.
     pub fn advance_to(&mut self, now: Micros) {
-        if now.saturating_sub(self.renewed) > self.lease {
+        if now.saturating_sub(self.lease_renewed_at) > self.lease {
             self.attempts.clear();
             self.incarnation += 1;
-            self.renewed = now;
+            self.lease_renewed_at = now;
         }
         if self.hung {
             return;
         }
-        let (endless, odd_tasks_wait) = (&self.endless, self.odd_tasks_wait);
+        let (endless_jobs, odd_tasks_wait) = (&self.endless_jobs, self.odd_tasks_wait);
         let (faulty, fails_everywhere) = (self.faulty, &self.fails_everywhere);
-        let waits =
-            |task: &TaskId| endless.contains(&task.job) || (odd_tasks_wait && task.index % 2 == 1);
+        let keeps_running = |task: &TaskId| {
+            endless_jobs.contains(&task.job) || (odd_tasks_wait && task.index % 2 == 1)
+        };
         for ((task, _), attempt) in self.attempts.iter_mut().filter(|(_, a)| a.exited.is_none()) {
             let fails = faulty || fails_everywhere.contains(&task.job);
             if fails && now >= attempt.started + SECOND / 2 {
                 attempt.exited = Some(Cause::Error);
-            } else if now >= attempt.started + self.run_time && !waits(task) {
+            } else if now >= attempt.started + self.run_time && !keeps_running(task) {
                 attempt.exited = Some(Cause::Done);
                 self.completed.push(task.clone());
             }
         }
     }
 
-    /// A heartbeat as it stands.
+    /// Returns the next heartbeat with the current state.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -134,7 +142,7 @@
         }
     }
 
-    /// Whether a heartbeat told of everything that is on the machine now.
+    /// Reports whether a heartbeat contains the current state of all attempts on the machine.
     pub fn is_reported_by(&self, heartbeat: &Heartbeat) -> bool {
         let exited = |t: &TaskStatus| t.phase == TaskPhase::Exited;
         self.incarnation == heartbeat.incarnation
@@ -146,7 +154,11 @@
             })
     }
 
-    /// Receives the 200 to a heartbeat that was sent at `sent` in this incarnation.
+    /// Receives the 200 response to a heartbeat that was sent at `sent` in `incarnation`, renews
+    /// the lease and executes the commands.
+    ///
+    /// Ignores the response if it comes more than 4 s after the heartbeat, belongs to another
+    /// incarnation or has a lower fencing token.
     pub fn answered(
         &mut self,
         commands: &WorkerCommands,
@@ -163,11 +175,13 @@
             return;
         }
         self.fencing_token = commands.fencing_token;
-        self.renewed = self.renewed.max(sent);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent);
         self.execute(&commands.commands, now);
     }
 
-    /// Receives commands at its own address.
+    /// Receives commands sent to its own address.
+    ///
+    /// Refuses them if they have a lower fencing token or do not name the current incarnation.
     pub fn command(&mut self, commands: &WorkerCommands, now: Micros) -> WorkerReply {
         if commands.fencing_token < self.fencing_token
             || commands.incarnation != Some(self.incarnation)
@@ -179,8 +193,9 @@
         WorkerReply::Status(self.heartbeat())
     }
 
-    /// Starts an attempt, unless it is known already or another of the task runs.
-    fn run(&mut self, task: &TaskId, attempt: u64, now: Micros) {
+    /// Starts an attempt unless it is already known. While another attempt at the task runs, it
+    /// exits at once with cause `Busy`.
+    fn start_attempt(&mut self, task: &TaskId, attempt: u64, now: Micros) {
         let key = (task.clone(), attempt);
         if self.attempts.contains_key(&key) {
             return;
@@ -196,7 +211,7 @@
     fn execute(&mut self, commands: &[WorkerCommand], now: Micros) {
         for command in commands {
             match command {
-                WorkerCommand::Run { task, attempt } => self.run(task, *attempt, now),
+                WorkerCommand::Run { task, attempt } => self.start_attempt(task, *attempt, now),
                 WorkerCommand::Kill { task, attempt, .. } => {
                     if let Some(a) = self.attempts.get_mut(&(task.clone(), *attempt)) {
                         a.exited = a.exited.or(Some(Cause::Halted));
--- a/crates/quartzlever-testkit/src/worker_fleet.rs
+++ b/crates/quartzlever-testkit/src/worker_fleet.rs
@@ -1,7 +1,7 @@
-//! Thousands of fake workers, to measure what the real program costs beside them.
+//! Thousands of fake workers, to measure the resource usage of the real program.
 //!
-//! Each worker has a loopback address of its own, all served by one listener, and one small thread
-//! that heartbeats over one connection as the protocol says.
+//! Each worker has a loopback address of its own, all of them served by one listener, and one
+//! thread with a small stack that sends heartbeats over one connection as the protocol requires.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -17,55 +17,61 @@
 
 use crate::Worker;
 
-const STACK: usize = 64 * 1024;
-/// A change is reported no more often than this.
-const CHANGE: Duration = Duration::from_millis(500);
-/// Wait after a heartbeat that was turned away or not answered.
-const TURNED_AWAY: Duration = Duration::from_secs(1);
-const PATIENCE: Duration = Duration::from_secs(4);
+/// Stack size in bytes of the thread of a worker.
+const THREAD_STACK_BYTES: usize = 64 * 1024;
+/// Interval at which a worker checks whether a heartbeat is due or its state has changed. A change
+/// is reported no more often than this.
+const CHANGE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a heartbeat that was rejected or not answered.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Time after which a worker gives up on connecting or reading.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How the workers of a fleet behave.
+/// Timing of the workers of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerBehaviour {
-    /// Time between heartbeats of a worker.
+    /// Interval between the heartbeats of a worker. Each worker uses a fixed value between 75 % and
+    /// 124 % of it, so that heartbeats do not come all at once.
     pub heartbeat_interval: Micros,
-    /// How long a worker runs its tasks without an answer to its heartbeats.
+    /// Lease of a worker: how long it keeps its tasks running without an answer to its heartbeats.
     pub lease: Micros,
-    /// How long a task runs.
+    /// Run time of a task.
     pub run_time: Micros,
 }
 
-type Member = Arc<Mutex<Worker>>;
+type SharedWorker = Arc<Mutex<Worker>>;
 
 /// A fleet of fake workers; new ones join with [`WorkerFleet::launched`].
 pub struct WorkerFleet {
-    members: Mutex<BTreeMap<u32, Member>>,
+    workers: Mutex<BTreeMap<u32, SharedWorker>>,
     port: u16,
     start: Instant,
     behaviour: WorkerBehaviour,
     controller: Mutex<Option<SocketAddr>>,
-    /// How many heartbeats were answered.
+    /// Number of heartbeats answered with 200.
     pub answered: AtomicU64,
-    /// How many heartbeats were turned away or not answered.
+    /// Number of heartbeats that were rejected or not answered.
     pub unanswered: AtomicU64,
 }
 
-/// The number in a machine's name, which makes its loopback address.
-fn number(machine: &str) -> u32 {
+/// Returns the number in a machine's name, from which its loopback address is derived.
+fn machine_number(machine: &str) -> u32 {
     machine.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().unwrap_or(0)
 }
 
-fn address(number: u32) -> Ipv4Addr {
+/// Returns the loopback address, in 127.16.0.0/12, of the machine with this number, which has at
+/// most 20 bits.
+fn loopback_address(number: u32) -> Ipv4Addr {
     let [_, a, b, c] = number.to_be_bytes();
     Ipv4Addr::new(127, 16 | a, b, c)
 }
 
 impl WorkerFleet {
-    /// Starts a fleet without workers.
+    /// Starts a fleet without workers. `start` is the instant from which the test counts time.
     pub fn start(behaviour: WorkerBehaviour, start: Instant) -> io::Result<Arc<WorkerFleet>> {
         let listener = TcpListener::bind((Ipv4Addr::UNSPECIFIED, 0))?;
         let fleet = Arc::new(WorkerFleet {
-            members: Mutex::new(BTreeMap::new()),
+            workers: Mutex::new(BTreeMap::new()),
             port: listener.local_addr()?.port(),
             start,
             behaviour,
@@ -77,159 +83,170 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let fleet = served.clone();
-                thread::spawn(move || fleet.commanded(stream));
+                thread::spawn(move || fleet.serve_connection(stream));
             }
         });
         Ok(fleet)
     }
 
+    /// Returns the time of the test: microseconds since `start` plus one second, so that no time is
+    /// 0.
     fn now(&self) -> Micros {
         SECOND + self.start.elapsed().as_micros() as Micros
     }
 
-    /// From now on workers report there.
+    /// Makes all workers send their heartbeats to this controller from their next connection on.
     pub fn report_to(&self, controller: SocketAddr) {
         if let Ok(mut known) = self.controller.lock() {
             *known = Some(controller);
         }
     }
 
-    /// A machine is up.
+    /// Starts the worker of a launched machine.
     pub fn launched(self: &Arc<Self>, mut instance: Instance) {
-        let number = number(&instance.name);
-        instance.address = format!("{}:{}", address(number), self.port);
+        let number = machine_number(&instance.name);
+        instance.address = format!("{}:{}", loopback_address(number), self.port);
         let worker =
             Worker::new(instance, self.behaviour.lease, self.behaviour.run_time, self.now());
-        let member = Arc::new(Mutex::new(worker));
-        if let Ok(mut members) = self.members.lock() {
-            members.insert(number, member.clone());
+        let shared_worker = Arc::new(Mutex::new(worker));
+        if let Ok(mut workers) = self.workers.lock() {
+            workers.insert(number, shared_worker.clone());
         }
         let fleet = self.clone();
-        let life = move || {
-            while fleet.member(number).is_some() {
-                fleet.report_for_long(&member);
+        let heartbeat_loop = move || {
+            while fleet.find_worker(number).is_some() {
+                fleet.send_heartbeats(&shared_worker);
             }
         };
-        let _ = thread::Builder::new().stack_size(STACK).spawn(life);
+        let _ = thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn(heartbeat_loop);
     }
 
-    /// A machine is gone.
+    /// Removes the worker of a terminated machine.
     pub fn terminated(&self, machine: &str) {
-        if let Ok(mut members) = self.members.lock() {
-            members.remove(&number(machine));
+        if let Ok(mut workers) = self.workers.lock() {
+            workers.remove(&machine_number(machine));
         }
     }
 
-    fn member(&self, number: u32) -> Option<Member> {
-        self.members.lock().ok()?.get(&number).cloned()
+    fn find_worker(&self, number: u32) -> Option<SharedWorker> {
+        self.workers.lock().ok()?.get(&number).cloned()
     }
 
-    /// How many tasks run on how many workers.
+    /// Returns the number of running tasks and the number of workers.
     pub fn running(&self) -> (usize, usize) {
-        let members: Vec<_> = match self.members.lock() {
-            Ok(members) => members.values().cloned().collect(),
+        let workers: Vec<_> = match self.workers.lock() {
+            Ok(workers) => workers.values().cloned().collect(),
             Err(_) => Vec::new(),
         };
-        let tasks = members.iter().filter_map(|m| m.lock().ok()).map(|m| m.running().len());
-        (tasks.sum(), members.len())
+        let task_counts = workers.iter().filter_map(|w| w.lock().ok()).map(|w| w.running().len());
+        (task_counts.sum(), workers.len())
     }
 
-    /// What was started on each machine that is there.
+    /// Returns all task starts on the current machines, with their times.
     fn starts(&self) -> Vec<(TaskId, Micros)> {
-        let members: Vec<Member> = match self.members.lock() {
-            Ok(members) => members.values().cloned().collect(),
+        let workers: Vec<SharedWorker> = match self.workers.lock() {
+            Ok(workers) => workers.values().cloned().collect(),
             Err(_) => Vec::new(),
         };
-        let started = members.iter().filter_map(|m| m.lock().ok().map(|m| m.started.clone()));
+        let started = workers.iter().filter_map(|w| w.lock().ok().map(|w| w.started.clone()));
         started.flatten().collect()
     }
 
-    /// How many tasks were started.
+    /// Returns the number of task starts on the current machines.
     pub fn started(&self) -> usize {
         self.starts().len()
     }
 
-    /// How many tasks were started more than once.
+    /// Returns the number of task starts beyond the first of each task.
     pub fn started_again(&self) -> usize {
         let starts = self.starts();
         let tasks: BTreeSet<&TaskId> = starts.iter().map(|(task, _)| task).collect();
         starts.len() - tasks.len()
     }
 
-    /// When the first task was started after a moment.
+    /// Returns the time of the first task start after `moment`.
     pub fn first_start_since(&self, moment: Micros) -> Option<Micros> {
         self.starts().into_iter().map(|(_, at)| at).filter(|at| *at > moment).min()
     }
 
-    /// Heartbeats over one connection until that ends.
-    fn report_for_long(&self, member: &Mutex<Worker>) {
+    /// Sends heartbeats over one connection until it ends, and pauses after a failure.
+    fn send_heartbeats(&self, shared_worker: &Mutex<Worker>) {
         let Some(controller) = self.controller.lock().ok().and_then(|c| *c) else {
-            return thread::sleep(TURNED_AWAY);
+            return thread::sleep(RETRY_DELAY);
         };
-        if self.report_to_one(member, controller).is_err() {
+        if self.send_heartbeats_to(shared_worker, controller).is_err() {
             self.unanswered.fetch_add(1, Ordering::Relaxed);
-            thread::sleep(TURNED_AWAY);
+            thread::sleep(RETRY_DELAY);
         }
     }
 
-    fn report_to_one(&self, member: &Mutex<Worker>, controller: SocketAddr) -> io::Result<()> {
-        let stream = TcpStream::connect_timeout(&controller, PATIENCE)?;
+    /// Sends heartbeats to a controller over one connection until the controller closes it or the
+    /// machine is terminated.
+    fn send_heartbeats_to(
+        &self,
+        shared_worker: &Mutex<Worker>,
+        controller: SocketAddr,
+    ) -> io::Result<()> {
+        let stream = TcpStream::connect_timeout(&controller, CONNECTION_TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(CONNECTION_TIMEOUT))?;
         let mut stream = BufReader::with_capacity(512, stream);
         loop {
-            let (heartbeat, sent, close) = self.exchange(member, &mut stream)?;
-            if !self.wait_until_due(member, &heartbeat, sent)? || close {
+            let (heartbeat, sent, close) = self.exchange_heartbeat(shared_worker, &mut stream)?;
+            if !self.wait_until_due(shared_worker, &heartbeat, sent)? || close {
                 return Ok(());
             }
         }
     }
 
-    /// Sends one heartbeat and takes in the answer. Gives the heartbeat, when it was sent, and
-    /// whether the connection ends.
-    fn exchange(
+    /// Sends one heartbeat and passes the response to the worker. Returns the heartbeat, when it
+    /// was sent, and whether the controller closes the connection.
+    fn exchange_heartbeat(
         &self,
-        member: &Mutex<Worker>,
+        shared_worker: &Mutex<Worker>,
         stream: &mut BufReader<TcpStream>,
     ) -> io::Result<(Heartbeat, Micros, bool)> {
         let sent = self.now();
         let heartbeat = {
-            let mut worker = member.lock().map_err(|_| gone())?;
+            let mut worker = shared_worker.lock().map_err(|_| heartbeat_failed())?;
             worker.advance_to(sent);
             worker.heartbeat()
         };
         let head = "POST /hello HTTP/1.1\r\nHost: c\r\n";
         send_message(stream, head, "Content-Type: application/json\r\n", &heartbeat)?;
-        let (first, body, close) = read_message(stream)?;
-        if !first.contains(" 200 ") {
-            return Err(gone());
+        let (first_line, body, close) = read_message(stream)?;
+        if !first_line.contains(" 200 ") {
+            return Err(heartbeat_failed());
         }
         self.answered.fetch_add(1, Ordering::Relaxed);
         let commands: WorkerCommands = serde_json::from_slice(&body)?;
-        let mut worker = member.lock().map_err(|_| gone())?;
+        let mut worker = shared_worker.lock().map_err(|_| heartbeat_failed())?;
         worker.answered(&commands, sent, heartbeat.incarnation, self.now());
         drop(worker);
         Ok((heartbeat, sent, close))
     }
 
-    /// Waits until the next heartbeat is due or something has changed; `false` if the machine is gone.
+    /// Waits until the next heartbeat is due or the state of the worker has changed. Returns
+    /// `false` if the machine has been terminated.
+    ///
+    /// The interval of a worker depends on the number of its machine, which spreads the heartbeats.
     fn wait_until_due(
         &self,
-        member: &Mutex<Worker>,
+        shared_worker: &Mutex<Worker>,
         heartbeat: &Heartbeat,
         sent: Micros,
     ) -> io::Result<bool> {
-        let number = number(&heartbeat.machine);
-        let spread = SECOND * u64::from(number % 50) / 50;
+        let number = machine_number(&heartbeat.machine);
+        let offset = SECOND * u64::from(number % 50) / 50;
         let next = sent
             + self.behaviour.heartbeat_interval * 3 / 4
-            + spread * self.behaviour.heartbeat_interval / 2 / SECOND;
+            + offset * self.behaviour.heartbeat_interval / 2 / SECOND;
         loop {
-            thread::sleep(CHANGE);
-            if self.member(number).is_none() {
+            thread::sleep(CHANGE_CHECK_INTERVAL);
+            if self.find_worker(number).is_none() {
                 return Ok(false);
             }
-            let mut worker = member.lock().map_err(|_| gone())?;
+            let mut worker = shared_worker.lock().map_err(|_| heartbeat_failed())?;
             let now = self.now();
             worker.advance_to(now);
             if now >= next || !worker.is_reported_by(heartbeat) {
@@ -238,15 +255,15 @@
         }
     }
 
-    /// Serves direct commands on one connection.
-    fn commanded(&self, stream: TcpStream) {
+    /// Serves calls to the address of a worker on one connection.
+    fn serve_connection(&self, stream: TcpStream) {
         let Ok(SocketAddr::V4(local)) = stream.local_addr() else { return };
         let [_, a, b, c] = local.ip().octets();
         let number = u32::from_be_bytes([0, a & 15, b, c]);
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::with_capacity(512, stream);
-        while let Ok((first, body, _)) = read_message(&mut stream) {
-            let (head, heartbeat) = match self.carry_out(number, &first, &body) {
+        while let Ok((first_line, body, _)) = read_message(&mut stream) {
+            let (head, heartbeat) = match self.handle_request(number, &first_line, &body) {
                 Some(WorkerReply::Status(heartbeat)) => ("HTTP/1.1 200 OK\r\n", heartbeat),
                 Some(WorkerReply::Refused(heartbeat)) => ("HTTP/1.1 409 Conflict\r\n", heartbeat),
                 None => return,
@@ -257,13 +274,14 @@
         }
     }
 
-    /// A worker's reply to a call; none if it is gone or the call cannot be read.
-    fn carry_out(&self, number: u32, first: &str, body: &[u8]) -> Option<WorkerReply> {
-        let member = self.member(number)?;
-        let mut worker = member.lock().ok()?;
+    /// Returns a worker's reply to a call, or `None` if the worker is gone or the call is
+    /// malformed.
+    fn handle_request(&self, number: u32, first_line: &str, body: &[u8]) -> Option<WorkerReply> {
+        let shared_worker = self.find_worker(number)?;
+        let mut worker = shared_worker.lock().ok()?;
         let now = self.now();
         worker.advance_to(now);
-        if first.starts_with("GET") {
+        if first_line.starts_with("GET") {
             return Some(WorkerReply::Status(worker.heartbeat()));
         }
         let commands = serde_json::from_slice::<WorkerCommands>(body).ok()?;
@@ -271,28 +289,29 @@
     }
 }
 
-fn gone() -> io::Error {
+/// Returns the error for a rejected heartbeat and for a worker whose lock is poisoned.
+fn heartbeat_failed() -> io::Error {
     io::ErrorKind::Other.into()
 }
 
-/// Writes a message: its first lines, the length of its body, further lines, and a heartbeat as the
+/// Writes an HTTP message: `head`, the content length, the lines `headers`, and a heartbeat as the
 /// body.
 fn send_message(
     stream: &mut BufReader<TcpStream>,
     head: &str,
-    more: &str,
+    headers: &str,
     heartbeat: &Heartbeat,
 ) -> io::Result<()> {
     let body = serde_json::to_vec(heartbeat)?;
     let length = body.len();
-    let mut message = format!("{head}Content-Length: {length}\r\n{more}\r\n").into_bytes();
+    let mut message = format!("{head}Content-Length: {length}\r\n{headers}\r\n").into_bytes();
     message.extend_from_slice(&body);
     stream.get_mut().write_all(&message)
 }
 
-/// The first line of a message, its body, and whether the connection ends with it.
+/// Reads an HTTP message. Returns its first line, its body, and whether it closes the connection.
 fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<(String, Vec<u8>, bool)> {
-    let mut first = String::new();
+    let mut first_line = String::new();
     let (mut length, mut close) = (0, false);
     loop {
         let mut line = String::new();
@@ -303,8 +322,8 @@
         if line.is_empty() {
             break;
         }
-        if first.is_empty() {
-            line.clone_into(&mut first);
+        if first_line.is_empty() {
+            line.clone_into(&mut first_line);
             continue;
         }
         let (name, value) = line.split_once(':').unwrap_or((line, ""));
@@ -316,5 +335,5 @@
     }
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
-    Ok((first, body, close))
+    Ok((first_line, body, close))
 }
--- a/crates/quartzlever-testkit/tests/rules.rs
+++ b/crates/quartzlever-testkit/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The checker finds a violation of each rule, and nothing in what is right.
+//! The rule checker reports each violation under its rule, and nothing for correct behaviour.
 
 use quartzlever_testkit::jobs;
 use quartzlever_testkit::rules::{MachineTasks, RuleChecker, TeamLimit, UserRequest};
@@ -16,9 +16,9 @@
     TaskId { job: job(n, 1).id, index }
 }
 
-fn on(machine: &str, zone: &str, tasks: &[TaskId]) -> MachineTasks {
+fn machine(name: &str, zone: &str, tasks: &[TaskId]) -> MachineTasks {
     MachineTasks {
-        machine: machine.into(),
+        machine: name.into(),
         machine_type: "m".into(),
         zone: zone.into(),
         spot: true,
@@ -26,10 +26,11 @@
     }
 }
 
-/// A checker that knows of a job of two tasks, accepted at the start.
+/// Returns a checker with one job of two tasks, changed by `change` and accepted at [`START`], and
+/// a team `tight` with a quota of 3 processors.
 fn checker(change: impl FnOnce(&mut JobSpec)) -> RuleChecker {
-    let tight = TeamLimit { team: "tight".into(), cpus: 3.0, ..TeamLimit::default() };
-    let mut checker = RuleChecker::new(20 * SECOND, vec![tight]);
+    let tight_quota = TeamLimit { team: "tight".into(), cpus: 3.0, ..TeamLimit::default() };
+    let mut checker = RuleChecker::new(20 * SECOND, vec![tight_quota]);
     let mut spec = job(1, 2);
     change(&mut spec);
     checker.asked(UserRequest::Submit, &spec.id, Some(&spec));
@@ -37,107 +38,111 @@
     checker
 }
 
+/// Passes events to a checker.
 type Script = fn(&mut RuleChecker);
 
 #[test]
-fn each_broken_rule_is_found_and_nothing_else() {
+fn each_violation_is_reported_under_its_rule_and_nothing_else() {
     let id = "req-000001";
     assert_eq!(job(1, 2).id, id);
-    // (rule, what happens)
+    // (rule that must be reported or "" for none, events passed to the checker)
     let cases: &[(&str, Script)] = &[
-        ("", |j| {
-            // All is well: one task ends, both have run, and the job is done.
-            let both = [on("n1", "a", &[task(1, 0)]), on("n2", "b", &[task(1, 1)])];
-            j.task_started(START + 1, &task(1, 0), "n1", &both);
-            j.machines(START + 1, &both);
-            j.task_completed(&task(1, 0));
-            j.task_completed(&task(1, 1));
-            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
-        }),
-        ("", |j| {
-            // A question sent before the end was told may get an older answer.
-            j.asked(UserRequest::Cancel, "req-000001", None);
-            j.answered(START + 9, START + 5, UserRequest::Cancel, "req-000001", 200, "aborted");
-            j.answered(START + 10, START + 8, UserRequest::Lookup, "req-000001", 200, "running");
-            let still = [on("n1", "a", &[task(1, 0)])];
-            j.machines(START + 9 + 20 * SECOND, &still);
-        }),
-        ("ran_twice", |j| {
-            j.machines(START, &[on("n1", "a", &[task(1, 0)]), on("n2", "a", &[task(1, 0)])]);
-        }),
-        ("ran_cancelled", |j| {
-            j.asked(UserRequest::Cancel, "req-000001", None);
-            j.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
-            j.machines(START + 20 * SECOND + 1, &[on("n1", "a", &[task(1, 0)])]);
-        }),
-        ("ran_cancelled", |j| {
-            j.asked(UserRequest::Cancel, "req-000001", None);
-            j.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
-            j.task_started(START + 20 * SECOND + 1, &task(1, 0), "n1", &[]);
-        }),
-        ("forgotten", |j| {
-            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 404, "")
-        }),
-        ("forgotten", |j| {
-            j.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 422, "")
-        }),
-        ("forgotten", |j| {
-            j.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 400, "")
-        }),
-        ("forgotten", |j| j.unanswered(START + 90 * SECOND, START + SECOND)),
-        ("invented", |j| {
-            j.answered(START, START - 1, UserRequest::Lookup, "req-000002", 200, "queued")
-        }),
-        ("invented", |j| j.task_started(START, &task(2, 0), "n1", &[])),
-        ("not_done", |j| {
-            j.task_completed(&task(1, 0));
-            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
-        }),
-        ("went_back", |j| {
-            j.asked(UserRequest::Cancel, "req-000001", None);
-            j.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
-            j.answered(START + 12, START + 10, UserRequest::Submit, "req-000001", 200, "queued");
-        }),
-        ("went_back", |j| {
-            j.asked(UserRequest::Cancel, "req-000001", None);
-            j.task_completed(&task(1, 0));
-            j.task_completed(&task(1, 1));
-            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
-            j.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
-        }),
-        ("went_back", |j| {
-            j.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "aborted");
-        }),
-        ("ran_after_end", |j| {
-            j.job_done(START, "req-000001");
-            j.task_started(START + 1, &task(1, 0), "n1", &[]);
-        }),
-        ("nothing_ran", |j| j.day_over(START + 9)),
-        ("", |j| {
-            j.task_started(START + 1, &task(1, 0), "n1", &[]);
-            j.day_over(START + 9);
-        }),
-        ("", |j| {
-            // Nobody wants the only job any more.
-            j.asked(UserRequest::Cancel, "req-000001", None);
-            j.day_over(START + 9);
-        }),
-        ("not_held", |j| j.partition_held(START + 9, "one", 0)),
-        ("not_held", |j| j.partition_held(START + 9, "one", 2)),
-        ("", |j| j.partition_held(START + 9, "one", 1)),
-        ("class_waits", |j| j.classes_start(START + 90 * SECOND, START, |_| true)),
-        ("", |j| j.classes_start(START + 90 * SECOND, START, |_| false)),
-        ("", |j| {
-            // Another job of the class was begun after the last fault.
-            j.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
-            j.task_started(START + 2 * SECOND, &task(2, 0), "n1", &[]);
-            j.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
-        }),
-        ("class_waits", |j| {
-            // So it was, but before.
-            j.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
-            j.task_started(START + 1, &task(2, 0), "n1", &[]);
-            j.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
+        ("", |c| {
+            // Both tasks complete, then the job is reported as done.
+            let both = [machine("n1", "a", &[task(1, 0)]), machine("n2", "b", &[task(1, 1)])];
+            c.task_started(START + 1, &task(1, 0), "n1", &both);
+            c.machines(START + 1, &both);
+            c.task_completed(&task(1, 0));
+            c.task_completed(&task(1, 1));
+            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
+        }),
+        ("", |c| {
+            // A request sent before the cancellation was reported may get an earlier phase.
+            c.asked(UserRequest::Cancel, "req-000001", None);
+            c.answered(START + 9, START + 5, UserRequest::Cancel, "req-000001", 200, "aborted");
+            c.answered(START + 10, START + 8, UserRequest::Lookup, "req-000001", 200, "running");
+            let still_running = [machine("n1", "a", &[task(1, 0)])];
+            c.machines(START + 9 + 20 * SECOND, &still_running);
+        }),
+        ("ran_twice", |c| {
+            c.machines(
+                START,
+                &[machine("n1", "a", &[task(1, 0)]), machine("n2", "a", &[task(1, 0)])],
+            );
+        }),
+        ("ran_cancelled", |c| {
+            c.asked(UserRequest::Cancel, "req-000001", None);
+            c.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
+            c.machines(START + 20 * SECOND + 1, &[machine("n1", "a", &[task(1, 0)])]);
+        }),
+        ("ran_cancelled", |c| {
+            c.asked(UserRequest::Cancel, "req-000001", None);
+            c.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
+            c.task_started(START + 20 * SECOND + 1, &task(1, 0), "n1", &[]);
+        }),
+        ("forgotten", |c| {
+            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 404, "")
+        }),
+        ("forgotten", |c| {
+            c.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 422, "")
+        }),
+        ("forgotten", |c| {
+            c.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 400, "")
+        }),
+        ("forgotten", |c| c.unanswered(START + 90 * SECOND, START + SECOND)),
+        ("invented", |c| {
+            c.answered(START, START - 1, UserRequest::Lookup, "req-000002", 200, "queued")
+        }),
+        ("invented", |c| c.task_started(START, &task(2, 0), "n1", &[])),
+        ("not_done", |c| {
+            c.task_completed(&task(1, 0));
+            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
+        }),
+        ("went_back", |c| {
+            c.asked(UserRequest::Cancel, "req-000001", None);
+            c.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
+            c.answered(START + 12, START + 10, UserRequest::Submit, "req-000001", 200, "queued");
+        }),
+        ("went_back", |c| {
+            c.asked(UserRequest::Cancel, "req-000001", None);
+            c.task_completed(&task(1, 0));
+            c.task_completed(&task(1, 1));
+            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
+            c.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
+        }),
+        ("went_back", |c| {
+            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "aborted");
+        }),
+        ("ran_after_end", |c| {
+            c.job_done(START, "req-000001");
+            c.task_started(START + 1, &task(1, 0), "n1", &[]);
+        }),
+        ("nothing_ran", |c| c.day_over(START + 9)),
+        ("", |c| {
+            c.task_started(START + 1, &task(1, 0), "n1", &[]);
+            c.day_over(START + 9);
+        }),
+        ("", |c| {
+            // The only job was cancelled, so no task needs to start.
+            c.asked(UserRequest::Cancel, "req-000001", None);
+            c.day_over(START + 9);
+        }),
+        ("not_held", |c| c.partition_held(START + 9, "one", 0)),
+        ("not_held", |c| c.partition_held(START + 9, "one", 2)),
+        ("", |c| c.partition_held(START + 9, "one", 1)),
+        ("class_waits", |c| c.classes_start(START + 90 * SECOND, START, |_| true)),
+        ("", |c| c.classes_start(START + 90 * SECOND, START, |_| false)),
+        ("", |c| {
+            // A task of another job of the class starts after the last fault.
+            c.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
+            c.task_started(START + 2 * SECOND, &task(2, 0), "n1", &[]);
+            c.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
+        }),
+        ("class_waits", |c| {
+            // A task of another job of the class starts before the last fault.
+            c.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
+            c.task_started(START + 1, &task(2, 0), "n1", &[]);
+            c.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
         }),
     ];
     for (n, (rule, script)) in cases.iter().enumerate() {
@@ -150,21 +155,22 @@
 }
 
 #[test]
-fn places_and_limits_are_checked() {
+fn placement_constraints_and_quotas_are_checked() {
     type Change = fn(&mut JobSpec);
-    let both = [on("n1", "a", &[task(1, 0)]), on("n2", "b", &[task(1, 1)])];
-    let same = [on("n1", "a", &[task(1, 0)]), on("n2", "a", &[task(1, 1)])];
-    // (rule, the job, the machines when its second task starts on n2)
+    let two_zones = [machine("n1", "a", &[task(1, 0)]), machine("n2", "b", &[task(1, 1)])];
+    let one_zone_only = [machine("n1", "a", &[task(1, 0)]), machine("n2", "a", &[task(1, 1)])];
+    // (rule that must be reported or "" for none, change to the job, machines when its second task
+    // starts on n2)
     let cases: &[(&str, Change, &[MachineTasks])] = &[
-        ("", |_| {}, &both),
-        ("wrong_place", |s| s.types = Some(vec!["x".into()]), &both),
-        ("wrong_place", |s| s.zone = Some("a".into()), &both),
-        ("wrong_place", |s| s.spot = false, &both),
-        ("wrong_place", |s| s.one_zone = true, &both),
-        ("", |s| s.one_zone = true, &same),
-        ("wrong_place", |s| s.spread = true, &same),
-        ("", |s| s.spread = true, &both),
-        ("quota", |s| s.team = "tight".into(), &both),
+        ("", |_| {}, &two_zones),
+        ("wrong_place", |s| s.types = Some(vec!["x".into()]), &two_zones),
+        ("wrong_place", |s| s.zone = Some("a".into()), &two_zones),
+        ("wrong_place", |s| s.spot = false, &two_zones),
+        ("wrong_place", |s| s.one_zone = true, &two_zones),
+        ("", |s| s.one_zone = true, &one_zone_only),
+        ("wrong_place", |s| s.spread = true, &one_zone_only),
+        ("", |s| s.spread = true, &two_zones),
+        ("quota", |s| s.team = "tight".into(), &two_zones),
     ];
     for (n, (rule, change, machines)) in cases.iter().enumerate() {
         let mut checker = checker(*change);
