--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -53,7 +53,7 @@
     observed_completions: BTreeMap<String, usize>,
 }
 
-/// The workers of a test, with the checker of their actions.
+/// The workers of a test and the rule checker that observes them.
 pub struct Fleet {
     state: Mutex<State>,
     controllers: Controllers,
@@ -122,7 +122,7 @@
         self.update(|state, now| work(&mut state.rules, now))
     }
 
-    /// Makes the tasks of this job run until they are stopped, on all workers present and future.
+    /// Makes the tasks of this job run until they are stopped, on all workers current and future.
     pub fn never_ends(&self, spec: &JobSpec) {
         self.update(|state, _| {
             state.endless_jobs.insert(spec.id.clone());
@@ -224,8 +224,8 @@
 
     /// Sends one heartbeat to the controller at index `target`.
     ///
-    /// A 421 response moves `target` to the controller that it names; a response without a known
-    /// name, or none at all, moves it to the next one.
+    /// A 421 response moves `target` to the controller that it names. If that controller is
+    /// unknown, and after any other failure, `target` moves to the next one.
     fn send_heartbeat(
         &self,
         agent: &ureq::Agent,
--- a/crates/quartzlever-testkit/src/lib.rs
+++ b/crates/quartzlever-testkit/src/lib.rs
@@ -1,11 +1,12 @@
-//! Fakes of the systems around a controller, for tests only.
+//! Fakes of the systems around a controller, and tools that run the real program against them. For
+//! tests and benchmarks only.
 //!
 //! | item | purpose |
 //! | --- | --- |
-//! | [`Store`], [`Cloud`], [`Worker`] | fakes without I/O of their own; the caller passes in the time |
-//! | [`http`] | serves a fake store and a fake cloud on loopback ports, for tests that run the real program |
-//! | [`fleet`] | a few fake workers that send heartbeats over HTTP, observed by the rule checker |
-//! | [`worker_fleet`] | thousands of fake workers, to measure the resource usage of the real program |
+//! | [`Store`], [`Cloud`], [`Worker`] | fakes without I/O; the caller passes in the time |
+//! | [`http`] | serves a fake store and a fake cloud on loopback ports |
+//! | [`fleet`] | a few fake workers on loopback ports, observed by the rule checker |
+//! | [`worker_fleet`] | thousands of fake workers, for benchmarks of the real program |
 //! | [`rules`] | checks the rules of the protocol by events outside the controllers |
 //! | [`users`] | users who submit, look up and cancel jobs |
 //! | [`watchers`] | background threads for tests of several controllers |
--- a/crates/quartzlever-testkit/src/production.rs
+++ b/crates/quartzlever-testkit/src/production.rs
@@ -85,8 +85,8 @@
 
 /// Unpacks the commit's files into `directory/source`.
 ///
-/// A rename at the end makes the directory appear complete, so that an interrupted unpacking is not
-/// taken for a finished one.
+/// The directory is renamed into place when it is complete, so that an interrupted unpacking is not
+/// mistaken for a finished one.
 fn unpack(repository: &Path, commit: &str, directory: &Path) -> Result<(), BuildError> {
     let temporary = directory.join(format!("unpacking-{}", std::process::id()));
     let io_error = |error| BuildError::StepNotStarted { step: "unpacking", error };
--- a/crates/quartzlever-testkit/src/program.rs
+++ b/crates/quartzlever-testkit/src/program.rs
@@ -53,7 +53,7 @@
         ureq::get(&url).timeout(Duration::from_secs(1)).call().is_ok()
     }
 
-    /// Returns the process id.
+    /// Returns the id of the process.
     pub fn process(&self) -> u32 {
         self.child.id()
     }
--- a/crates/quartzlever-testkit/src/watchers.rs
+++ b/crates/quartzlever-testkit/src/watchers.rs
@@ -1,4 +1,5 @@
-//! Background threads that check a test of several controllers until it ends.
+//! Background threads that observe a test of several controllers until it ends: repeated checks,
+//! and lookups of all accepted jobs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
 /// Maximum time without an answered request about an accepted job.
 const MAX_TIME_WITHOUT_ANSWER: Micros = 75 * SECOND;
 
-/// Background threads that check a test. They run until [`Watchers::finish`].
+/// Background threads that observe a test. They run until [`Watchers::finish`].
 pub struct Watchers {
     fleet: Arc<Fleet>,
     stopped: Arc<AtomicBool>,
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -36,7 +36,7 @@
     pub endless_jobs: BTreeSet<String>,
     /// Seconds until the cloud takes the machine back, if it has given a spot notice.
     pub warning_s: Option<f64>,
-    /// Whether tasks with an odd index run on until this is unset.
+    /// Whether tasks with an odd index keep running until this is unset.
     pub odd_tasks_wait: bool,
     /// Whether every task on this machine fails.
     pub faulty: bool,
