--- a/crates/quartzlever-testkit/src/http.rs
+++ b/crates/quartzlever-testkit/src/http.rs
@@ -40,8 +40,8 @@
     body
 }
 
-/// Returns the value of a query parameter. Decodes `%2F` only, as the clients of this project
-/// encode nothing else.
+/// Returns the value of a query parameter. Of all percent-encoded characters, decodes only the
+/// slashes, as in the key prefixes that the clients of this project send.
 fn query_parameter(url: &str, name: &str) -> Option<String> {
     let (_, fields) = url.split_once('?')?;
     fields.split('&').find_map(|field| {
