--- a/crates/quartzlever/src/clock.rs
+++ b/crates/quartzlever/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clocks of a process, in whole microseconds.
+//! The monotonic clock and the wall clock, in whole microseconds.
 //!
-//! Owns the two readings of time. Never mixes them: deadlines are of the steady clock, and the time of day
-//! is only for what outlasts the process.
+//! Deadlines use the monotonic clock. The wall clock is only for times that outlive the process, such as
+//! those in stored records.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use quartzlever_wire::Micros;
 
-/// The steady clock. It does not start at zero, so that what lies before the start of the
-/// process can be written as a time too.
+/// The monotonic clock. It starts at `ORIGIN` instead of zero, so that times before the start of
+/// the process can be represented too.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -17,18 +17,18 @@
 const ORIGIN: Micros = 1_000_000_000_000;
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn new() -> Self {
         Clock { start: Instant::now() }
     }
 
-    /// The time since before the start, never going back.
+    /// Returns the current time, which never decreases.
     pub fn now(&self) -> Micros {
         ORIGIN + self.start.elapsed().as_micros() as Micros
     }
 }
 
-/// The time of day in microseconds since 1970.
+/// Returns the wall-clock time in microseconds since the Unix epoch; 0 if the clock is set before it.
 pub fn wall() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
 }
--- a/crates/quartzlever/src/exit_status.rs
+++ b/crates/quartzlever/src/exit_status.rs
@@ -1,8 +1,8 @@
-//! Exit statuses of the program, beside 0 and 1.
+//! Exit statuses of the program other than 0 and 1.
 //!
-//! Owns the numbers, which whoever starts the program knows. Never ends the program itself.
+//! The numbers are part of the program's interface: whatever starts it may depend on them.
 
-/// The arguments or the settings cannot be used.
-pub const BAD_SETTINGS: u8 = 2;
-/// The program is older than what all controllers have agreed on.
-pub const UNKNOWN_VERSION: u8 = 3;
+/// The arguments or the settings are invalid.
+pub const INVALID_SETTINGS: u8 = 2;
+/// The cluster is at a newer version than this program supports.
+pub const UNSUPPORTED_VERSION: u8 = 3;
--- a/crates/quartzlever/src/inbox.rs
+++ b/crates/quartzlever/src/inbox.rs
@@ -1,7 +1,7 @@
-//! The queues of commands of the core's thread, and the ways in.
+//! The command queues of the core's thread.
 //!
-//! Owns the queues and their bounds, and what connections may know without asking. Never looks into a
-//! command.
+//! Also holds the state that the core's thread publishes for connections, so that they can answer some
+//! requests without it. Commands pass through without being inspected.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -15,184 +15,198 @@
 
 use crate::responder::Responder;
 
-/// Where an answer goes.
+/// The destination of the answer to a request.
 #[derive(Debug)]
-pub enum Reply {
-    /// To its connection; a 503 takes its place if there is none by then.
-    Http { responder: Responder, until: Micros },
-    /// To the thread of the peer's connection, which waits for it.
+pub enum ReplyChannel {
+    /// An HTTP connection, which gets a 503 if there is no answer by `deadline`.
+    Http { responder: Responder, deadline: Micros },
+    /// The thread of a peer's connection, which blocks until the answer arrives.
     Peer(Sender<PeerAnswer>),
 }
 
-/// A command with the place for its answer, if somebody waits for one.
+/// A command, and the requester that waits for its answer, if there is one.
 #[derive(Debug)]
-pub struct Item {
+pub struct QueuedCommand {
     pub command: Command,
-    pub waiter: Option<Waiter>,
+    pub requester: Option<Requester>,
 }
 
-/// Somebody who waits for an answer.
+/// A request that waits for an answer.
 #[derive(Debug)]
-pub struct Waiter {
+pub struct Requester {
     pub id: RequestId,
-    pub reply: Reply,
+    pub reply: ReplyChannel,
 }
 
-// How many submissions may wait for the core, and how many lookups and cancellations; more are
-// shed at once. Those who ask about accepted jobs come first, and many are answered together, so
-// that no job stays without an answer.
+// Requests beyond these limits are rejected at once. The queue of lookups and cancellations is
+// longer and is served first, in larger batches, so that requests about accepted jobs are answered
+// also while submissions are being rejected.
+/// Most submissions that may wait for the core.
 const MAX_SUBMISSIONS: usize = 64;
-const MAX_QUESTIONS: usize = 1024;
+/// Most lookups and cancellations that may wait for the core.
+const MAX_LOOKUPS: usize = 1024;
 
-/// The queue of a request, by who asks.
+/// The queue of a request, by kind of requester.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Queue {
-    /// Workers, services, health checks.
+pub enum RequestQueue {
+    /// Heartbeats of workers and health checks.
     Priority,
-    /// Users who ask about a job or cancel it.
-    Questions,
-    /// Users who submit a job.
+    /// Lookups and cancellations of jobs.
+    Lookups,
+    /// Submissions of jobs.
     Submissions,
 }
 
-/// The ways into the core's thread. What workers and services say has a queue of its own, ahead
-/// of users'. It needs no bound: each connection and each call has at most one item in it.
+/// The sending side of the core's queues. Requests of workers and peers and results of calls have
+/// a queue of their own, ahead of those of users. It needs no bound: each connection and each call
+/// has at most one command in it.
 #[derive(Clone)]
 pub struct Inbox {
-    priority: Sender<Item>,
-    questions: Sender<Item>,
-    submissions: Sender<Item>,
+    priority: Sender<QueuedCommand>,
+    lookups: Sender<QueuedCommand>,
+    submissions: Sender<QueuedCommand>,
     ids: Arc<AtomicU64>,
     core: Thread,
-    published: Arc<Published>,
+    published: Arc<PublishedState>,
 }
 
-/// What connections may know without asking the core.
+/// State of the core that connections read without a request to the core.
 #[derive(Debug)]
-struct Published {
-    /// The core knows nothing yet: it would turn away every worker and health check.
-    rejects_requests: AtomicBool,
-    /// Requests that were turned away since the core last asked.
+struct PublishedState {
+    /// The core is still starting and would reject every heartbeat and health check.
+    is_starting: AtomicBool,
+    /// Number of requests rejected by connections since the core's thread last published.
     rejected: AtomicU32,
-    /// Until then the node can take requests, as far as the core has said.
+    /// The time until which the node counts as ready.
     ready_until: AtomicU64,
 }
 
-/// The core's end of the queues.
+/// The receiving side of the core's queues, used by the core's thread.
 pub struct InboxReceiver {
-    pub priority: Receiver<Item>,
-    pub questions: Receiver<Item>,
-    pub submissions: Receiver<Item>,
-    published: Arc<Published>,
+    pub priority: Receiver<QueuedCommand>,
+    pub lookups: Receiver<QueuedCommand>,
+    pub submissions: Receiver<QueuedCommand>,
+    published: Arc<PublishedState>,
 }
 
 impl InboxReceiver {
-    /// Tells connections whether the core is still starting and until when the node can take
-    /// requests; how many they have turned away since.
+    /// Publishes whether the core is still starting and until when the node counts as ready.
+    /// Returns how many requests connections have rejected since the last call.
     pub fn publish(&self, starting: bool, ready_until: Micros) -> u32 {
-        self.published.rejects_requests.store(starting, Ordering::Relaxed);
+        self.published.is_starting.store(starting, Ordering::Relaxed);
         self.published.ready_until.store(ready_until, Ordering::Relaxed);
         self.published.rejected.swap(0, Ordering::Relaxed)
     }
 
-    /// Whether nothing waits in any queue.
+    /// Reports whether all queues are empty.
     pub fn is_empty(&self) -> bool {
-        self.priority.is_empty() && self.questions.is_empty() && self.submissions.is_empty()
+        self.priority.is_empty() && self.lookups.is_empty() && self.submissions.is_empty()
     }
 
-    /// Waits until something comes, at most for this time. A receiver of a channel that waits
-    /// by itself spins first, in vain: nobody else runs meanwhile where a process has one core's
-    /// share. So the core's thread sleeps, and whoever hands something in wakes it.
-    pub fn sleep(&self, most: Duration) {
+    /// Parks the calling thread until a command arrives, for at most `timeout`. Blocking on a
+    /// channel would spin first, which is useless where the process has the share of a single CPU:
+    /// no sender runs meanwhile. So the core's thread parks, and each sender unparks it.
+    pub fn sleep(&self, timeout: Duration) {
         if self.is_empty() {
-            thread::park_timeout(most);
+            thread::park_timeout(timeout);
         }
     }
 }
 
 impl Inbox {
-    /// The queues of the calling thread.
+    /// Creates the queues, with the calling thread as the one that receives.
     pub fn new() -> (Inbox, InboxReceiver) {
         let (priority, priority_receiver) = unbounded();
-        let (questions, questions_receiver) = bounded(MAX_QUESTIONS);
-        let (submissions, submissions_receiver) = bounded(MAX_SUBMISSIONS);
-        let published = Arc::new(Published {
-            rejects_requests: AtomicBool::new(false),
+        let (lookups, lookup_receiver) = bounded(MAX_LOOKUPS);
+        let (submissions, submission_receiver) = bounded(MAX_SUBMISSIONS);
+        let published = Arc::new(PublishedState {
+            is_starting: AtomicBool::new(false),
             rejected: AtomicU32::new(0),
             ready_until: AtomicU64::new(0),
         });
         let receiver = InboxReceiver {
             priority: priority_receiver,
-            questions: questions_receiver,
-            submissions: submissions_receiver,
+            lookups: lookup_receiver,
+            submissions: submission_receiver,
             published: published.clone(),
         };
         let ids = Arc::new(AtomicU64::new(1));
         let core = thread::current();
-        (Inbox { priority, questions, submissions, ids, core, published }, receiver)
+        (Inbox { priority, lookups, submissions, ids, core, published }, receiver)
     }
 
-    /// Whether workers and health checks are to be turned away without asking the core.
+    /// Reports whether heartbeats and health checks are to be rejected without asking the core,
+    /// and if so counts a rejected request.
     pub fn rejects_requests(&self) -> bool {
-        let starting = self.published.rejects_requests.load(Ordering::Relaxed);
+        let starting = self.published.is_starting.load(Ordering::Relaxed);
         if starting {
             self.published.rejected.fetch_add(1, Ordering::Relaxed);
         }
         starting
     }
 
-    /// Whether the core has said of late that the node can take requests.
+    /// Reports whether the node is ready, as last published by the core's thread. The published state
+    /// expires, so that a node whose core's thread stalls is no longer ready.
     pub fn is_ready(&self, now: Micros) -> bool {
         now < self.published.ready_until.load(Ordering::Relaxed)
     }
 
-    /// Hands in the result of a call.
+    /// Enqueues the result of a call.
     pub fn deliver(&self, command: Command) {
         // Fails only when the core's thread has ended, and then the process ends.
-        let _ = self.priority.send(Item { command, waiter: None });
+        let _ = self.priority.send(QueuedCommand { command, requester: None });
         self.core.unpark();
     }
 
-    /// Asks the core for an HTTP answer, to be given by `until`; the responder comes back if the queue
-    /// is full.
-    pub fn ask(
+    /// Enqueues an HTTP request that must be answered by `deadline`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the responder if the queue is full.
+    pub fn request(
         &self,
-        queue: Queue,
+        queue: RequestQueue,
         responder: Responder,
-        until: Micros,
+        deadline: Micros,
         command: impl FnOnce(RequestId) -> Command,
     ) -> Result<(), Responder> {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
-        let reply = Reply::Http { responder, until };
-        let item = Item { command: command(id), waiter: Some(Waiter { id, reply }) };
+        let reply = ReplyChannel::Http { responder, deadline };
+        let queued =
+            QueuedCommand { command: command(id), requester: Some(Requester { id, reply }) };
         let queue = match queue {
-            Queue::Priority => &self.priority,
-            Queue::Questions => &self.questions,
-            Queue::Submissions => &self.submissions,
+            RequestQueue::Priority => &self.priority,
+            RequestQueue::Lookups => &self.lookups,
+            RequestQueue::Submissions => &self.submissions,
         };
-        match queue.try_send(item) {
+        match queue.try_send(queued) {
             Ok(()) => {
                 self.core.unpark();
                 Ok(())
             }
-            Err(refused) => match refused.into_inner().waiter {
-                Some(Waiter { reply: Reply::Http { responder, .. }, .. }) => Err(responder),
+            Err(error) => match error.into_inner().requester {
+                Some(Requester { reply: ReplyChannel::Http { responder, .. }, .. }) => {
+                    Err(responder)
+                }
                 _ => Ok(()),
             },
         }
     }
 
-    /// Asks the core for a peer's answer.
-    pub fn ask_for_peer(
+    /// Enqueues a peer's request and waits for the answer. Returns `None` if there is none within
+    /// `timeout`.
+    pub fn request_for_peer(
         &self,
         timeout: Duration,
         command: impl FnOnce(RequestId) -> Command,
     ) -> Option<PeerAnswer> {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = bounded(1);
-        let item =
-            Item { command: command(id), waiter: Some(Waiter { id, reply: Reply::Peer(sender) }) };
-        self.priority.send(item).ok()?;
+        let queued = QueuedCommand {
+            command: command(id),
+            requester: Some(Requester { id, reply: ReplyChannel::Peer(sender) }),
+        };
+        self.priority.send(queued).ok()?;
         self.core.unpark();
         receiver.recv_timeout(timeout).ok()
     }
--- a/crates/quartzlever/src/log.rs
+++ b/crates/quartzlever/src/log.rs
@@ -1,6 +1,6 @@
-//! The log on standard error: one line an event, with its level, its name and its fields.
+//! The log on standard error: one line per event, with its level, name and fields.
 //!
-//! The events of the core and of a rebuild are written in the same form as those of the program itself.
+//! Events of the core and of a rebuild have the same form as those of the program itself.
 
 use std::fmt::{self, Display, Formatter};
 use std::io;
@@ -12,42 +12,42 @@
 use quartzlever_recovery::format::WriteTimes;
 use quartzlever_wire::fields::Fields;
 
-/// An event of the program itself, around the core. Times are written in milliseconds, with `_ms` in the key,
-/// but those of writes in microseconds, with `_us`.
+/// An event of the program itself, outside the core. Durations are logged in milliseconds (keys with
+/// `_ms`), but those of log writes in microseconds (`_us`).
 #[derive(Debug)]
 pub enum ProgramEvent<'a> {
-    /// The API is served.
+    /// The HTTP port is bound; it may not be listening yet.
     ApiServed {
         /// Name of this controller.
         node: &'a str,
         address: SocketAddr,
     },
-    /// The process cannot run, and ends.
+    /// The process cannot run and exits.
     CannotRun { reason: &'a io::Error },
-    /// The process ends, since it must not go on.
+    /// The process exits because it must not continue.
     ProcessEnded { reason: &'a str },
-    /// The process has stood still.
+    /// The core's thread took no commands for this long.
     ProcessStalled { duration: Duration },
-    /// The store has lost data: nothing is done before it is rebuilt.
+    /// The store has lost data. Nothing is done until it is rebuilt.
     StoreDataLost { loss: &'a Loss },
-    /// The process that has found the loss cannot begin anew.
+    /// The process that detected the loss cannot restart itself.
     CannotRestart { reason: String },
-    /// A file of the recovery directory cannot be used in full.
+    /// A file in the recovery directory is wholly or partly unusable.
     RecoveryFileUnusable { reason: &'a str },
-    /// The recovery log cannot be written; the service goes on unprotected.
+    /// The recovery log cannot be written. The service continues without protection against loss.
     RecoveryLogUnprotected { reason: String },
-    /// The recovery log is written again; the service is protected.
+    /// The recovery log can be written again, and protects the service.
     RecoveryLogProtected,
-    /// The mark of the recovery log, which says that it has all, could not be removed.
+    /// The mark that the recovery log is complete could not be removed.
     RecoveryMarkNotRemoved,
-    /// How long writes of the recovery log took since the start.
+    /// Durations of the writes to the recovery log since the start.
     RecoveryLogWrites { times: WriteTimes },
-    /// All final states are written after a rebuild.
+    /// All inherited final states have been written after a rebuild.
     FinalStatesWritten,
 }
 
 impl ProgramEvent<'_> {
-    /// Writes the event.
+    /// Logs the event.
     pub fn log(&self) {
         log_event(self.level(), self.name(), self);
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Name of the event, by which logs are searched.
+    /// Returns the event's name, by which operators search logs.
     fn name(&self) -> &'static str {
         match self {
             ProgramEvent::ApiServed { .. } => "api_served",
@@ -88,7 +88,7 @@
     }
 }
 
-/// The fields alone, without level and name.
+/// Formats the fields only, without level and name.
 impl Display for ProgramEvent<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let fields = Fields::new(f);
@@ -118,9 +118,9 @@
     }
 }
 
-/// Writes an event as one line, such as `INFO partition_acquired partition=one term=5`.
+/// Logs an event as one line, such as `INFO partition_acquired partition=one term=5`.
 pub fn log_event(log_level: LogLevel, name: &str, fields: &dyn Display) {
-    let line = Line { name, fields };
+    let line = LogLine { name, fields };
     match log_level {
         LogLevel::Error => tracing::error!("{line}"),
         LogLevel::Info => tracing::info!("{line}"),
@@ -128,13 +128,13 @@
     }
 }
 
-/// What follows the level; formatted only where the level is on.
-struct Line<'a> {
+/// The part of a log line after the level. It is formatted only if the level is enabled.
+struct LogLine<'a> {
     name: &'a str,
     fields: &'a dyn Display,
 }
 
-impl Display for Line<'_> {
+impl Display for LogLine<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(self.name)?;
         let fields = self.fields.to_string();
--- a/crates/quartzlever/src/log/tests.rs
+++ b/crates/quartzlever/src/log/tests.rs
@@ -1,11 +1,11 @@
-//! The form of a line.
+//! Tests of the form of log lines.
 
 use quartzlever_core::LogEvent;
 
 use super::*;
 
 #[test]
-fn a_line_is_a_name_and_its_fields() {
+fn a_log_line_is_the_event_name_and_its_fields() {
     for (event, line) in [
         (
             LogEvent::PartitionAcquired { partition: "one".into(), term: 5 },
@@ -13,13 +13,13 @@
         ),
         (LogEvent::WorkersReachable, "workers_reachable"),
     ] {
-        assert_eq!(Line { name: event.name(), fields: &event }.to_string(), line);
+        assert_eq!(LogLine { name: event.name(), fields: &event }.to_string(), line);
     }
 }
 
-/// Level, name and fields of each event of the program, as they stand in the log.
+/// Guards the levels and texts of the program's events, which operators match.
 #[test]
-fn each_event_has_one_form() {
+fn each_event_has_a_fixed_level_name_and_fields() {
     let error = io::Error::other("no port");
     let times = WriteTimes { count: 9, median: 80, p99: 900, longest: 1_200 };
     let address = SocketAddr::from(([127, 0, 0, 1], 8_080));
@@ -73,7 +73,7 @@
         ),
         (ProgramEvent::FinalStatesWritten, LogLevel::Info, "final_states_written"),
     ] {
-        let written = Line { name: event.name(), fields: &event }.to_string();
-        assert_eq!((event.level(), written), (level, line.to_owned()));
+        let text = LogLine { name: event.name(), fields: &event }.to_string();
+        assert_eq!((event.level(), text), (level, line.to_owned()));
     }
 }
--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -1,15 +1,15 @@
 //! The quartzlever controller.
 //!
-//! Modules use each other in one direction only. From the lowest to the highest, each uses only those
-//! before it:
+//! Modules depend on each other in one direction only. From the lowest layer to the highest, each uses
+//! only the layers before it:
 //!
-//! 1. `clock`, `exit_status`, `log`, `random`, `thread_pool`: nothing of this program but `clock`.
-//! 2. `settings`: what the program is told at its start.
-//! 3. `responder`: sockets and answers; `inbox`: the queues to the core's thread.
-//! 4. `server`: connections of users and workers.
-//! 5. `recovery`: the store behind the guard and the log; it uses nothing of 3 and 4.
-//! 6. `node`: the core's thread, and the threads that carry out its effects.
-//! 7. `main`: the arguments; it starts everything, and no module uses it.
+//! 1. `clock`, `exit_status`, `log`, `random`, `thread_pool`: use nothing of this program but `clock`.
+//! 2. `settings`: the settings files.
+//! 3. `responder`: sockets and HTTP answers; `inbox`: the command queues of the core's thread.
+//! 4. `server`: HTTP connections of users and workers.
+//! 5. `recovery`: access to the store through the guard and the recovery log; uses nothing of 3 and 4.
+//! 6. `node`: the core's thread, and the threads that execute its effects.
+//! 7. `main`: the command line; starts everything, and no module uses it.
 
 mod clock;
 mod exit_status;
@@ -30,22 +30,22 @@
 use clap::{Parser, Subcommand};
 use quartzlever_core::LogLevel;
 
-use exit_status::BAD_SETTINGS;
+use exit_status::INVALID_SETTINGS;
 use log::ProgramEvent;
 use recovery::commands::{self, CommandError};
 use recovery::{Directory, Recovery};
 use settings::Settings;
 
-/// A cluster scheduler by adaptive work stealing.
+/// A cluster scheduler with adaptive work stealing.
 ///
-/// Logs go to standard error; the variable LOG_LEVEL (error, info, debug) says how much.
+/// Logs go to standard error; the environment variable LOG_LEVEL (error, info, debug) sets their level.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// The platform's settings (TOML).
+    /// The platform's settings file (TOML).
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
-    /// The operator's own settings (YAML), all of them optional.
+    /// The operator's settings file (YAML); every setting in it is optional.
     #[arg(long, value_name = "FILE", global = true)]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -54,16 +54,17 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Checks the settings without starting.
+    /// Checks the settings files without starting a controller.
     Check,
-    /// Shows what a directory of snapshots holds.
+    /// Inspects the snapshots and logs in a recovery directory.
     Snapshot {
         #[command(subcommand)]
         verb: SnapshotVerb,
     },
-    /// Tells what would become of lost state.
+    /// Reports what a rebuild of lost state would do.
     Rebuild {
-        /// Only tells; a controller rebuilds by itself when it has to.
+        /// Confirms that nothing is changed: this command only reports, and controllers rebuild by
+        /// themselves when needed.
         #[arg(long, required = true)]
         dry_run: bool,
     },
@@ -71,11 +72,11 @@
 
 #[derive(Subcommand)]
 enum SnapshotVerb {
-    /// A line for each snapshot with its log.
+    /// Prints one line for each snapshot and its log.
     List { directory: PathBuf },
-    /// Checks every file; status 1 if one cannot be used.
+    /// Checks every file; exits with status 1 if one is unusable.
     Verify { directory: PathBuf },
-    /// What the files hold together.
+    /// Shows the state that the files hold together.
     Show { directory: PathBuf },
 }
 
@@ -101,11 +102,11 @@
         .init();
 }
 
-/// The exit status of a command at the terminal.
-fn status_of(outcome: Result<(), CommandError>) -> ExitCode {
+/// Returns the exit status for the outcome of a command, and prints its error if there is one.
+fn exit_code(outcome: Result<(), CommandError>) -> ExitCode {
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error @ CommandError::Directory(_)) => bad_settings(error),
+        Err(error @ CommandError::Directory(_)) => fail_with_invalid_settings(error),
         Err(error) => {
             eprintln!("quartzlever: {error}");
             ExitCode::FAILURE
@@ -113,9 +114,9 @@
     }
 }
 
-fn bad_settings(error: impl Into<Box<dyn Error>>) -> ExitCode {
+fn fail_with_invalid_settings(error: impl Into<Box<dyn Error>>) -> ExitCode {
     eprintln!("quartzlever: {}", error.into());
-    ExitCode::from(BAD_SETTINGS)
+    ExitCode::from(INVALID_SETTINGS)
 }
 
 fn main() -> ExitCode {
@@ -125,19 +126,22 @@
     if let Some(Verb::Snapshot { verb }) = verb {
         return show_snapshots(&verb);
     }
-    let Some(config) = config else { return bad_settings("--config FILE is missing") };
+    let Some(config) = config else {
+        return fail_with_invalid_settings("--config FILE is required");
+    };
     let settings = match settings::load(&config, operator.as_deref(), log_level) {
         Ok(settings) => settings,
-        Err(error) => return bad_settings(error),
+        Err(error) => return fail_with_invalid_settings(error),
     };
     let recovery = settings.recovery.as_ref();
-    let directory = match recovery.map(|own| Directory::open(&own.directory)).transpose() {
+    let directory = match recovery.map(|recovery| Directory::open(&recovery.directory)).transpose()
+    {
         Ok(directory) => directory,
-        Err(error) => return bad_settings(error),
+        Err(error) => return fail_with_invalid_settings(error),
     };
     match verb {
         Some(Verb::Check) => {
-            println!("{}: fine", config.display());
+            println!("{}: the settings are valid", config.display());
             ExitCode::SUCCESS
         }
         Some(Verb::Rebuild { .. }) => rebuild_dry_run(&settings),
@@ -146,7 +150,7 @@
 }
 
 fn show_snapshots(verb: &SnapshotVerb) -> ExitCode {
-    status_of(match verb {
+    exit_code(match verb {
         SnapshotVerb::List { directory } => commands::list(directory),
         SnapshotVerb::Verify { directory } => commands::verify(directory),
         SnapshotVerb::Show { directory } => commands::show(directory),
@@ -155,19 +159,21 @@
 
 fn rebuild_dry_run(settings: &Settings) -> ExitCode {
     let Some(recovery) = &settings.recovery else {
-        return bad_settings("recovery: not switched on by --operator FILE");
+        return fail_with_invalid_settings(
+            "recovery is not enabled: the file given by --operator has no `recovery` section",
+        );
     };
     let (directory, node) = (&recovery.directory, &settings.core.node);
-    status_of(commands::rebuild_dry_run(directory, &settings.state, node))
+    exit_code(commands::rebuild_dry_run(directory, &settings.state, node))
 }
 
 fn run(settings: Settings, directory: Option<Directory>) -> ExitCode {
     let recovery = match directory.map(Directory::lock).transpose() {
         Ok(directory) => directory.zip(settings.recovery.clone()),
-        Err(error) => return bad_settings(error),
+        Err(error) => return fail_with_invalid_settings(error),
     };
     let recovery = recovery.map(|(directory, settings)| Recovery { settings, directory });
-    // Differs between processes of one node, also when one follows the other at once.
+    // Differs between successive processes of a node, even if one starts right after the other.
     let seed = random::random_number();
     match node::run(settings, recovery, seed) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/quartzlever/src/node.rs
+++ b/crates/quartzlever/src/node.rs
@@ -1,8 +1,8 @@
-//! A node: the core's thread, the threads that carry out its effects, and the servers.
+//! A node: the core's thread, the threads that execute its effects, and the servers.
 //!
-//! Owns the order in which they start. Never takes part in what they do: `core_thread` has the core,
-//! `executors` the outside systems, `peer_server` the other controllers' connections, `pending` the
-//! askers, `startup` the time before the store may be worked with.
+//! This module only starts them, in order. `core_thread` runs the core, `executors` call the external
+//! systems, `peer_server` serves the other controllers, `pending` keeps the requests that wait for an
+//! answer, and `startup` covers the time before the store may be used.
 
 mod core_thread;
 mod executors;
@@ -19,19 +19,19 @@
 use crate::inbox::Inbox;
 use crate::log::ProgramEvent;
 use crate::recovery::{OwnLog, Recovery, StoreService};
-use crate::server::{Bounds, Port};
+use crate::server::{ConnectionLimits, Port};
 use crate::settings::Settings;
 use core_thread::CoreThread;
 use executors::Executors;
 
-/// Runs a controller until the process is ended.
+/// Runs a controller until the process is ended. Returns only with an error.
 pub fn run(settings: Settings, recovery: Option<Recovery>, seed: u64) -> io::Result<()> {
     let clock = Clock::new();
     let (inbox, incoming) = Inbox::new();
     let log = OwnLog::default();
     peer_server::serve(settings.internal, inbox.clone(), log.clone())?;
-    let bounds = Bounds::of(settings.limits);
-    let port = Port::take(settings.api, bounds, inbox.clone(), clock)?;
+    let limits = ConnectionLimits::for_machine(settings.limits);
+    let port = Port::bind(settings.api, limits, inbox.clone(), clock)?;
     ProgramEvent::ApiServed { node: &settings.core.node, address: port.address()? }.log();
     let (store, port) = match recovery {
         None => (StoreService::Direct(StoreClient::new(&settings.state)), Some(port)),
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -1,7 +1,7 @@
-//! The core's thread: the one owner of all state.
+//! The core's thread, the only owner of the scheduling state.
 //!
-//! Owns the core, and with it every decision. Takes commands in batches and hands out effects. Never
-//! waits for anything but commands: whatever may take long is left to an executor.
+//! It passes commands to the core in batches and executes the resulting effects. It never blocks except
+//! to wait for commands: anything that may take long is left to an executor.
 
 use std::io;
 use std::time::Duration;
@@ -12,51 +12,54 @@
 use super::executors::Executors;
 use super::pending::PendingReplies;
 use crate::clock::{Clock, wall};
-use crate::exit_status::UNKNOWN_VERSION;
-use crate::inbox::{InboxReceiver, Item, Reply, Waiter};
+use crate::exit_status::UNSUPPORTED_VERSION;
+use crate::inbox::{InboxReceiver, QueuedCommand, ReplyChannel, Requester};
 use crate::log::{ProgramEvent, log_event};
-use crate::responder::Status;
+use crate::responder::ResponseHead;
 use crate::server::Port;
 
-const TICK: Micros = 200_000;
-/// A loop that took longer than this did not listen meanwhile.
-const STALLED: Micros = 1_000_000;
-/// The log is told of longer ones: shorter ones come with a processor that is short.
-const STALL_LOGGED: Micros = 4_000_000;
-/// As long, and some of those who ask may have given up.
-const LATE: Micros = 400_000;
-/// Users and workers are served once the store has been read, or else after this time, to
-/// be told when to come back.
-const OPEN_AFTER: Micros = 5_000_000;
-/// How long the core's word that the node can take requests counts.
-const READY_FOR: Micros = 2_000_000;
-/// The largest batch of the first queue before users get their turn.
+const TICK_INTERVAL: Micros = 200_000;
+/// An iteration of the loop that took longer than this is a stall: no commands were received
+/// meanwhile.
+const STALL_THRESHOLD: Micros = 1_000_000;
+/// Stalls longer than this are logged; shorter ones are normal where CPU time is scarce.
+const LOGGED_STALL_THRESHOLD: Micros = 4_000_000;
+/// After an iteration longer than this, HTTP requests whose clients have closed the connection are
+/// dropped.
+const LATE_THRESHOLD: Micros = 400_000;
+/// The port is opened once the store has been read, or else after this time, so that users and
+/// workers are told when to retry.
+const MAX_OPEN_DELAY: Micros = 5_000_000;
+/// How long the node counts as ready after the core was last found ready.
+const READY_LIFETIME: Micros = 2_000_000;
+/// The largest batch of the priority queue before the users' queues are served.
 const PRIORITY_BATCH: usize = 64;
-const QUESTION_BATCH: usize = 64;
+const LOOKUP_BATCH: usize = 64;
 const SUBMISSION_BATCH: usize = 16;
 
-/// The core with its queues and executors. It runs on the process's first thread, and as long as that.
+/// The core with its queues and executors. It runs on the main thread, for as long as the process
+/// lives.
 pub struct CoreThread {
     core: Core,
     incoming: InboxReceiver,
     executors: Executors,
     pending: PendingReplies,
     clock: Clock,
-    /// Opened once the store has been read; none if it is open.
+    /// The bound port, opened once the store has been read; `None` if it is already open.
     port: Option<Port>,
-    /// When the port is opened at the latest.
+    /// The time at which the port is opened at the latest.
     open_at: Micros,
-    /// When the next tick is due.
+    /// The time at which the next tick is due.
     tick_at: Micros,
-    /// When commands were last taken.
-    last_taken: Micros,
-    /// Since the last tick commands had to wait.
+    /// The time at which commands were last taken from the queues.
+    last_batch_at: Micros,
+    /// Commands have had to wait since the last tick.
     behind: bool,
 }
 
 impl CoreThread {
-    /// A core that has taken no command yet. A port that is handed over is opened once the store
-    /// has been read.
+    /// Creates the loop for a core that has processed no command yet. A port that is passed in is
+    /// opened once the store has been read.
     pub fn new(
         core: Core,
         incoming: InboxReceiver,
@@ -72,24 +75,24 @@
             pending: PendingReplies::default(),
             clock,
             port,
-            open_at: now + OPEN_AFTER,
+            open_at: now + MAX_OPEN_DELAY,
             tick_at: now,
-            last_taken: now,
+            last_batch_at: now,
             behind: false,
         }
     }
 
-    /// Works until the process is ended.
+    /// Processes commands until the process is ended. Returns only with an error.
     pub fn run(mut self) -> io::Result<()> {
         loop {
             self.await_commands();
             let now = self.clock.now();
             let mut batch = self.take_commands(now);
-            self.pending.give_up(now);
-            self.note_stall(now);
-            self.last_taken = now;
+            self.pending.expire(now);
+            self.detect_stall(now);
+            self.last_batch_at = now;
             if now >= self.tick_at {
-                self.tick_at = now + TICK;
+                self.tick_at = now + TICK_INTERVAL;
                 let behind = std::mem::take(&mut self.behind);
                 batch.push(Command::Tick { wall: wall(), behind });
             }
@@ -97,45 +100,46 @@
                 continue;
             }
             for effect in self.core.step(now, batch) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
             self.publish(now);
             self.open_port(now)?;
         }
     }
 
-    /// Sleeps until a command comes or the tick is due.
+    /// Sleeps until a command arrives or the tick is due.
     fn await_commands(&self) {
         let now = self.clock.now();
         if now < self.tick_at {
-            // Whatever else comes brings the tick with it: woken for itself alone it costs more
-            // than it does, so it comes later if nothing is due.
-            let delay = if self.core.awaits_time() { 0 } else { TICK };
+            // A tick is processed along with any command that arrives. Waking up for a tick alone
+            // costs more than the tick itself, so it is delayed unless a placement is due.
+            let delay = if self.core.awaits_time() { 0 } else { TICK_INTERVAL };
             self.incoming.sleep(Duration::from_micros(self.tick_at + delay - now));
         }
     }
 
     fn take_commands(&mut self, now: Micros) -> Vec<Command> {
-        let CoreThread { incoming, pending, last_taken, .. } = self;
-        let late = now - *last_taken > LATE || incoming.priority.len() > PRIORITY_BATCH;
+        let CoreThread { incoming, pending, last_batch_at, .. } = self;
+        let late =
+            now - *last_batch_at > LATE_THRESHOLD || incoming.priority.len() > PRIORITY_BATCH;
         let priority = incoming.priority.try_iter().take(PRIORITY_BATCH);
-        let questions = incoming.questions.try_iter().take(QUESTION_BATCH);
+        let lookups = incoming.lookups.try_iter().take(LOOKUP_BATCH);
         let submissions = incoming.submissions.try_iter().take(SUBMISSION_BATCH);
-        let items = priority.chain(questions).chain(submissions);
-        items.filter_map(|item| take_command(item, now, late, pending)).collect()
+        let commands = priority.chain(lookups).chain(submissions);
+        commands.filter_map(|queued| take_command(queued, now, late, pending)).collect()
     }
 
-    fn note_stall(&mut self, now: Micros) {
-        let stall = now - self.last_taken;
-        if stall > STALL_LOGGED {
+    fn detect_stall(&mut self, now: Micros) {
+        let stall = now - self.last_batch_at;
+        if stall > LOGGED_STALL_THRESHOLD {
             ProgramEvent::ProcessStalled { duration: Duration::from_micros(stall) }.log();
         }
-        self.behind |= stall > STALLED || self.incoming.priority.len() > PRIORITY_BATCH;
+        self.behind |= stall > STALL_THRESHOLD || self.incoming.priority.len() > PRIORITY_BATCH;
     }
 
-    /// Tells connections what they may answer without the core.
+    /// Publishes the state from which connections answer some requests without the core.
     fn publish(&mut self, now: Micros) {
-        let ready_until = if self.core.is_ready() { now + READY_FOR } else { 0 };
+        let ready_until = if self.core.is_ready() { now + READY_LIFETIME } else { 0 };
         let rejected = self.incoming.publish(self.core.starting(), ready_until);
         self.core.count_rejected(rejected);
     }
@@ -149,20 +153,20 @@
         Ok(())
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         let CoreThread { executors, pending, clock, .. } = self;
         match effect {
             Effect::Answer { id, status, body, retry_after_s, until } => {
                 if until.is_some_and(|until| clock.now() >= until) {
-                    // The right to act has run out on the way here.
+                    // This node's authority to act has expired meanwhile.
                     pending.refuse_busy(id);
                 } else {
-                    pending.answer(id, &Status { status, retry_after_s }, &body);
+                    pending.answer(id, &ResponseHead { status, retry_after_s }, &body);
                 }
             }
             Effect::Terminate { reason } => {
                 ProgramEvent::ProcessEnded { reason: &reason }.log();
-                std::process::exit(i32::from(UNKNOWN_VERSION));
+                std::process::exit(i32::from(UNSUPPORTED_VERSION));
             }
             Effect::AnswerPeer { id, answer } => pending.answer_peer(id, answer),
             Effect::Store { call_id, call_priority, call } => {
@@ -181,24 +185,25 @@
     }
 }
 
-/// The command of an item; none if its asker has given up: what would be done for it comes too late.
+/// Returns the command to process and registers its requester for the answer. Returns `None` if the
+/// requester has given up or its deadline has passed, since the effects would come too late.
 fn take_command(
-    item: Item,
+    queued: QueuedCommand,
     now: Micros,
     late: bool,
     pending: &mut PendingReplies,
 ) -> Option<Command> {
-    let Item { command, waiter } = item;
-    let Some(Waiter { id, reply }) = waiter else { return Some(command) };
-    if let Reply::Http { responder, .. } = &reply {
+    let QueuedCommand { command, requester } = queued;
+    let Some(Requester { id, reply }) = requester else { return Some(command) };
+    if let ReplyChannel::Http { responder, .. } = &reply {
         responder.mark_taken();
     }
     match reply {
-        Reply::Http { responder, until } if until <= now => {
+        ReplyChannel::Http { responder, deadline } if deadline <= now => {
             pending.send_busy(responder);
             None
         }
-        Reply::Http { responder, .. } if late && responder.is_given_up() => None,
+        ReplyChannel::Http { responder, .. } if late && responder.is_closed_by_client() => None,
         reply => {
             pending.insert(id, reply);
             Some(command)
--- a/crates/quartzlever/src/node/executors.rs
+++ b/crates/quartzlever/src/node/executors.rs
@@ -1,9 +1,9 @@
-//! The threads that carry out effects: an executor for each outside system.
+//! The threads that execute effects: an executor for each external system.
 //!
-//! Owns the queues to these threads, their number, budgets and deadlines. Never decides what is to be
-//! done: that is the core's. Every result, also that of a call that was not made, goes to the inbox as a
-//! command. No thread of an executor is joined: each lives as long as the process, and while its system
-//! hangs it does too, which must not keep the process from ending.
+//! Each executor has a queue, a fixed number of threads and, where the system has a rate limit, a budget.
+//! The core decides which calls are made. The result of every call, also of one that was not made, goes
+//! to the inbox as a command. The threads are never joined: each lives as long as the process and blocks
+//! while its system hangs, which must not keep the process from exiting.
 
 mod cloud;
 mod limit;
@@ -24,7 +24,7 @@
 use store::StoreExecutor;
 use workers::WorkerExecutor;
 
-/// One executor for each outside system.
+/// The executors of all external systems.
 pub struct Executors {
     pub store: StoreExecutor,
     pub cloud: CloudExecutor,
@@ -33,14 +33,14 @@
 }
 
 impl Executors {
-    /// Starts all threads.
+    /// Starts the threads of all executors.
     pub fn start(
         settings: &Settings,
         client: &StoreService,
         inbox: &Inbox,
         clock: Clock,
     ) -> io::Result<Executors> {
-        // Until the core knows who shares the limits.
+        // An equal share, until the core knows which nodes share the limits.
         let share = NODES_SHARE / settings.core.nodes.len() as f64;
         let store_limit = SharedLimit::new(settings.core.store_rps, share);
         let cloud_limit = SharedLimit::new(settings.cloud_rps, share);
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Sets this node's share of what the store and the cloud allow to all.
+    /// Sets this node's share of the rate limits of the store and the cloud.
     pub fn set_share(&self, share: f64) {
         self.store.set_share(share);
         self.cloud.set_share(share);
--- a/crates/quartzlever/src/node/executors/cloud.rs
+++ b/crates/quartzlever/src/node/executors/cloud.rs
@@ -1,7 +1,7 @@
-//! Calls to the cloud.
+//! Calls to the cloud, within this node's share of the cloud's rate limit.
 //!
-//! Owns the threads of these calls, and this node's part of the cloud's requests. Never returns a machine
-//! after the right to do so has run out.
+//! Machines are never terminated after the deadline of the call, when this node's authority to do so has
+//! expired.
 
 use std::io;
 use std::time::Duration;
@@ -19,11 +19,11 @@
 
 const THREADS: usize = 2;
 /// How long a call waits for the budget.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Share of the budget that is left to others.
-const KEEP: f64 = 0.0;
+const BUDGET_TIMEOUT: Duration = Duration::from_secs(5);
+/// Share of the budget that calls must leave unused: none, as all of them are calls to the cloud.
+const RESERVE: f64 = 0.0;
 
-struct Job {
+struct QueuedCall {
     call_id: CallId,
     call: CloudCall,
     until: Micros,
@@ -31,7 +31,7 @@
 
 /// Makes calls to the cloud.
 pub struct CloudExecutor {
-    queue: Sender<Job>,
+    queue: Sender<QueuedCall>,
     limit: SharedLimit,
 }
 
@@ -46,7 +46,7 @@
         let (queue, receiver) = unbounded();
         for _ in 0..THREADS {
             let thread = CloudThread {
-                jobs: receiver.clone(),
+                calls: receiver.clone(),
                 client: CloudClient::new(address),
                 limit: limit.clone(),
                 inbox: inbox.clone(),
@@ -57,21 +57,21 @@
         Ok(CloudExecutor { queue, limit })
     }
 
-    /// Has a call made; the return of machines only before `until`.
+    /// Enqueues a call. A scale-in is made only before `until`.
     pub fn submit(&self, call_id: CallId, call: CloudCall, until: Micros) {
-        // A queue that is gone means that nobody wants the result.
-        let _ = self.queue.send(Job { call_id, call, until });
+        // Fails only if the executor's threads have ended, and then nobody awaits the result.
+        let _ = self.queue.send(QueuedCall { call_id, call, until });
     }
 
-    /// Sets this node's share of the cloud's requests.
+    /// Sets this node's share of the cloud's rate limit.
     pub fn set_share(&self, share: f64) {
         self.limit.set_share(share);
     }
 }
 
-/// A thread for calls to the cloud; lives as long as the process.
+/// A thread that makes calls to the cloud; lives as long as the process.
 struct CloudThread {
-    jobs: Receiver<Job>,
+    calls: Receiver<QueuedCall>,
     client: CloudClient,
     limit: SharedLimit,
     inbox: Inbox,
@@ -80,9 +80,9 @@
 
 impl CloudThread {
     fn run(self) {
-        for Job { call_id, call, until } in &self.jobs {
-            let allowed = self.limit.wait(KEEP, PATIENCE);
-            // Whoever holds the partition by then may have found the machines alive.
+        for QueuedCall { call_id, call, until } in &self.calls {
+            let allowed = self.limit.wait(RESERVE, BUDGET_TIMEOUT);
+            // A later leader of the partition may have received heartbeats from the machines.
             let late = matches!(call, CloudCall::ScaleIn(_)) && self.clock.now() >= until;
             let allowed = allowed && !late;
             let result = if allowed { self.client.call(&call) } else { Err(CallError::Refused) };
--- a/crates/quartzlever/src/node/executors/peers.rs
+++ b/crates/quartzlever/src/node/executors/peers.rs
@@ -1,6 +1,6 @@
 //! Calls to the other controllers.
 //!
-//! Owns the threads of these calls. Never calls a node that the settings do not name.
+//! Only nodes named in the settings are called.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,7 +19,7 @@
 
 const THREADS: usize = 3;
 
-struct Job {
+struct QueuedCall {
     call_id: CallId,
     node: String,
     request: PeerRequest,
@@ -27,7 +27,7 @@
 
 /// Makes calls to the other controllers.
 pub struct PeerExecutor {
-    queue: Sender<Job>,
+    queue: Sender<QueuedCall>,
 }
 
 impl PeerExecutor {
@@ -39,7 +39,7 @@
         let addresses: Arc<HashMap<String, SocketAddr>> = Arc::new(addresses.collect());
         for _ in 0..THREADS {
             let thread = PeerThread {
-                jobs: receiver.clone(),
+                calls: receiver.clone(),
                 client: client.clone(),
                 addresses: addresses.clone(),
                 inbox: inbox.clone(),
@@ -49,16 +49,16 @@
         Ok(PeerExecutor { queue })
     }
 
-    /// Has a node asked.
+    /// Enqueues a request to a node. A request to a node that the settings do not name is refused.
     pub fn submit(&self, call_id: CallId, node: String, request: PeerRequest) {
-        // A queue that is gone means that nobody wants the result.
-        let _ = self.queue.send(Job { call_id, node, request });
+        // Fails only if the executor's threads have ended, and then nobody awaits the result.
+        let _ = self.queue.send(QueuedCall { call_id, node, request });
     }
 }
 
-/// A thread for calls to other controllers; lives as long as the process.
+/// A thread that makes calls to other controllers; lives as long as the process.
 struct PeerThread {
-    jobs: Receiver<Job>,
+    calls: Receiver<QueuedCall>,
     client: Arc<PeerClient>,
     addresses: Arc<HashMap<String, SocketAddr>>,
     inbox: Inbox,
@@ -66,7 +66,7 @@
 
 impl PeerThread {
     fn run(self) {
-        for Job { call_id, node, request } in &self.jobs {
+        for QueuedCall { call_id, node, request } in &self.calls {
             let result = match self.addresses.get(&node) {
                 Some(address) => self.client.call(*address, &request),
                 None => Err(CallError::Refused),
--- a/crates/quartzlever/src/node/executors/store.rs
+++ b/crates/quartzlever/src/node/executors/store.rs
@@ -1,7 +1,7 @@
-//! Calls to the store, in a lane for each purpose.
+//! Calls to the store, in one lane for each priority, within this node's share of the store's rate limit.
 //!
-//! Owns the lanes, their threads, and this node's part of the store's requests. Never keeps account of
-//! changes: the core does, since it knows which are worth most.
+//! Only requests are limited here. The core limits the number of changes, since it knows which of them
+//! are the most important.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,51 +17,51 @@
 use crate::inbox::Inbox;
 use crate::recovery::StoreService;
 
-/// What a lane may use.
-struct LaneBounds {
+/// The threads of a lane and its use of the budget.
+struct LaneConfig {
     call_priority: CallPriority,
     threads: usize,
-    /// Share of the budget that is left to others.
-    keep: f64,
+    /// Share of the budget that is left to other lanes.
+    reserve: f64,
     /// How long a call waits for the budget.
     timeout: Duration,
 }
 
-const LANES: [LaneBounds; 4] = [
-    LaneBounds {
+const LANES: [LaneConfig; 4] = [
+    LaneConfig {
         call_priority: CallPriority::Lease,
         threads: 2,
-        keep: 0.0,
+        reserve: 0.0,
         timeout: Duration::from_millis(2000),
     },
-    LaneBounds {
+    LaneConfig {
         call_priority: CallPriority::Watch,
         threads: 2,
-        keep: 0.0,
+        reserve: 0.0,
         timeout: Duration::from_millis(2000),
     },
-    LaneBounds {
+    LaneConfig {
         call_priority: CallPriority::Work,
         threads: 4,
-        keep: 0.1,
+        reserve: 0.1,
         timeout: Duration::from_millis(1500),
     },
-    LaneBounds {
+    LaneConfig {
         call_priority: CallPriority::User,
         threads: 4,
-        keep: 0.25,
+        reserve: 0.25,
         timeout: Duration::from_millis(600),
     },
 ];
 
-struct Job {
+struct QueuedCall {
     call_id: CallId,
     call: StoreCall,
 }
 
 /// Makes calls to the store.
 pub struct StoreExecutor {
-    call_priorities: HashMap<CallPriority, Sender<Job>>,
+    queues: HashMap<CallPriority, Sender<QueuedCall>>,
     limit: SharedLimit,
 }
 
@@ -72,34 +72,34 @@
         limit: SharedLimit,
         inbox: &Inbox,
     ) -> io::Result<StoreExecutor> {
-        let mut call_priorities = HashMap::new();
-        for bounds in LANES {
+        let mut queues = HashMap::new();
+        for lane in LANES {
             let (sender, receiver) = unbounded();
-            for _ in 0..bounds.threads {
+            for _ in 0..lane.threads {
                 let thread = LaneThread {
-                    jobs: receiver.clone(),
+                    calls: receiver.clone(),
                     client: client.clone(),
                     limit: limit.clone(),
-                    keep: bounds.keep,
-                    timeout: bounds.timeout,
+                    reserve: lane.reserve,
+                    timeout: lane.timeout,
                     inbox: inbox.clone(),
                 };
                 spawn("state", move || thread.run())?;
             }
-            call_priorities.insert(bounds.call_priority, sender);
+            queues.insert(lane.call_priority, sender);
         }
-        Ok(StoreExecutor { call_priorities, limit })
+        Ok(StoreExecutor { queues, limit })
     }
 
-    /// Has a call made.
+    /// Enqueues a call in the lane of its priority.
     pub fn submit(&self, call_id: CallId, call_priority: CallPriority, call: StoreCall) {
-        if let Some(queue) = self.call_priorities.get(&call_priority) {
-            // A queue that is gone means that nobody wants the result.
-            let _ = queue.send(Job { call_id, call });
+        if let Some(queue) = self.queues.get(&call_priority) {
+            // Fails only if the executor's threads have ended, and then nobody awaits the result.
+            let _ = queue.send(QueuedCall { call_id, call });
         }
     }
 
-    /// Sets this node's share of the store's requests.
+    /// Sets this node's share of the store's rate limit.
     pub fn set_share(&self, share: f64) {
         self.limit.set_share(share);
     }
@@ -107,18 +107,18 @@
 
 /// A thread of a lane; lives as long as the process.
 struct LaneThread {
-    jobs: Receiver<Job>,
+    calls: Receiver<QueuedCall>,
     client: StoreService,
     limit: SharedLimit,
-    keep: f64,
+    reserve: f64,
     timeout: Duration,
     inbox: Inbox,
 }
 
 impl LaneThread {
     fn run(self) {
-        for Job { call_id, call } in &self.jobs {
-            let allowed = self.limit.wait(self.keep, self.timeout);
+        for QueuedCall { call_id, call } in &self.calls {
+            let allowed = self.limit.wait(self.reserve, self.timeout);
             let result = if allowed { self.client.call(&call) } else { Err(CallError::Refused) };
             self.inbox.deliver(Command::StoreReply { call_id, result });
         }
--- a/crates/quartzlever/src/node/executors/workers.rs
+++ b/crates/quartzlever/src/node/executors/workers.rs
@@ -1,6 +1,7 @@
 //! Calls to workers.
 //!
-//! Owns the threads of these calls. Never calls a worker after the right to command it has run out.
+//! A worker is never called after the deadline of the call, when this node's authority to command it has
+//! expired.
 
 use std::io;
 
@@ -14,10 +15,11 @@
 use crate::clock::Clock;
 use crate::inbox::Inbox;
 
-/// As many as the core has direct calls under way: hung machines must not block the others.
+/// As many as the core makes direct calls at a time, so that machines that hang do not block calls to
+/// others.
 const THREADS: usize = 32;
 
-struct Job {
+struct QueuedCall {
     call_id: CallId,
     address: String,
     call: WorkerCall,
@@ -26,7 +28,7 @@
 
 /// Makes calls to workers.
 pub struct WorkerExecutor {
-    queue: Sender<Job>,
+    queue: Sender<QueuedCall>,
 }
 
 impl WorkerExecutor {
@@ -36,7 +38,7 @@
         let client = WorkerClient::default();
         for _ in 0..THREADS {
             let thread = WorkerThread {
-                jobs: receiver.clone(),
+                calls: receiver.clone(),
                 client: client.clone(),
                 inbox: inbox.clone(),
                 clock,
@@ -46,16 +48,16 @@
         Ok(WorkerExecutor { queue })
     }
 
-    /// Has a call made, if its turn comes before `until`.
+    /// Enqueues a call, which is made only if a thread takes it before `until`.
     pub fn submit(&self, call_id: CallId, address: String, call: WorkerCall, until: Micros) {
-        // A queue that is gone means that nobody wants the result.
-        let _ = self.queue.send(Job { call_id, address, call, until });
+        // Fails only if the executor's threads have ended, and then nobody awaits the result.
+        let _ = self.queue.send(QueuedCall { call_id, address, call, until });
     }
 }
 
-/// A thread for calls to workers; lives as long as the process.
+/// A thread that makes calls to workers; lives as long as the process.
 struct WorkerThread {
-    jobs: Receiver<Job>,
+    calls: Receiver<QueuedCall>,
     client: WorkerClient,
     inbox: Inbox,
     clock: Clock,
@@ -63,8 +65,8 @@
 
 impl WorkerThread {
     fn run(self) {
-        for Job { call_id, address, call, until } in &self.jobs {
-            // The right to command may have run out while the call waited its turn.
+        for QueuedCall { call_id, address, call, until } in &self.calls {
+            // This node's authority may have expired while the call was queued.
             let allowed = self.clock.now() < until;
             let result =
                 if allowed { self.client.call(&address, &call) } else { Err(CallError::Refused) };
--- a/crates/quartzlever/src/node/peer_server.rs
+++ b/crates/quartzlever/src/node/peer_server.rs
@@ -1,7 +1,6 @@
-//! The server of the other controllers: a thread for each connection, each asking one thing at a time.
+//! The server for the other controllers: a thread for each connection, with one request at a time.
 //!
-//! Owns the bound on these connections and their time limits. Never answers by itself: what is asked goes
-//! to the core, and changes of others go to the log.
+//! Requests go to the core, except for logged changes of other controllers, which go to the recovery log.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,20 +11,20 @@
 
 use crate::inbox::Inbox;
 use crate::recovery::{self, OwnLog};
-use crate::thread_pool::{self, Accepted};
+use crate::thread_pool::{self, AcceptedConnection};
 
 const MAX_CONNECTIONS: usize = 32;
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long an answer of the core, and the writing of it, may take.
+/// How long the core may take to answer, and the socket to accept the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Serves peers from threads of its own, for as long as the process lives.
+/// Binds `address` and serves peers on threads of its own, for as long as the process lives.
 pub fn serve(address: SocketAddr, inbox: Inbox, log: OwnLog) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
     thread_pool::accept_loop("peers", listener, MAX_CONNECTIONS, move |accepted| {
-        let Accepted { mut stream, new } = accepted;
-        // Only users and workers have connections that count as new until the core has a request.
-        drop(new);
+        let AcceptedConnection { mut stream, new_connection } = accepted;
+        // Only connections of users and workers count as new until the core has taken a request.
+        drop(new_connection);
         if set_options(&stream).is_err() {
             return;
         }
@@ -47,7 +46,7 @@
     match request {
         PeerRequest::Logged(changes) => recovery::take_changes(log, changes),
         request => inbox
-            .ask_for_peer(ANSWER_TIMEOUT, |id| Command::PeerRequest { id, request })
+            .request_for_peer(ANSWER_TIMEOUT, |id| Command::PeerRequest { id, request })
             .unwrap_or(PeerAnswer::Nothing),
     }
 }
--- a/crates/quartzlever/src/node/startup.rs
+++ b/crates/quartzlever/src/node/startup.rs
@@ -1,20 +1,24 @@
-//! The time before the store may be worked with, where recovery is switched on.
+//! The time before the store may be used, where recovery is enabled.
 //!
-//! Owns the thread that opens the store, which is joined here. Never lets a request reach a core.
+//! A thread of its own opens the store and is joined here. Meanwhile every request is rejected.
 
 use std::io;
 use std::thread;
 use std::time::Duration;
 
-use crate::inbox::{InboxReceiver, Item, Reply, Waiter};
+use crate::inbox::{InboxReceiver, QueuedCommand, ReplyChannel, Requester};
 use crate::recovery::{self, OwnLog, Recovery, StoreService};
 use crate::responder::{BUSY, BUSY_BODY};
 use crate::settings::Settings;
 
-/// Askers are turned away at least this often.
-const CHECK_EVERY: Duration = Duration::from_millis(200);
+/// Waiting requests are rejected at least this often.
+const REJECT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Turns everybody away until the store may be worked with.
+/// Opens the store and rejects all requests until it may be used.
+///
+/// # Errors
+///
+/// Fails if the store cannot be opened, or if the thread that opens it panics or cannot be started.
 pub fn open_store(
     settings: &Settings,
     recovery: Recovery,
@@ -31,19 +35,19 @@
         let mut message = Vec::new();
         while !opening.is_finished() {
             incoming.publish(true, 0);
-            incoming.sleep(CHECK_EVERY);
+            incoming.sleep(REJECT_INTERVAL);
             reject_all(incoming, &mut message);
         }
-        opening.join().map_err(|_| io::Error::other("the recovery of lost state failed"))?
+        opening.join().map_err(|_| io::Error::other("the thread that opens the store panicked"))?
     })
 }
 
-/// Tells all that wait to come back; `message` is where answers are written.
+/// Answers all waiting HTTP requests with a 503; `message` is a buffer for the answer.
 fn reject_all(incoming: &InboxReceiver, message: &mut Vec<u8>) {
-    let all = incoming.priority.try_iter().chain(incoming.questions.try_iter());
-    for Item { waiter, .. } in all.chain(incoming.submissions.try_iter()) {
-        // A peer whose reply is dropped is told nothing.
-        if let Some(Waiter { reply: Reply::Http { responder, .. }, .. }) = waiter {
+    let all = incoming.priority.try_iter().chain(incoming.lookups.try_iter());
+    for QueuedCommand { requester, .. } in all.chain(incoming.submissions.try_iter()) {
+        // Dropping the sender of a peer's request makes its thread answer `PeerAnswer::Nothing`.
+        if let Some(Requester { reply: ReplyChannel::Http { responder, .. }, .. }) = requester {
             responder.mark_taken();
             responder.send(&BUSY, BUSY_BODY, message);
         }
--- a/crates/quartzlever/src/random.rs
+++ b/crates/quartzlever/src/random.rs
@@ -1,13 +1,11 @@
-//! Numbers that differ between processes and between calls.
-//!
-//! Owns how they are drawn. Never keeps a seed, and is no source of secrets.
+//! Random numbers that differ between processes and between calls. Not suitable for secrets.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 
 use crate::clock;
 
-/// A number that no other process, and no other call, draws.
+/// Returns a number that practically no other process or call returns.
 pub fn random_number() -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u64(clock::wall());
--- a/crates/quartzlever/src/server.rs
+++ b/crates/quartzlever/src/server.rs
@@ -1,16 +1,15 @@
-//! The HTTP server of users, workers and health checks.
+//! The HTTP server for users, workers and health checks.
 //!
-//! Owns the port and its threads: one that accepts, and one for each connection, all of them for as long
-//! as the process lives. Never decides anything about a job or a machine: the core does. Each step of a
-//! request has a module: `admission` (how many connections), `connection` (the order of the steps),
-//! `reader` and `request` (reading and parsing), `routing` (what it is about), `shedding` (what the core
-//! is spared), `dispatch` (the way to the core).
+//! One thread accepts connections for as long as the process lives, and one serves each connection. All
+//! decisions about jobs and machines are the core's. The modules follow the steps of a request:
+//! `admission` (limits on connections), `connection` (the order of the steps), `reader` and `request`
+//! (reading and parsing), `routing` (method and path), `shedding` (requests that are not passed to the
+//! core), `dispatch` (commands to the core).
 //!
-//! `tiny_http` was the wish. It keeps a thread for every open connection without any bound,
-//! has no time limit on a half-sent request and no way to close idle connections, and the
-//! sockets, which would allow all that, stay hidden in it. What stands here is its nearest kin:
-//! the same blocking threads, one for each connection, around the `httparse` parser, with a
-//! bound on connections and a deadline on everything.
+//! `tiny_http` is not used because it keeps a thread for every open connection without a limit, has no
+//! time limit for a partly sent request, cannot close idle connections, and hides the sockets, with which
+//! all of this could be done. This server follows the same model, a blocking thread for each connection,
+//! with the `httparse` parser, a limit on connections and a deadline on every step.
 
 mod admission;
 mod connection;
@@ -28,51 +27,51 @@
 use crate::clock::Clock;
 use crate::inbox::Inbox;
 use crate::thread_pool::accept_loop;
-use admission::Admission;
+use admission::AdmissionControl;
 use connection::Connection;
 
-pub use admission::Bounds;
+pub use admission::ConnectionLimits;
 
-/// How many connections the system keeps until they are accepted.
+/// How many connections the operating system queues until they are accepted.
 const BACKLOG: i32 = 128;
 
-/// A port that is taken but not served yet: whoever comes is refused by the system at no cost. All
-/// workers connect every second to a node that has just started, and turning them away one by one
-/// took it 14 s of what it needed to come to be of use.
+/// A port that is bound but not listening yet, so that the operating system refuses connections at no
+/// cost to the process. All workers connect every second to a node that has just started; rejecting
+/// them one by one added 14 s to its start.
 pub struct Port {
     socket: Socket,
-    bounds: Bounds,
+    limits: ConnectionLimits,
     inbox: Inbox,
     clock: Clock,
 }
 
 impl Port {
-    /// Takes the port of an address.
-    pub fn take(
+    /// Binds an address without listening on it.
+    pub fn bind(
         address: SocketAddr,
-        bounds: Bounds,
+        limits: ConnectionLimits,
         inbox: Inbox,
         clock: Clock,
     ) -> io::Result<Port> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.bind(&address.into())?;
-        Ok(Port { socket, bounds, inbox, clock })
+        Ok(Port { socket, limits, inbox, clock })
     }
 
-    /// The address with the port that was taken.
+    /// Returns the address that is bound, with the actual port.
     pub fn address(&self) -> io::Result<SocketAddr> {
         let address = self.socket.local_addr()?;
         address.as_socket().ok_or_else(|| io::ErrorKind::AddrNotAvailable.into())
     }
 
-    /// Serves the port from threads of its own, for as long as the process lives.
+    /// Listens and serves the port on threads of its own, for as long as the process lives.
     pub fn open(self) -> io::Result<()> {
-        let Port { socket, bounds, inbox, clock } = self;
+        let Port { socket, limits, inbox, clock } = self;
         socket.listen(BACKLOG)?;
-        let admission = Admission::new(bounds);
-        accept_loop("http", socket.into(), bounds.all, move |accepted| {
-            // An error has ended the connection, and nobody else is concerned.
+        let admission = AdmissionControl::new(limits);
+        accept_loop("http", socket.into(), limits.total, move |accepted| {
+            // An error ends only this connection.
             let _ = Connection::new(accepted, &admission, &inbox, clock).run();
         })
     }
--- a/crates/quartzlever/src/server/admission/tests.rs
+++ b/crates/quartzlever/src/server/admission/tests.rs
@@ -1,11 +1,11 @@
-//! Bounds follow from the machine's limits.
+//! Tests the limits on connections that follow from the machine's limits.
 
 use super::*;
 
 #[test]
-fn users_find_room_beside_all_workers() {
-    // (sockets, threads, memory, connections in all, least that workers leave to users)
-    for (sockets, threads, memory_mb, all, users) in [
+fn workers_always_leave_connections_to_users() {
+    // (sockets, threads, memory, all connections, connections that workers leave at least to users)
+    for (sockets, threads, memory_mb, total, users) in [
         (2500, 2000, 200.0, 1880, 280),
         (2500, 2000, 85.0, 1699, 250),
         (2500, 1000, 136.0, 880, 130),
@@ -13,9 +13,9 @@
         (64, 2000, 16.0, 51, 7),
         (2500, 50, 200.0, 16, 2),
     ] {
-        let bounds = Bounds::of(Limits { sockets, threads, memory_mb });
-        assert_eq!(bounds.all, all, "{sockets} {threads} {memory_mb}");
-        assert!(bounds.all - bounds.workers >= users, "{sockets} {memory_mb}: {bounds:?}");
-        assert!(bounds.kept < bounds.workers, "{sockets} {memory_mb}: {bounds:?}");
+        let limits = ConnectionLimits::for_machine(Limits { sockets, threads, memory_mb });
+        assert_eq!(limits.total, total, "{sockets} {threads} {memory_mb}");
+        assert!(limits.total - limits.workers >= users, "{sockets} {memory_mb}: {limits:?}");
+        assert!(limits.keep_alive < limits.workers, "{sockets} {memory_mb}: {limits:?}");
     }
 }
--- a/crates/quartzlever/src/server/connection.rs
+++ b/crates/quartzlever/src/server/connection.rs
@@ -1,25 +1,26 @@
-//! A connection of a user or a worker, from its first request to its end.
+//! An HTTP connection, from its first request to its end.
 //!
-//! Owns the order of what happens to a request. Runs on a thread of the connection's own, and never
-//! touches the core but through the inbox.
+//! Defines the order of the steps of a request. Runs on the connection's own thread, and reaches the core
+//! only through the inbox.
 
 use std::io;
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-use super::admission::{Admission, Admitted, ConnectionSlot};
+use super::admission::{AdmissionControl, ConnectionSlot, WorkerAdmission};
 use super::dispatch::Dispatcher;
 use super::reader::{ReadError, Request, RequestReader};
 use super::routing::Route;
-use super::shedding::is_read_too_late;
+use super::shedding::is_abandoned;
 use crate::clock::Clock;
 use crate::inbox::Inbox;
 use crate::responder::ClientSocket;
-use crate::thread_pool::Accepted;
+use crate::thread_pool::AcceptedConnection;
 
-/// A connection that is served.
+/// An open HTTP connection.
 pub struct Connection<'a> {
-    /// The first field, so that a connection is counted no more when the other side sees its end.
+    /// Must be the first field: it is dropped before the socket, so that the connection is no longer
+    /// counted when the client sees it closed.
     slot: ConnectionSlot<'a>,
     socket: Arc<ClientSocket>,
     reader: RequestReader<'a>,
@@ -27,21 +28,21 @@
 }
 
 impl<'a> Connection<'a> {
-    /// A connection that was accepted just now.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new(
-        accepted: Accepted,
-        admission: &'a Admission,
+        accepted: AcceptedConnection,
+        admission: &'a AdmissionControl,
         inbox: &'a Inbox,
         clock: Clock,
     ) -> Self {
-        let slot = admission.open();
+        let slot = admission.open_slot();
         let socket = Arc::new(ClientSocket::new(accepted));
         let reader = RequestReader::new(socket.clone(), admission);
         let dispatcher = Dispatcher { socket: socket.clone(), inbox, clock };
         Connection { slot, socket, reader, dispatcher }
     }
 
-    /// Serves the connection until it ends. An error ends it too.
+    /// Serves the connection until it ends. An error ends it as well.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             let request = match self.reader.next_request() {
@@ -58,24 +59,24 @@
         }
     }
 
-    /// Answers a request, or leaves it to the core.
+    /// Answers a request, or passes it to the core.
     fn serve(&mut self, request: Request) -> io::Result<ControlFlow<()>> {
         if self.socket.awaits_answer() {
-            // Nobody sends a second request before the answer to the first.
+            // Clients must not send a request before the answer to the previous one.
             return Ok(ControlFlow::Break(()));
         }
-        if is_read_too_late(&self.socket, self.reader.has_more(&request)) {
+        if is_abandoned(&self.socket, self.reader.has_trailing_bytes(&request)) {
             return Ok(ControlFlow::Break(()));
         }
         let admitted = match request.route {
-            Route::Hello => self.slot.admit_worker(),
-            _ => Admitted::Kept,
+            Route::Heartbeat => self.slot.admit_worker(),
+            _ => WorkerAdmission::KeepAlive,
         };
-        if admitted == Admitted::Refused {
+        if admitted == WorkerAdmission::Refused {
             self.socket.refuse_busy(true)?;
             return Ok(ControlFlow::Break(()));
         }
-        let close = request.close || admitted == Admitted::Once;
+        let close = request.close || admitted == WorkerAdmission::SingleRequest;
         let body = self.reader.body(&request);
         let body_bytes = body.len();
         self.dispatcher.dispatch(request.route, body, close)?;
--- a/crates/quartzlever/src/server/reader.rs
+++ b/crates/quartzlever/src/server/reader.rs
@@ -1,6 +1,4 @@
-//! Requests as they are read from a connection.
-//!
-//! Owns the buffer of a connection and the time limits of reading. Never writes an answer.
+//! Reads requests from a connection, within time limits.
 
 use std::io::{self, Read, Write};
 use std::sync::Arc;
@@ -8,36 +6,37 @@
 
 use quartzlever_wire::MAX_BODY;
 
-use super::admission::Admission;
-use super::request::{Malformed, RequestHead, parse_head};
+use super::admission::AdmissionControl;
+use super::request::{MalformedRequest, RequestHead, parse_head};
 use super::routing::Route;
 use crate::responder::ClientSocket;
 
 /// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// When connections run short an idle one is closed after this time, before others are refused.
-const IDLE_SLICE: Duration = Duration::from_secs(10);
-/// A request that has begun must be there in full within this time.
+/// When nearly all allowed connections are open, idle ones are closed after this time, before new ones
+/// are refused.
+const NEARLY_FULL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// A request must be complete within this time from its first bytes.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// What is read at once, in bytes; most requests are shorter.
+/// Bytes read at once; most requests are shorter.
 const READ_BYTES: usize = 1024;
-/// A buffer of more bytes is not kept from one request to the next.
-const MAX_KEPT_BYTES: usize = 4 * READ_BYTES;
-/// The most bytes of a body that is too long that are read past.
+/// A larger buffer is freed after its request.
+const MAX_IDLE_BUFFER_BYTES: usize = 4 * READ_BYTES;
+/// Most bytes of an overlong body that are read and discarded.
 const MAX_SKIPPED_BYTES: usize = 4 << 20;
 
 const BODY_TOO_LONG: Route = Route::Refused { status: 400, reason: "body too long" };
 
-/// Why there is no further request.
+/// The reason why no further request could be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     #[error(transparent)]
-    Malformed(#[from] Malformed),
+    Malformed(#[from] MalformedRequest),
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A request that is there in full. Its body is the first part of the buffer.
+/// A complete request. Its body is at the beginning of the reader's buffer.
 #[derive(Debug)]
 pub struct Request {
     pub route: Route,
@@ -49,19 +48,20 @@
 /// Reads the requests of a connection, one after the other.
 pub struct RequestReader<'a> {
     socket: Arc<ClientSocket>,
-    admission: &'a Admission,
+    admission: &'a AdmissionControl,
     buffer: Vec<u8>,
-    /// The time limit that the socket has at present.
+    /// The read timeout that is set on the socket.
     read_timeout: Option<Duration>,
 }
 
 impl<'a> RequestReader<'a> {
-    /// Nothing is read yet.
-    pub fn new(socket: Arc<ClientSocket>, admission: &'a Admission) -> RequestReader<'a> {
+    /// Creates a reader with an empty buffer.
+    pub fn new(socket: Arc<ClientSocket>, admission: &'a AdmissionControl) -> RequestReader<'a> {
         RequestReader { socket, admission, buffer: Vec::new(), read_timeout: None }
     }
 
-    /// Waits for the next request; none if the connection has ended, or was idle for too long.
+    /// Waits for the next request. Returns `None` if the connection has ended or was idle for too
+    /// long.
     pub fn next_request(&mut self) -> Result<Option<Request>, ReadError> {
         if self.buffer.is_empty() && !self.await_request()? {
             return Ok(None);
@@ -80,39 +80,39 @@
             return Ok(Some(Request { route, close: true, body_bytes: 0 }));
         }
         while self.buffer.len() < content_length {
-            self.read_part(deadline)?;
+            self.read_more(deadline)?;
         }
         Ok(Some(Request { route, close, body_bytes: content_length }))
     }
 
-    /// The body of the request that was read last.
+    /// Returns the body of the request that was read last.
     pub fn body(&self, request: &Request) -> &[u8] {
         &self.buffer[..request.body_bytes]
     }
 
-    /// Whether something was received behind the request.
-    pub fn has_more(&self, request: &Request) -> bool {
+    /// Reports whether bytes were received after the request.
+    pub fn has_trailing_bytes(&self, request: &Request) -> bool {
         self.buffer.len() > request.body_bytes
     }
 
-    /// Makes room for the next request.
+    /// Removes the body of the last request from the buffer.
     pub fn discard(&mut self, body_bytes: usize) {
         self.buffer.drain(..body_bytes);
-        if self.buffer.capacity() > MAX_KEPT_BYTES && self.buffer.is_empty() {
+        if self.buffer.capacity() > MAX_IDLE_BUFFER_BYTES && self.buffer.is_empty() {
             self.buffer = Vec::new();
         }
     }
 
-    /// Waits for the first bytes of a request; `false` if none come.
+    /// Waits for the first bytes of a request; returns `false` if none arrive.
     fn await_request(&mut self) -> io::Result<bool> {
         let mut waited = Duration::ZERO;
         loop {
-            match self.read_some(IDLE_SLICE) {
+            match self.read_some(NEARLY_FULL_IDLE_TIMEOUT) {
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) =>
                 {
-                    waited += IDLE_SLICE;
-                    if self.admission.is_short() || waited >= IDLE_TIMEOUT {
+                    waited += NEARLY_FULL_IDLE_TIMEOUT;
+                    if self.admission.is_nearly_full() || waited >= IDLE_TIMEOUT {
                         return Ok(false);
                     }
                 }
@@ -125,18 +125,19 @@
         loop {
             match parse_head(&self.buffer)? {
                 Some(head) => return Ok(head),
-                None => self.read_part(deadline)?,
+                None => self.read_more(deadline)?,
             }
         }
     }
 
-    /// Reads past a body that is too long, within reason, so that the answer is not lost with a reset.
+    /// Reads and discards a body that is too long, up to a limit. Closing the connection with unread
+    /// bytes would reset it, and the client would lose the answer.
     fn skip_body(&mut self, content_length: usize, deadline: Instant) -> io::Result<()> {
         let mut left = content_length.min(MAX_SKIPPED_BYTES);
         left -= self.buffer.len().min(left);
         self.buffer.clear();
         while left > 0 {
-            let count = self.read_before(deadline)?;
+            let count = self.read_until(deadline)?;
             if count == 0 {
                 break;
             }
@@ -146,15 +147,16 @@
         Ok(())
     }
 
-    /// Reads another partition of a request that must not end yet.
-    fn read_part(&mut self, deadline: Instant) -> io::Result<()> {
-        if self.read_before(deadline)? == 0 {
+    /// Reads more of a request; fails if the connection ends.
+    fn read_more(&mut self, deadline: Instant) -> io::Result<()> {
+        if self.read_until(deadline)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         Ok(())
     }
 
-    fn read_before(&mut self, deadline: Instant) -> io::Result<usize> {
+    /// Reads some bytes; fails with [`io::ErrorKind::TimedOut`] once `deadline` has passed.
+    fn read_until(&mut self, deadline: Instant) -> io::Result<usize> {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
--- a/crates/quartzlever/src/server/request/tests.rs
+++ b/crates/quartzlever/src/server/request/tests.rs
@@ -1,13 +1,13 @@
-//! What a head says, and what is no head.
+//! Tests the parsing of request heads.
 
 use super::*;
 
-fn parse(head: &str) -> Result<Option<RequestHead>, Malformed> {
+fn parse(head: &str) -> Result<Option<RequestHead>, MalformedRequest> {
     parse_head(head.as_bytes())
 }
 
 #[test]
-fn a_head_says_how_the_request_goes_on() {
+fn a_head_gives_the_route_the_body_length_and_the_connection_options() {
     for (text, close, content_length, expects_continue) in [
         ("GET /ready HTTP/1.1\r\n\r\n", false, 0, false),
         ("GET /ready HTTP/1.0\r\n\r\n", true, 0, false),
@@ -15,8 +15,8 @@
         ("GET /ready HTTP/1.1\r\nCONNECTION:  Close \r\n\r\n", true, 0, false),
         ("GET /ready HTTP/1.1\r\nContent-Length: 7\r\nExpect: x\r\n\r\n1234567", false, 7, true),
     ] {
-        let head = parse(text).expect("a request").expect("in full");
-        let head_bytes = text.find("\r\n\r\n").expect("an end") + 4;
+        let head = parse(text).expect("a valid request").expect("a complete head");
+        let head_bytes = text.find("\r\n\r\n").expect("an empty line") + 4;
         let route = Route::Ready;
         let expected = RequestHead { route, close, content_length, expects_continue, head_bytes };
         assert_eq!(head, expected, "{text}");
@@ -24,22 +24,22 @@
 }
 
 #[test]
-fn a_head_that_has_no_end_yet_is_waited_for_within_bounds() {
+fn an_incomplete_head_is_awaited_up_to_the_size_limit() {
     assert_eq!(parse(""), Ok(None));
     let begin = "GET /ready HTTP/1.1\r\nA: ".to_owned();
     let longest = begin.clone() + &"x".repeat(MAX_HEAD_BYTES - begin.len());
     assert_eq!(parse(&longest), Ok(None));
-    assert_eq!(parse(&(longest + "x")), Err(Malformed));
+    assert_eq!(parse(&(longest + "x")), Err(MalformedRequest));
 }
 
 #[test]
-fn what_is_not_understood_is_malformed() {
+fn invalid_and_unsupported_requests_are_malformed() {
     for text in [
         "nonsense\r\n\r\n",
         "POST /hello HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
         "POST /hello HTTP/1.1\r\nContent-Length: x\r\n\r\n",
         "POST /hello HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
     ] {
-        assert_eq!(parse(text), Err(Malformed), "{text}");
+        assert_eq!(parse(text), Err(MalformedRequest), "{text}");
     }
 }
--- a/crates/quartzlever/src/server/routing.rs
+++ b/crates/quartzlever/src/server/routing.rs
@@ -1,26 +1,22 @@
-//! What a request is about, by its method and its path.
-//!
-//! Owns the paths of the interface to users, workers and health checks. Never reads a body.
+//! Routes the requests of users, workers and health checks by method and path.
 
 use quartzlever_wire::users::valid_id;
 
-/// What a request is about.
+/// The operation that a request asks for.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Route {
     /// A health check.
     Ready,
-    /// A worker's report.
-    Hello,
+    /// A worker's heartbeat.
+    Heartbeat,
+    /// Submits a job.
     Submit,
-    /// About the job of this name.
+    /// Looks up the job with this reference.
     Lookup(String),
-    /// Of the job of this name.
+    /// Cancels the job with this reference.
     Cancel(String),
-    /// Refused at once.
-    Refused {
-        status: u16,
-        reason: &'static str,
-    },
+    /// Not a valid operation; answered with this error at once.
+    Refused { status: u16, reason: &'static str },
 }
 
 const NO_SUCH_PATH: Route = Route::Refused { status: 404, reason: "no such path" };
@@ -28,32 +24,32 @@
 const UNKNOWN_JOB: Route = Route::Refused { status: 404, reason: "unknown job" };
 
 impl Route {
-    /// The route of a request line.
-    pub fn of(method: &str, target: &str) -> Route {
+    /// Returns the route of a method and a target, whose query is ignored.
+    pub fn parse(method: &str, target: &str) -> Route {
         let path = target.split('?').next().unwrap_or("").trim_start_matches('/');
         let (route, allowed) = match path.strip_prefix("v2/runs") {
             Some("") => (Route::Submit, "POST"),
-            Some(rest) => match Route::of_job(rest) {
+            Some(rest) => match Route::parse_job_path(rest) {
                 Some(Route::Lookup(job)) => (Route::Lookup(job), "GET"),
                 Some(route) => (route, "POST"),
                 None => return NO_SUCH_PATH,
             },
             None if path == "ready" => (Route::Ready, "GET"),
-            None if path == "hello" => (Route::Hello, "POST"),
+            None if path == "hello" => (Route::Heartbeat, "POST"),
             None => return NO_SUCH_PATH,
         };
         if method != allowed {
             return METHOD_NOT_ALLOWED;
         }
         match route {
-            // No job was ever accepted under a name that is none.
+            // No job can have been accepted under an invalid reference.
             Route::Lookup(job) | Route::Cancel(job) if !valid_id(&job) => UNKNOWN_JOB,
             route => route,
         }
     }
 
-    /// The route of what follows the path of all jobs.
-    fn of_job(rest: &str) -> Option<Route> {
+    /// Returns the route of the path below `/v2/runs`, or `None` if there is no such path.
+    fn parse_job_path(rest: &str) -> Option<Route> {
         let job_path = rest.strip_prefix('/')?;
         match job_path.split_once('/') {
             None if job_path.is_empty() => None,
--- a/crates/quartzlever/src/server/routing/tests.rs
+++ b/crates/quartzlever/src/server/routing/tests.rs
@@ -1,4 +1,4 @@
-//! Each path has one method, and what is wrong is told.
+//! Tests the routes and the errors for wrong methods and paths.
 
 use super::*;
 
@@ -8,7 +8,7 @@
     for (method, target, route) in [
         ("GET", "/ready", Route::Ready),
         ("GET", "/ready?now", Route::Ready),
-        ("POST", "//hello", Route::Hello),
+        ("POST", "//hello", Route::Heartbeat),
         ("POST", "/v2/runs", Route::Submit),
         ("POST", "/v2/runs?x=/y", Route::Submit),
         ("GET", "/v2/runs/req-1", Route::Lookup(job())),
@@ -31,6 +31,6 @@
         ("GET", "/v2", NO_SUCH_PATH),
         ("GET", "", NO_SUCH_PATH),
     ] {
-        assert_eq!(Route::of(method, target), route, "{method} {target}");
+        assert_eq!(Route::parse(method, target), route, "{method} {target}");
     }
 }
--- a/crates/quartzlever/src/thread_pool.rs
+++ b/crates/quartzlever/src/thread_pool.rs
@@ -1,10 +1,9 @@
-//! Connections that are accepted, and the threads that serve one after the other.
+//! Accepts connections and serves them on a pool of threads.
 //!
-//! While all workers look for a node that is entitled, each makes a connection a second for one
-//! answer. A thread started for each cost more than all the rest, so a thread that is done waits
-//! a while for the next connection. It waits by parking: a channel's receiver would spin first.
-//!
-//! Owns the threads that accept and serve, and the bounds on both. Never reads from a connection.
+//! While all workers look for the leader of their partition, each makes a connection per second for a
+//! single answer. Starting a thread for each of them costs more than everything else, so a thread that
+//! has finished waits some time for another connection. It parks, since the receiver of a channel would
+//! spin first.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -13,67 +12,67 @@
 use std::thread::{self, Thread};
 use std::time::{Duration, Instant};
 
-/// The stack of a thread that serves connections.
+/// Stack size of a thread that serves connections.
 pub const STACK_BYTES: usize = 128 * 1024;
-/// How long a thread without a connection stays.
+/// How long a thread waits for its next connection before it ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a connection that could not be accepted.
+/// Pause after a failed accept, and longest wait between checks of the number of new connections.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// So many connections may be new, their first request not with the core yet; others wait to be
-/// accepted. Behind hundreds of threads that were ready to run, each with a connection that a
-/// worker had given up already, a renewed lease came too late to be of use.
-const MAX_NEW: usize = 32;
+/// Most connections that may be new, which means that the core has not taken their first request yet.
+/// Further ones wait to be accepted. Without this limit, hundreds of runnable threads, whose workers
+/// had already closed their connections, delayed the renewal of a lease until it had expired.
+const MAX_NEW_CONNECTIONS: usize = 32;
 
-/// How many connections are new.
+/// The number of connections that are new.
 #[derive(Debug)]
 struct NewConnections {
     count: AtomicUsize,
-    /// Accepts connections, when there are not too many.
+    /// The accepting thread, which waits while there are too many.
     acceptor: Thread,
 }
 
-/// A connection that is new for as long as this lives.
+/// Counts a connection as new until it is dropped.
 #[derive(Debug)]
-pub struct NewConnection(Arc<NewConnections>);
+pub struct NewConnectionGuard(Arc<NewConnections>);
 
-impl Drop for NewConnection {
+impl Drop for NewConnectionGuard {
     fn drop(&mut self) {
-        if self.0.count.fetch_sub(1, Ordering::AcqRel) >= MAX_NEW {
+        if self.0.count.fetch_sub(1, Ordering::AcqRel) >= MAX_NEW_CONNECTIONS {
             self.0.acceptor.unpark();
         }
     }
 }
 
 impl NewConnections {
-    /// Another new connection, once there may be one.
-    fn wait(self: &Arc<Self>) -> NewConnection {
-        while self.count.load(Ordering::Acquire) >= MAX_NEW {
+    /// Waits until another new connection is allowed, and counts it.
+    fn acquire(self: &Arc<Self>) -> NewConnectionGuard {
+        while self.count.load(Ordering::Acquire) >= MAX_NEW_CONNECTIONS {
             thread::park_timeout(ACCEPT_PAUSE);
         }
         self.count.fetch_add(1, Ordering::AcqRel);
-        NewConnection(self.clone())
+        NewConnectionGuard(self.clone())
     }
 }
 
-/// A connection that was accepted just now.
+/// A connection that has just been accepted.
 #[derive(Debug)]
-pub struct Accepted {
+pub struct AcceptedConnection {
     pub stream: TcpStream,
-    pub new: NewConnection,
+    pub new_connection: NewConnectionGuard,
 }
 
-/// A thread without a connection, and the place for its next one.
+/// A thread without a connection, and the slot for its next one.
 struct IdleThread {
     thread: Thread,
-    next: Mutex<Option<Accepted>>,
+    next_connection: Mutex<Option<AcceptedConnection>>,
 }
 
 struct ThreadPool<H> {
     handle: H,
-    /// Connections that are served.
+    /// Number of connections that are being served.
     open: AtomicUsize,
-    /// Threads without one; the last to come is the first to go on.
+    /// Threads without a connection; the last one to become idle is the first to be reused.
     idle: Mutex<Vec<Arc<IdleThread>>>,
 }
 
@@ -81,14 +80,14 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Accepts connections on a thread of its own, at most `most` at a time; more are closed at once. That
-/// thread lives as long as the process; those that serve end when they have long been idle, and nobody
-/// joins them.
+/// Accepts connections on a thread of its own and serves at most `max_connections` at a time; further
+/// ones are closed at once. The accepting thread lives as long as the process; the serving threads end
+/// after [`IDLE_TIMEOUT`] without a connection. None of them is joined.
 pub fn accept_loop(
     name: &str,
     listener: TcpListener,
-    most: usize,
-    handle: impl Fn(Accepted) + Send + Sync + 'static,
+    max_connections: usize,
+    handle: impl Fn(AcceptedConnection) + Send + Sync + 'static,
 ) -> io::Result<()> {
     let thread_pool =
         Arc::new(ThreadPool { handle, open: AtomicUsize::new(0), idle: Mutex::default() });
@@ -98,15 +97,15 @@
             let acceptor = thread::current();
             let new_connections = Arc::new(NewConnections { count: AtomicUsize::new(0), acceptor });
             loop {
-                let new = new_connections.wait();
+                let new_connection = new_connections.acquire();
                 let Ok((stream, _)) = listener.accept() else {
-                    // No free sockets, or a connection that was given up.
+                    // There is no free socket, or the client has closed the connection.
                     thread::sleep(ACCEPT_PAUSE);
                     continue;
                 };
-                let accepted = Accepted { stream, new };
-                if thread_pool.open.fetch_add(1, Ordering::Relaxed) >= most
-                    || !thread_pool.clone().give(&thread_name, accepted)
+                let accepted = AcceptedConnection { stream, new_connection };
+                if thread_pool.open.fetch_add(1, Ordering::Relaxed) >= max_connections
+                    || !thread_pool.clone().assign(&thread_name, accepted)
                 {
                     thread_pool.open.fetch_sub(1, Ordering::Relaxed);
                 }
@@ -116,13 +115,13 @@
     Ok(())
 }
 
-impl<H: Fn(Accepted) + Send + Sync + 'static> ThreadPool<H> {
-    /// Has a connection served by a thread that is there, or else by a new one; `false` if there
-    /// can be none.
-    fn give(self: Arc<Self>, thread_name: &str, accepted: Accepted) -> bool {
+impl<H: Fn(AcceptedConnection) + Send + Sync + 'static> ThreadPool<H> {
+    /// Serves a connection on an idle thread, or else on a new one. Returns `false` if no thread can
+    /// be started.
+    fn assign(self: Arc<Self>, thread_name: &str, accepted: AcceptedConnection) -> bool {
         let idle_thread = lock(&self.idle).pop();
         if let Some(idle_thread) = idle_thread {
-            *lock(&idle_thread.next) = Some(accepted);
+            *lock(&idle_thread.next_connection) = Some(accepted);
             idle_thread.thread.unpark();
             return true;
         }
@@ -130,24 +129,25 @@
         thread.spawn(move || self.serve(accepted)).is_ok()
     }
 
-    fn serve(&self, mut accepted: Accepted) {
-        let own = Arc::new(IdleThread { thread: thread::current(), next: Mutex::new(None) });
+    fn serve(&self, mut accepted: AcceptedConnection) {
+        let this_thread =
+            Arc::new(IdleThread { thread: thread::current(), next_connection: Mutex::new(None) });
         loop {
             (self.handle)(accepted);
             self.open.fetch_sub(1, Ordering::Relaxed);
-            lock(&self.idle).push(own.clone());
-            match self.next(&own) {
+            lock(&self.idle).push(this_thread.clone());
+            match self.next_connection(&this_thread) {
                 Some(next) => accepted = next,
                 None => return,
             }
         }
     }
 
-    /// The next connection for a thread, if one comes in time.
-    fn next(&self, own: &Arc<IdleThread>) -> Option<Accepted> {
+    /// Returns the next connection for an idle thread, or `None` after [`IDLE_TIMEOUT`].
+    fn next_connection(&self, this_thread: &Arc<IdleThread>) -> Option<AcceptedConnection> {
         let end = Instant::now() + IDLE_TIMEOUT;
         loop {
-            if let Some(accepted) = lock(&own.next).take() {
+            if let Some(accepted) = lock(&this_thread.next_connection).take() {
                 return Some(accepted);
             }
             let left = end.saturating_duration_since(Instant::now());
@@ -156,12 +156,12 @@
                 continue;
             }
             let mut idle = lock(&self.idle);
-            match idle.iter().position(|idle_thread| Arc::ptr_eq(idle_thread, own)) {
+            match idle.iter().position(|idle_thread| Arc::ptr_eq(idle_thread, this_thread)) {
                 Some(at) => {
                     idle.remove(at);
                     return None;
                 }
-                // It was chosen just now, and the connection is on its way.
+                // The thread was just taken from the list, and its connection is about to be set.
                 None => drop(idle),
             }
             thread::yield_now();
