--- a/crates/quartzlever/src/log.rs
+++ b/crates/quartzlever/src/log.rs
@@ -42,7 +42,7 @@
     RecoveryMarkNotRemoved,
     /// Durations of the writes to the recovery log since the start.
     RecoveryLogWrites { times: WriteTimes },
-    /// All inherited final states have been written after a rebuild.
+    /// All final states that a rebuild left to be written later have been written.
     FinalStatesWritten,
 }
 
--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -160,7 +160,7 @@
 fn rebuild_dry_run(settings: &Settings) -> ExitCode {
     let Some(recovery) = &settings.recovery else {
         return fail_with_invalid_settings(
-            "recovery is not enabled: the file given by --operator has no `recovery` section",
+            "recovery is not enabled: it needs a `recovery` section in the file given by --operator",
         );
     };
     let (directory, node) = (&recovery.directory, &settings.core.node);
--- a/crates/quartzlever/src/node/executors/cloud.rs
+++ b/crates/quartzlever/src/node/executors/cloud.rs
@@ -59,7 +59,7 @@
 
     /// Enqueues a call. A scale-in is made only before `until`.
     pub fn submit(&self, call_id: CallId, call: CloudCall, until: Micros) {
-        // Fails only if the executor's threads have ended, and then nobody awaits the result.
+        // Fails only if the executor's threads have ended, and then the result is not needed.
         let _ = self.queue.send(QueuedCall { call_id, call, until });
     }
 
--- a/crates/quartzlever/src/node/executors/peers.rs
+++ b/crates/quartzlever/src/node/executors/peers.rs
@@ -51,7 +51,7 @@
 
     /// Enqueues a request to a node. A request to a node that the settings do not name is refused.
     pub fn submit(&self, call_id: CallId, node: String, request: PeerRequest) {
-        // Fails only if the executor's threads have ended, and then nobody awaits the result.
+        // Fails only if the executor's threads have ended, and then the result is not needed.
         let _ = self.queue.send(QueuedCall { call_id, node, request });
     }
 }
--- a/crates/quartzlever/src/node/executors/store.rs
+++ b/crates/quartzlever/src/node/executors/store.rs
@@ -94,7 +94,7 @@
     /// Enqueues a call in the lane of its priority.
     pub fn submit(&self, call_id: CallId, call_priority: CallPriority, call: StoreCall) {
         if let Some(queue) = self.queues.get(&call_priority) {
-            // Fails only if the executor's threads have ended, and then nobody awaits the result.
+            // Fails only if the executor's threads have ended, and then the result is not needed.
             let _ = queue.send(QueuedCall { call_id, call });
         }
     }
--- a/crates/quartzlever/src/node/executors/workers.rs
+++ b/crates/quartzlever/src/node/executors/workers.rs
@@ -50,7 +50,7 @@
 
     /// Enqueues a call, which is made only if a thread takes it before `until`.
     pub fn submit(&self, call_id: CallId, address: String, call: WorkerCall, until: Micros) {
-        // Fails only if the executor's threads have ended, and then nobody awaits the result.
+        // Fails only if the executor's threads have ended, and then the result is not needed.
         let _ = self.queue.send(QueuedCall { call_id, address, call, until });
     }
 }
