--- a/crates/quartzlever-core/tests/simulation/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -68,7 +68,7 @@
 
 /// The services that are left are cancelled, so that a world comes to its end.
 pub fn retire(w: &mut Simulation, ids: &[String]) {
-    w.calm();
+    w.clear_faults();
     for id in ids {
         w.cancel_until_confirmed(0, id);
     }
@@ -113,7 +113,7 @@
     pause: Micros,
     troubles: impl Fn(&mut Simulation, &[String]),
 ) {
-    let (_, leader) = w.busiest();
+    let (_, leader) = w.busiest_partition();
     w.refused_by_store.insert(leader);
     w.run(pause);
     for id in &ids[..3] {
@@ -135,25 +135,25 @@
     for (name, zone) in zones {
         for n in 0..NODES.len() {
             if (n == node) != (zone == "a") {
-                w.cut.insert((n, name.clone()));
+                w.severed_links.insert((n, name.clone()));
             }
         }
     }
     w.refused_by_store.insert(node);
-    w.apart.insert(node);
+    w.isolated_from_peers.insert(node);
 }
 
 /// After the troubles: what must hold however a world went.
 pub fn mark_healthy(w: &mut Simulation, name: &str) {
-    w.calm();
+    w.clear_faults();
     let calm = w.now;
     w.run_time = 3 * SECOND;
     w.workers.values_mut().for_each(|worker| worker.run_time = 3 * SECOND);
-    w.run_for(90 * SECOND);
-    if w.has_room() {
+    w.run_with_lookups(90 * SECOND);
+    if w.has_free_capacity() {
         assert!(w.rules.waiting().is_empty(), "{name}: {:?} wait", w.rules.waiting());
     }
-    w.run_for(60 * SECOND);
+    w.run_with_lookups(60 * SECOND);
     let now = w.now;
     w.rules.unanswered(now, calm + 75 * SECOND);
     w.check_liveness(calm);
@@ -161,7 +161,7 @@
     for id in w.rules.accepted() {
         let told = w.rules.cancelled(&id).is_some();
         let expected = if told { JobPhase::Cancelled } else { JobPhase::Done };
-        let over = w.over(&id);
+        let over = w.final_phase(&id);
         // A cancellation that was asked for may have come into force without its answer.
         assert!(
             over == Some(expected)
@@ -172,24 +172,24 @@
 }
 
 pub fn add(sum: &mut Counts, one: Counts) {
-    sum.leaders += one.leaders;
-    sum.refused_alone += one.refused_alone;
-    sum.refused_all += one.refused_all;
+    sum.acquisitions += one.acquisitions;
+    sum.refused_one_node += one.refused_one_node;
+    sum.refused_all_nodes += one.refused_all_nodes;
     sum.without_authority += one.without_authority;
-    sum.late_in_force += one.late_in_force;
+    sum.late_committed += one.late_committed;
     sum.late_conflicts += one.late_conflicts;
-    sum.unanswered += one.unanswered;
-    sum.copies += one.copies;
-    sum.copies_for_next += one.copies_for_next;
-    sum.mute += one.mute;
-    sum.deaf += one.deaf;
-    sum.held += one.held;
+    sum.unanswered_txns += one.unanswered_txns;
+    sum.heartbeat_copies += one.heartbeat_copies;
+    sum.copies_for_next_leader += one.copies_for_next_leader;
+    sum.lost_heartbeats += one.lost_heartbeats;
+    sum.lost_replies += one.lost_replies;
+    sum.delayed_commands += one.delayed_commands;
     sum.delayed_executed += one.delayed_executed;
     sum.delayed_refused += one.delayed_refused;
-    sum.leases_lost += one.leases_lost;
+    sum.expired_leases += one.expired_leases;
     sum.answers += one.answers;
-    sum.unread += one.unread;
-    sum.never_booted += one.never_booted;
+    sum.unread_heartbeats += one.unread_heartbeats;
+    sum.failed_boots += one.failed_boots;
 }
 
 /// Plays each combination with a few seeds.
--- a/crates/quartzlever-core/tests/simulation/fault_combinations.rs
+++ b/crates/quartzlever-core/tests/simulation/fault_combinations.rs
@@ -13,9 +13,9 @@
         tune: long_holds,
         bring_about: |w| refused_alone_then_all(w, SECOND, |_, _| {}),
         came: |c, j| {
-            c.refused_alone > 10
+            c.refused_one_node > 10
                 && c.without_authority > 50
-                && c.leases_lost > 4
+                && c.expired_leases > 4
                 && j.cancellations >= 12
         },
     },
@@ -23,7 +23,7 @@
         name: "so it is, while peers do not reach each other and machines hang and go on",
         tune: long_holds,
         bring_about: |w| {
-            w.apart.extend(0..NODES.len());
+            w.isolated_from_peers.extend(0..NODES.len());
             refused_alone_then_all(w, SECOND / 10, |w, ids| {
                 let machines = w.machines_of(&ids[0]);
                 hang(w, &machines, true);
@@ -32,9 +32,9 @@
             });
         },
         came: |c, j| {
-            c.refused_alone > 4
+            c.refused_one_node > 4
                 && c.without_authority > 50
-                && c.leases_lost > 4
+                && c.expired_leases > 4
                 && j.cancellations >= 12
         },
     },
@@ -42,11 +42,11 @@
         name: "jobs are cancelled as the holder is refused; a second later the store is away, slow after",
         tune: usual,
         bring_about: |w| {
-            w.slow = SECOND / 2;
+            w.store_latency = SECOND / 2;
             refused_alone_then_all(w, 0, |_, _| {});
             w.run(5 * SECOND);
         },
-        came: |c, j| c.refused_alone > 5 && c.refused_all > 20 && j.cancellations >= 4,
+        came: |c, j| c.refused_one_node > 5 && c.refused_all_nodes > 20 && j.cancellations >= 4,
     },
     FaultCombination {
         name: "the store is back, and the old holder finds lost tasks of cancelled jobs",
@@ -57,8 +57,8 @@
         },
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, leader) = w.busiest();
-            w.apart.extend(0..NODES.len());
+            let (_, leader) = w.busiest_partition();
+            w.isolated_from_peers.extend(0..NODES.len());
             w.refused_by_store.insert(leader);
             w.run(2 * SECOND);
             for id in &ids[..3] {
@@ -71,7 +71,7 @@
             w.cloud_down = true;
             w.run(16 * SECOND);
             hang(w, &all, false);
-            (w.cloud_down, w.watch_lag) = (false, 3 * SECOND);
+            (w.cloud_down, w.watch_latency) = (false, 3 * SECOND);
             let now = w.now;
             w.store.end_outage(now);
             w.run(2 * SECOND);
@@ -79,8 +79,8 @@
             w.run(5 * SECOND);
         },
         came: |c, j| {
-            c.refused_alone > 20
-                && c.leases_lost > 3
+            c.refused_one_node > 20
+                && c.expired_leases > 3
                 && j.cancellations >= 8
                 && j.starts_after_cancel == 0
         },
@@ -90,25 +90,25 @@
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            w.mute.extend(all_machines(w));
+            w.silent_machines.extend(all_machines(w));
             w.run(2 * SECOND);
             w.cancel_until_confirmed(0, &ids[0]);
             w.restart(1, SECOND);
             w.run(7 * SECOND);
-            w.mute.clear();
+            w.silent_machines.clear();
             w.run(4 * SECOND);
-            w.mute.extend(all_machines(w));
+            w.silent_machines.extend(all_machines(w));
             w.cancel_until_confirmed(1, &ids[1]);
             w.run(16 * SECOND);
         },
-        came: |c, j| c.mute > 50 && j.cancellations >= 6,
+        came: |c, j| c.lost_heartbeats > 50 && j.cancellations >= 6,
     },
     FaultCombination {
         name: "jobs are cancelled in the seconds in which work changes hands",
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.kill(leader);
             for id in &ids {
                 w.run(3 * SECOND / 2);
@@ -117,7 +117,7 @@
             w.start(leader);
             w.run(4 * SECOND);
         },
-        came: |c, j| c.leaders > 12 && j.cancellations >= 12,
+        came: |c, j| c.acquisitions > 12 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "all controllers are away for longer than a lease",
@@ -133,7 +133,7 @@
             }
             w.cancel_until_confirmed(0, &ids[0]);
         },
-        came: |c, _| c.leases_lost > 4,
+        came: |c, _| c.expired_leases > 4,
     },
     FaultCombination {
         name: "jobs of two or three tasks end far apart across a change of holder",
@@ -145,14 +145,14 @@
             let late: Vec<String> = all_machines(w).into_iter().step_by(2).collect();
             hang(w, &late, true);
             w.run(2 * SECOND);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, SECOND / 2);
             w.run(5 * SECOND);
             hang(w, &late, false);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, 8 * SECOND);
         },
-        came: |c, _| c.leaders > 16,
+        came: |c, _| c.acquisitions > 16,
     },
     FaultCombination {
         name: "a cancellation, a question and a repeated submission meet the end of the last task",
@@ -166,12 +166,12 @@
                 let id = job(k, 1).id;
                 let tenths = 30 + 6 * u64::from(k);
                 w.run(tenths * SECOND / 10);
-                w.look_closely(&id);
+                w.query_all_nodes(&id);
                 w.cancel(k as usize % 3, &id);
-                w.look_closely(&id);
+                w.query_all_nodes(&id);
                 for _ in 0..10 {
                     w.run(SECOND / 10);
-                    w.look_closely(&id);
+                    w.query_all_nodes(&id);
                 }
             }
         },
@@ -181,30 +181,30 @@
         name: "new machines get work at once while writes lag, and the holder ends",
         tune: usual,
         bring_about: |w| {
-            w.boot = SECOND / 2;
-            w.fault_rates.late_writes = 40;
+            w.boot_time = SECOND / 2;
+            w.fault_rates.late_txns = 40;
             w.run_time = 20 * SECOND;
             submit(w, 0, 8, |_, s| s.tasks = 6);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, 3 * SECOND);
             w.run(3 * SECOND);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, SECOND / 5);
             w.run(12 * SECOND);
         },
-        came: |c, _| c.late_in_force > 3 && c.late_conflicts > 10 && c.leaders > 14,
+        came: |c, _| c.late_committed > 3 && c.late_conflicts > 10 && c.acquisitions > 14,
     },
     FaultCombination {
         name: "the holder ends while machines with long tasks cannot be reached, or hear nothing",
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (partition, leader) = w.busiest();
+            let (partition, leader) = w.busiest_partition();
             let all = all_machines(w);
             for n in 0..NODES.len() {
-                w.cut.extend(all.iter().take(2).map(|m| (n, m.clone())));
+                w.severed_links.extend(all.iter().take(2).map(|m| (n, m.clone())));
             }
-            w.deaf.extend(all.iter().skip(2).take(2).cloned());
+            w.unreachable_machines.extend(all.iter().skip(2).take(2).cloned());
             w.cancel_until_confirmed(other(leader), &ids[0]);
             w.kill(leader);
             w.run(9 * SECOND);
@@ -212,11 +212,11 @@
             w.run(3 * SECOND);
             w.start(leader);
             w.run(6 * SECOND);
-            w.cut.clear();
+            w.severed_links.clear();
             w.run(4 * SECOND);
             assert!(w.leader(&partition).is_some(), "somebody has taken over");
         },
-        came: |c, j| c.deaf > 20 && c.leaders > 14 && j.cancellations >= 8,
+        came: |c, j| c.lost_replies > 20 && c.acquisitions > 14 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "commands and their answers are held up for seconds, and machines go on",
@@ -225,7 +225,7 @@
             w.run_time = 15 * SECOND;
             submit(w, 90, 3, |_, _| {});
             w.run(5 * SECOND);
-            w.fault_rates = FaultRates { late: 45, ..FaultRates::default() };
+            w.fault_rates = FaultRates { late_calls: 45, ..FaultRates::default() };
             let ids = submit(w, 0, 6, |_, s| {
                 s.priority = Priority::Urgent;
                 s.due_s = Some(5.0);
@@ -249,7 +249,7 @@
             w.run_time = 40 * SECOND;
             submit(w, 90, 3, |_, _| {});
             w.run(6 * SECOND);
-            w.held = 24 * SECOND;
+            w.command_delay = 24 * SECOND;
             for k in 0..14 {
                 submit(w, k, 1, |_, s| {
                     s.priority = Priority::Urgent;
@@ -259,33 +259,33 @@
             }
             w.run(26 * SECOND);
         },
-        came: |c, j| c.held > 20 && c.delayed_executed > 4 && j.cancellations >= 50,
+        came: |c, j| c.delayed_commands > 20 && c.delayed_executed > 4 && j.cancellations >= 50,
     },
     FaultCombination {
         name: "transactions without an answer are carried out after newer ones",
         tune: usual,
         bring_about: |w| {
-            w.fault_rates.late_writes = 50;
+            w.fault_rates.late_txns = 50;
             w.run_time = 3 * SECOND;
             for k in 0..8 {
                 submit(w, k, 1, |_, _| {});
                 w.run(2 * SECOND);
                 let id = job(k, 1).id;
-                w.look_closely(&id);
+                w.query_all_nodes(&id);
                 if k % 3 == 0 {
                     w.cancel_until_confirmed(k as usize % 3, &id);
-                    w.look_closely(&id);
+                    w.query_all_nodes(&id);
                 }
             }
             w.run(15 * SECOND);
         },
-        came: |c, j| c.late_in_force > 5 && c.late_conflicts > 50 && j.cancellations >= 8,
+        came: |c, j| c.late_committed > 5 && c.late_conflicts > 50 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "transactions are carried out and only their answers lost, while others read",
         tune: usual,
         bring_about: |w| {
-            w.fault_rates.unanswered = 40;
+            w.fault_rates.unanswered_txns = 40;
             w.run_time = 2 * SECOND;
             for k in 0..10 {
                 let mut spec = job(k, 3);
@@ -293,21 +293,21 @@
                 let n = k as usize % 3;
                 w.submit(n, spec.clone());
                 w.run(SECOND / 10);
-                w.look_closely(&spec.id);
+                w.query_all_nodes(&spec.id);
                 w.submit_until_accepted(other(n), &spec);
                 w.run(SECOND);
                 if k % 2 == 0 {
                     w.cancel(n, &spec.id);
                     w.run(SECOND / 10);
-                    w.look_closely(&spec.id);
+                    w.query_all_nodes(&spec.id);
                     w.cancel_until_confirmed(other(n), &spec.id);
-                    w.look_closely(&spec.id);
+                    w.query_all_nodes(&spec.id);
                 }
                 w.run(2 * SECOND);
             }
             w.run(5 * SECOND);
         },
-        came: |c, j| c.unanswered > 40 && j.cancellations >= 10,
+        came: |c, j| c.unanswered_txns > 40 && j.cancellations >= 10,
     },
     FaultCombination {
         name: "one-task jobs come four a second, a quarter of them cancelled",
@@ -321,10 +321,10 @@
                 if k >= 4 && k % 4 == 0 {
                     let id = job(k - 4, 1).id;
                     w.cancel(w.now as usize % 3, &id);
-                    w.look_closely(&id);
+                    w.query_all_nodes(&id);
                 }
                 if k == 80 {
-                    let (_, leader) = w.busiest();
+                    let (_, leader) = w.busiest_partition();
                     w.restart(leader, SECOND / 2);
                 }
             }
@@ -350,14 +350,14 @@
             w.start(2);
             w.run(4 * SECOND);
         },
-        came: |c, _| c.leaders > 24,
+        came: |c, _| c.acquisitions > 24,
     },
     FaultCombination {
         name: "a zone with workers and a controller is cut off for longer than a lease",
         tune: long_holds,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             cut_zone(w, leader);
             w.run(SECOND);
             for id in &ids[..2] {
@@ -365,7 +365,7 @@
             }
             w.run(20 * SECOND);
         },
-        came: |c, j| c.refused_alone > 20 && c.leases_lost > 2 && j.cancellations >= 6,
+        came: |c, j| c.refused_one_node > 20 && c.expired_leases > 2 && j.cancellations >= 6,
     },
     FaultCombination {
         name: "jobs bound to one zone lose machines",
@@ -382,37 +382,43 @@
                 let all = all_machines(w);
                 hang(w, &all[..2.min(all.len())], true);
                 if round == 1 {
-                    let (_, leader) = w.busiest();
+                    let (_, leader) = w.busiest_partition();
                     w.restart(leader, 2 * SECOND);
                 }
                 w.run(14 * SECOND);
             }
         },
-        came: |c, _| c.leaders > 14,
+        came: |c, _| c.acquisitions > 14,
     },
     FaultCombination {
         name: "old reports reach every controller as a new holder begins",
         tune: usual,
         bring_about: |w| {
-            w.fault_rates = FaultRates { for_next: 40, copies: 15, ..FaultRates::default() };
+            w.fault_rates = FaultRates {
+                copies_for_next_leader: 40,
+                heartbeat_copies: 15,
+                ..FaultRates::default()
+            };
             w.run_time = 20 * SECOND;
             let ids = submit(w, 0, 6, |_, _| {});
             for (k, id) in ids.iter().enumerate().take(3) {
                 w.run(5 * SECOND);
                 w.cancel_until_confirmed(other(k), id);
-                let (_, leader) = w.busiest();
+                let (_, leader) = w.busiest_partition();
                 let away = if k == 1 { 9 * SECOND } else { SECOND / 2 };
                 w.restart(leader, away);
             }
             w.run(10 * SECOND);
         },
-        came: |c, j| c.copies_for_next > 40 && c.copies > 100 && j.cancellations >= 8,
+        came: |c, j| {
+            c.copies_for_next_leader > 40 && c.heartbeat_copies > 100 && j.cancellations >= 8
+        },
     },
     FaultCombination {
         name: "late copies of reports come from earlier sessions and attempts",
         tune: usual,
         bring_about: |w| {
-            w.fault_rates = FaultRates { copies: 40, ..FaultRates::default() };
+            w.fault_rates = FaultRates { heartbeat_copies: 40, ..FaultRates::default() };
             let ids = long_tasks(w);
             let all = all_machines(w);
             hang(w, &all[..2], true);
@@ -420,21 +426,21 @@
             w.run(14 * SECOND);
             hang(w, &all, false);
             w.run(8 * SECOND);
-            w.deaf.extend(all.iter().take(3).cloned());
+            w.unreachable_machines.extend(all.iter().take(3).cloned());
             w.cancel_until_confirmed(1, &ids[1]);
             w.run(14 * SECOND);
-            w.deaf.clear();
+            w.unreachable_machines.clear();
             w.run(20 * SECOND);
         },
-        came: |c, j| c.copies > 200 && c.leases_lost > 2 && j.cancellations >= 6,
+        came: |c, j| c.heartbeat_copies > 200 && c.expired_leases > 2 && j.cancellations >= 6,
     },
     FaultCombination {
         name: "there is more work than room, urgent and not, over slow links",
         tune: usual,
         bring_about: |w| {
-            w.slow = SECOND;
+            w.store_latency = SECOND;
             w.run_time = 3 * SECOND;
-            w.fault_rates = FaultRates { lost: 3, late: 3, ..FaultRates::default() };
+            w.fault_rates = FaultRates { lost_answers: 3, late_calls: 3, ..FaultRates::default() };
             submit(w, 0, 10, |k, s| {
                 s.tasks = 8;
                 s.priority = if k % 3 == 0 { Priority::Urgent } else { Priority::Standard };
@@ -460,21 +466,21 @@
                 let machines = w.machines_of(id);
                 if round == 1 {
                     for n in 0..NODES.len() {
-                        w.cut.extend(machines.iter().map(|m| (n, m.clone())));
+                        w.severed_links.extend(machines.iter().map(|m| (n, m.clone())));
                     }
                 } else {
                     hang(w, &machines, true);
                 }
                 w.cancel_until_confirmed(round, id);
-                let (_, leader) = w.busiest();
+                let (_, leader) = w.busiest_partition();
                 w.restart(leader, if round == 2 { SECOND / 5 } else { 8 * SECOND });
                 w.run(4 * SECOND);
-                w.cut.clear();
+                w.severed_links.clear();
                 hang(w, &machines, false);
                 w.run(10 * SECOND);
             }
         },
-        came: |c, j| c.leaders > 16 && j.cancellations >= 8,
+        came: |c, j| c.acquisitions > 16 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "a team is at its limit as the holder changes, and machines cannot be asked",
@@ -487,11 +493,11 @@
             });
             w.run(5 * SECOND);
             let all = all_machines(w);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.kill(leader);
             w.cloud_down = true;
             for n in 0..NODES.len() {
-                w.cut.extend(all.iter().map(|m| (n, m.clone())));
+                w.severed_links.extend(all.iter().map(|m| (n, m.clone())));
             }
             w.run(6 * SECOND);
             let running: Vec<String> =
@@ -501,41 +507,46 @@
             }
             w.start(leader);
             w.run(4 * SECOND);
-            w.cut.clear();
+            w.severed_links.clear();
             w.cloud_down = false;
         },
-        came: |c, j| c.leaders > 14 && j.cancellations >= 4,
+        came: |c, j| c.acquisitions > 14 && j.cancellations >= 4,
     },
     FaultCombination {
         name: "a holder has only its workers and users left, and jobs end through the new one",
         tune: long_holds,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.refused_by_store.insert(leader);
-            w.apart.insert(leader);
+            w.isolated_from_peers.insert(leader);
             for id in &ids[..3] {
                 w.run(2 * SECOND);
                 w.cancel_until_confirmed(other(leader), id);
-                w.look_closely(id);
+                w.query_all_nodes(id);
             }
             w.run(20 * SECOND);
         },
-        came: |c, j| c.refused_alone > 30 && c.without_authority > 10 && j.cancellations >= 8,
+        came: |c, j| c.refused_one_node > 30 && c.without_authority > 10 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "holders change ten times in two minutes, also inside an outage",
         tune: usual,
         bring_about: |w| {
             w.run_time = 8 * SECOND;
-            w.fault_rates = FaultRates { lost: 2, late: 2, copies: 10, ..FaultRates::default() };
+            w.fault_rates = FaultRates {
+                lost_answers: 2,
+                late_calls: 2,
+                heartbeat_copies: 10,
+                ..FaultRates::default()
+            };
             for k in 0..10_u32 {
                 submit(w, 2 * k, 2, |_, s| s.tasks = 3);
                 let id = job(2 * k, 1).id;
                 if k == 4 || k == 7 {
                     w.store.outage = true;
                 }
-                let (_, leader) = w.busiest();
+                let (_, leader) = w.busiest_partition();
                 w.restart(leader, if k % 2 == 0 { SECOND / 2 } else { 7 * SECOND });
                 if k == 4 || k == 7 {
                     outage(w, 4 * SECOND);
@@ -543,17 +554,17 @@
                 if k % 3 == 0 {
                     w.cancel_until_confirmed(other(leader), &id);
                 }
-                w.run_for(4 * SECOND);
+                w.run_with_lookups(4 * SECOND);
             }
         },
-        came: |c, j| c.leaders > 40 && c.refused_all > 20 && j.cancellations >= 10,
+        came: |c, j| c.acquisitions > 40 && c.refused_all_nodes > 20 && j.cancellations >= 10,
     },
     FaultCombination {
         name: "services are cancelled as their holder is refused alone, then the store goes",
         tune: long_holds,
         bring_about: |w| {
             let ids = services(w, "free");
-            w.apart.extend(0..NODES.len());
+            w.isolated_from_peers.extend(0..NODES.len());
             cancelled_in_refusal(w, &ids, SECOND, |w, ids| {
                 let machines = w.machines_of(&ids[0]);
                 hang(w, &machines, true);
@@ -562,17 +573,21 @@
             });
             retire(w, &ids);
         },
-        came: |c, j| c.refused_alone > 4 && c.without_authority > 20 && j.cancellations >= 12,
+        came: |c, j| c.refused_one_node > 4 && c.without_authority > 20 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "services are cancelled while their work changes hands and old reports come back",
         tune: usual,
         bring_about: |w| {
             let ids = services(w, "free");
-            w.fault_rates = FaultRates { for_next: 30, copies: 15, ..FaultRates::default() };
+            w.fault_rates = FaultRates {
+                copies_for_next_leader: 30,
+                heartbeat_copies: 15,
+                ..FaultRates::default()
+            };
             for (k, id) in ids.iter().enumerate().take(3) {
                 w.run(2 * SECOND);
-                let (_, leader) = w.busiest();
+                let (_, leader) = w.busiest_partition();
                 w.kill(leader);
                 w.cancel_until_confirmed(other(leader), id);
                 w.run(if k == 1 { 8 * SECOND } else { SECOND / 5 });
@@ -581,7 +596,7 @@
             }
             retire(w, &ids);
         },
-        came: |c, j| c.copies_for_next > 20 && c.leaders > 16 && j.cancellations >= 12,
+        came: |c, j| c.copies_for_next_leader > 20 && c.acquisitions > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "services fill a team's limit, are cancelled on machines that hang, and the holder ends",
@@ -595,7 +610,7 @@
                 let machines = w.machines_of(id);
                 hang(w, &machines, true);
                 w.cancel_until_confirmed(round, id);
-                let (_, leader) = w.busiest();
+                let (_, leader) = w.busiest_partition();
                 w.restart(leader, if round == 1 { SECOND / 5 } else { 8 * SECOND });
                 w.run(6 * SECOND);
                 hang(w, &machines, false);
@@ -603,23 +618,23 @@
             }
             retire(w, &ids);
         },
-        came: |c, j| c.leaders > 16 && j.cancellations >= 12,
+        came: |c, j| c.acquisitions > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "services are cancelled on machines that hear nothing, or reach nobody",
         tune: usual,
         bring_about: |w| {
             let ids = services(w, "free");
-            w.deaf.extend(w.machines_of(&ids[0]));
+            w.unreachable_machines.extend(w.machines_of(&ids[0]));
             w.cancel_until_confirmed(0, &ids[0]);
             w.run(15 * SECOND);
-            w.deaf.clear();
-            w.mute.extend(w.machines_of(&ids[1]));
+            w.unreachable_machines.clear();
+            w.silent_machines.extend(w.machines_of(&ids[1]));
             w.cancel_until_confirmed(1, &ids[1]);
             w.run(15 * SECOND);
             retire(w, &ids);
         },
-        came: |c, j| c.deaf > 10 && c.mute > 10 && j.cancellations >= 12,
+        came: |c, j| c.lost_replies > 10 && c.lost_heartbeats > 10 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "users ask at all nodes at once after each acceptance, end and cancellation",
@@ -630,13 +645,13 @@
                 let spec = job(k, 2);
                 let n = k as usize % 3;
                 w.submit_until_accepted(n, &spec);
-                w.look_closely(&spec.id);
+                w.query_all_nodes(&spec.id);
                 if k % 3 == 0 {
                     w.cancel(other(n), &spec.id);
                 }
                 for step in 0..40 {
                     w.run(SECOND / 10);
-                    w.look_closely(&spec.id);
+                    w.query_all_nodes(&spec.id);
                     if k % 3 == 1 && step == 18 {
                         w.cancel_until_confirmed(other(n), &spec.id);
                     }
@@ -651,8 +666,8 @@
 pub fn any_trouble(w: &mut Simulation) {
     let machines = all_machines(w);
     let some: Vec<String> = machines.into_iter().filter(|_| w.chance(40)).collect();
-    let node = w.pick(NODES.len());
-    match w.pick(14) {
+    let node = w.random_below(NODES.len());
+    match w.random_below(14) {
         0 => w.restart(node, SECOND / 5),
         1 => w.restart(node, 7 * SECOND),
         2 => outage(w, 6 * SECOND),
@@ -666,23 +681,26 @@
         4 => {
             w.refused_by_store.insert(node);
             if w.chance(50) {
-                w.apart.insert(node);
+                w.isolated_from_peers.insert(node);
             }
         }
         5 => {
             hang(w, &some, true);
         }
-        6 => w.mute.extend(some),
-        7 => w.deaf.extend(some),
+        6 => w.silent_machines.extend(some),
+        7 => w.unreachable_machines.extend(some),
         8 => {
             for n in 0..NODES.len() {
-                w.cut.extend(some.iter().map(|m| (n, m.clone())));
+                w.severed_links.extend(some.iter().map(|m| (n, m.clone())));
             }
         }
-        9 => w.fault_rates.late_writes = 50,
-        10 => w.fault_rates.unanswered = 50,
-        11 => w.fault_rates = FaultRates { copies: 25, for_next: 25, ..w.fault_rates },
-        12 => w.slow = SECOND / 2,
+        9 => w.fault_rates.late_txns = 50,
+        10 => w.fault_rates.unanswered_txns = 50,
+        11 => {
+            w.fault_rates =
+                FaultRates { heartbeat_copies: 25, copies_for_next_leader: 25, ..w.fault_rates }
+        }
+        12 => w.store_latency = SECOND / 2,
         _ => w.cloud_down = true,
     }
 }
@@ -703,41 +721,48 @@
                     spec.team = "tight".into();
                 }
                 spec.one_zone = k == 1;
-                let n = w.pick(NODES.len());
+                let n = w.random_below(NODES.len());
                 w.submit(n, spec);
             }
             w.run(3 * SECOND);
-            for _ in 0..2 + w.pick(4) {
+            for _ in 0..2 + w.random_below(4) {
                 any_trouble(&mut w);
                 w.run(2 * SECOND);
                 let accepted = w.rules.accepted();
                 if !accepted.is_empty() && w.chance(60) {
-                    let job = accepted[w.pick(accepted.len())].clone();
+                    let job = accepted[w.random_below(accepted.len())].clone();
                     for n in 0..NODES.len() {
                         w.cancel(n, &job);
                     }
-                    w.look_closely(&job);
+                    w.query_all_nodes(&job);
                 }
             }
-            w.run_for(12 * SECOND);
-            w.calm();
-            w.run_for(8 * SECOND);
+            w.run_with_lookups(12 * SECOND);
+            w.clear_faults();
+            w.run_with_lookups(8 * SECOND);
         }
         mark_healthy(&mut w, &format!("mix {seed}"));
         add(&mut counts, w.counts);
     }
-    let Counts { leaders, refused_alone, refused_all, late_in_force, .. } = counts;
-    let Counts { unanswered, copies_for_next, mute, deaf, leases_lost, .. } = counts;
+    let Counts { acquisitions, refused_one_node, refused_all_nodes, late_committed, .. } = counts;
+    let Counts {
+        unanswered_txns,
+        copies_for_next_leader,
+        lost_heartbeats,
+        lost_replies,
+        expired_leases,
+        ..
+    } = counts;
     for (what, count, least) in [
-        ("holders", leaders, 100),
-        ("refused_alone", refused_alone, 100),
-        ("refused_all", refused_all, 100),
-        ("late_in_force", late_in_force, 5),
-        ("unanswered", unanswered, 20),
-        ("copies_for_next", copies_for_next, 50),
-        ("mute", mute, 50),
-        ("deaf", deaf, 50),
-        ("leases_lost", leases_lost, 20),
+        ("holders", acquisitions, 100),
+        ("refused_alone", refused_one_node, 100),
+        ("refused_all", refused_all_nodes, 100),
+        ("late_in_force", late_committed, 5),
+        ("unanswered", unanswered_txns, 20),
+        ("copies_for_next", copies_for_next_leader, 50),
+        ("mute", lost_heartbeats, 50),
+        ("deaf", lost_replies, 50),
+        ("leases_lost", expired_leases, 20),
     ] {
         assert!(count >= least, "{what}: {counts:?}");
     }
--- a/crates/quartzlever-core/tests/simulation/large_fleet.rs
+++ b/crates/quartzlever-core/tests/simulation/large_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of more than 4,000 machines, all of which one controller has to serve in the end.
+//! A fleet of more than 4,000 machines, all of which a single controller takes over.
 
 use quartzlever_core::Config;
 use quartzlever_wire::SECOND;
@@ -10,28 +10,29 @@
 const MACHINES: usize = 4_200;
 const JOBS: u32 = 6;
 
-fn large(config: &mut Config) {
+fn large_fleet_config(config: &mut Config) {
     config.workers.heartbeat_interval = 4 * SECOND;
     config.operator.silent_return = 9 * SECOND;
 }
 
-/// A job of tasks that fill a machine each.
-fn wide(number: u32) -> JobSpec {
+/// Returns a job with more tasks than its share of the machines, each of which fills a machine.
+fn machine_filling_job(number: u32) -> JobSpec {
     let tasks = MACHINES as u32 / JOBS + 100;
     JobSpec { cpus: 8.0, expect_s: 45.0, ..job(number, tasks) }
 }
 
-/// Nothing is fixed below this number: all machines are rented and claimed, and when all controllers
-/// but one have ended, that one takes them over and runs what is left on them.
+/// No limit in the controller lies below this number of machines: all are launched and claimed, and
+/// after all controllers but one have crashed, that one takes them over and runs the remaining tasks.
 #[test]
 fn one_controller_takes_over_more_than_4000_machines() {
-    let mut simulation = Simulation::with(4_200, NODES, large);
+    let mut simulation = Simulation::with(4_200, NODES, large_fleet_config);
     simulation.cloud.max_machines = MACHINES;
     simulation.run_time = 45 * SECOND;
     simulation.run(3 * SECOND);
     for number in 0..JOBS {
         assert_eq!(
-            simulation.submit_until_accepted(number as usize % NODES.len(), &wide(number)),
+            simulation
+                .submit_until_accepted(number as usize % NODES.len(), &machine_filling_job(number)),
             201
         );
     }
@@ -41,15 +42,17 @@
 
     simulation.kill(1);
     simulation.kill(2);
-    simulation.run_for(110 * SECOND);
+    simulation.run_with_lookups(110 * SECOND);
     for partition in NODES {
         assert_eq!(simulation.leader(partition), Some(0), "{partition}");
     }
     assert_eq!(simulation.rules.broken, Vec::<String>::new());
     for number in 0..JOBS {
-        let spec = wide(number);
-        let asked = simulation.lookup(0, &spec.id);
-        let (status, body) = simulation.answer(asked, 3 * SECOND).expect("an answer");
+        let spec = machine_filling_job(number);
+        let request = simulation.lookup(0, &spec.id);
+        let (status, body) = simulation
+            .wait_for_answer(request, 3 * SECOND)
+            .expect("no answer to the lookup within 3 s");
         assert_eq!((status, &body["phase"]), (200, &"done".into()), "{body}");
     }
 }
--- a/crates/quartzlever-core/tests/simulation/large_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/large_jobs.rs
@@ -1,5 +1,5 @@
-//! A job whose tasks end in the worst order, every second one first, under low limits of the state
-//! service: what was recorded survives crashes and changes of leader, and nothing of it runs again.
+//! A large job whose tasks finish in the worst order for the record, every second one first, under low
+//! limits of the store: recorded tasks survive crashes and changes of leader, and never run again.
 
 use std::collections::BTreeMap;
 
@@ -13,35 +13,37 @@
 
 const NODES: &[&str] = &["one", "two", "three"];
 const TASKS: u32 = 1500;
+/// Maximum size of a value in the store.
 const VALUE_BYTES: usize = 1024;
-const CHANGES: usize = 6;
+/// Maximum number of changes in a transaction.
+const TXN_OPS: usize = 6;
 
 fn low_limits(config: &mut Config) {
-    (config.value_bytes, config.txn_ops) = (VALUE_BYTES, CHANGES);
+    (config.value_bytes, config.txn_ops) = (VALUE_BYTES, TXN_OPS);
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
     LeaderRestarts,
-    /// The leader stays away, and a peer takes its partition over.
+    /// The leader is down long enough for a peer to take over its partition.
     LeaderChanges,
     AllKilled,
-    /// The limits sink below what the settings say.
-    LimitsSink,
+    /// The limits of the store drop below those in the settings.
+    LimitsDrop,
     Outage,
     Cancelled,
 }
 
-fn bring_about(w: &mut Simulation, trouble: Fault) {
-    match trouble {
+fn inject(w: &mut Simulation, fault: Fault) {
+    match fault {
         Fault::None | Fault::Cancelled => {}
         Fault::LeaderRestarts => {
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, SECOND / 2);
         }
         Fault::LeaderChanges => {
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, 20 * SECOND);
         }
         Fault::AllKilled => {
@@ -49,7 +51,7 @@
                 w.restart(n, SECOND);
             }
         }
-        Fault::LimitsSink => (w.store.value_limit, w.store.ops_limit) = (700, 3),
+        Fault::LimitsDrop => (w.store.value_limit, w.store.ops_limit) = (700, 3),
         Fault::Outage => {
             w.store.outage = true;
             w.run(5 * SECOND);
@@ -59,27 +61,28 @@
     }
 }
 
-/// The tasks that the store knows to have finished.
+/// Returns the tasks that are recorded as finished in the store.
 fn recorded(w: &Simulation, id: &str) -> Ranges {
     let live = w.store.get(&format!("live/{id}")).and_then(|(v, _)| v.parse::<ActiveJobRecord>());
-    let mut finished = live.expect("a live job").finished;
+    let mut finished = live.expect("the job has no active record").finished;
     for key in w.store.keys(PAGE_PREFIX) {
-        let (_, number) = page_of_key(&key).expect("the key of a page");
+        let (_, number) = page_of_key(&key).expect("the key of a page is malformed");
         let page = w.store.get(&key).and_then(|(v, _)| v.parse::<PageRecord>());
-        finished.add(&page.and_then(|page| page.tasks(number)).expect("a page"));
+        finished.add(&page.and_then(|page| page.tasks(number)).expect("the page cannot be read"));
     }
     finished
 }
 
+/// Counts the task starts on each machine.
 fn starts(w: &Simulation) -> BTreeMap<String, usize> {
     w.workers.iter().map(|(name, worker)| (name.clone(), worker.started.len())).collect()
 }
 
 #[test]
-fn what_is_recorded_of_a_large_job_never_runs_again() {
+fn recorded_tasks_of_a_large_job_never_run_again() {
     use Fault::*;
-    for (seed, trouble) in
-        [None, LeaderRestarts, LeaderChanges, AllKilled, LimitsSink, Outage, Cancelled]
+    for (seed, fault) in
+        [None, LeaderRestarts, LeaderChanges, AllKilled, LimitsDrop, Outage, Cancelled]
             .into_iter()
             .enumerate()
     {
@@ -87,37 +90,47 @@
         w.cloud.max_machines = 90;
         (w.run_time, w.odd_tasks_wait) = (SECOND, true);
         w.run(5 * SECOND);
-        (w.store.value_limit, w.store.ops_limit) = (VALUE_BYTES, CHANGES);
+        (w.store.value_limit, w.store.ops_limit) = (VALUE_BYTES, TXN_OPS);
         let id = job(1, TASKS).id;
-        assert_eq!(w.submit_until_accepted(0, &job(1, TASKS)), 201, "{trouble:?}");
+        assert_eq!(w.submit_until_accepted(0, &job(1, TASKS)), 201, "{fault:?}");
         w.run(40 * SECOND);
         assert!(
             !w.store.keys(PAGE_PREFIX).is_empty(),
-            "{trouble:?}: the record has outgrown its value"
+            "{fault:?}: the record still fits one value, no page was written"
         );
         let (before, started) = (recorded(&w, &id), starts(&w));
-        assert!(before.count_ranges() > 200, "{trouble:?}: {} gaps", before.count_ranges());
-        bring_about(&mut w, trouble);
+        assert!(before.count_ranges() > 200, "{fault:?}: only {} ranges", before.count_ranges());
+        inject(&mut w, fault);
         w.run(30 * SECOND);
         for (name, worker) in &w.workers {
-            let seen = started.get(name).copied().unwrap_or(0);
-            for (task, _) in &worker.started[seen..] {
-                assert!(!before.contains(task.index), "{trouble:?}: {task} runs again");
+            let seen_before = started.get(name).copied().unwrap_or(0);
+            for (task, _) in &worker.started[seen_before..] {
+                assert!(!before.contains(task.index), "{fault:?}: {task} runs again");
             }
         }
-        if trouble == Cancelled {
+        if fault == Cancelled {
             assert_eq!(w.cancel_until_confirmed(1, &id).as_deref(), Some("aborted"));
         } else {
-            assert!(before.minus(&recorded(&w, &id)).is_empty(), "{trouble:?}: lost some");
+            assert!(
+                before.minus(&recorded(&w, &id)).is_empty(),
+                "{fault:?}: finished tasks are no longer recorded"
+            );
             w.odd_tasks_wait = false;
             w.workers.values_mut().for_each(|worker| worker.odd_tasks_wait = false);
         }
-        w.run_for(90 * SECOND);
-        let end = if trouble == Cancelled { JobPhase::Cancelled } else { JobPhase::Done };
-        assert_eq!(w.over(&id), Some(end), "{trouble:?}");
-        assert!(w.store.keys(PAGE_PREFIX).is_empty(), "{trouble:?}: pages are left over");
-        assert!(w.store.too_large < 8, "{trouble:?}: {} too large", w.store.too_large);
-        w.check_end();
-        assert!(w.rules.broken.is_empty(), "{trouble:?}: {:?}", &w.rules.broken[..1]);
+        w.run_with_lookups(90 * SECOND);
+        let expected = if fault == Cancelled { JobPhase::Cancelled } else { JobPhase::Done };
+        assert_eq!(w.final_phase(&id), Some(expected), "{fault:?}");
+        assert!(
+            w.store.keys(PAGE_PREFIX).is_empty(),
+            "{fault:?}: pages remain after the end of the job"
+        );
+        assert!(
+            w.store.too_large < 8,
+            "{fault:?}: {} transactions were refused as too large",
+            w.store.too_large
+        );
+        w.settle_and_check();
+        assert!(w.rules.broken.is_empty(), "{fault:?}: {:?}", &w.rules.broken[..1]);
     }
 }
--- a/crates/quartzlever-core/tests/simulation/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -1,6 +1,6 @@
-//! The store takes less than the settings say, from some moment on: before, during or after
-//! an upgrade, in a burst of jobs, in a recovery. Nothing is tried in a loop, no machine and no job
-//! is lost, and every job ends.
+//! The limits of the store drop below those in the settings at some time: before, during or after an
+//! upgrade, in a burst of jobs, or in a recovery. Refused transactions are not retried in a loop, no
+//! machine or job is lost, and every job finishes.
 
 use quartzlever_core::Config;
 use quartzlever_wire::SECOND;
@@ -11,72 +11,79 @@
 use crate::upgrade::{Between, replace, simulation};
 
 const JOBS: u32 = 9;
-/// What is refused for its size until the limit is learned, by three controllers, and as much for
-/// the splits of what is too large by then.
-const MOST_REFUSED: usize = 60;
+/// Bound on transactions refused for their size: those by which three controllers learn the limit, and
+/// as many for splitting the values that exceed it by then.
+const MAX_REFUSED: usize = 60;
 
 #[derive(Clone, Copy, Debug)]
 struct LowLimits {
     value_bytes: usize,
     ops: usize,
-    changes_a_second: f64,
+    changes_per_second: f64,
 }
 
+/// When the limits drop.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Moment {
-    BeforeTheUpgrade,
-    DuringTheUpgrade,
-    AfterTheUpgrade,
-    InABurst,
-    InARecovery,
+    BeforeUpgrade,
+    DuringUpgrade,
+    AfterUpgrade,
+    InBurst,
+    InRecovery,
 }
 
-fn as_in_the_settings(_: &mut Config) {}
+fn unchanged(_: &mut Config) {}
 
-fn sink(w: &mut Simulation, limits: LowLimits) {
+fn lower_limits(w: &mut Simulation, limits: LowLimits) {
     w.store.value_limit = limits.value_bytes;
     w.store.ops_limit = limits.ops;
-    w.store.write_rate = limits.changes_a_second;
+    w.store.write_rate = limits.changes_per_second;
 }
 
+/// Submits [`JOBS`] jobs, numbered from `from`.
 fn submit(w: &mut Simulation, from: u32) {
     for k in from..from + JOBS {
-        assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 0, "accepted");
+        assert_ne!(
+            w.submit_until_accepted(k as usize % 3, &job(k, 30)),
+            0,
+            "job {k} got no answer"
+        );
     }
 }
 
+/// Upgrades all controllers and submits jobs, and lowers the limits at the given moment.
 fn play(w: &mut Simulation, moment: Moment, limits: LowLimits) {
-    if moment == Moment::BeforeTheUpgrade {
-        sink(w, limits);
+    if moment == Moment::BeforeUpgrade {
+        lower_limits(w, limits);
     }
     submit(w, 0);
     w.run(5 * SECOND);
-    if moment == Moment::DuringTheUpgrade {
-        w.old.remove(&0);
+    if moment == Moment::DuringUpgrade {
+        w.first_version_nodes.remove(&0);
         w.restart(0, SECOND);
         w.run(2 * SECOND);
-        sink(w, limits);
+        lower_limits(w, limits);
     }
     replace(w, [0, 1, 2], Between::Nothing);
-    w.run_for(6 * SECOND);
-    if moment == Moment::AfterTheUpgrade {
-        sink(w, limits);
+    w.run_with_lookups(6 * SECOND);
+    if moment == Moment::AfterUpgrade {
+        lower_limits(w, limits);
     }
-    if moment == Moment::InARecovery {
+    if moment == Moment::InRecovery {
         for n in 0..3 {
             w.restart(n, SECOND);
         }
-        sink(w, limits);
+        lower_limits(w, limits);
         w.run(3 * SECOND);
     }
     submit(w, 20);
-    if moment == Moment::InABurst {
-        sink(w, limits);
+    if moment == Moment::InBurst {
+        lower_limits(w, limits);
         submit(w, 40);
     }
 }
 
-/// How many machines that are up belong to no partition.
+/// Counts the machines that no partition has claimed.
 fn unclaimed(w: &Simulation) -> usize {
     let machines = |key: String| {
         let (value, _) = w.store.get(&key)?;
@@ -89,37 +96,41 @@
 }
 
 #[test]
-fn limits_may_sink_at_any_moment_without_notice() {
+fn all_jobs_finish_when_store_limits_drop_at_any_moment() {
     use Moment::*;
     let mut seed = 700;
     for limits in [
-        LowLimits { value_bytes: 1024, ops: 4, changes_a_second: 30.0 },
-        LowLimits { value_bytes: 640, ops: 2, changes_a_second: 60.0 },
+        LowLimits { value_bytes: 1024, ops: 4, changes_per_second: 30.0 },
+        LowLimits { value_bytes: 640, ops: 2, changes_per_second: 60.0 },
     ] {
-        for moment in [BeforeTheUpgrade, DuringTheUpgrade, AfterTheUpgrade, InABurst, InARecovery] {
+        for moment in [BeforeUpgrade, DuringUpgrade, AfterUpgrade, InBurst, InRecovery] {
             seed += 1;
             let name = format!("{moment:?}, {limits:?}");
-            let mut w = simulation(seed, as_in_the_settings);
+            let mut w = simulation(seed, unchanged);
             w.run_time = 20 * SECOND;
             play(&mut w, moment, limits);
             w.run(30 * SECOND);
             let up = w.workers.len();
-            assert!(up > 30, "{name}: {up} machines: too few to fill a block");
+            assert!(up > 30, "{name}: {up} machines are too few to fill a group");
             let unclaimed = unclaimed(&w);
-            assert!(unclaimed < 4, "{name}: {unclaimed} of {up} machines belong to nobody");
-            w.run_for(200 * SECOND);
-            w.check_end();
+            assert!(unclaimed < 4, "{name}: {unclaimed} of {up} machines are unclaimed");
+            w.run_with_lookups(200 * SECOND);
+            w.settle_and_check();
             assert!(w.rules.broken.is_empty(), "{name}: {:?}", &w.rules.broken[..1]);
             for id in w.rules.accepted() {
-                assert_eq!(w.over(&id), Some(JobPhase::Done), "{name}: {id}");
+                assert_eq!(w.final_phase(&id), Some(JobPhase::Done), "{name}: {id}");
             }
             let refused = w.store.too_large;
-            assert!(refused < MOST_REFUSED, "{name}: {refused} refused for their size");
-            let long = |key: &&String| {
+            assert!(refused < MAX_REFUSED, "{name}: {refused} transactions refused for their size");
+            let exceeds_limit = |key: &&String| {
                 w.store.get(key).is_some_and(|(v, _)| v.text().len() > limits.value_bytes)
             };
             let keys = w.store.keys("hosts/");
-            assert_eq!(keys.iter().filter(long).count(), 0, "{name}: blocks too large for ever");
+            assert_eq!(
+                keys.iter().filter(exceeds_limit).count(),
+                0,
+                "{name}: groups of machines stay above the limit"
+            );
         }
     }
 }
--- a/crates/quartzlever-core/tests/simulation/main.rs
+++ b/crates/quartzlever-core/tests/simulation/main.rs
@@ -1,5 +1,5 @@
-//! Whole controllers, several at once, in a simulated world: its store, cloud, network,
-//! workers and users go wrong as those of the protocol may, and a checker looks for broken rules.
+//! Scenarios of several whole controllers in a deterministic simulation: its store, cloud, network,
+//! workers and users fail in every way that the protocol allows, and a checker looks for broken rules.
 
 mod combination;
 mod fault_combinations;
--- a/crates/quartzlever-core/tests/simulation/on_call.rs
+++ b/crates/quartzlever-core/tests/simulation/on_call.rs
@@ -14,14 +14,14 @@
 /// Cuts a controller off from the store, the other controllers and all machines.
 fn leave_network(w: &mut Simulation, node: usize) {
     w.refused_by_store.insert(node);
-    w.apart.insert(node);
-    w.cut.extend(all_machines(w).into_iter().map(|machine| (node, machine)));
+    w.isolated_from_peers.insert(node);
+    w.severed_links.extend(all_machines(w).into_iter().map(|machine| (node, machine)));
 }
 
 fn join_network(w: &mut Simulation, node: usize) {
     w.refused_by_store.remove(&node);
-    w.apart.remove(&node);
-    w.cut.retain(|(cut, _)| *cut != node);
+    w.isolated_from_peers.remove(&node);
+    w.severed_links.retain(|(cut, _)| *cut != node);
 }
 
 fn cancel(w: &mut Simulation, node: usize, ids: &[String]) {
@@ -50,7 +50,7 @@
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (partition, leader) = w.busiest();
+            let (partition, leader) = w.busiest_partition();
             leave_network(w, leader);
             w.run(2 * SECOND);
             cancel(w, other(leader), &ids[..3]);
@@ -62,7 +62,7 @@
             w.start(successor);
             w.run(10 * SECOND);
         },
-        came: |c, j| c.leaders > 16 && c.refused_alone > 40 && j.cancellations >= 12,
+        came: |c, j| c.acquisitions > 16 && c.refused_one_node > 40 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "two controllers leave the network in turn, the second as the first is back",
@@ -77,14 +77,14 @@
                 join_network(w, node);
             }
         },
-        came: |c, j| c.leaders > 20 && j.cancellations >= 12,
+        came: |c, j| c.acquisitions > 20 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "a controller stands still for a minute, jobs are cancelled, it wakes and stops again",
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.paused.insert(leader);
             w.run(3 * SECOND);
             cancel(w, other(leader), &ids[..3]);
@@ -98,7 +98,7 @@
             w.paused.remove(&leader);
             w.run(5 * SECOND);
         },
-        came: |c, j| c.unread > 4 && c.leaders > 16 && j.cancellations >= 12,
+        came: |c, j| c.unread_heartbeats > 4 && c.acquisitions > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "all controllers stand still for longer than a lease and wake one after the other",
@@ -115,14 +115,14 @@
             }
             w.run(5 * SECOND);
         },
-        came: |c, j| c.unread > 30 && c.leases_lost > 8 && j.cancellations >= 8,
+        came: |c, j| c.unread_heartbeats > 30 && c.expired_leases > 8 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "a controller stands still into an outage, wakes inside it, and its successor has ended",
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (partition, leader) = w.busiest();
+            let (partition, leader) = w.busiest_partition();
             w.paused.insert(leader);
             w.run(9 * SECOND);
             cancel(w, other(leader), &ids[..3]);
@@ -135,46 +135,46 @@
             outage(w, 10 * SECOND);
             w.run(10 * SECOND);
         },
-        came: |c, j| c.unread > 4 && c.refused_all > 20 && j.cancellations >= 12,
+        came: |c, j| c.unread_heartbeats > 4 && c.refused_all_nodes > 20 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "users ask many times as often while controllers are cold, refused or off the network",
         tune: usual,
         bring_about: |w| {
             let ids = long_tasks(w);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             for turn in 0..60 {
                 ask_often(w, &ids, 4);
                 w.run(SECOND / 4);
                 match turn {
                     4 | 30 => w.restart(leader, SECOND / 5),
                     12 => _ = w.refused_by_store.insert(other(leader)),
-                    20 => w.calm(),
+                    20 => w.clear_faults(),
                     24 => cancel(w, leader, &ids[..2]),
                     40 => leave_network(w, other(leader)),
                     _ => {}
                 }
             }
         },
-        came: |c, j| c.answers > 5_000 && c.refused_alone > 20 && j.cancellations >= 8,
+        came: |c, j| c.answers > 5_000 && c.refused_one_node > 20 && j.cancellations >= 8,
     },
     FaultCombination {
         name: "machines come late or never, the cloud goes, and the holder that waits for them ends",
         tune: usual,
         bring_about: |w| {
-            (w.cloud.max_machines, w.never_booted, w.boot) = (24, 50, 15 * SECOND);
+            (w.cloud.max_machines, w.boot_failure_percent, w.boot_time) = (24, 50, 15 * SECOND);
             let ids = submit(w, 0, 4, |_, spec| spec.tasks = 8);
             w.run(10 * SECOND);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, 6 * SECOND);
             cancel(w, other(leader), &ids[..1]);
             w.cloud_down = true;
             w.run(20 * SECOND);
             w.cloud_down = false;
             w.run(10 * SECOND);
-            (w.never_booted, w.boot) = (0, SECOND);
+            (w.boot_failure_percent, w.boot_time) = (0, SECOND);
         },
-        came: |c, j| c.never_booted > 20 && c.leaders > 14 && j.cancellations >= 4,
+        came: |c, j| c.failed_boots > 20 && c.acquisitions > 14 && j.cancellations >= 4,
     },
     FaultCombination {
         name: "jobs that fail everywhere lose their holder and are cancelled",
@@ -185,14 +185,14 @@
                 w.set_fails_everywhere(id, true);
             }
             w.run(12 * SECOND);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, 8 * SECOND);
             w.run(6 * SECOND);
             leave_network(w, leader);
             cancel(w, other(leader), &ids[..3]);
             w.run(6 * SECOND);
         },
-        came: |c, j| c.leaders > 16 && j.cancellations >= 12,
+        came: |c, j| c.acquisitions > 16 && j.cancellations >= 12,
     },
     FaultCombination {
         name: "guests fill the machines, others come, a controller stands still, guests are cancelled",
@@ -205,14 +205,14 @@
             });
             w.run(8 * SECOND);
             submit(w, 10, 4, |_, spec| spec.priority = Priority::Urgent);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.paused.insert(leader);
             w.run(15 * SECOND);
             cancel(w, other(leader), &guests[..1]);
             w.paused.remove(&leader);
             w.run(10 * SECOND);
         },
-        came: |c, j| c.unread > 5 && j.cancellations >= 4,
+        came: |c, j| c.unread_heartbeats > 5 && j.cancellations >= 4,
     },
     FaultCombination {
         name: "single small jobs come by the dozen while a controller stands still and another restarts",
@@ -233,7 +233,7 @@
             }
             cancel(w, 0, &ids[ids.len() - 6..]);
         },
-        came: |c, j| c.leaders > 16 && j.cancellations >= 24,
+        came: |c, j| c.acquisitions > 16 && j.cancellations >= 24,
     },
     FaultCombination {
         name: "a huge array is stolen from, loses two holders, and is cancelled in its middle",
@@ -242,17 +242,17 @@
             w.cloud.max_machines = 20;
             let ids = submit(w, 0, 1, |_, spec| (spec.tasks, spec.cpus) = (600, 0.5));
             w.run(12 * SECOND);
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.paused.insert(leader);
             w.run(10 * SECOND);
-            let (_, next) = w.busiest();
+            let (_, next) = w.busiest_partition();
             w.restart(next, SECOND / 5);
             w.paused.remove(&leader);
             w.run(2 * SECOND);
             cancel(w, leader, &ids);
             w.run(2 * SECOND);
         },
-        came: |c, j| c.leaders > 14 && j.cancellations >= 4,
+        came: |c, j| c.acquisitions > 14 && j.cancellations >= 4,
     },
 ];
 
@@ -263,15 +263,15 @@
 
 /// One of the troubles of these nights, drawn at random.
 fn any_night(w: &mut Simulation, ids: &[String]) {
-    let node = w.pick(NODES.len());
-    match w.pick(8) {
+    let node = w.random_below(NODES.len());
+    match w.random_below(8) {
         0 => _ = w.paused.insert(node),
         1 => w.paused.extend(0..NODES.len()),
         2 => w.paused.clear(),
         3 => leave_network(w, node),
-        4 => (w.never_booted, w.boot) = (40, 8 * SECOND),
+        4 => (w.boot_failure_percent, w.boot_time) = (40, 8 * SECOND),
         5 => {
-            let id = ids[w.pick(ids.len())].clone();
+            let id = ids[w.random_below(ids.len())].clone();
             w.set_fails_everywhere(&id, true);
         }
         6 => ask_often(w, ids, 5),
@@ -298,38 +298,45 @@
                 if k == 3 {
                     guest(&mut spec);
                 }
-                let n = w.pick(NODES.len());
+                let n = w.random_below(NODES.len());
                 ids.push(spec.id.clone());
                 w.submit(n, spec);
             }
             w.run(3 * SECOND);
-            for _ in 0..2 + w.pick(4) {
+            for _ in 0..2 + w.random_below(4) {
                 any_night(&mut w, &ids);
                 w.run(3 * SECOND);
                 if w.chance(60) {
-                    let id = ids[w.pick(ids.len())].clone();
+                    let id = ids[w.random_below(ids.len())].clone();
                     for n in 0..NODES.len() {
                         w.cancel(n, &id);
                     }
-                    w.look_closely(&id);
+                    w.query_all_nodes(&id);
                 }
             }
-            w.run_for(12 * SECOND);
-            w.calm();
-            w.boot = SECOND;
-            w.run_for(8 * SECOND);
+            w.run_with_lookups(12 * SECOND);
+            w.clear_faults();
+            w.boot_time = SECOND;
+            w.run_with_lookups(8 * SECOND);
         }
         ids.iter().for_each(|id| w.set_fails_everywhere(id, false));
         mark_healthy(&mut w, &format!("night {seed}"));
         add(&mut counts, w.counts);
     }
-    let Counts { leaders, unread, never_booted, refused_alone, leases_lost, .. } = counts;
+    let Counts {
+        acquisitions,
+        unread_heartbeats,
+        failed_boots,
+        refused_one_node,
+        expired_leases,
+        ..
+    } = counts;
     for (what, count, least) in [
-        ("holders", leaders, 100),
-        ("unread", unread, 200),
-        ("never_up", never_booted, 10),
-        ("refused_alone", refused_alone, 100),
-        ("leases_lost", leases_lost, 20),
+        ("holders", acquisitions, 100),
+        ("unread", unread_heartbeats, 200),
+        ("never_up", failed_boots, 10),
+        ("refused_alone", refused_one_node, 100),
+        ("leases_lost", expired_leases, 20),
     ] {
         assert!(count >= least, "{what}: {counts:?}");
     }
--- a/crates/quartzlever-core/tests/simulation/safety.rs
+++ b/crates/quartzlever-core/tests/simulation/safety.rs
@@ -79,29 +79,29 @@
         }
         Fault::Cut(n, secs) => {
             let names: Vec<String> = simulation.workers.keys().cloned().collect();
-            simulation.cut.extend(names.into_iter().map(|name| (n, name)));
+            simulation.severed_links.extend(names.into_iter().map(|name| (n, name)));
             simulation.run(secs * SECOND);
-            simulation.cut.clear();
+            simulation.severed_links.clear();
         }
         Fault::Unreachable(secs, cloud) => {
             let names: Vec<String> = simulation.workers.keys().cloned().collect();
             for n in 0..NODES.len() {
-                simulation.cut.extend(names.iter().map(|name| (n, name.clone())));
+                simulation.severed_links.extend(names.iter().map(|name| (n, name.clone())));
                 simulation.kill(n);
                 simulation.start(n);
             }
             simulation.cloud_down = !cloud;
             simulation.run(secs * SECOND);
-            simulation.cut.clear();
+            simulation.severed_links.clear();
             simulation.cloud_down = false;
         }
         Fault::Lose(secs) => {
             let busy = simulation.workers.iter().find(|(_, w)| !w.running().is_empty());
             let name = busy.map(|(name, _)| name.clone()).unwrap_or_default();
-            simulation.cut.extend((0..NODES.len()).map(|n| (n, name.clone())));
+            simulation.severed_links.extend((0..NODES.len()).map(|n| (n, name.clone())));
             simulation.cloud_down = true;
             simulation.run(secs * SECOND);
-            simulation.cut.clear();
+            simulation.severed_links.clear();
             simulation.cloud_down = false;
         }
         Fault::RefusedByStore(n, secs) => {
@@ -111,15 +111,15 @@
         }
         Fault::OnlyWorkers(n, secs) => {
             simulation.refused_by_store.insert(n);
-            simulation.apart.insert(n);
+            simulation.isolated_from_peers.insert(n);
             simulation.run(secs * SECOND);
             simulation.refused_by_store.clear();
-            simulation.apart.clear();
+            simulation.isolated_from_peers.clear();
         }
         Fault::CutUntold(n, secs) => {
-            simulation.apart.extend(0..NODES.len());
+            simulation.isolated_from_peers.extend(0..NODES.len());
             inject(simulation, Fault::Cut(n, secs));
-            simulation.apart.clear();
+            simulation.isolated_from_peers.clear();
         }
         Fault::Pause(n, secs) => {
             simulation.paused.insert(n);
@@ -139,7 +139,7 @@
 #[test]
 fn work_is_done_once_whatever_befalls() {
     use Fault::*;
-    let bad = FaultRates { lost: 4, late: 4, ..FaultRates::default() };
+    let bad = FaultRates { lost_answers: 4, late_calls: 4, ..FaultRates::default() };
     let good = FaultRates::default();
     let cases: &[(&str, FaultRates, &[Fault])] = &[
         ("nothing happens", good, &[None]),
@@ -209,14 +209,14 @@
             let ended = simulation.cancel_until_confirmed(up, &jobs[5]);
             assert!(ended.is_some(), "{name} {seed}: cancellation is never answered");
             simulation.run(150 * SECOND);
-            simulation.check_end();
+            simulation.settle_and_check();
             assert!(
                 simulation.rules.broken.is_empty(),
                 "{name} {seed}: {:?}",
                 &simulation.rules.broken[..1]
             );
             for id in &jobs[..5] {
-                assert_eq!(simulation.over(id), Some(JobPhase::Done), "{name} {seed}: {id}");
+                assert_eq!(simulation.final_phase(id), Some(JobPhase::Done), "{name} {seed}: {id}");
             }
         }
     }
@@ -230,15 +230,20 @@
         let mut simulation = Simulation::new(seed, NODES);
         simulation.run(3 * SECOND);
         simulation.run_time = SECOND;
-        simulation.fault_rates = FaultRates { lost: 5, late: 25, ..FaultRates::default() };
+        simulation.fault_rates =
+            FaultRates { lost_answers: 5, late_calls: 25, ..FaultRates::default() };
         for k in 0..5 {
             assert_ne!(simulation.submit_until_accepted(0, &job(k, 20)), 0);
         }
         simulation.run(240 * SECOND);
-        simulation.check_end();
+        simulation.settle_and_check();
         assert!(simulation.rules.broken.is_empty(), "{seed}: {:?}", &simulation.rules.broken[..1]);
         for k in 0..5 {
-            assert_eq!(simulation.over(&format!("req-{k:06}")), Some(JobPhase::Done), "{seed} {k}");
+            assert_eq!(
+                simulation.final_phase(&format!("req-{k:06}")),
+                Some(JobPhase::Done),
+                "{seed} {k}"
+            );
         }
     }
 }
@@ -251,7 +256,7 @@
         let mut simulation = Simulation::new(seed, NODES);
         simulation.run(3 * SECOND);
         simulation.run_time = 4 * SECOND;
-        simulation.fault_rates = FaultRates { late: 12, ..FaultRates::default() };
+        simulation.fault_rates = FaultRates { late_calls: 12, ..FaultRates::default() };
         for k in 0..4 {
             assert_ne!(simulation.submit_until_accepted(k as usize % 3, &job(k, 16)), 0);
         }
@@ -263,10 +268,14 @@
             simulation.run(SECOND);
         }
         simulation.run(120 * SECOND);
-        simulation.check_end();
+        simulation.settle_and_check();
         assert!(simulation.rules.broken.is_empty(), "{seed}: {:?}", &simulation.rules.broken[..1]);
         for k in (0..4).chain(10..22) {
-            assert_eq!(simulation.over(&format!("req-{k:06}")), Some(JobPhase::Done), "{seed} {k}");
+            assert_eq!(
+                simulation.final_phase(&format!("req-{k:06}")),
+                Some(JobPhase::Done),
+                "{seed} {k}"
+            );
         }
     }
 }
@@ -288,7 +297,7 @@
             let phase = simulation.cancel_until_confirmed((seed as usize + 1) % 3, "req-000001");
             assert!(may.contains(&phase.as_deref().unwrap_or("")), "{tenths} {seed}: {phase:?}");
             simulation.run(30 * SECOND);
-            simulation.check_end();
+            simulation.settle_and_check();
             assert!(
                 simulation.rules.broken.is_empty(),
                 "{tenths} {seed}: {:?}",
@@ -297,7 +306,7 @@
             // Whatever was said stays true, at every node.
             for n in 0..3 {
                 let id = simulation.lookup(n, "req-000001");
-                let answer = simulation.answer(id, SECOND).map(|a| a.1["phase"].clone());
+                let answer = simulation.wait_for_answer(id, SECOND).map(|a| a.1["phase"].clone());
                 assert_eq!(answer, phase.clone().map(Into::into), "{tenths} {seed} node {n}");
             }
         }
@@ -344,16 +353,20 @@
     ];
     for (n, (name, spec, status)) in cases.into_iter().enumerate() {
         let id = simulation.submit(n % 3, spec);
-        assert_eq!(simulation.answer(id, SECOND).map(|a| a.0), Some(status), "{name}");
+        assert_eq!(simulation.wait_for_answer(id, SECOND).map(|a| a.0), Some(status), "{name}");
     }
     for n in 0..3 {
         let id = simulation.lookup(n, "req-000999");
-        assert_eq!(simulation.answer(id, SECOND).map(|a| a.0), Some(404), "never submitted");
+        assert_eq!(
+            simulation.wait_for_answer(id, SECOND).map(|a| a.0),
+            Some(404),
+            "never submitted"
+        );
     }
     // In an outage everything is answered at once with a time to come back.
     simulation.store.outage = true;
     let id = simulation.submit(0, job(2, 2));
-    assert_eq!(simulation.answer(id, SECOND).map(|a| a.0), Some(503), "outage");
+    assert_eq!(simulation.wait_for_answer(id, SECOND).map(|a| a.0), Some(503), "outage");
 }
 
 #[test]
@@ -367,6 +380,6 @@
         let size = simulation.store.get("live/req-000001").map_or(0, |(v, _)| v.text().len());
         assert!(size > 0 && size <= 16 * 1024, "{size}");
     }
-    simulation.check_end();
+    simulation.settle_and_check();
     assert!(simulation.rules.broken.is_empty(), "{:?}", &simulation.rules.broken[..1]);
 }
--- a/crates/quartzlever-core/tests/simulation/services.rs
+++ b/crates/quartzlever-core/tests/simulation/services.rs
@@ -63,7 +63,7 @@
         }
         Fault::Faulty => w.workers.get_mut(&first).expect("it runs").faulty = true,
         Fault::Restart(tenths) => {
-            let (_, leader) = w.busiest();
+            let (_, leader) = w.busiest_partition();
             w.restart(leader, tenths * SECOND / 10);
         }
         Fault::Outage(secs) => {
@@ -78,8 +78,8 @@
             w.workers.remove(&first);
             w.cloud.machines.remove(&first);
         }
-        Fault::Deaf => drop(w.deaf.insert(first)),
-        Fault::Mute => drop(w.mute.insert(first)),
+        Fault::Deaf => drop(w.unreachable_machines.insert(first)),
+        Fault::Mute => drop(w.silent_machines.insert(first)),
         Fault::ZoneLost => {
             let in_zone = w.workers.values_mut().filter(|m| m.instance.zone == "b");
             in_zone.for_each(|m| m.hung = true);
@@ -129,7 +129,7 @@
             let mut spec = service(1, 4);
             change(&mut spec);
             assert_eq!(w.submit_until_accepted(seed as usize % 3, &spec), 201, "{name}");
-            w.run_for(15 * SECOND);
+            w.run_with_lookups(15 * SECOND);
             let short = matches!(trouble, EndAfter(_));
             if !short {
                 assert_eq!(replicas(&w, &spec.id), 4, "{name} {seed}: up at first");
@@ -137,12 +137,12 @@
                 assert!(spread > 1 || !spec.spread, "{name} {seed}: all on one machine");
             }
             inject(&mut w, &spec.id, *trouble);
-            w.run_for(45 * SECOND);
+            w.run_with_lookups(45 * SECOND);
             let up = replicas(&w, &spec.id);
             assert!(up == 4 || short, "{name} {seed}: {up} replicas are up again");
             for n in 0..3 {
                 let id = w.lookup(n, &spec.id);
-                let phase = w.answer(id, SECOND).map(|a| a.1["phase"].clone());
+                let phase = w.wait_for_answer(id, SECOND).map(|a| a.1["phase"].clone());
                 assert!(phase == Some("running".into()), "{name} {seed}: {phase:?} at {n}");
             }
             let starts: usize = w.workers.values().map(|m| m.started.len()).sum();
@@ -152,9 +152,9 @@
                 Some("aborted"),
                 "{name} {seed}"
             );
-            w.run_for(25 * SECOND);
+            w.run_with_lookups(25 * SECOND);
             assert_eq!(replicas(&w, &spec.id), 0, "{name} {seed}: gone");
-            w.check_end();
+            w.settle_and_check();
             assert!(w.rules.broken.is_empty(), "{name} {seed}: {:?}", &w.rules.broken[..1]);
         }
     }
@@ -177,16 +177,16 @@
             spec.priority = quartzlever_wire::users::Priority::Prod;
             assert_ne!(w.submit_until_accepted(k as usize % 3, &spec), 0);
         }
-        w.run_for(10 * SECOND);
+        w.run_with_lookups(10 * SECOND);
         for k in 10..14 {
             assert!(!w.rules.waiting().contains(&job(k, 1).id.as_str()), "{seed}: {k} waits");
         }
-        w.run_for(140 * SECOND);
+        w.run_with_lookups(140 * SECOND);
         for k in 0..6 {
             let id = job(k, 1).id;
-            assert!(w.over(&id).is_some(), "{seed}: array {k} starves");
+            assert!(w.final_phase(&id).is_some(), "{seed}: array {k} starves");
         }
-        w.check_end();
+        w.settle_and_check();
         assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
     }
 }
@@ -207,13 +207,13 @@
         let mut spec = service(n as u32, 2);
         change(&mut spec);
         let id = w.submit(n % 3, spec);
-        assert_eq!(w.answer(id, SECOND).map(|a| a.0), Some(*status), "{name}");
+        assert_eq!(w.wait_for_answer(id, SECOND).map(|a| a.0), Some(*status), "{name}");
     }
     // Known already: told as it is, whatever the repetition says.
     let mut spec = service(0, 2);
     (spec.team, spec.tasks) = ("tight".into(), 50);
     let id = w.submit(1, spec);
-    assert_eq!(w.answer(id, SECOND).map(|a| a.0), Some(200));
+    assert_eq!(w.wait_for_answer(id, SECOND).map(|a| a.0), Some(200));
 }
 
 /// A service that fails on every machine, as one that was submitted with a mistake does, is tried
@@ -238,9 +238,9 @@
         assert!(second < first && second <= 16, "{seed}: {starts:?} starts: no growing pauses");
         assert!(w.cloud.gone.is_empty(), "{seed}: {:?} returned", w.cloud.gone);
         // The mistake is corrected: replicas are up again.
-        w.run_for(60 * SECOND);
+        w.run_with_lookups(60 * SECOND);
         assert_eq!(replicas(&w, &spec.id), 4, "{seed}");
-        w.check_end();
+        w.settle_and_check();
         assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
     }
 }
@@ -268,19 +268,19 @@
             w.run_time = if trouble == EndAfter(0) { 0 } else { 10_000 * SECOND };
             let spec = service(1, 4);
             assert_eq!(w.submit_until_accepted(0, &spec), 201, "{trouble:?}");
-            w.run_for(15 * SECOND);
+            w.run_with_lookups(15 * SECOND);
             inject(&mut w, &spec.id, trouble);
             assert_eq!(
                 w.cancel_until_confirmed(1, &spec.id).as_deref(),
                 Some("aborted"),
                 "{trouble:?}"
             );
-            w.run_for(25 * SECOND);
+            w.run_with_lookups(25 * SECOND);
             let left = replicas(&w, &spec.id);
             assert_eq!(left, 0, "{trouble:?} {seed}: gone within the time for cancellations");
             for n in 0..3 {
                 let id = w.lookup(n, &spec.id);
-                let phase = w.answer(id, 2 * SECOND).map(|a| a.1["phase"].clone());
+                let phase = w.wait_for_answer(id, 2 * SECOND).map(|a| a.1["phase"].clone());
                 assert_eq!(phase, Some("aborted".into()), "{trouble:?} {seed}: at {n}");
                 assert_eq!(
                     w.submit_until_accepted(n, &spec),
@@ -288,7 +288,7 @@
                     "{trouble:?} {seed}: known at {n}"
                 );
             }
-            w.check_end();
+            w.settle_and_check();
             assert!(w.rules.broken.is_empty(), "{trouble:?} {seed}: {:?}", &w.rules.broken[..1]);
         }
     }
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -1,5 +1,5 @@
-//! A small world around pure cores: messages with delays, losses and late copies, a state
-//! service, a cloud, and workers that notice every broken rule.
+//! Deterministic simulation of whole controllers: cores that exchange delayed, lost and repeated
+//! messages with a fake store, cloud and workers, while a checker records every broken rule.
 
 mod calls;
 mod checks;
@@ -23,11 +23,14 @@
 pub use calls::CallFault;
 use digest::EffectDigest;
 
+/// Lease of a worker: without a renewal for this long, it stops its tasks.
 pub const LEASE: Micros = 12 * SECOND;
+/// Time within which the tasks of a cancelled job must have stopped.
 pub const CANCEL: Micros = 20 * SECOND;
+/// Simulated time between two steps.
 const STEP: Micros = 50_000;
-/// A worker gives up a heartbeat and turns to another node after this time.
-const UNANSWERED: Micros = 5 * SECOND;
+/// Time after which a worker gives up an unanswered heartbeat and tries another node.
+const HEARTBEAT_TIMEOUT: Micros = 5 * SECOND;
 pub const START: Micros = 1_000 * SECOND;
 
 pub fn config(node: &str, nodes: &[&str]) -> Config {
@@ -69,146 +72,182 @@
     JobSpec { due_s: Some(60.0), ..jobs::array(n, tasks) }
 }
 
-/// What travels.
+/// A message in flight, or an event scheduled for a later time.
 enum Message {
+    /// Input for a controller in one of its epochs.
     ToNode(usize, u64, Box<Command>),
-    Store(usize, u64, u64, StoreCall, bool),
-    Worker(usize, u64, u64, String, WorkerCall, bool),
-    Hello(usize, String, Box<WorkerCommands>, Micros, u64),
-    /// A late copy of a transaction or of a direct command; nobody waits for its answer.
+    /// A call to the store: caller, its epoch, number, call, and whether the answer is lost.
+    StoreCall(usize, u64, u64, StoreCall, bool),
+    /// A call to a worker: caller, its epoch, number, address, call, and whether the answer is lost.
+    WorkerCall(usize, u64, u64, String, WorkerCall, bool),
+    /// The answer to a heartbeat: node, machine, commands, when the heartbeat was sent, and the
+    /// worker's incarnation.
+    HeartbeatReply(usize, String, Box<WorkerCommands>, Micros, u64),
     /// A late copy of a heartbeat, to each of these nodes.
-    Copy(Vec<usize>, Box<Heartbeat>),
+    HeartbeatCopy(Vec<usize>, Box<Heartbeat>),
+    /// A call to the store that is executed after its caller has stopped waiting.
     LateStoreCall(StoreCall),
-    LateWorker(String, WorkerCall),
-    LateCloud(CloudCall),
-    /// A controller that ended starts again.
+    /// A call to a worker, by its address, that is executed after its caller has stopped waiting.
+    LateWorkerCall(String, WorkerCall),
+    /// A call to the cloud that is executed after its caller has stopped waiting.
+    LateCloudCall(CloudCall),
+    /// A crashed controller starts again.
     Start(usize),
-    /// A controller that stood still goes on.
-    GoOn(usize),
+    /// A paused controller resumes.
+    Resume(usize),
 }
 
-/// How often, in parts of a hundred, things go wrong.
+/// Probabilities of faults, in percent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultRates {
-    /// Answers that are lost: the caller learns nothing of the outcome.
-    pub lost: u32,
-    /// Calls that seem lost, and are carried out up to a minute later.
-    pub late: u32,
-    /// Transactions that are carried out, with only their answer lost.
-    pub unanswered: u32,
-    /// Transactions that get no answer and are carried out 2 to 12 s later.
-    pub late_writes: u32,
+    /// Answers that are lost, so that the caller does not learn the outcome.
+    pub lost_answers: u32,
+    /// Calls that time out for their caller and are executed later: transactions within 90 s, direct
+    /// commands within 30 s. Also answers to heartbeats that are delayed by up to 3 s.
+    pub late_calls: u32,
+    /// Transactions that are committed although their answer is lost.
+    pub unanswered_txns: u32,
+    /// Transactions that get no answer and are executed 2 to 12 s later.
+    pub late_txns: u32,
     /// Heartbeats of which a copy arrives again, from 2 s to two leases later.
-    pub copies: u32,
-    /// Heartbeats of which a copy is kept until the next leader begins, and goes to every node then.
-    pub for_next: u32,
+    pub heartbeat_copies: u32,
+    /// Heartbeats of which a copy is kept until a partition is next acquired, and sent to every node
+    /// then.
+    pub copies_for_next_leader: u32,
 }
 
-/// What came about, for tests to see that it did.
+/// Counts of the events that came about, for tests to check that their faults took effect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Times that a partition's key was written: acquisitions.
-    pub leaders: usize,
-    /// Calls refused to a node alone, and to everybody.
-    pub refused_alone: usize,
-    pub refused_all: usize,
-    /// Heartbeats refused by a node that may not act.
+    /// Acquisitions: observed changes of a partition's key.
+    pub acquisitions: usize,
+    /// Store calls refused to a single node.
+    pub refused_one_node: usize,
+    /// Store calls refused to all nodes in an outage.
+    pub refused_all_nodes: usize,
+    /// Answers with the error `not entitled`, from a node that may not act for the partition.
     pub without_authority: usize,
-    /// Transactions carried out late: those that came into force and those that did not.
-    pub late_in_force: usize,
+    /// Transactions that were executed late and committed.
+    pub late_committed: usize,
+    /// Transactions that were executed late and not committed.
     pub late_conflicts: usize,
-    pub unanswered: usize,
-    pub copies: usize,
-    pub copies_for_next: usize,
-    /// Heartbeats that never reached anybody, and answers that never reached a machine.
-    pub mute: usize,
-    pub deaf: usize,
-    /// Direct commands that were held up beyond their caller's patience; of these, the ones that
-    /// found their machine and were executed, or refused by then.
-    pub held: usize,
+    /// Transactions that were committed and whose answer was lost.
+    pub unanswered_txns: usize,
+    /// Late copies of heartbeats that reached a controller.
+    pub heartbeat_copies: usize,
+    /// Heartbeats that were kept for the next leader and sent to all nodes.
+    pub copies_for_next_leader: usize,
+    /// Heartbeats of silent machines, which reached no node.
+    pub lost_heartbeats: usize,
+    /// Answers to heartbeats that did not reach an unreachable machine.
+    pub lost_replies: usize,
+    /// Calls to workers that were delayed beyond their caller's timeout.
+    pub delayed_commands: usize,
+    /// Late commands that reached their machine and were executed.
     pub delayed_executed: usize,
+    /// Late commands that reached their machine and were refused.
     pub delayed_refused: usize,
-    /// Sessions that ended with tasks on the machine.
-    pub leases_lost: usize,
-    /// Questions of users that were answered for good.
+    /// Worker leases that expired while tasks ran on the machine.
+    pub expired_leases: usize,
+    /// Requests of users that were answered with 200 or 201.
     pub answers: usize,
-    /// Heartbeats that waited at a controller that stood still.
-    pub unread: usize,
+    /// Heartbeats that were queued at a paused controller.
+    pub unread_heartbeats: usize,
     /// Machines that never came up.
-    pub never_booted: usize,
+    pub failed_boots: usize,
 }
 
+/// A pending watch call of a controller.
 struct Watch {
     node: usize,
-    life: u64,
+    epoch: u64,
     call_id: u64,
     from: u64,
     end: Micros,
 }
 
+/// A simulated cluster of controllers with its store, cloud, workers and users. Tests inject faults by
+/// setting the public fields. All randomness comes from one seed.
 pub struct Simulation {
     pub now: Micros,
+    /// Names of the nodes; each has a partition of the same name.
     pub names: Vec<&'static str>,
+    /// The running controllers; `None` for a node that is down.
     cores: Vec<Option<Core>>,
-    lives: Vec<u64>,
-    pub cut: BTreeSet<(usize, String)>,
+    /// Number of starts and kills of each node. A message for an earlier epoch is dropped.
+    epochs: Vec<u64>,
+    /// Pairs of node and machine that cannot reach each other.
+    pub severed_links: BTreeSet<(usize, String)>,
     pub store: Store,
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
+    /// The node to which each machine sends its next heartbeat, and when.
     next_heartbeat: BTreeMap<String, (usize, Micros)>,
-    mail: Vec<(Micros, u64, Message)>,
-    sent: u64,
+    /// Messages in flight: due time, sequence number and message.
+    in_flight: Vec<(Micros, u64, Message)>,
+    messages_sent: u64,
     watches: Vec<Watch>,
     pub fault_rates: FaultRates,
-    /// Faults of single calls, by their number among all calls of controllers.
+    /// Faults of single calls, by their number among all calls of controllers, from 1.
     pub call_faults: BTreeMap<usize, CallFault>,
-    /// Calls made by controllers.
+    /// Number of calls that controllers have made.
     pub calls: usize,
     pub cloud_down: bool,
-    /// Nodes that alone get no answer from the store.
+    /// Nodes whose calls the store refuses, while it serves the others.
     pub refused_by_store: BTreeSet<usize>,
-    /// Nodes that no peer reaches, nor they any.
-    pub apart: BTreeSet<usize>,
-    /// Nodes that stand still: what comes for them waits.
+    /// Nodes that cannot exchange messages with any peer.
+    pub isolated_from_peers: BTreeSet<usize>,
+    /// Nodes whose processes are paused: messages for them wait.
     pub paused: BTreeSet<usize>,
-    resumed: BTreeSet<usize>,
-    /// Machines that reach no node, and those that are reached by nothing.
-    pub mute: BTreeSet<String>,
-    pub deaf: BTreeSet<String>,
-    /// What each call to the store takes longer.
-    pub slow: Micros,
-    /// What the answers of watches take longer.
-    pub watch_lag: Micros,
-    /// Direct commands are held up for so long, if at all.
-    pub held: Micros,
-    /// How long a new machine takes to come up.
-    pub boot: Micros,
+    /// Nodes that have been paused since their last step: their next tick says that they are behind.
+    stalled: BTreeSet<usize>,
+    /// Machines whose heartbeats reach no node.
+    pub silent_machines: BTreeSet<String>,
+    /// Machines that neither answers to heartbeats nor direct commands reach.
+    pub unreachable_machines: BTreeSet<String>,
+    /// Additional latency of each call to the store.
+    pub store_latency: Micros,
+    /// Additional latency of the answers to watches.
+    pub watch_latency: Micros,
+    /// Delay of direct commands, beyond their caller's timeout; 0 for none.
+    pub command_delay: Micros,
+    /// Time from the launch of a machine to its first heartbeat.
+    pub boot_time: Micros,
     pub counts: Counts,
     /// Nodes whose processes start as the first version.
-    pub old: BTreeSet<usize>,
-    /// Why a process could not go on.
-    pub ended: Option<String>,
+    pub first_version_nodes: BTreeSet<usize>,
+    /// Reason that a controller gave for terminating its process.
+    pub exit_reason: Option<String>,
+    /// Heartbeats to be sent to every node when a partition is next acquired.
     kept_copies: Vec<Heartbeat>,
+    /// Last modification revision of each partition's key that was seen.
     partition_revisions: BTreeMap<String, u64>,
-    seen_starts: BTreeMap<String, usize>,
-    seen_ends: BTreeMap<String, usize>,
+    /// Number of task starts of each machine that the checker has received.
+    checked_starts: BTreeMap<String, usize>,
+    /// Number of completed tasks of each machine that the checker has received.
+    checked_completions: BTreeMap<String, usize>,
     rng: SmallRng,
+    /// Caller and call number of each unanswered request between peers, by the request's number.
     requests: BTreeMap<u64, (usize, u64)>,
-    request: u64,
+    last_request: u64,
+    /// Status and body of each answer, by the number of its request.
     pub answers: BTreeMap<u64, (u16, serde_json::Value)>,
-    asked: BTreeMap<u64, (UserRequest, String, Micros)>,
+    /// Unanswered requests of users, each with its job and the time at which it was sent.
+    user_requests: BTreeMap<u64, (UserRequest, String, Micros)>,
     pub rules: RuleChecker,
-    tune: fn(&mut Config),
+    /// Adjusts the settings of each process that starts.
+    adjust_config: fn(&mut Config),
+    /// Run time of a task on workers that join from now on.
     pub run_time: Micros,
-    /// How often workers report.
+    /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Micros,
-    /// Tasks with odd numbers do not end on workers that join from now on.
+    /// Whether tasks with odd numbers do not end on workers that join from now on.
     pub odd_tasks_wait: bool,
-    /// Jobs that were submitted with a mistake: their tasks fail on every machine.
+    /// Jobs whose tasks fail on every machine, as after a mistaken submission.
     fails_everywhere: BTreeSet<String>,
-    /// So many of a hundred new machines never come up.
-    pub never_booted: u32,
-    /// Over all that controllers have wanted done.
+    /// Percentage of new machines that never come up.
+    pub boot_failure_percent: u32,
+    /// Digest of all effects of all controllers.
     digest: EffectDigest,
 }
 
@@ -217,56 +256,56 @@
         Simulation::with(seed, names, |_| {})
     }
 
-    /// A world whose controllers have other settings.
-    pub fn with(seed: u64, names: &[&'static str], tune: fn(&mut Config)) -> Self {
+    /// Creates a simulation whose controllers run with adjusted settings.
+    pub fn with(seed: u64, names: &[&'static str], adjust_config: fn(&mut Config)) -> Self {
         let mut config = config(names[0], names);
-        tune(&mut config);
+        adjust_config(&mut config);
         let mut simulation = Simulation {
             now: START,
             names: names.to_vec(),
             cores: names.iter().map(|_| None).collect(),
-            lives: vec![0; names.len()],
-            cut: BTreeSet::new(),
+            epochs: vec![0; names.len()],
+            severed_links: BTreeSet::new(),
             store: Store::default(),
             cloud: Cloud::new(8.0, &["a", "b"], 6),
             workers: BTreeMap::new(),
             next_heartbeat: BTreeMap::new(),
-            mail: Vec::new(),
-            sent: 0,
+            in_flight: Vec::new(),
+            messages_sent: 0,
             watches: Vec::new(),
             fault_rates: FaultRates::default(),
             call_faults: BTreeMap::new(),
             calls: 0,
             cloud_down: false,
             refused_by_store: BTreeSet::new(),
-            apart: BTreeSet::new(),
+            isolated_from_peers: BTreeSet::new(),
             paused: BTreeSet::new(),
-            resumed: BTreeSet::new(),
-            mute: BTreeSet::new(),
-            deaf: BTreeSet::new(),
-            slow: 0,
-            watch_lag: 0,
-            held: 0,
-            boot: SECOND,
+            stalled: BTreeSet::new(),
+            silent_machines: BTreeSet::new(),
+            unreachable_machines: BTreeSet::new(),
+            store_latency: 0,
+            watch_latency: 0,
+            command_delay: 0,
+            boot_time: SECOND,
             counts: Counts::default(),
-            old: BTreeSet::new(),
-            ended: None,
+            first_version_nodes: BTreeSet::new(),
+            exit_reason: None,
             kept_copies: Vec::new(),
             partition_revisions: BTreeMap::new(),
-            seen_starts: BTreeMap::new(),
-            seen_ends: BTreeMap::new(),
+            checked_starts: BTreeMap::new(),
+            checked_completions: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             requests: BTreeMap::new(),
-            request: 1 << 32,
+            last_request: 1 << 32,
             answers: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            user_requests: BTreeMap::new(),
             rules: RuleChecker::new(config.workers.cancel, team_limits(config.teams)),
-            tune,
+            adjust_config,
             run_time: 3 * SECOND,
             heartbeat_interval: config.workers.heartbeat_interval,
             odd_tasks_wait: false,
             fails_everywhere: BTreeSet::new(),
-            never_booted: 0,
+            boot_failure_percent: 0,
             digest: EffectDigest::new(),
         };
         for n in 0..names.len() {
@@ -275,48 +314,53 @@
         simulation
     }
 
+    /// Starts the controller of a node.
     pub fn start(&mut self, n: usize) {
-        self.lives[n] += 1;
+        self.epochs[n] += 1;
         let mut config = config(self.names[n], &self.names);
-        (self.tune)(&mut config);
-        if self.old.contains(&n) {
+        (self.adjust_config)(&mut config);
+        if self.first_version_nodes.contains(&n) {
             config.version = 1;
         }
-        let seed = self.lives[n] * 1000 + n as u64;
+        let seed = self.epochs[n] * 1000 + n as u64;
         self.cores[n] = Some(Core::new(config, seed, self.now));
     }
 
+    /// Kills the controller of a node; messages that are on their way to it are lost.
     pub fn kill(&mut self, n: usize) {
         self.cores[n] = None;
-        self.lives[n] += 1;
-        let life = self.lives[n];
-        self.watches.retain(|w| w.node != n || w.life == life);
+        self.epochs[n] += 1;
+        let epoch = self.epochs[n];
+        self.watches.retain(|w| w.node != n || w.epoch == epoch);
     }
 
-    fn post(&mut self, delay: Micros, message: Message) {
-        self.sent += 1;
-        self.mail.push((self.now + delay, self.sent, message));
+    /// Schedules a message for delivery after a delay.
+    fn schedule(&mut self, delay: Micros, message: Message) {
+        self.messages_sent += 1;
+        self.in_flight.push((self.now + delay, self.messages_sent, message));
     }
 
-    fn short(&mut self) -> Micros {
+    /// Draws the latency of a message.
+    fn draw_latency(&mut self) -> Micros {
         self.rng.random_range(1_000..120_000)
     }
 
+    /// Draws whether the answer to a call is lost, and whether the call is late.
     fn draw_faults(&mut self) -> (bool, bool) {
-        let lost = self.rng.random_range(0..100) < self.fault_rates.lost;
-        let late = self.rng.random_range(0..100) < self.fault_rates.late;
+        let lost = self.rng.random_range(0..100) < self.fault_rates.lost_answers;
+        let late = self.rng.random_range(0..100) < self.fault_rates.late_calls;
         (lost, late)
     }
 
-    /// The node that holds most machines' partitions; the first one of several.
+    /// Returns the node that leads a partition, according to the store.
     pub fn leader(&self, partition: &str) -> Option<usize> {
         let (value, _) = self.store.get(&format!("parts/{partition}"))?;
         let record = value.parse::<quartzlever_wire::store::PartitionRecord>()?;
         self.names.iter().position(|n| *n == record.node)
     }
 
-    /// The partition whose machines run most tasks, with its leader.
-    pub fn busiest(&self) -> (String, usize) {
+    /// Returns the partition whose machines run most tasks, with its leader.
+    pub fn busiest_partition(&self) -> (String, usize) {
         let mut tasks: BTreeMap<String, usize> = BTreeMap::new();
         for key in self.store.keys("hosts/") {
             let Some((value, _)) = self.store.get(&key) else { continue };
@@ -333,23 +377,24 @@
         (partition, leader)
     }
 
-    /// Processes that start from now on have other settings.
-    pub fn retune(&mut self, tune: fn(&mut Config)) {
-        self.tune = tune;
+    /// Changes the adjustment of settings for processes that start from now on.
+    pub fn set_config_adjustment(&mut self, adjust_config: fn(&mut Config)) {
+        self.adjust_config = adjust_config;
     }
 
-    /// Ends all troubles.
-    pub fn calm(&mut self) {
+    /// Ends the injected faults and starts every node that is down.
+    pub fn clear_faults(&mut self) {
         self.fault_rates = FaultRates::default();
-        self.cut.clear();
+        self.severed_links.clear();
         self.refused_by_store.clear();
-        self.apart.clear();
+        self.isolated_from_peers.clear();
         self.paused.clear();
-        self.mute.clear();
-        self.deaf.clear();
-        (self.slow, self.watch_lag, self.held, self.cloud_down) = (0, 0, 0, false);
+        self.silent_machines.clear();
+        self.unreachable_machines.clear();
+        (self.store_latency, self.watch_latency, self.command_delay, self.cloud_down) =
+            (0, 0, 0, false);
         self.workers.values_mut().for_each(|w| w.hung = false);
-        self.never_booted = 0;
+        self.boot_failure_percent = 0;
         if self.store.outage {
             self.store.end_outage(self.now);
         }
@@ -360,8 +405,8 @@
         }
     }
 
-    /// Lets time pass while users ask about all their jobs now and then, at any node.
-    pub fn run_for(&mut self, span: Micros) {
+    /// Advances the time while users look up all accepted jobs every 2 s, each at a random node.
+    pub fn run_with_lookups(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             for job in self.rules.accepted() {
@@ -374,29 +419,30 @@
         }
     }
 
-    /// A chance of so many in a hundred.
+    /// Returns true with the given probability.
     pub fn chance(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
-    pub fn pick(&mut self, below: usize) -> usize {
+    /// Returns a random number below `below`.
+    pub fn random_below(&mut self, below: usize) -> usize {
         self.rng.random_range(0..below)
     }
 
-    /// Kills a node and starts it again after a while.
+    /// Kills a node and starts it again after the given time, which passes meanwhile.
     pub fn restart(&mut self, n: usize, after: Micros) {
         self.kill(n);
         self.run(after);
         self.start(n);
     }
 
-    /// Machines on which a job has tasks now.
+    /// Returns the machines on which tasks of a job run.
     pub fn machines_of(&self, job: &str) -> Vec<String> {
         let on = |w: &Worker| w.running().iter().any(|t| t.job == job);
         self.workers.iter().filter(|(_, w)| on(w)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// From now on the tasks of a job fail on every machine, or they no longer do.
+    /// Sets whether the tasks of a job fail on every machine from now on.
     pub fn set_fails_everywhere(&mut self, job: &str, fails_everywhere: bool) {
         if fails_everywhere {
             self.fails_everywhere.insert(job.to_owned());
@@ -406,13 +452,13 @@
         self.workers.values_mut().for_each(|w| w.fails_everywhere = self.fails_everywhere.clone());
     }
 
-    /// How often tasks of a job were started, on the machines that there are now.
-    pub fn starts_of(&self, job: &str) -> usize {
+    /// Counts the task starts of a job on the machines that exist now.
+    pub fn start_count(&self, job: &str) -> usize {
         let of_job = |w: &Worker| w.started.iter().filter(|(task, _)| task.job == job).count();
         self.workers.values().map(of_job).sum()
     }
 
-    /// Lets time pass.
+    /// Advances the time in steps.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
@@ -421,19 +467,20 @@
         }
     }
 
+    /// Processes one step: workers, due messages, watches, controllers, heartbeats, then the rules.
     fn step(&mut self) {
         let now = self.now;
         for worker in self.workers.values_mut() {
             let (incarnation, busy) = (worker.incarnation(), !worker.running().is_empty());
             worker.advance_to(now);
-            self.counts.leases_lost += usize::from(busy && worker.incarnation() > incarnation);
+            self.counts.expired_leases += usize::from(busy && worker.incarnation() > incarnation);
         }
-        self.note_ends();
+        self.check_completions();
         self.workers.retain(|name, _| !self.cloud.gone.contains(name));
         let due: Vec<(Micros, u64, Message)> = {
             let (mut due, rest): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.mail).into_iter().partition(|m| m.0 <= now);
-            self.mail = rest;
+                std::mem::take(&mut self.in_flight).into_iter().partition(|m| m.0 <= now);
+            self.in_flight = rest;
             due.sort_by_key(|m| (m.0, m.1));
             due
         };
@@ -444,27 +491,28 @@
         self.poll_watches();
         for n in 0..self.cores.len() {
             if self.paused.contains(&n) {
-                self.resumed.insert(n);
+                self.stalled.insert(n);
                 continue;
             }
             let mut batch = batches.remove(&n).unwrap_or_default();
-            let behind = self.resumed.remove(&n);
+            let behind = self.stalled.remove(&n);
             if behind || now.is_multiple_of(4 * STEP) {
                 batch.push(Command::Tick { wall: now, behind });
             }
             let Some(core) = self.cores[n].as_mut() else { continue };
             let effects = core.step(now, batch);
-            self.carry_out_all(n, effects);
+            self.execute_all(n, effects);
         }
-        self.heartbeats();
-        self.check();
+        self.send_heartbeats();
+        self.check_rules();
     }
 
-    fn heartbeats(&mut self) {
+    /// Sends the heartbeats that are due, and schedules the answers and the next heartbeats.
+    fn send_heartbeats(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
+            // The answer to the previous heartbeat has set the node and the time of this one.
             let Some((node, at)) = self.next_heartbeat.get(&name).copied() else { continue };
-            // An answer to the heartbeat under way moves it to another node.
             if at > self.now || self.workers.get(&name).is_none_or(|w| w.hung) {
                 continue;
             }
@@ -472,65 +520,67 @@
                 continue;
             };
             let (sent, incarnation) = (self.now, heartbeat.incarnation);
-            if self.rng.random_range(0..100) < self.fault_rates.copies {
+            if self.rng.random_range(0..100) < self.fault_rates.heartbeat_copies {
                 let wait = self.rng.random_range(2 * SECOND..2 * LEASE);
-                self.post(wait, Message::Copy(vec![node], Box::new(heartbeat.clone())));
+                self.schedule(
+                    wait,
+                    Message::HeartbeatCopy(vec![node], Box::new(heartbeat.clone())),
+                );
             }
-            if self.rng.random_range(0..100) < self.fault_rates.for_next {
+            if self.rng.random_range(0..100) < self.fault_rates.copies_for_next_leader {
                 self.kept_copies.push(heartbeat.clone());
             }
-            if self.mute.contains(&name) {
-                self.counts.mute += 1;
+            if self.silent_machines.contains(&name) {
+                self.counts.lost_heartbeats += 1;
                 let next = (node + 1) % self.cores.len();
                 self.next_heartbeat.insert(name, (next, self.now + SECOND));
                 continue;
             }
-            if self.cores[node].is_none() || self.cut.contains(&(node, name.clone())) {
+            if self.cores[node].is_none() || self.severed_links.contains(&(node, name.clone())) {
                 let next = (node + 1) % self.cores.len();
                 self.next_heartbeat.insert(name, (next, self.now + SECOND));
                 continue;
             }
-            let id = self.request + 1;
-            self.request = id;
+            let id = self.last_request + 1;
+            self.last_request = id;
             let command = Command::Heartbeat { id, heartbeat };
             if self.paused.contains(&node) {
-                // It waits there unread, and the worker turns to the next node in the end.
-                self.counts.unread += 1;
-                let life = self.lives[node];
-                self.post(STEP, Message::ToNode(node, life, Box::new(command)));
+                // The heartbeat waits unread, and the worker times out and tries the next node.
+                self.counts.unread_heartbeats += 1;
+                let epoch = self.epochs[node];
+                self.schedule(STEP, Message::ToNode(node, epoch, Box::new(command)));
                 let next = (node + 1) % self.cores.len();
-                self.next_heartbeat.insert(name, (next, self.now + UNANSWERED));
+                self.next_heartbeat.insert(name, (next, self.now + HEARTBEAT_TIMEOUT));
                 continue;
             }
-            // Handed over at once, so that its answer is known before the next heartbeat.
+            // Delivered without delay, so that the answer is known before the next heartbeat.
             let effects = match self.cores[node].as_mut() {
                 Some(core) => core.step(self.now, vec![command]),
                 None => Vec::new(),
             };
-            self.carry_out_all(node, effects);
+            self.execute_all(node, effects);
             let (lost, _) = self.draw_faults();
             let mut next = node;
             let mut after = self.heartbeat_interval;
             match self.answers.remove(&id) {
                 Some((200, body)) if !lost => {
                     if let Ok(commands) = serde_json::from_value::<WorkerCommands>(body) {
-                        // Now and then a packet is lost and resent; the worker waits with its
-                        // next heartbeat.
+                        // A packet may be lost and sent again; the next heartbeat waits for it.
                         let (_, late) = self.draw_faults();
                         let delay = if late {
                             self.rng.random_range(SECOND / 2..3 * SECOND)
                         } else {
-                            self.short()
+                            self.draw_latency()
                         };
                         after = after.max(delay + STEP);
-                        let handle_heartbeat = Message::Hello(
+                        let reply = Message::HeartbeatReply(
                             node,
                             name.clone(),
                             Box::new(commands),
                             sent,
                             incarnation,
                         );
-                        self.post(delay, handle_heartbeat);
+                        self.schedule(delay, reply);
                     }
                 }
                 Some((421, body)) => {
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -1,52 +1,54 @@
-//! The calls of controllers: carried out, answered, and going wrong.
+//! Execution of the calls of controllers, their answers, and their injected faults.
 
 use super::*;
 
-/// What happens to one call of a controller, or to the controller at that moment.
+/// A fault of one call of a controller, or of the controller when it makes the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// It is refused, and not carried out.
+    /// The call is refused and not executed.
     Refused,
-    /// It is carried out, and its answer lost.
+    /// The call is executed and its answer is lost.
     AnswerLost,
-    /// It seems lost, and is carried out seconds later.
-    CarriedOutLate,
-    /// Its answer comes after more than three seconds.
+    /// The call times out and is executed seconds later.
+    ExecutedLate,
+    /// The answer arrives after more than three seconds.
     AnswerLate,
-    /// It is carried out once more, seconds later.
-    CarriedOutTwice,
-    /// The controller ends before it leaves, and is back within a fraction of a second.
-    EndsBefore,
-    /// The controller ends while it is on its way, and is back within a fraction of a second.
-    EndsAfter,
-    /// The controller stands still for longer than its lease lives.
-    StandsStill,
+    /// The call is executed a second time, seconds later.
+    ExecutedTwice,
+    /// The controller crashes before it sends the call, and restarts after a fraction of a second.
+    CrashBeforeCall,
+    /// The controller crashes while the call is in flight, and restarts after a fraction of a second.
+    CrashAfterCall,
+    /// The controller is paused for longer than the lifetime of its lease.
+    ControllerPaused,
 }
 
 impl CallFault {
     pub const ALL: [CallFault; 8] = [
         CallFault::Refused,
         CallFault::AnswerLost,
-        CallFault::CarriedOutLate,
+        CallFault::ExecutedLate,
         CallFault::AnswerLate,
-        CallFault::CarriedOutTwice,
-        CallFault::EndsBefore,
-        CallFault::EndsAfter,
-        CallFault::StandsStill,
+        CallFault::ExecutedTwice,
+        CallFault::CrashBeforeCall,
+        CallFault::CrashAfterCall,
+        CallFault::ControllerPaused,
     ];
 }
 
-/// How late a call, or its second execution, comes when a fault holds it up.
-const CALL_LATE: Micros = 6 * SECOND;
-/// When a caller gives a call up.
+/// Delay of a late execution of a call.
+const LATE_EXECUTION_DELAY: Micros = 6 * SECOND;
+/// Time after which a caller gives up a call.
 const CALL_TIMEOUT: Micros = 1_500_000;
-/// How late an answer comes that is held up.
-const ANSWER_LATE: Micros = 3_200_000;
-/// How long a controller that ends is away, and how long one stands still.
-const AWAY: Micros = SECOND / 5;
-const STILL: Micros = 9 * SECOND;
+/// Additional delay of a late answer.
+const LATE_ANSWER_DELAY: Micros = 3_200_000;
+/// Time from a crash of a controller to its restart.
+const RESTART_DELAY: Micros = SECOND / 5;
+/// Duration of a pause of a controller; longer than the lifetime of a lease.
+const PAUSE: Micros = 9 * SECOND;
 
 impl Simulation {
+    /// Delivers a due message; input for controllers is added to their batches for this step.
     pub(super) fn deliver(
         &mut self,
         message: Message,
@@ -54,58 +56,59 @@
     ) {
         let now = self.now;
         match message {
-            Message::ToNode(n, life, command) => {
+            Message::ToNode(n, epoch, command) => {
                 if self.paused.contains(&n) {
-                    self.post(STEP, Message::ToNode(n, life, command));
-                } else if self.cores[n].is_some() && self.lives[n] == life {
+                    self.schedule(STEP, Message::ToNode(n, epoch, command));
+                } else if self.cores[n].is_some() && self.epochs[n] == epoch {
                     batches.entry(n).or_default().push(*command);
                 }
             }
-            Message::Store(n, life, call_id, call, lost) => {
+            Message::StoreCall(n, epoch, call_id, call, lost) => {
                 let refused = Err(CallError::Refused);
                 let refused_by_store = self.refused_by_store.contains(&n);
-                self.counts.refused_alone += usize::from(refused_by_store && !self.store.outage);
-                self.counts.refused_all += usize::from(self.store.outage);
+                self.counts.refused_one_node += usize::from(refused_by_store && !self.store.outage);
+                self.counts.refused_all_nodes += usize::from(self.store.outage);
                 let mut result =
                     if refused_by_store { refused } else { self.store.call(now, &call) };
-                let mut delay = self.short() + self.slow / 2;
+                let mut delay = self.draw_latency() + self.store_latency / 2;
                 let unanswered = matches!(call, StoreCall::Txn(_))
                     && matches!(result, Ok(StoreReply::Committed(_)))
-                    && self.rng.random_range(0..100) < self.fault_rates.unanswered;
-                self.counts.unanswered += usize::from(unanswered);
+                    && self.rng.random_range(0..100) < self.fault_rates.unanswered_txns;
+                self.counts.unanswered_txns += usize::from(unanswered);
                 if lost || unanswered {
                     result = Err(CallError::Unknown);
                     delay = 1_500_000;
                 }
                 let command = Command::StoreReply { call_id, result };
-                self.post(delay, Message::ToNode(n, life, Box::new(command)));
+                self.schedule(delay, Message::ToNode(n, epoch, Box::new(command)));
             }
-            Message::Worker(n, life, call_id, address, call, lost) => {
+            Message::WorkerCall(n, epoch, call_id, address, call, lost) => {
                 let name = address.trim_end_matches(":9000").to_owned();
-                let cut = self.cut.contains(&(n, name.clone())) || self.deaf.contains(&name);
+                let severed = self.severed_links.contains(&(n, name.clone()))
+                    || self.unreachable_machines.contains(&name);
                 let result = match self.workers.get_mut(&name) {
-                    Some(worker) if !worker.hung && !cut => Ok(match &call {
+                    Some(worker) if !worker.hung && !severed => Ok(match &call {
                         WorkerCall::Status => WorkerReply::Status(worker.heartbeat()),
                         WorkerCall::Command(commands) => worker.command(commands, now),
                     }),
                     Some(_) => {
-                        // Held back, and delivered when the machine or the network is back.
-                        self.post(8 * SECOND, Message::LateWorker(address, call));
+                        // The call is delivered later, when the machine or the network may be back.
+                        self.schedule(8 * SECOND, Message::LateWorkerCall(address, call));
                         Err(CallError::Unknown)
                     }
                     None => Err(CallError::Refused),
                 };
                 let result = if lost { Err(CallError::Unknown) } else { result };
-                let delay = if result.is_err() { 2 * SECOND } else { self.short() };
+                let delay = if result.is_err() { 2 * SECOND } else { self.draw_latency() };
                 let command = Command::WorkerReply { call_id, result };
-                self.post(delay, Message::ToNode(n, life, Box::new(command)));
+                self.schedule(delay, Message::ToNode(n, epoch, Box::new(command)));
             }
-            Message::Hello(n, name, commands, sent, incarnation) => {
-                if self.cut.contains(&(n, name.clone())) {
+            Message::HeartbeatReply(n, name, commands, sent, incarnation) => {
+                if self.severed_links.contains(&(n, name.clone())) {
                     return;
                 }
-                if self.deaf.contains(&name) {
-                    self.counts.deaf += 1;
+                if self.unreachable_machines.contains(&name) {
+                    self.counts.lost_replies += 1;
                     return;
                 }
                 if let Some(worker) = self.workers.get_mut(&name) {
@@ -113,32 +116,32 @@
                 }
             }
             Message::LateStoreCall(call) => match self.store.call(now, &call) {
-                Ok(StoreReply::Committed(_)) => self.counts.late_in_force += 1,
+                Ok(StoreReply::Committed(_)) => self.counts.late_committed += 1,
                 _ => self.counts.late_conflicts += 1,
             },
-            Message::Copy(nodes, heartbeat) => {
+            Message::HeartbeatCopy(nodes, heartbeat) => {
                 for n in nodes {
-                    self.request += 1;
-                    let id = self.request;
+                    self.last_request += 1;
+                    let id = self.last_request;
                     let command = Command::Heartbeat { id, heartbeat: (*heartbeat).clone() };
                     if self.cores[n].is_some() && !self.paused.contains(&n) {
-                        self.counts.copies += 1;
+                        self.counts.heartbeat_copies += 1;
                         batches.entry(n).or_default().push(command);
                     }
                 }
             }
-            Message::LateCloud(call) => {
-                self.cloud_call(&call);
+            Message::LateCloudCall(call) => {
+                self.call_cloud(&call);
             }
             Message::Start(n) => {
                 if self.cores[n].is_none() {
                     self.start(n);
                 }
             }
-            Message::GoOn(n) => {
+            Message::Resume(n) => {
                 self.paused.remove(&n);
             }
-            Message::LateWorker(address, call) => {
+            Message::LateWorkerCall(address, call) => {
                 let name = address.trim_end_matches(":9000").to_owned();
                 if let (Some(worker), WorkerCall::Command(commands)) =
                     (self.workers.get_mut(&name), &call)
@@ -152,8 +155,8 @@
         }
     }
 
-    /// The cloud carries out a call, and new machines begin to boot.
-    pub(super) fn cloud_call(&mut self, call: &CloudCall) -> CloudReply {
+    /// Executes a call to the cloud, and lets new machines boot.
+    pub(super) fn call_cloud(&mut self, call: &CloudCall) -> CloudReply {
         let reply = self.cloud.call(call);
         if let CloudReply::ScaledOut(machines) = &reply {
             for machine in machines {
@@ -163,12 +166,14 @@
                     worker.odd_tasks_wait = self.odd_tasks_wait;
                     worker.fails_everywhere = self.fails_everywhere.clone();
                     self.workers.insert(machine.clone(), worker);
-                    if self.never_booted > 0 && self.rng.random_range(0..100) < self.never_booted {
-                        self.counts.never_booted += 1;
+                    if self.boot_failure_percent > 0
+                        && self.rng.random_range(0..100) < self.boot_failure_percent
+                    {
+                        self.counts.failed_boots += 1;
                         continue;
                     }
                     let first = self.rng.random_range(0..self.cores.len());
-                    let at = self.now + self.boot;
+                    let at = self.now + self.boot_time;
                     self.next_heartbeat.insert(machine.clone(), (first, at));
                 }
             }
@@ -176,6 +181,7 @@
         reply
     }
 
+    /// Answers the watches that have changes to report, are too old or have run out.
     pub(super) fn poll_watches(&mut self) {
         let watches = std::mem::take(&mut self.watches);
         for watch in watches {
@@ -187,31 +193,31 @@
                 _ => false,
             };
             let ready = ready && !self.refused_by_store.contains(&watch.node);
-            if ready && self.lives[watch.node] == watch.life {
-                // What a watch tells may be a good deal older than what calls have brought.
+            if ready && self.epochs[watch.node] == watch.epoch {
+                // The changes of a watch may arrive much later than newer answers to calls.
                 let command = Command::StoreReply { call_id: watch.call_id, result };
                 let delay = if self.rng.random() { 0 } else { self.rng.random_range(0..SECOND) };
-                let delay = delay + self.watch_lag;
-                self.post(delay, Message::ToNode(watch.node, watch.life, Box::new(command)));
+                let delay = delay + self.watch_latency;
+                self.schedule(delay, Message::ToNode(watch.node, watch.epoch, Box::new(command)));
             } else {
                 self.watches.push(watch);
             }
         }
     }
 
-    /// Carries out what a controller wants done, until it ends.
-    pub(super) fn carry_out_all(&mut self, n: usize, effects: Vec<Effect>) {
+    /// Executes the effects of a controller, up to a crash of it.
+    pub(super) fn execute_all(&mut self, n: usize, effects: Vec<Effect>) {
         self.digest.add(n, self.now, &effects);
-        let life = self.lives[n];
+        let epoch = self.epochs[n];
         for effect in effects {
-            if self.lives[n] == life {
-                self.carry_out(n, effect);
+            if self.epochs[n] == epoch {
+                self.execute(n, effect);
             }
         }
     }
 
-    /// The fault that befalls an effect, if it is a call and its turn has come.
-    pub(super) fn fault_of(&mut self, effect: &Effect) -> Option<CallFault> {
+    /// Counts an effect that is a call, and returns the fault set for its number.
+    pub(super) fn count_call(&mut self, effect: &Effect) -> Option<CallFault> {
         let is_call = matches!(
             effect,
             Effect::Store { .. }
@@ -226,21 +232,23 @@
         self.call_faults.get(&self.calls).copied()
     }
 
-    /// Executes a call when its caller does not wait for it any more: once more if it was answered, or
-    /// for the first time.
-    pub(super) fn carry_out_late(&mut self, effect: Effect, answered: bool) {
+    /// Schedules the execution of a call for when its caller no longer waits for it: a second one if
+    /// the call was answered, else the first.
+    pub(super) fn execute_late(&mut self, effect: Effect, answered: bool) {
         let late = match effect {
             Effect::Store { call: StoreCall::Watch { .. }, .. } => return,
             Effect::Store { call, .. } => Message::LateStoreCall(call),
-            Effect::Cloud { call, .. } => Message::LateCloud(call),
-            Effect::Worker { address, call, .. } if !answered => Message::LateWorker(address, call),
-            // Direct commands are carried out once, however late.
+            Effect::Cloud { call, .. } => Message::LateCloudCall(call),
+            Effect::Worker { address, call, .. } if !answered => {
+                Message::LateWorkerCall(address, call)
+            }
+            // Direct commands are executed once, and calls between peers never late.
             _ => return,
         };
-        self.post(CALL_LATE, late);
+        self.schedule(LATE_EXECUTION_DELAY, late);
     }
 
-    /// Tells the caller how a call ended that was not answered.
+    /// Sends the caller an error in place of an answer.
     pub(super) fn fail_call(&mut self, n: usize, effect: &Effect, error: CallError, after: Micros) {
         let command = match effect {
             Effect::Store { call_id, .. } => {
@@ -257,147 +265,159 @@
             }
             _ => return,
         };
-        let life = self.lives[n];
-        self.post(after, Message::ToNode(n, life, Box::new(command)));
+        let epoch = self.epochs[n];
+        self.schedule(after, Message::ToNode(n, epoch, Box::new(command)));
     }
 
-    pub(super) fn carry_out(&mut self, n: usize, effect: Effect) {
-        let Some(fault) = self.fault_of(&effect) else { return self.carry_out_soundly(n, effect) };
+    /// Executes one effect, with the fault that is set for it.
+    pub(super) fn execute(&mut self, n: usize, effect: Effect) {
+        let Some(fault) = self.count_call(&effect) else {
+            return self.execute_without_fault(n, effect);
+        };
         match fault {
             CallFault::Refused => self.fail_call(n, &effect, CallError::Refused, STEP),
             CallFault::AnswerLost => {
                 self.fail_call(n, &effect, CallError::Unknown, CALL_TIMEOUT);
-                // Carried out for a caller that is not there any more.
-                self.lives[n] += 1;
-                self.carry_out_soundly(n, effect);
-                self.lives[n] -= 1;
+                // Executed on behalf of another epoch, so that the answer is dropped.
+                self.epochs[n] += 1;
+                self.execute_without_fault(n, effect);
+                self.epochs[n] -= 1;
             }
-            CallFault::CarriedOutLate => {
+            CallFault::ExecutedLate => {
                 self.fail_call(n, &effect, CallError::Unknown, CALL_TIMEOUT);
-                self.carry_out_late(effect, false);
+                self.execute_late(effect, false);
             }
             CallFault::AnswerLate => {
-                let sent = self.mail.len();
-                self.carry_out_soundly(n, effect);
-                self.mail[sent..].iter_mut().for_each(|(at, ..)| *at += ANSWER_LATE);
+                let sent = self.in_flight.len();
+                self.execute_without_fault(n, effect);
+                self.in_flight[sent..].iter_mut().for_each(|(at, ..)| *at += LATE_ANSWER_DELAY);
             }
-            CallFault::CarriedOutTwice => {
-                self.carry_out_late(effect.clone(), true);
-                self.carry_out_soundly(n, effect);
+            CallFault::ExecutedTwice => {
+                self.execute_late(effect.clone(), true);
+                self.execute_without_fault(n, effect);
             }
-            CallFault::EndsBefore => self.end(n),
-            CallFault::EndsAfter => {
-                self.carry_out_soundly(n, effect);
-                self.end(n);
+            CallFault::CrashBeforeCall => self.crash(n),
+            CallFault::CrashAfterCall => {
+                self.execute_without_fault(n, effect);
+                self.crash(n);
             }
-            CallFault::StandsStill => {
-                self.carry_out_soundly(n, effect);
+            CallFault::ControllerPaused => {
+                self.execute_without_fault(n, effect);
                 self.paused.insert(n);
-                self.post(STILL, Message::GoOn(n));
+                self.schedule(PAUSE, Message::Resume(n));
             }
         }
     }
 
-    /// Ends a controller, which is back within a fraction of a second.
-    pub(super) fn end(&mut self, n: usize) {
+    /// Crashes a controller, which restarts after a fraction of a second.
+    pub(super) fn crash(&mut self, n: usize) {
         self.kill(n);
-        self.post(AWAY, Message::Start(n));
+        self.schedule(RESTART_DELAY, Message::Start(n));
     }
 
-    pub(super) fn carry_out_soundly(&mut self, n: usize, effect: Effect) {
-        let life = self.lives[n];
+    /// Executes one effect without a fault of its own; [`FaultRates`] and the state of the simulation
+    /// apply.
+    pub(super) fn execute_without_fault(&mut self, n: usize, effect: Effect) {
+        let epoch = self.epochs[n];
         match effect {
             Effect::Store { call_id, call: StoreCall::Watch { from, hold_ms }, .. } => {
                 let end = self.now + hold_ms * 1000;
-                self.watches.push(Watch { node: n, life, call_id, from, end });
+                self.watches.push(Watch { node: n, epoch, call_id, from, end });
             }
             Effect::Store { call_id, call, .. } => {
                 let (lost, late) = self.draw_faults();
-                let delay = self.short() + self.slow / 2;
+                let delay = self.draw_latency() + self.store_latency / 2;
                 let txn = matches!(call, StoreCall::Txn(_));
-                let lagging = txn && self.rng.random_range(0..100) < self.fault_rates.late_writes;
-                if lagging {
+                let late_txn = txn && self.rng.random_range(0..100) < self.fault_rates.late_txns;
+                if late_txn {
                     let wait = self.rng.random_range(2 * SECOND..12 * SECOND);
-                    self.post(wait, Message::LateStoreCall(call));
+                    self.schedule(wait, Message::LateStoreCall(call));
                     let command = Command::StoreReply { call_id, result: Err(CallError::Unknown) };
-                    self.post(1_500_000, Message::ToNode(n, life, Box::new(command)));
+                    self.schedule(1_500_000, Message::ToNode(n, epoch, Box::new(command)));
                 } else if late && txn {
-                    // Soon after, or minutes later.
-                    let most = if self.rng.random() { 2 * SECOND } else { 90 * SECOND };
-                    let wait = self.rng.random_range(SECOND / 10..most);
-                    self.post(wait, Message::LateStoreCall(call));
+                    // Executed within seconds, or up to a minute and a half later.
+                    let longest = if self.rng.random() { 2 * SECOND } else { 90 * SECOND };
+                    let wait = self.rng.random_range(SECOND / 10..longest);
+                    self.schedule(wait, Message::LateStoreCall(call));
                     let command = Command::StoreReply { call_id, result: Err(CallError::Unknown) };
-                    self.post(1_500_000, Message::ToNode(n, life, Box::new(command)));
+                    self.schedule(1_500_000, Message::ToNode(n, epoch, Box::new(command)));
                 } else {
-                    self.post(delay, Message::Store(n, life, call_id, call, lost));
+                    self.schedule(delay, Message::StoreCall(n, epoch, call_id, call, lost));
                 }
             }
             Effect::Cloud { call_id, .. } if self.cloud_down => {
                 let command = Command::CloudReply { call_id, result: Err(CallError::Refused) };
-                self.post(200_000, Message::ToNode(n, life, Box::new(command)));
+                self.schedule(200_000, Message::ToNode(n, epoch, Box::new(command)));
             }
             Effect::Cloud { call_id, call, .. } => {
-                let reply = self.cloud_call(&call);
+                let reply = self.call_cloud(&call);
                 let (lost, _) = self.draw_faults();
                 let result = if lost { Err(CallError::Refused) } else { Ok(reply) };
                 let command = Command::CloudReply { call_id, result };
-                self.post(200_000, Message::ToNode(n, life, Box::new(command)));
+                self.schedule(200_000, Message::ToNode(n, epoch, Box::new(command)));
             }
             Effect::Worker { call_id, address, call, until } => {
-                assert!(until > self.now, "a command without a sure hold");
+                assert!(until > self.now, "a command was sent after its deadline");
                 let (lost, late) = self.draw_faults();
-                let delay = self.short();
-                let held = self.held > 0 && matches!(call, WorkerCall::Command(_));
-                if late || held {
-                    self.counts.held += 1;
-                    let any = self.rng.random_range(2..30) * SECOND;
-                    let wait = if held { self.held } else { any };
-                    self.post(wait, Message::LateWorker(address, call));
+                let delay = self.draw_latency();
+                let delayed = self.command_delay > 0 && matches!(call, WorkerCall::Command(_));
+                if late || delayed {
+                    self.counts.delayed_commands += 1;
+                    let random = self.rng.random_range(2..30) * SECOND;
+                    let wait = if delayed { self.command_delay } else { random };
+                    self.schedule(wait, Message::LateWorkerCall(address, call));
                     let command = Command::WorkerReply { call_id, result: Err(CallError::Unknown) };
-                    self.post(2 * SECOND, Message::ToNode(n, life, Box::new(command)));
+                    self.schedule(2 * SECOND, Message::ToNode(n, epoch, Box::new(command)));
                 } else {
-                    self.post(delay, Message::Worker(n, life, call_id, address, call, lost));
+                    self.schedule(
+                        delay,
+                        Message::WorkerCall(n, epoch, call_id, address, call, lost),
+                    );
                 }
             }
             Effect::Peer { call_id, node, request } => {
                 let to = self.names.iter().position(|name| *name == node);
                 let Some(to) = to.filter(|to| self.cores[*to].is_some()) else {
                     let command = Command::PeerReply { call_id, result: Err(CallError::Refused) };
-                    return self.post(10_000, Message::ToNode(n, life, Box::new(command)));
+                    return self.schedule(10_000, Message::ToNode(n, epoch, Box::new(command)));
                 };
-                let apart = self.apart.contains(&n) || self.apart.contains(&to);
-                let lost = self.draw_faults().0 || apart;
-                self.request += 1;
-                let id = self.request;
+                let isolated =
+                    self.isolated_from_peers.contains(&n) || self.isolated_from_peers.contains(&to);
+                let lost = self.draw_faults().0 || isolated;
+                self.last_request += 1;
+                let id = self.last_request;
                 if !lost {
                     self.requests.insert(id, (n, call_id));
                 }
-                let (delay, to_life) = (self.short(), self.lives[to]);
+                let (delay, to_epoch) = (self.draw_latency(), self.epochs[to]);
                 let command = Command::PeerRequest { id, request };
-                self.post(delay, Message::ToNode(to, to_life, Box::new(command)));
-                // The answer comes as `AnswerPeer`; without one the call runs out.
+                self.schedule(delay, Message::ToNode(to, to_epoch, Box::new(command)));
+                // The answer comes as `AnswerPeer`; without one, this error ends the call.
                 let command = Command::PeerReply { call_id, result: Err(CallError::Unknown) };
-                self.post(2 * SECOND, Message::ToNode(n, life, Box::new(command)));
+                self.schedule(2 * SECOND, Message::ToNode(n, epoch, Box::new(command)));
             }
             Effect::AnswerPeer { id, answer } => {
-                if let Some((asker, call_id)) = self.requests.remove(&id) {
-                    let (delay, life) = (self.short(), self.lives[asker]);
+                if let Some((caller, call_id)) = self.requests.remove(&id) {
+                    let (delay, epoch) = (self.draw_latency(), self.epochs[caller]);
                     let command = Command::PeerReply { call_id, result: Ok(answer) };
-                    self.post(delay, Message::ToNode(asker, life, Box::new(command)));
+                    self.schedule(delay, Message::ToNode(caller, epoch, Box::new(command)));
                 }
             }
             Effect::Answer { id, status, body, until, .. } => {
-                assert!(until.is_none_or(|u| u > self.now), "an answer without a sure hold");
-                let body = serde_json::to_value(body).expect("an answer is JSON");
+                assert!(
+                    until.is_none_or(|u| u > self.now),
+                    "an answer was sent after its deadline"
+                );
+                let body = serde_json::to_value(body).expect("serialize the answer as JSON");
                 self.counts.without_authority += usize::from(body["error"] == "not entitled");
-                if let Some((asked, job, sent)) = self.asked.remove(&id) {
+                if let Some((request, job, sent)) = self.user_requests.remove(&id) {
                     let phase = body["phase"].as_str().unwrap_or("");
                     self.counts.answers += usize::from(matches!(status, 200 | 201));
-                    self.rules.answered(self.now, sent, asked, &job, status, phase);
+                    self.rules.answered(self.now, sent, request, &job, status, phase);
                 }
                 self.answers.insert(id, (status, body));
             }
-            Effect::Terminate { reason } => self.ended = Some(reason),
+            Effect::Terminate { reason } => self.exit_reason = Some(reason),
             Effect::Log(_) | Effect::RateShare(_) => {}
         }
     }
--- a/crates/quartzlever-core/tests/simulation/sim/checks.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/checks.rs
@@ -1,26 +1,26 @@
-//! What is looked at from outside: broken rules, and whether the service gets on.
+//! Checks from outside the controllers: broken rules, and whether the service makes progress.
 
 use super::*;
 
-/// How long the controllers have before they are looked at.
-const UNDISTURBED: Micros = 20 * SECOND;
+/// Time without faults that the controllers get before a check of liveness.
+const SETTLING_TIME: Micros = 20 * SECOND;
 
 impl Simulation {
-    /// Tells the checker which tasks have run to their end.
-    pub(super) fn note_ends(&mut self) {
+    /// Passes completed tasks on to the checker.
+    pub(super) fn check_completions(&mut self) {
         for (name, worker) in &self.workers {
-            let seen = self.seen_ends.entry(name.clone()).or_default();
-            for task in &worker.completed[*seen..] {
+            let checked = self.checked_completions.entry(name.clone()).or_default();
+            for task in &worker.completed[*checked..] {
                 self.rules.task_completed(task);
             }
-            *seen = worker.completed.len();
+            *checked = worker.completed.len();
         }
     }
 
-    /// Looks for broken rules.
-    pub(super) fn check(&mut self) {
+    /// Passes the state of machines, finished jobs and task starts on to the checker.
+    pub(super) fn check_rules(&mut self) {
         let now = self.now;
-        let seen: Vec<MachineTasks> = self
+        let machines: Vec<MachineTasks> = self
             .workers
             .values()
             .map(|w| MachineTasks {
@@ -31,36 +31,37 @@
                 tasks: w.running(),
             })
             .collect();
-        self.rules.machines(now, &seen);
+        self.rules.machines(now, &machines);
         for key in self.store.keys("over/") {
             let id = &key["over/".len()..];
-            if self.over(id) == Some(JobPhase::Done) {
+            if self.final_phase(id) == Some(JobPhase::Done) {
                 self.rules.job_done(now, id);
             }
         }
         for (name, worker) in &self.workers {
-            let told = self.seen_starts.entry(name.clone()).or_default();
-            for (task, at) in &worker.started[*told..] {
-                self.rules.task_started(*at, task, name, &seen);
+            let checked = self.checked_starts.entry(name.clone()).or_default();
+            for (task, at) in &worker.started[*checked..] {
+                self.rules.task_started(*at, task, name, &machines);
             }
-            *told = worker.started.len();
+            *checked = worker.started.len();
         }
-        self.watch_holders();
-        if !self.old.is_empty() {
-            self.check_old_forms();
+        self.track_acquisitions();
+        if !self.first_version_nodes.is_empty() {
+            self.check_first_version_formats();
         }
     }
 
-    /// While a process of the first version may be up, everything is in forms that it reads.
-    pub(super) fn check_old_forms(&mut self) {
+    /// Checks that the store holds only keys and values that the first version can read, as required
+    /// while a process of it may run.
+    pub(super) fn check_first_version_formats(&mut self) {
         let now = self.now;
         if let Some(key) = self.store.key_unknown_to_first_version() {
             self.rules.broken.push(format!("new_form at {} ms: {key}", now / 1000));
         }
     }
 
-    /// Counts new leaders, and hands them what was kept for them.
-    pub(super) fn watch_holders(&mut self) {
+    /// Counts acquisitions of partitions, and after one sends the kept copies of heartbeats to all nodes.
+    pub(super) fn track_acquisitions(&mut self) {
         let mut new = 0;
         for name in self.names.clone() {
             let mod_revision =
@@ -72,19 +73,20 @@
                 new += 1;
             }
         }
-        self.counts.leaders += new;
+        self.counts.acquisitions += new;
         if new > 0 {
             let all: Vec<usize> = (0..self.names.len()).collect();
             for heartbeat in std::mem::take(&mut self.kept_copies) {
-                self.counts.copies_for_next += 1;
-                let delay = self.short();
-                self.post(delay, Message::Copy(all.clone(), Box::new(heartbeat)));
+                self.counts.copies_for_next_leader += 1;
+                let delay = self.draw_latency();
+                self.schedule(delay, Message::HeartbeatCopy(all.clone(), Box::new(heartbeat)));
             }
         }
     }
 
-    /// The controllers have been undisturbed since `since`: each partition has one that acts for it,
-    /// and tasks start. Each is given a heartbeat of what the controllers wait for if not.
+    /// Checks that each partition has exactly one controller that acts for it, and that tasks have
+    /// started, given that there were no faults since `since`. Each broken rule is recorded with the
+    /// conditions that the controllers wait for.
     pub fn check_liveness(&mut self, since: Micros) {
         let now = self.now;
         let before = self.rules.broken.len();
@@ -93,7 +95,7 @@
             self.rules.partition_held(now, partition, acting);
         }
         let types = self.cloud.catalogue.types.clone();
-        let can_rent = self.cloud.machines.len() < self.cloud.max_machines;
+        let can_scale_out = self.cloud.machines.len() < self.cloud.max_machines;
         let limits = team_limits(config(self.names[0], &self.names).teams);
         self.rules.classes_start(now, since, |spec| {
             let limit = limits.iter().find(|l| l.team == spec.team).map_or(0.0, |l| l.cpus);
@@ -102,42 +104,43 @@
                     && spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.name))
                     && spec.zone.as_ref().is_none_or(|zone| t.zones.contains(zone))
             });
-            fits && can_rent && limit <= 0.0
+            fits && can_scale_out && limit <= 0.0
         });
         self.rules.day_over(now);
         if self.rules.broken.len() > before {
-            let heartbeat = self.awaited();
-            self.rules.broken[before..].iter_mut().for_each(|broken| broken.push_str(&heartbeat));
+            let unmet = self.unmet_conditions();
+            self.rules.broken[before..].iter_mut().for_each(|broken| broken.push_str(&unmet));
         }
     }
 
-    /// Ends bad luck with calls, and looks at what the controllers have come to some time later.
-    pub fn check_end(&mut self) {
+    /// Ends the random faults of calls, lets the controllers settle, and checks liveness.
+    pub fn settle_and_check(&mut self) {
         self.fault_rates = FaultRates::default();
         let since = self.now;
-        self.run(UNDISTURBED);
+        self.run(SETTLING_TIME);
         self.check_liveness(since);
     }
 
-    /// What each controller waits for.
-    pub fn awaited(&self) -> String {
+    /// Describes the conditions that each controller waits for.
+    pub fn unmet_conditions(&self) -> String {
         let each = self.names.iter().zip(&self.cores).map(|(name, core)| match core {
             Some(core) => {
-                let awaited: Vec<String> = core.awaited().iter().map(ToString::to_string).collect();
-                format!("; {name} waits for [{}]", awaited.join(", "))
+                let unmet: Vec<String> = core.awaited().iter().map(ToString::to_string).collect();
+                format!("; {name} waits for [{}]", unmet.join(", "))
             }
             None => format!("; {name} is down"),
         });
         each.collect()
     }
 
-    /// Whether a machine that heartbeats has room for one more task of the usual size.
-    pub fn has_room(&self) -> bool {
+    /// Reports whether a machine that does not hang runs fewer than four tasks, so that one more of the
+    /// usual size fits.
+    pub fn has_free_capacity(&self) -> bool {
         self.workers.values().any(|w| !w.hung && w.running().len() < 4)
     }
 
-    /// The final state of a job, if it has one.
-    pub fn over(&self, id: &str) -> Option<JobPhase> {
+    /// Returns the final phase of a job, if the store has one.
+    pub fn final_phase(&self, id: &str) -> Option<JobPhase> {
         let (value, _) = self.store.get(&format!("over/{id}"))?;
         value.parse::<TerminalJobRecord>().map(|o| o.phase)
     }
--- a/crates/quartzlever-core/tests/simulation/sim/digest.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/digest.rs
@@ -1,8 +1,8 @@
-//! A digest over everything that leaves the controllers of a world, to show that a change of the
-//! code has left behaviour alone: `tools/compare-digests` compares those of two commits.
+//! Digest of everything that leaves the controllers of a simulation, to verify that a change of the
+//! code does not change behaviour: `tools/compare-digests` compares the digests of two commits.
 //!
-//! Hashed are the wire forms, and fixed numbers where there is none, so that the names of types,
-//! fields and variants do not matter. Lines for the log do not count.
+//! The hash covers wire formats, and fixed numbers where there is none, so that it does not depend on
+//! the names of types, fields and variants. Log events are left out.
 
 use std::cell::Cell;
 use std::fs::OpenOptions;
@@ -18,37 +18,37 @@
 use quartzlever_wire::{Micros, SECOND};
 use serde::Serialize;
 
-/// Names the folder that digests are written to; without it there are none.
-const FOLDER: &str = "EFFECT_DIGESTS";
+/// Environment variable that names the directory for digests; if it is unset, none are computed.
+const DIRECTORY_VARIABLE: &str = "EFFECT_DIGESTS";
 
 thread_local! {
-    /// Worlds that the test of this thread has made.
-    static WORLDS: Cell<usize> = const { Cell::new(0) };
+    /// Number of simulations that the test of this thread has created.
+    static SIMULATIONS: Cell<usize> = const { Cell::new(0) };
 }
 
-/// The running digest of one world; it is written when the world is dropped.
+/// The running digest of one simulation, written when the simulation is dropped.
 #[derive(Debug)]
 pub struct EffectDigest {
-    /// Where to write it, if at all.
-    folder: Option<PathBuf>,
-    /// Which world of its test this is.
+    /// Directory to write the digest to, if any.
+    directory: Option<PathBuf>,
+    /// Number of the simulation within its test, from 1.
     simulation: usize,
     effects: u64,
     hash: Fnv,
 }
 
 impl EffectDigest {
-    /// The digest of the next world of this thread's test.
+    /// Creates the digest of the next simulation of this thread's test.
     pub fn new() -> Self {
-        let simulation = WORLDS.get() + 1;
-        WORLDS.set(simulation);
-        let folder = env::var_os(FOLDER).map(PathBuf::from);
-        EffectDigest { folder, simulation, effects: 0, hash: Fnv::default() }
+        let simulation = SIMULATIONS.get() + 1;
+        SIMULATIONS.set(simulation);
+        let directory = env::var_os(DIRECTORY_VARIABLE).map(PathBuf::from);
+        EffectDigest { directory, simulation, effects: 0, hash: Fnv::default() }
     }
 
-    /// Takes in what a node wants done at this time.
+    /// Adds the effects that a node returned at this time.
     pub fn add(&mut self, node: usize, now: Micros, effects: &[Effect]) {
-        if self.folder.is_none() {
+        if self.directory.is_none() {
             return;
         }
         for effect in effects {
@@ -62,12 +62,14 @@
         }
     }
 
+    /// Appends a line with the test, the simulation, the number of effects and the hash to the test's
+    /// file.
     fn write(&self) -> io::Result<()> {
-        let Some(folder) = &self.folder else { return Ok(()) };
+        let Some(directory) = &self.directory else { return Ok(()) };
         let thread = thread::current();
         let test = thread.name().unwrap_or("unnamed");
         let line = format!("{test} {} {} {:016x}\n", self.simulation, self.effects, self.hash.0);
-        let mut file = OpenOptions::new().create(true).append(true).open(folder.join(test))?;
+        let mut file = OpenOptions::new().create(true).append(true).open(directory.join(test))?;
         file.write_all(line.as_bytes())
     }
 }
@@ -76,7 +78,7 @@
     fn drop(&mut self) {
         let written = self.write();
         if !thread::panicking() {
-            written.expect("a digest cannot be written");
+            written.expect("write the digest");
         }
     }
 }
@@ -92,6 +94,7 @@
 }
 
 impl Fnv {
+    /// Hashes bytes without their length.
     fn raw(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -107,6 +110,7 @@
         self.number(number.unwrap_or(0));
     }
 
+    /// Hashes bytes preceded by their length.
     fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         self.raw(bytes);
@@ -122,12 +126,12 @@
     }
 
     fn json(&mut self, message: &impl Serialize) {
-        self.bytes(&serde_json::to_vec(message).expect("a message is JSON"));
+        self.bytes(&serde_json::to_vec(message).expect("serialize the message as JSON"));
     }
 
     fn frame(&mut self, message: &impl Serialize) {
         let mut frame = Vec::new();
-        peers::send(&mut frame, message).expect("a message fits into a frame");
+        peers::send(&mut frame, message).expect("encode the message as a frame");
         self.bytes(&frame);
     }
 
@@ -150,8 +154,8 @@
             Effect::Store { call_id, call_priority, call } => {
                 self.number(3);
                 self.number(*call_id);
-                self.number(lane_number(*call_priority));
-                self.state_call(call);
+                self.number(priority_number(*call_priority));
+                self.store_call(call);
             }
             Effect::Cloud { call_id, call, until } => {
                 self.number(4);
@@ -183,7 +187,7 @@
         }
     }
 
-    fn state_call(&mut self, call: &StoreCall) {
+    fn store_call(&mut self, call: &StoreCall) {
         match call {
             StoreCall::Revision => self.number(1),
             StoreCall::Get(key) => {
@@ -244,7 +248,7 @@
     }
 }
 
-fn lane_number(call_priority: CallPriority) -> u64 {
+fn priority_number(call_priority: CallPriority) -> u64 {
     match call_priority {
         CallPriority::Lease => 1,
         CallPriority::Watch => 2,
@@ -254,29 +258,29 @@
 }
 
 #[test]
-fn a_digest_tells_order_content_and_time_apart_and_passes_over_notes() {
+fn a_digest_depends_on_order_content_node_and_time_but_not_on_log_events() {
     let share = |share: f64| Effect::RateShare(share);
-    let end = |reason: &str| Effect::Terminate { reason: reason.to_owned() };
-    let note = || Effect::Log(quartzlever_core::LogEvent::WorkersReachable);
+    let terminate = |reason: &str| Effect::Terminate { reason: reason.to_owned() };
+    let log_event = || Effect::Log(quartzlever_core::LogEvent::WorkersReachable);
     let digest = |node: usize, now: Micros, effects: &[Effect]| {
         let hash = Fnv::default();
-        // Nothing is written: the folder is taken away again before the drop.
-        let folder = Some(PathBuf::new());
-        let mut digest = EffectDigest { folder, simulation: 0, effects: 0, hash };
+        // The directory is removed before the drop, so that nothing is written.
+        let directory = Some(PathBuf::new());
+        let mut digest = EffectDigest { directory, simulation: 0, effects: 0, hash };
         digest.add(node, now, effects);
-        digest.folder = None;
+        digest.directory = None;
         (digest.effects, digest.hash.0)
     };
-    let first = digest(0, SECOND, &[share(0.5), end("x")]);
-    assert_eq!(first, digest(0, SECOND, &[share(0.5), note(), end("x")]));
+    let first = digest(0, SECOND, &[share(0.5), terminate("x")]);
+    assert_eq!(first, digest(0, SECOND, &[share(0.5), log_event(), terminate("x")]));
     assert_eq!(first.0, 2);
     for other in [
-        digest(0, SECOND, &[end("x"), share(0.5)]),
-        digest(0, SECOND, &[share(0.25), end("x")]),
-        digest(0, SECOND, &[share(0.5), end("y")]),
+        digest(0, SECOND, &[terminate("x"), share(0.5)]),
+        digest(0, SECOND, &[share(0.25), terminate("x")]),
+        digest(0, SECOND, &[share(0.5), terminate("y")]),
         digest(0, SECOND, &[share(0.5)]),
-        digest(1, SECOND, &[share(0.5), end("x")]),
-        digest(0, SECOND + 1, &[share(0.5), end("x")]),
+        digest(1, SECOND, &[share(0.5), terminate("x")]),
+        digest(0, SECOND + 1, &[share(0.5), terminate("x")]),
     ] {
         assert_ne!(first, other);
     }
--- a/crates/quartzlever-core/tests/simulation/sim/users.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/users.rs
@@ -1,50 +1,64 @@
-//! Users: they submit, ask and cancel, and come back until they are answered.
+//! Users, who submit, look up and cancel jobs, and retry until they get an answer.
 
 use super::*;
 
 impl Simulation {
-    /// Sends a request of a user to a node; its answer will be under the returned number.
-    pub fn request(&mut self, n: usize, make: impl FnOnce(u64) -> Command) -> u64 {
-        self.request += 1;
-        let id = self.request;
-        self.requests.insert(id, (n, self.lives[n]));
-        let delay = self.short();
-        let life = self.lives[n];
-        self.post(delay, Message::ToNode(n, life, Box::new(make(id))));
+    /// Sends a request of a user to a node, and returns the number under which the answer will be found
+    /// in `answers`.
+    pub fn send_request(&mut self, n: usize, make: impl FnOnce(u64) -> Command) -> u64 {
+        self.last_request += 1;
+        let id = self.last_request;
+        self.requests.insert(id, (n, self.epochs[n]));
+        let delay = self.draw_latency();
+        let epoch = self.epochs[n];
+        self.schedule(delay, Message::ToNode(n, epoch, Box::new(make(id))));
         id
     }
 
-    pub(super) fn ask(
+    /// Sends a request whose answer is checked against the rules.
+    pub(super) fn send_checked_request(
         &mut self,
         n: usize,
-        asked: UserRequest,
+        request: UserRequest,
         job: &str,
         make: impl FnOnce(u64) -> Command,
     ) -> u64 {
-        let id = self.request(n, make);
-        self.asked.insert(id, (asked, job.to_owned(), self.now));
+        let id = self.send_request(n, make);
+        self.user_requests.insert(id, (request, job.to_owned(), self.now));
         id
     }
 
+    /// Submits a job at a node, and returns the number of the request.
     pub fn submit(&mut self, n: usize, spec: JobSpec) -> u64 {
         let job = spec.id.clone();
         self.rules.asked(UserRequest::Submit, &job, Some(&spec));
-        self.ask(n, UserRequest::Submit, &job, |id| Command::Submit { id, spec: Box::new(spec) })
+        self.send_checked_request(n, UserRequest::Submit, &job, |id| Command::Submit {
+            id,
+            spec: Box::new(spec),
+        })
     }
 
+    /// Looks up a job at a node, and returns the number of the request.
     pub fn lookup(&mut self, n: usize, job: &str) -> u64 {
         let name = job.to_owned();
-        self.ask(n, UserRequest::Lookup, job, |id| Command::Lookup { id, job: name })
+        self.send_checked_request(n, UserRequest::Lookup, job, |id| Command::Lookup {
+            id,
+            job: name,
+        })
     }
 
+    /// Cancels a job at a node, and returns the number of the request.
     pub fn cancel(&mut self, n: usize, job: &str) -> u64 {
         self.rules.asked(UserRequest::Cancel, job, None);
         let name = job.to_owned();
-        self.ask(n, UserRequest::Cancel, job, |id| Command::Cancel { id, job: name })
+        self.send_checked_request(n, UserRequest::Cancel, job, |id| Command::Cancel {
+            id,
+            job: name,
+        })
     }
 
-    /// Users ask at all nodes and repeat the submission, all at once.
-    pub fn look_closely(&mut self, job: &str) {
+    /// Looks up a job and repeats its submission at all nodes at once.
+    pub fn query_all_nodes(&mut self, job: &str) {
         for n in 0..self.names.len() {
             self.lookup(n, job);
             if let Some(spec) = self.rules.specs.get(job).cloned() {
@@ -53,8 +67,9 @@
         }
     }
 
-    /// Waits until a user's request is answered.
-    pub fn answer(&mut self, id: u64, within: Micros) -> Option<(u16, serde_json::Value)> {
+    /// Advances the time until a request is answered, and returns the status and body; returns `None`
+    /// after `within`.
+    pub fn wait_for_answer(&mut self, id: u64, within: Micros) -> Option<(u16, serde_json::Value)> {
         let end = self.now + within;
         while self.now < end && !self.answers.contains_key(&id) {
             self.run(STEP);
@@ -62,11 +77,14 @@
         self.answers.remove(&id)
     }
 
-    /// Submits until accepted, as users do.
+    /// Submits a job at one node after another until it is accepted or rejected, and returns the
+    /// status; returns 0 after 60 attempts.
     pub fn submit_until_accepted(&mut self, mut n: usize, spec: &JobSpec) -> u16 {
         for _ in 0..60 {
             let id = self.submit(n, spec.clone());
-            if let Some((status @ (200 | 201 | 400 | 422), _)) = self.answer(id, 5 * SECOND) {
+            if let Some((status @ (200 | 201 | 400 | 422), _)) =
+                self.wait_for_answer(id, 5 * SECOND)
+            {
                 return status;
             }
             self.run(SECOND);
@@ -75,11 +93,12 @@
         0
     }
 
-    /// Cancels until that is answered for good, as users do.
+    /// Cancels a job at one node after another until that is confirmed, and returns the job's phase;
+    /// returns `None` after 60 attempts.
     pub fn cancel_until_confirmed(&mut self, mut n: usize, job: &str) -> Option<String> {
         for _ in 0..60 {
             let id = self.cancel(n, job);
-            if let Some((200, body)) = self.answer(id, 5 * SECOND) {
+            if let Some((200, body)) = self.wait_for_answer(id, 5 * SECOND) {
                 return Some(body["phase"].as_str().unwrap_or("").to_owned());
             }
             self.run(SECOND);
--- a/crates/quartzlever-core/tests/simulation/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -41,7 +41,7 @@
 pub(crate) fn simulation(seed: u64, tune: fn(&mut Config)) -> Simulation {
     let mut w = Simulation::with(seed, NODES, tune);
     w.cloud.max_machines = 90;
-    w.old.extend(0..NODES.len());
+    w.first_version_nodes.extend(0..NODES.len());
     for n in 0..NODES.len() {
         w.kill(n);
         w.start(n);
@@ -53,7 +53,7 @@
 
 pub(crate) fn replace(w: &mut Simulation, order: [usize; 3], between: Between) {
     for (turn, n) in order.into_iter().enumerate() {
-        w.old.remove(&n);
+        w.first_version_nodes.remove(&n);
         w.restart(n, SECOND);
         w.run(3 * SECOND);
         match between {
@@ -97,9 +97,13 @@
             }
             // A service is not taken while an old controller could not read it.
             let early = w.submit(0, service(50, 2));
-            assert_eq!(w.answer(early, SECOND).map(|a| a.0), Some(503), "{name}: too early");
+            assert_eq!(
+                w.wait_for_answer(early, SECOND).map(|a| a.0),
+                Some(503),
+                "{name}: too early"
+            );
             replace(&mut w, order, between);
-            w.run_for(6 * SECOND);
+            w.run_with_lookups(6 * SECOND);
             assert!(w.store.get(CLUSTER_VERSION_KEY).is_some(), "{name}: not raised");
             let before: usize = w.store.keys("hosts/").len();
             // Limits sink at some moment from the raising on.
@@ -110,16 +114,16 @@
                 assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 0, "{name}");
             }
             assert!(w.cancel_until_confirmed(1, &job(21, 1).id).is_some(), "{name}");
-            w.run_for(150 * SECOND);
+            w.run_with_lookups(150 * SECOND);
             let keys = w.store.keys("hosts/");
             let long =
                 keys.iter().filter(|k| w.store.get(k).is_some_and(|(v, _)| v.text().len() > VALUE));
             assert_eq!(long.count(), 0, "{name}: blocks too large, {before} keys before");
             assert!(w.store.too_large < 5, "{name}: {} too large", w.store.too_large);
-            w.check_end();
+            w.settle_and_check();
             assert!(w.rules.broken.is_empty(), "{name}: {:?}", &w.rules.broken[..1]);
             for k in (0..10).chain(20..26).filter(|k| *k != 21) {
-                assert_eq!(w.over(&job(k, 1).id), Some(JobPhase::Done), "{name}: {k}");
+                assert_eq!(w.final_phase(&job(k, 1).id), Some(JobPhase::Done), "{name}: {k}");
             }
             assert!(!w.rules.waiting().contains(&"req-000050"), "{name}: the service waits");
         }
@@ -141,22 +145,22 @@
             keys.iter().filter_map(|k| w.store.get(k)).map(|(v, _)| v.text().len()).max()
         };
         assert!(length(&w) > Some(VALUE), "{seed}: blocks are large before, {:?}", length(&w));
-        w.retune(tune);
+        w.set_config_adjustment(tune);
         replace(&mut w, [0, 1, 2], Between::Nothing);
         for tenths in 0..20 {
             w.run(SECOND / 2);
             if tenths == 10 {
-                let (_, leader) = w.busiest();
+                let (_, leader) = w.busiest_partition();
                 w.restart(leader, SECOND / 2);
             }
         }
         lower_limits(&mut w, VALUE, ops);
-        w.run_for(120 * SECOND);
+        w.run_with_lookups(120 * SECOND);
         assert!(length(&w) <= Some(VALUE), "{seed}: {:?} after", length(&w));
-        w.check_end();
+        w.settle_and_check();
         assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
         for k in 0..20 {
-            assert_eq!(w.over(&job(k, 1).id), Some(JobPhase::Done), "{seed}: {k}");
+            assert_eq!(w.final_phase(&job(k, 1).id), Some(JobPhase::Done), "{seed}: {k}");
         }
     }
 }
@@ -172,11 +176,11 @@
     for k in 0..8 {
         assert_ne!(w.submit_until_accepted(k as usize % 3, &job(k, 40)), 0);
     }
-    w.run_for(200 * SECOND);
-    w.check_end();
+    w.run_with_lookups(200 * SECOND);
+    w.settle_and_check();
     assert!(w.rules.broken.is_empty(), "{:?}", &w.rules.broken[..1]);
     for k in 0..8 {
-        assert_eq!(w.over(&job(k, 1).id), Some(JobPhase::Done), "{k}");
+        assert_eq!(w.final_phase(&job(k, 1).id), Some(JobPhase::Done), "{k}");
     }
     let (large, often) = (w.store.too_large, w.store.too_often);
     assert!(large < 60 && often < 400, "{large} too large, {often} too often: a loop");
@@ -191,5 +195,9 @@
     w.store.call(now, &StoreCall::Txn(txn)).expect("it is up");
     w.restart(0, SECOND);
     w.run(3 * SECOND);
-    assert!(w.ended.as_ref().is_some_and(|reason| reason.contains("version 99")), "{:?}", w.ended);
+    assert!(
+        w.exit_reason.as_ref().is_some_and(|reason| reason.contains("version 99")),
+        "{:?}",
+        w.exit_reason
+    );
 }
