--- a/crates/quartzlever-core/tests/simulation/large_fleet.rs
+++ b/crates/quartzlever-core/tests/simulation/large_fleet.rs
@@ -15,7 +15,7 @@
     config.operator.silent_return = 9 * SECOND;
 }
 
-/// Returns a job with more tasks than its share of the machines, each of which fills a machine.
+/// Returns a job whose tasks fill a machine each, with 100 tasks more than its share of the machines.
 fn machine_filling_job(number: u32) -> JobSpec {
     let tasks = MACHINES as u32 / JOBS + 100;
     JobSpec { cpus: 8.0, expect_s: 45.0, ..job(number, tasks) }
--- a/crates/quartzlever-core/tests/simulation/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -52,7 +52,7 @@
 }
 
 /// Upgrades all controllers and submits jobs, and lowers the limits at the given moment.
-fn play(w: &mut Simulation, moment: Moment, limits: LowLimits) {
+fn run_scenario(w: &mut Simulation, moment: Moment, limits: LowLimits) {
     if moment == Moment::BeforeUpgrade {
         lower_limits(w, limits);
     }
@@ -108,7 +108,7 @@
             let name = format!("{moment:?}, {limits:?}");
             let mut w = simulation(seed, unchanged);
             w.run_time = 20 * SECOND;
-            play(&mut w, moment, limits);
+            run_scenario(&mut w, moment, limits);
             w.run(30 * SECOND);
             let up = w.workers.len();
             assert!(up > 30, "{name}: {up} machines are too few to fill a group");
--- a/crates/quartzlever-core/tests/simulation/liveness.rs
+++ b/crates/quartzlever-core/tests/simulation/liveness.rs
@@ -44,7 +44,7 @@
 }
 
 /// A start of all controllers, with jobs from the first second on and faults of calls.
-struct StartUp {
+struct Startup {
     seed: u64,
     nodes: usize,
     adjust_config: fn(&mut Config),
@@ -82,10 +82,10 @@
 /// Faults hit calls below this number: about as many as are made in the first ten seconds.
 const EARLY_CALLS: usize = 250;
 
-impl StartUp {
+impl Startup {
     /// Returns a start without faults, limits or changed settings.
-    fn without_faults(seed: u64) -> StartUp {
-        StartUp {
+    fn without_faults(seed: u64) -> Startup {
+        Startup {
             seed,
             nodes: 3,
             adjust_config: unchanged,
@@ -102,7 +102,7 @@
     }
 
     /// Returns a start whose faults, limits and settings are drawn from the seed.
-    fn random(seed: u64) -> StartUp {
+    fn random(seed: u64) -> Startup {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut percent = || if rng.random() { rng.random_range(0..15) } else { 0 };
         let fault_rates = FaultRates {
@@ -119,7 +119,7 @@
         };
         let faults = (0..count).map(|_| fault()).collect();
         let adjustments: [fn(&mut Config); 4] = [unchanged, unchanged, short_leases, low_limits];
-        StartUp {
+        Startup {
             nodes: [1, 3, 3, 5][rng.random_range(0..4)],
             adjust_config: adjustments[rng.random_range(0..adjustments.len())],
             page_limit: rng.random_range(0..3),
@@ -131,13 +131,13 @@
             max_spot_machines: [usize::MAX, usize::MAX, 0, 1][rng.random_range(0..4)],
             boot_time: [SECOND, 4 * SECOND][rng.random_range(0..2)],
             faults,
-            ..StartUp::without_faults(seed)
+            ..Startup::without_faults(seed)
         }
     }
 
     /// Runs the start, then clears the faults. Returns an error unless the rules hold, each partition has
     /// a controller that acts for it, and each job has started.
-    fn play(&self) -> Result<(), String> {
+    fn run(&self) -> Result<(), String> {
         let names = &["one", "two", "three", "four", "five"][..self.nodes];
         let mut simulation = Simulation::with(self.seed, names, self.adjust_config);
         (simulation.store.page_limit, simulation.store.log_limit) =
@@ -185,8 +185,8 @@
             for call in (1..EARLY_CALLS).step_by(step) {
                 let faults = vec![(call, fault)];
                 let start =
-                    StartUp { nodes, faults, ..StartUp::without_faults(70_000 + call as u64) };
-                assert_eq!(start.play(), Ok(()));
+                    Startup { nodes, faults, ..Startup::without_faults(70_000 + call as u64) };
+                assert_eq!(start.run(), Ok(()));
             }
         }
     }
@@ -204,7 +204,7 @@
     // A search sets a larger number of seeds, see docs/fault-combinations.md.
     let count = std::env::var("QUARTZLEVER_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
     let seeds = REGRESSION_SEEDS.iter().copied().chain(0..count.unwrap_or(80));
-    let failed: Vec<String> = seeds.filter_map(|seed| StartUp::random(seed).play().err()).collect();
+    let failed: Vec<String> = seeds.filter_map(|seed| Startup::random(seed).run().err()).collect();
     assert!(failed.is_empty(), "{} failed: {failed:#?}", failed.len());
 }
 
--- a/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// If the cause of the failures is removed, the job finishes within a minute, however long it has been
-/// failing.
+/// The failures were caused by the machines, which are then repaired: the job finishes within a minute,
+/// however long it has been failing.
 #[test]
 fn a_job_that_failed_everywhere_runs_once_the_cause_is_gone() {
     for (seed, span) in [(0, 5), (1, 20), (2, 60)] {
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -31,8 +31,10 @@
 const STEP: Micros = 50_000;
 /// Time after which a worker gives up an unanswered heartbeat and tries another node.
 const HEARTBEAT_TIMEOUT: Micros = 5 * SECOND;
+/// Time at which a simulation starts.
 pub const START: Micros = 1_000 * SECOND;
 
+/// Returns the settings of one of the nodes, before a test adjusts them.
 pub fn config(node: &str, nodes: &[&str]) -> Config {
     Config {
         node: node.into(),
@@ -68,6 +70,7 @@
     teams.into_iter().map(limit).collect()
 }
 
+/// Returns a job that is due in a minute, with a number and so many tasks.
 pub fn job(n: u32, tasks: u32) -> JobSpec {
     JobSpec { due_s: Some(60.0), ..jobs::array(n, tasks) }
 }
@@ -174,7 +177,7 @@
     pub names: Vec<&'static str>,
     /// The running controllers; `None` for a node that is down.
     cores: Vec<Option<Core>>,
-    /// Number of starts and kills of each node. A message for an earlier epoch is dropped.
+    /// Number of starts and kills of each node. A message for another epoch is dropped.
     epochs: Vec<u64>,
     /// Pairs of node and machine that cannot reach each other.
     pub severed_links: BTreeSet<(usize, String)>,
@@ -228,6 +231,7 @@
     checked_completions: BTreeMap<String, usize>,
     rng: SmallRng,
     /// Caller and call number of each unanswered request between peers, by the request's number.
+    /// Requests of users are entered too, and are never answered by a peer.
     requests: BTreeMap<u64, (usize, u64)>,
     last_request: u64,
     /// Status and body of each answer, by the number of its request.
@@ -252,6 +256,7 @@
 }
 
 impl Simulation {
+    /// Creates a simulation whose controllers run with the settings of [`config`].
     pub fn new(seed: u64, names: &[&'static str]) -> Self {
         Simulation::with(seed, names, |_| {})
     }
@@ -565,7 +570,8 @@
             match self.answers.remove(&id) {
                 Some((200, body)) if !lost => {
                     if let Ok(commands) = serde_json::from_value::<WorkerCommands>(body) {
-                        // A packet may be lost and sent again; the next heartbeat waits for it.
+                        // A packet may be lost and sent again; the worker sends its next heartbeat
+                        // only after the reply.
                         let (_, late) = self.draw_faults();
                         let delay = if late {
                             self.rng.random_range(SECOND / 2..3 * SECOND)
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -234,7 +234,7 @@
 
     /// Schedules the execution of a call for when its caller no longer waits for it: a second one if
     /// the call was answered, else the first.
-    pub(super) fn execute_late(&mut self, effect: Effect, answered: bool) {
+    pub(super) fn schedule_late_execution(&mut self, effect: Effect, answered: bool) {
         let late = match effect {
             Effect::Store { call: StoreCall::Watch { .. }, .. } => return,
             Effect::Store { call, .. } => Message::LateStoreCall(call),
@@ -285,7 +285,7 @@
             }
             CallFault::ExecutedLate => {
                 self.fail_call(n, &effect, CallError::Unknown, CALL_TIMEOUT);
-                self.execute_late(effect, false);
+                self.schedule_late_execution(effect, false);
             }
             CallFault::AnswerLate => {
                 let sent = self.in_flight.len();
@@ -293,7 +293,7 @@
                 self.in_flight[sent..].iter_mut().for_each(|(at, ..)| *at += LATE_ANSWER_DELAY);
             }
             CallFault::ExecutedTwice => {
-                self.execute_late(effect.clone(), true);
+                self.schedule_late_execution(effect.clone(), true);
                 self.execute_without_fault(n, effect);
             }
             CallFault::CrashBeforeCall => self.crash(n),
--- a/crates/quartzlever-core/tests/simulation/sim/checks.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/checks.rs
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Checks that each partition has exactly one controller that acts for it, and that tasks have
-    /// started, given that there were no faults since `since`. Each broken rule is recorded with the
-    /// conditions that the controllers wait for.
+    /// Checks that each partition has exactly one controller that acts for it, and that every job class
+    /// with a waiting job that could run has seen a start since `since`, the end of the faults. Each
+    /// broken rule is recorded with the conditions that the controllers wait for.
     pub fn check_liveness(&mut self, since: Micros) {
         let now = self.now;
         let before = self.rules.broken.len();
