--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -70,7 +70,7 @@
     teams.into_iter().map(limit).collect()
 }
 
-/// Returns a job that is due in a minute, with a number and so many tasks.
+/// Returns an array job with the given number and count of tasks, due in a minute.
 pub fn job(n: u32, tasks: u32) -> JobSpec {
     JobSpec { due_s: Some(60.0), ..jobs::array(n, tasks) }
 }
