--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -1,10 +1,11 @@
-//! Rebuilding lost state, as the operator has switched it on: the files, the threads, and the way of a
-//! process to an intact store.
+//! Recovery of lost state, if the operator has enabled it: its files, its threads, and how a
+//! process obtains an intact store at startup.
 //!
-//! Owns the order in which a process comes to such a store. Never decides what is rebuilt: the crate
-//! `quartzlever-recovery` does, without threads or files. `directory` has the files, `journal` the log,
-//! `replication` and `peer_log` the other controllers' logs, `state` the guarded store, `monitor` the
-//! search for loss, `commands` what an operator asks at a terminal.
+//! Owns the order of the steps by which a process opens the store. Never decides what is rebuilt:
+//! the crate `quartzlever-recovery` does, without threads or files. `directory` has the files,
+//! `journal` the log, `replication` and `peer_log` the exchange of log entries with the other
+//! controllers, `state` the guarded store, `monitor` the periodic search for loss, `commands` the
+//! operator's commands.
 
 pub mod commands;
 mod directory;
@@ -29,37 +30,38 @@
 use crate::random::random_number;
 use crate::settings::{RecoverySettings, Settings};
 use journal::Journal;
-use monitor::{Monitor, Pace};
+use monitor::{Monitor, RestoreLimits};
 use replication::Replication;
 use state::{ClientAccess, GuardedStore};
 
-pub use directory::{Directory, OwnDirectory};
+pub use directory::{Directory, LockedDirectory};
 pub use peer_log::{OwnLog, take_changes};
 pub use state::StoreService;
 
-/// Share of the store's changes that may write carried-over final states.
-const RESTORE_SHARE: f64 = 0.25;
+/// Share of the store's write limit that all controllers together may use to write carried-over
+/// final states.
+const RESTORE_WRITE_SHARE: f64 = 0.25;
 
-/// What the operator has switched on.
+/// The settings of recovery and its directory, present if the operator has enabled recovery.
 #[derive(Debug)]
 pub struct Recovery {
     pub settings: RecoverySettings,
-    pub directory: OwnDirectory,
+    pub directory: LockedDirectory,
 }
 
-fn load(directory: &Directory) -> io::Result<(LoadedHistory, bool)> {
-    let marked = directory.is_marked();
-    Ok((read_history(&directory.read()?), marked))
+fn load_history(directory: &Directory) -> io::Result<(LoadedHistory, bool)> {
+    let is_marked = directory.is_marked();
+    Ok((read_history(&directory.read_files()?), is_marked))
 }
 
-/// What the steps of a rebuild are told by the settings.
+/// Returns the settings that the steps of a rebuild need.
 fn rebuild_settings(settings: &Settings, recovery: &RecoverySettings) -> RebuildSettings {
     let core = &settings.core;
     RebuildSettings {
         node: core.node.clone(),
         nodes: core.nodes.clone(),
         process: random_number(),
-        gather_timeout: recovery.gather,
+        gather_timeout: recovery.gather_timeout,
         lease_lifetime: core.operator.lease_life,
         worker_lease_lifetime: core.workers.lease,
         max_txn_changes: core.txn_ops,
@@ -68,42 +70,51 @@
     }
 }
 
-/// Comes back when the store may be worked with. Whatever its data has suffered while this process
-/// was away is mended by then, by this controller or another.
+/// Opens the store, and returns once it may be used. Any loss of data while this process was down
+/// has been repaired by then, by this controller or another.
+///
+/// # Errors
+/// Fails if the directory cannot be read, the store cannot be opened, or a thread cannot be
+/// started.
 pub fn open(settings: &Settings, recovery: Recovery, log: &OwnLog) -> io::Result<StoreService> {
-    let Recovery { settings: own, directory } = recovery;
-    let (loaded, marked) = load(&directory.directory)?;
+    let Recovery { settings: recovery_settings, directory } = recovery;
+    let (loaded, is_marked) = load_history(&directory.directory)?;
     for error in &loaded.file_errors {
         ProgramEvent::RecoveryFileUnusable { reason: error }.log();
     }
     let witness = loaded.history.as_ref().map_or(0, |history| history.witness);
     let client = StoreClient::new(&settings.state);
     let mut access = ClientAccess { client: client.clone(), clock: Clock::new() };
-    let local = LocalState { history: loaded.history, is_marked: marked, known_loss: None };
-    let opened = rebuild::open(&mut access, &rebuild_settings(settings, &own), &local)
-        .map_err(io::Error::other)?;
-    // A new generation knows of no witness yet, or of the one that was written last.
-    let same = local.history.as_ref().is_some_and(|h| h.identity == opened.generation.identity);
-    let witness = if same { witness } else { 0 };
+    let local = LocalState { history: loaded.history, is_marked, known_loss: None };
+    let opened =
+        rebuild::open(&mut access, &rebuild_settings(settings, &recovery_settings), &local)
+            .map_err(io::Error::other)?;
+    // The witness counter of the history counts only in its own generation. In another
+    // one this controller has written no witness yet.
+    let is_same_generation =
+        local.history.as_ref().is_some_and(|h| h.identity == opened.generation.identity);
+    let witness = if is_same_generation { witness } else { 0 };
     let identity = opened.generation.identity.clone();
-    let timeout = Duration::from_micros(own.acknowledge);
+    let timeout = Duration::from_micros(recovery_settings.acknowledgement_timeout);
     let replication = Replication::start(identity.clone(), &settings.peers, timeout)?;
-    let journal = Journal::start(directory, &own, identity, opened.records)?;
+    let journal = Journal::start(directory, &recovery_settings, identity, opened.records)?;
     journal.witness_written(witness);
     let state = Arc::new(GuardedStore {
         client,
         guard: Guard::new(opened.generation, opened.revision),
         journal,
         replication,
-        suspects: AtomicBool::new(false),
+        is_audit_requested: AtomicBool::new(false),
         may_lack_jobs: AtomicBool::new(opened.may_lack_jobs),
     });
     let core = &settings.core;
-    let rate = core.store_write_rps * RESTORE_SHARE / core.nodes.len() as f64;
+    let max_changes_per_second =
+        core.store_write_rps * RESTORE_WRITE_SHARE / core.nodes.len() as f64;
     let controllers = core.nodes.len();
-    let pace = Pace { txn_ops: core.txn_ops, rate, controllers };
-    // It is set once.
+    let limits =
+        RestoreLimits { max_txn_changes: core.txn_ops, max_changes_per_second, controllers };
+    // The cell is empty: `open` runs once in a process.
     let _ = log.set(state.clone());
-    Monitor::start(state.clone(), own, core.node.clone(), witness, pace)?;
+    Monitor::start(state.clone(), recovery_settings, core.node.clone(), witness, limits)?;
     Ok(StoreService::Guarded(state))
 }
--- a/crates/quartzlever/src/recovery/commands.rs
+++ b/crates/quartzlever/src/recovery/commands.rs
@@ -1,6 +1,7 @@
-//! What an operator asks of the files from a terminal.
+//! The operator's commands `snapshot list`, `snapshot verify`, `snapshot show` and
+//! `rebuild --dry-run`.
 //!
-//! Owns the texts of the answers. Never writes a file or to the store.
+//! Owns the text of their output. Never writes to a file or to the store.
 
 use std::path::Path;
 
@@ -16,7 +17,7 @@
 use crate::recovery::directory::{Directory, DirectoryError};
 use crate::recovery::state::ClientAccess;
 
-/// Why a command could not tell what it was asked.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     #[error(transparent)]
@@ -31,17 +32,17 @@
     NoAnswer,
 }
 
-type Outcome = Result<(), CommandError>;
+type CommandResult = Result<(), CommandError>;
 
-fn read(path: &Path) -> Result<(Directory, Vec<StoredFiles>), CommandError> {
+fn read_files(path: &Path) -> Result<(Directory, Vec<StoredFiles>), CommandError> {
     let directory = Directory::open(path)?;
-    let files = directory.read()?;
+    let files = directory.read_files()?;
     Ok((directory, files))
 }
 
-/// A line for each pair of files.
-pub fn list(path: &Path) -> Outcome {
-    let (_, files) = read(path)?;
+/// Prints a line for each snapshot with its log.
+pub fn list(path: &Path) -> CommandResult {
+    let (_, files) = read_files(path)?;
     for file in &files {
         let snapshot = match &file.snapshot {
             Some(bytes) => match Snapshot::from_bytes(bytes) {
@@ -62,17 +63,18 @@
     Ok(())
 }
 
-/// Checks every byte of every file; a torn end of the last log is what a crash leaves.
-pub fn verify(path: &Path) -> Outcome {
-    let (_, files) = read(path)?;
+/// Checks every byte of every file. A torn entry at the end of the last log is accepted, because a
+/// crash may leave one.
+pub fn verify(path: &Path) -> CommandResult {
+    let (_, files) = read_files(path)?;
     let loaded = read_history(&files);
     for error in &loaded.file_errors {
         println!("{error}");
     }
-    let bad_snapshot = |file: &&StoredFiles| {
+    let lacks_readable_snapshot = |file: &&StoredFiles| {
         file.snapshot.as_ref().is_none_or(|bytes| Snapshot::from_bytes(bytes).is_err())
     };
-    let unusable = files.iter().filter(bad_snapshot).count();
+    let unusable = files.iter().filter(lacks_readable_snapshot).count();
     let history = loaded.history.ok_or(CommandError::NoHistory)?;
     if unusable > 0 || !history.is_complete {
         return Err(CommandError::Unusable(unusable.max(1)));
@@ -81,15 +83,15 @@
     Ok(())
 }
 
-fn load(path: &Path) -> Result<(Directory, History), CommandError> {
-    let (directory, files) = read(path)?;
+fn load_history(path: &Path) -> Result<(Directory, History), CommandError> {
+    let (directory, files) = read_files(path)?;
     let history = read_history(&files).history.ok_or(CommandError::NoHistory)?;
     Ok((directory, history))
 }
 
-/// What the files hold together.
-pub fn show(path: &Path) -> Outcome {
-    let (directory, history) = load(path)?;
+/// Prints what the files hold together.
+pub fn show(path: &Path) -> CommandResult {
+    let (directory, history) = load_history(path)?;
     let identity = &history.identity;
     println!("cluster {}, generation {}", identity.cluster, identity.generation);
     println!("complete to revision {}", history.records.revision());
@@ -100,18 +102,22 @@
     println!(
         "{count} writes before the snapshot: median {median} us, 99% {p99} us, longest {longest} us"
     );
-    let proven = history.is_verified(directory.is_marked(), wall());
+    let is_verified = history.is_verified(directory.is_marked(), wall());
     println!(
         "{}",
-        if proven { "surely has all that was acted on" } else { "may lack what was acted on last" }
+        if is_verified {
+            "surely has all that was acted on"
+        } else {
+            "may lack what was acted on last"
+        }
     );
     Ok(())
 }
 
-/// What a rebuild from these files would do now; nothing is written.
-pub fn rebuild_dry_run(path: &Path, state: &str, node: &str) -> Outcome {
-    let (directory, history) = load(path)?;
-    let mut access = ClientAccess { client: StoreClient::new(state), clock: Clock::new() };
+/// Prints what a rebuild from these files would do now. Nothing is written.
+pub fn rebuild_dry_run(path: &Path, store_address: &str, node: &str) -> CommandResult {
+    let (directory, history) = load_history(path)?;
+    let mut access = ClientAccess { client: StoreClient::new(store_address), clock: Clock::new() };
     let observed = observe(&mut access).map_err(|_| CommandError::NoAnswer)?;
     let assessment = assess(node, Some(&history.last_known_state()), &observed);
     let generation = Generation { identity: history.identity.clone(), mod_revision: 0 };
@@ -119,7 +125,7 @@
     let same_lineage = matches!(assessment, Assessment::Intact(_));
     let missing = detect_missing_records(&history.records, history.identity.base, listed.rows())
         .filter(|_| same_lineage);
-    let reason = match (&assessment, &missing) {
+    let decision = match (&assessment, &missing) {
         (Assessment::Lost(loss), _) | (_, Some(loss)) => format!("would rebuild: {loss}"),
         (Assessment::Intact(_), None) => "would not rebuild: the records are intact".into(),
         (Assessment::Newer(_), _) => "would not rebuild: another controller has".into(),
@@ -128,7 +134,7 @@
             "would not start: the state service has another cluster's records".into()
         }
     };
-    println!("{reason}");
+    println!("{decision}");
     let survivors = SurvivingRecords { rows: listed.rows().clone(), same_lineage };
     println!("{}", plan(&history.records, &survivors).summary);
     if !history.is_verified(directory.is_marked(), wall()) {
--- a/crates/quartzlever/src/recovery/directory.rs
+++ b/crates/quartzlever/src/recovery/directory.rs
@@ -1,7 +1,8 @@
 //! The directory of snapshots and logs.
 //!
-//! Files have numbers: `snapshot-N` holds all records, `log-N` the changes after it. Snapshots come into
-//! place whole, by a rename; the pair before the newest is kept, in case that one cannot be read.
+//! Files are numbered: `snapshot-N` holds all records, `log-N` the changes after it. A snapshot is
+//! written to a temporary file and renamed, so it is always complete. The pair before the newest is
+//! kept in case the newest snapshot cannot be read.
 //!
 //! Owns the names of the files and the order of writes to the disk. Never interprets a record.
 
@@ -13,14 +14,14 @@
 use quartzlever_recovery::format::{FormatError, LogEntry, Snapshot, log_frame, log_header};
 use quartzlever_recovery::history::StoredFiles;
 
-const SNAPSHOT: &str = "snapshot-";
-const LOG: &str = "log-";
-const PARTIAL: &str = "partial";
-const LOCK: &str = "lock";
-/// Present while the log is written before anything is done.
-const MARK: &str = "written-first";
+const SNAPSHOT_PREFIX: &str = "snapshot-";
+const LOG_PREFIX: &str = "log-";
+const PARTIAL_SNAPSHOT_FILE: &str = "partial";
+const LOCK_FILE: &str = "lock";
+/// Name of the mark: a file that exists while every change is logged before it is acted on.
+const MARK_FILE: &str = "written-first";
 
-/// Why a directory cannot be used.
+/// Why the directory cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DirectoryError {
     #[error("{path}: {error}")]
@@ -29,7 +30,7 @@
     InUse { path: String },
 }
 
-/// Why something was not written.
+/// Why a snapshot or log entries were not written.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
     #[error(transparent)]
@@ -40,21 +41,21 @@
     TooLarge { bytes: u64 },
 }
 
-/// A directory that is read.
+/// A directory of snapshots and logs, which may be in use by another process.
 #[derive(Clone, Debug)]
 pub struct Directory {
     path: PathBuf,
 }
 
-/// A directory that belongs to this process.
+/// A directory that this process has locked for itself.
 #[derive(Debug)]
-pub struct OwnDirectory {
+pub struct LockedDirectory {
     pub directory: Directory,
-    /// Held until the process ends.
+    /// The open lock file; it holds the lock until the process ends.
     _lock: File,
 }
 
-/// A log that entries are appended to.
+/// A log file that is open for appending.
 #[derive(Debug)]
 pub struct LogFile {
     file: File,
@@ -62,41 +63,48 @@
 }
 
 impl Directory {
-    /// A directory that exists and can be read.
+    /// Opens an existing directory.
+    ///
+    /// # Errors
+    /// Returns [`DirectoryError::Io`] if the directory does not exist or cannot be read.
     pub fn open(path: &Path) -> Result<Directory, DirectoryError> {
         let error = |error| DirectoryError::Io { path: path.display().to_string(), error };
         fs::read_dir(path).map_err(error)?;
         Ok(Directory { path: path.to_owned() })
     }
 
-    /// Takes the directory for this process.
-    pub fn lock(self) -> Result<OwnDirectory, DirectoryError> {
+    /// Locks the directory for this process.
+    ///
+    /// # Errors
+    /// Returns [`DirectoryError::InUse`] if another process has locked it, and
+    /// [`DirectoryError::Io`] if the lock file cannot be opened or locked.
+    pub fn lock(self) -> Result<LockedDirectory, DirectoryError> {
         let path = self.path.display().to_string();
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(self.path.join(LOCK))
+            .open(self.path.join(LOCK_FILE))
             .map_err(|error| DirectoryError::Io { path: path.clone(), error })?;
         match lock.try_lock() {
-            Ok(()) => Ok(OwnDirectory { directory: self, _lock: lock }),
+            Ok(()) => Ok(LockedDirectory { directory: self, _lock: lock }),
             Err(fs::TryLockError::WouldBlock) => Err(DirectoryError::InUse { path }),
             Err(fs::TryLockError::Error(error)) => Err(DirectoryError::Io { path, error }),
         }
     }
 
-    fn file(&self, kind: &str, number: u64) -> PathBuf {
-        self.path.join(format!("{kind}{number:012}"))
+    fn file_path(&self, prefix: &str, number: u64) -> PathBuf {
+        self.path.join(format!("{prefix}{number:012}"))
     }
 
-    /// The files by their numbers.
-    pub fn read(&self) -> io::Result<Vec<StoredFiles>> {
+    /// Reads all snapshots and logs, in the order of their numbers.
+    pub fn read_files(&self) -> io::Result<Vec<StoredFiles>> {
         let mut files: BTreeMap<u64, StoredFiles> = BTreeMap::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
-            let number = |kind: &str| name.strip_prefix(kind)?.parse::<u64>().ok();
-            let (number, is_log) = match (number(SNAPSHOT), number(LOG)) {
+            let number = |prefix: &str| name.strip_prefix(prefix)?.parse::<u64>().ok();
+            let (number, is_log) = match (number(SNAPSHOT_PREFIX), number(LOG_PREFIX)) {
                 (Some(number), _) => (number, false),
                 (None, Some(number)) => (number, true),
                 (None, None) => continue,
@@ -109,69 +117,74 @@
         Ok(files.into_values().collect())
     }
 
-    /// Whether the mark is there that the log was written before anything was done.
+    /// Reports whether the mark is set, which tells that every change was logged before it was
+    /// acted on.
     pub fn is_marked(&self) -> bool {
-        self.path.join(MARK).exists()
+        self.path.join(MARK_FILE).exists()
     }
 
-    /// Sets the mark.
-    pub fn mark(&self) -> io::Result<()> {
-        File::create(self.path.join(MARK))?.sync_all()?;
+    /// Sets the mark durably.
+    pub fn set_mark(&self) -> io::Result<()> {
+        File::create(self.path.join(MARK_FILE))?.sync_all()?;
         self.sync()
     }
 
-    /// Removes the mark; fine if it is not there.
-    pub fn unmark(&self) -> io::Result<()> {
-        match fs::remove_file(self.path.join(MARK)) {
+    /// Removes the mark durably. Does nothing if it is not set.
+    pub fn remove_mark(&self) -> io::Result<()> {
+        match fs::remove_file(self.path.join(MARK_FILE)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => self.sync(),
         }
     }
 
-    /// Makes what was created, renamed and removed outlast a power cut.
+    /// Makes the creation, renaming and removal of files durable.
     fn sync(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
-    /// Writes a snapshot with the next number, begins the log after it, and removes what is older than
-    /// the pair before.
+    /// Writes the snapshot with this number, creates the log after it, and removes all files older
+    /// than the previous pair.
+    ///
+    /// # Errors
+    /// Returns [`WriteError::TooLarge`] if the snapshot has more than `max_bytes` bytes, and the
+    /// errors of encoding and of the disk.
     pub fn write_snapshot(
         &self,
         number: u64,
         snapshot: &Snapshot,
-        most: u64,
+        max_bytes: u64,
     ) -> Result<LogFile, WriteError> {
         let bytes = snapshot.to_bytes()?;
-        if bytes.len() as u64 > most {
+        if bytes.len() as u64 > max_bytes {
             return Err(WriteError::TooLarge { bytes: bytes.len() as u64 });
         }
-        let partial = self.path.join(PARTIAL);
+        let partial = self.path.join(PARTIAL_SNAPSHOT_FILE);
         let mut file = File::create(&partial)?;
         file.write_all(&bytes)?;
         file.sync_all()?;
-        let mut log = self.begin_log(number)?;
+        let mut log = self.create_log(number)?;
         log.append(&[LogEntry::Begin {
             identity: snapshot.identity.clone(),
             revision: snapshot.revision,
         }])?;
-        fs::rename(&partial, self.file(SNAPSHOT, number))?;
+        fs::rename(&partial, self.file_path(SNAPSHOT_PREFIX, number))?;
         self.sync()?;
-        self.remove_before(number.saturating_sub(1))?;
+        self.remove_files_before(number.saturating_sub(1))?;
         Ok(log)
     }
 
-    fn begin_log(&self, number: u64) -> io::Result<LogFile> {
-        let mut file = File::create(self.file(LOG, number))?;
+    fn create_log(&self, number: u64) -> io::Result<LogFile> {
+        let mut file = File::create(self.file_path(LOG_PREFIX, number))?;
         let header = log_header();
         file.write_all(&header)?;
         Ok(LogFile { file, bytes: header.len() as u64 })
     }
 
-    fn remove_before(&self, number: u64) -> io::Result<()> {
-        for file in self.read_numbers()? {
-            if file < number {
-                for kind in [SNAPSHOT, LOG] {
-                    match fs::remove_file(self.file(kind, file)) {
+    fn remove_files_before(&self, first_kept: u64) -> io::Result<()> {
+        for number in self.list_numbers()? {
+            if number < first_kept {
+                for prefix in [SNAPSHOT_PREFIX, LOG_PREFIX] {
+                    match fs::remove_file(self.file_path(prefix, number)) {
                         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
                         _ => {}
                     }
@@ -181,24 +194,25 @@
         Ok(())
     }
 
-    fn read_numbers(&self) -> io::Result<Vec<u64>> {
+    fn list_numbers(&self) -> io::Result<Vec<u64>> {
         let mut numbers = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            let number = name.strip_prefix(SNAPSHOT).or_else(|| name.strip_prefix(LOG));
+            let number =
+                name.strip_prefix(SNAPSHOT_PREFIX).or_else(|| name.strip_prefix(LOG_PREFIX));
             numbers.extend(number.and_then(|n| n.parse::<u64>().ok()));
         }
         Ok(numbers)
     }
 
-    /// The number after all that are there.
+    /// Returns the number after the highest one in use, or 1 if there are no files.
     pub fn next_number(&self) -> io::Result<u64> {
-        Ok(self.read_numbers()?.into_iter().max().map_or(1, |number| number + 1))
+        Ok(self.list_numbers()?.into_iter().max().map_or(1, |number| number + 1))
     }
 }
 
 impl LogFile {
-    /// Appends entries; when this comes back they outlast a power cut.
+    /// Appends entries, and returns once they are durable.
     pub fn append(&mut self, entries: &[LogEntry]) -> Result<(), WriteError> {
         let mut bytes = Vec::new();
         for entry in entries {
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -1,11 +1,12 @@
-//! The thread that owns the set of all records, and writes each change to the log before the rest of
-//! the program learns of it.
+//! The journal: the thread that owns the set of all records and appends each change to the log
+//! before the rest of the program learns of it.
 //!
-//! So nothing that the program does rests on a record that its log lacks. Where the disk fails, or takes too
-//! long, the program goes on without it and says so: the mark in the directory is removed first.
+//! So the program never acts on a record that its log lacks. If the disk fails or is too slow, the
+//! program writes a log event, removes the mark in the directory, and then continues without the
+//! log.
 //!
-//! Owns the record set and the files of the directory. Never calls the store. Its thread ends when nobody
-//! holds a way to it any more, which is with the process; nobody joins it.
+//! Owns the record set and the files of the directory. Never calls the store. The thread is not
+//! joined; it ends when every `Journal` is dropped, which is when the process ends.
 
 use std::io;
 use std::sync::Arc;
@@ -21,59 +22,63 @@
 
 use crate::clock::wall;
 use crate::log::ProgramEvent;
-use crate::recovery::directory::{Directory, LogFile, OwnDirectory, WriteError};
+use crate::recovery::directory::{Directory, LockedDirectory, LogFile, WriteError};
 use crate::settings::RecoverySettings;
 
-/// How long an answer of the store is kept back for the disk.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// The log shows at least this often that it is written.
-const ALIVE_EVERY: Duration = Duration::from_secs(1);
-/// After a write that failed.
-const RETRY: Duration = Duration::from_secs(5);
-const REPORT_EVERY: Duration = Duration::from_secs(60);
+/// Maximum time that a reply of the store is delayed until its changes are on the disk.
+const DISK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Heartbeats are appended to the log at least this often; they show that it is still written.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay before the disk is tried again after a failed write.
+const RETRY_DELAY: Duration = Duration::from_secs(5);
+const WRITE_TIMES_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the journal is asked.
+/// A request to the journal's thread.
 enum Request {
     Record {
         update: Update,
         written: Sender<()>,
     },
-    /// The records were listed anew.
+    /// Replaces the record set, after all records were listed again.
     Replace {
         records: RecordSet,
         written: Sender<()>,
     },
     Get {
         key: String,
-        answer: Sender<Option<Record>>,
+        reply: Sender<Option<Record>>,
     },
     CarriedOver {
         after: String,
-        most: usize,
-        answer: Sender<Vec<(String, Record)>>,
+        limit: usize,
+        reply: Sender<Vec<(String, Record)>>,
     },
     GetAll {
-        answer: Sender<RecordSet>,
+        reply: Sender<RecordSet>,
     },
-    /// The process has written its witness key so often.
+    /// Sets the witness counter to the value that the process has written to its witness key.
     Witness(u64),
 }
 
-/// The way to the journal's thread.
+/// A handle to the journal's thread.
 #[derive(Clone)]
 pub struct Journal {
     requests: Sender<Request>,
-    /// All changes up to this revision are in the record set.
+    /// The record set holds all changes up to this revision.
     complete_up_to: Arc<AtomicU64>,
-    /// The program goes on without the log.
-    unprotected: Arc<AtomicBool>,
+    /// Set while the program continues without the log.
+    is_unprotected: Arc<AtomicBool>,
     directory: Directory,
 }
 
 impl Journal {
-    /// Writes a snapshot of the record set and starts the journal with it.
+    /// Writes a snapshot of the record set and starts the journal's thread.
+    ///
+    /// # Errors
+    /// Fails if the thread cannot be started. If only the disk fails, the program starts without
+    /// the log.
     pub fn start(
-        own: OwnDirectory,
+        locked_directory: LockedDirectory,
         settings: &RecoverySettings,
         identity: Identity,
         records: RecordSet,
@@ -82,38 +87,40 @@
         let journal = Journal {
             requests,
             complete_up_to: Arc::new(AtomicU64::new(records.revision())),
-            unprotected: Arc::new(AtomicBool::new(false)),
-            directory: own.directory.clone(),
+            is_unprotected: Arc::new(AtomicBool::new(false)),
+            directory: locked_directory.directory.clone(),
         };
         let mut writer = Writer {
-            own,
+            locked_directory,
             settings: settings.clone(),
             identity,
             records,
             witness: 0,
             log: None,
-            mark_due: false,
-            snapshot_at: Instant::now(),
+            is_mark_due: false,
+            last_snapshot: Instant::now(),
             retry_at: Instant::now(),
             complete_up_to: journal.complete_up_to.clone(),
-            unprotected: journal.unprotected.clone(),
-            times: Times::new()?,
+            is_unprotected: journal.is_unprotected.clone(),
+            durations: WriteDurations::new()?,
         };
         writer.take_snapshot();
-        writer.set_due_mark();
+        writer.set_mark_if_due();
         thread::Builder::new().name("journal".into()).spawn(move || writer.run(&receiver))?;
         Ok(journal)
     }
 
-    /// Comes back when the changes are on the disk, or when the disk is not to be waited for.
+    /// Applies and logs an update. Returns once the changes are on the disk, or after
+    /// [`DISK_TIMEOUT`], or at once while the program continues without the log.
     pub fn record(&self, update: Update) {
         let (written, done) = bounded(1);
-        // A journal that has ended by a failure takes nothing; what follows says so.
+        // If the journal's thread has failed, the reply does not come either, and `await_write`
+        // reports it.
         let _ = self.requests.send(Request::Record { update, written });
         self.await_write(&done);
     }
 
-    /// The same for a record set that takes the present one's place.
+    /// Replaces the record set, and waits as [`Journal::record`] does.
     pub fn replace(&self, records: RecordSet) {
         let (written, done) = bounded(1);
         let _ = self.requests.send(Request::Replace { records, written });
@@ -121,80 +128,82 @@
     }
 
     fn await_write(&self, done: &Receiver<()>) {
-        if self.unprotected.load(Ordering::SeqCst) || done.recv_timeout(PATIENCE).is_ok() {
+        if self.is_unprotected.load(Ordering::SeqCst) || done.recv_timeout(DISK_TIMEOUT).is_ok() {
             return;
         }
-        if !self.unprotected.swap(true, Ordering::SeqCst) {
+        if !self.is_unprotected.swap(true, Ordering::SeqCst) {
             let reason = "the disk takes too long".to_owned();
             ProgramEvent::RecoveryLogUnprotected { reason }.log();
-            unmark_in_time(&self.directory);
+            remove_mark_with_timeout(&self.directory);
         }
     }
 
-    /// A record of the record set.
+    /// Returns the record at a key; `None` also if the journal does not reply in time.
     pub fn get(&self, key: &str) -> Option<Record> {
-        let (answer, record) = bounded(1);
+        let (reply, record) = bounded(1);
         let key = key.to_owned();
-        self.requests.send(Request::Get { key, answer }).ok()?;
-        record.recv_timeout(PATIENCE).ok()?
+        self.requests.send(Request::Get { key, reply }).ok()?;
+        record.recv_timeout(DISK_TIMEOUT).ok()?
     }
 
-    /// Carried-over records that are not written yet, after a key; none if the journal is too slow to tell.
-    pub fn carried_over(&self, after: &str, most: usize) -> Option<Vec<(String, Record)>> {
-        let (answer, records) = bounded(1);
+    /// Returns up to `limit` carried-over records that are not written to the store yet, at keys
+    /// greater than `after`; `None` if the journal does not reply in time.
+    pub fn carried_over(&self, after: &str, limit: usize) -> Option<Vec<(String, Record)>> {
+        let (reply, records) = bounded(1);
         let after = after.to_owned();
-        self.requests.send(Request::CarriedOver { after, most, answer }).ok()?;
-        records.recv_timeout(PATIENCE).ok()
+        self.requests.send(Request::CarriedOver { after, limit, reply }).ok()?;
+        records.recv_timeout(DISK_TIMEOUT).ok()
     }
 
-    /// The record set as it is now.
+    /// Returns a copy of the record set; `None` if the journal does not reply in time.
     pub fn records(&self) -> Option<RecordSet> {
-        let (answer, records) = bounded(1);
-        self.requests.send(Request::GetAll { answer }).ok()?;
-        records.recv_timeout(PATIENCE).ok()
+        let (reply, records) = bounded(1);
+        self.requests.send(Request::GetAll { reply }).ok()?;
+        records.recv_timeout(DISK_TIMEOUT).ok()
     }
 
-    /// Tells the log how often the process has written its witness key.
+    /// Sets the witness counter that the next heartbeats in the log record.
     pub fn witness_written(&self, count: u64) {
         let _ = self.requests.send(Request::Witness(count));
     }
 
-    /// The revision up to which all changes are in the record set.
+    /// Returns the revision up to which the record set holds all changes.
     pub fn complete_up_to(&self) -> u64 {
         self.complete_up_to.load(Ordering::SeqCst)
     }
 }
 
-/// Removes the mark, waiting no longer than for a write: the disk may hang in this too. The log's age shows
-/// then that it was not written. The thread is not joined, since it may hang with the disk.
-fn unmark_in_time(directory: &Directory) {
+/// Removes the mark, but waits no longer than for a write, since the disk may hang here too. If the
+/// mark stays, the age of the log's last heartbeat shows that the log was not written. The thread
+/// is not joined, since it may hang with the disk.
+fn remove_mark_with_timeout(directory: &Directory) {
     let (done, removed) = bounded(1);
     let directory = directory.clone();
     let spawned = thread::Builder::new().name("unmark".into()).spawn(move || {
-        let _ = done.send(directory.unmark());
+        let _ = done.send(directory.remove_mark());
     });
-    let result = spawned.map(|_| removed.recv_timeout(PATIENCE));
+    let result = spawned.map(|_| removed.recv_timeout(DISK_TIMEOUT));
     if !matches!(result, Ok(Ok(Ok(())))) {
         ProgramEvent::RecoveryMarkNotRemoved.log();
     }
 }
 
-/// How long writes took.
-struct Times {
+/// The durations of all writes to the log, in microseconds.
+struct WriteDurations {
     histogram: Histogram<u64>,
-    reported: Instant,
+    last_logged: Instant,
 }
 
-impl Times {
-    /// Three digits are kept.
-    fn new() -> io::Result<Times> {
+impl WriteDurations {
+    /// Creates a histogram that keeps three significant digits.
+    fn new() -> io::Result<WriteDurations> {
         let histogram = Histogram::new(3).map_err(io::Error::other)?;
-        Ok(Times { histogram, reported: Instant::now() })
+        Ok(WriteDurations { histogram, last_logged: Instant::now() })
     }
 
-    fn add(&mut self, span: Duration) {
-        // The histogram grows to whatever comes.
-        let _ = self.histogram.record(span.as_micros() as u64);
+    fn record(&mut self, duration: Duration) {
+        // The histogram resizes itself, so every value fits.
+        let _ = self.histogram.record(duration.as_micros() as u64);
     }
 
     fn summary(&self) -> WriteTimes {
@@ -206,178 +215,182 @@
         }
     }
 
-    fn report(&mut self) {
-        if self.reported.elapsed() < REPORT_EVERY {
+    fn log_if_due(&mut self) {
+        if self.last_logged.elapsed() < WRITE_TIMES_LOG_INTERVAL {
             return;
         }
-        self.reported = Instant::now();
+        self.last_logged = Instant::now();
         ProgramEvent::RecoveryLogWrites { times: self.summary() }.log();
     }
 }
 
-/// What a batch of requests comes to.
+/// The result of processing a batch of requests.
 #[derive(Default)]
 struct Batch {
-    /// What goes to the log.
+    /// Entries to append to the log.
     entries: Vec<LogEntry>,
-    /// Those who wait until it is there.
-    waiting: Vec<Sender<()>>,
-    /// Another record set has taken the present one's place.
+    /// Senders to notify once the entries are appended.
+    waiters: Vec<Sender<()>>,
+    /// The record set was replaced.
     is_replaced: bool,
 }
 
-/// What the journal's thread owns.
+/// The state of the journal's thread.
 struct Writer {
-    own: OwnDirectory,
+    locked_directory: LockedDirectory,
     settings: RecoverySettings,
     identity: Identity,
     records: RecordSet,
     witness: u64,
-    /// None while the disk fails.
+    /// `None` while the disk fails.
     log: Option<LogFile>,
-    /// The mark is to be set once everything that was not waited for is on the disk.
-    mark_due: bool,
-    snapshot_at: Instant,
+    /// The mark must be set as soon as every change that was not waited for is on the disk.
+    is_mark_due: bool,
+    last_snapshot: Instant,
     retry_at: Instant,
     complete_up_to: Arc<AtomicU64>,
-    unprotected: Arc<AtomicBool>,
-    times: Times,
+    is_unprotected: Arc<AtomicBool>,
+    durations: WriteDurations,
 }
 
 impl Writer {
     fn run(&mut self, requests: &Receiver<Request>) {
         loop {
-            let first = match requests.recv_timeout(ALIVE_EVERY) {
+            let first = match requests.recv_timeout(HEARTBEAT_INTERVAL) {
                 Ok(request) => Some(request),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             let batch: Vec<Request> = first.into_iter().chain(requests.try_iter()).collect();
-            self.take(batch);
-            self.times.report();
+            self.process_batch(batch);
+            self.durations.log_if_due();
         }
     }
 
-    /// Takes a batch in: all its changes go to the disk together.
-    fn take(&mut self, requests: Vec<Request>) {
+    /// Processes a batch of requests. All its changes are written to the disk together.
+    fn process_batch(&mut self, requests: Vec<Request>) {
         let mut batch = Batch::default();
         for request in requests {
-            self.take_request(request, &mut batch);
+            self.process_request(request, &mut batch);
         }
         batch.entries.push(LogEntry::Heartbeat { wall_time: wall(), witness: self.witness });
         self.append(&batch.entries);
-        self.set_due_mark();
-        if batch.is_replaced || self.needs_snapshot() {
+        self.set_mark_if_due();
+        if batch.is_replaced || self.is_snapshot_due() {
             self.take_snapshot();
         }
         self.complete_up_to.store(self.records.revision(), Ordering::SeqCst);
-        for written in batch.waiting {
-            // Whoever no longer waits has been told that the disk is slow.
+        for written in batch.waiters {
+            // A requester that no longer waits has already logged that the disk is slow.
             let _ = written.send(());
         }
     }
 
-    fn take_request(&mut self, request: Request, batch: &mut Batch) {
+    fn process_request(&mut self, request: Request, batch: &mut Batch) {
         match request {
             Request::Record { update, written } => {
                 batch.entries.push(LogEntry::Update(update.clone()));
                 self.records.apply(update);
-                batch.waiting.push(written);
+                batch.waiters.push(written);
             }
             Request::Replace { records, written } => {
                 if records.revision() >= self.records.revision() {
-                    self.replace(records);
+                    self.replace_records(records);
                     batch.is_replaced = true;
                 }
-                batch.waiting.push(written);
+                batch.waiters.push(written);
             }
-            Request::Get { key, answer } => {
-                let _ = answer.send(self.records.get(&key).cloned());
+            Request::Get { key, reply } => {
+                let _ = reply.send(self.records.get(&key).cloned());
             }
-            Request::CarriedOver { after, most, answer } => {
-                let carried_over = self.records.carried_over(self.identity.base, &after).take(most);
-                let _ = answer.send(carried_over.map(|(k, r)| (k.clone(), r.clone())).collect());
+            Request::CarriedOver { after, limit, reply } => {
+                let carried_over =
+                    self.records.carried_over(self.identity.base, &after).take(limit);
+                let _ = reply.send(carried_over.map(|(k, r)| (k.clone(), r.clone())).collect());
             }
-            Request::GetAll { answer } => {
-                let _ = answer.send(self.records.clone());
+            Request::GetAll { reply } => {
+                let _ = reply.send(self.records.clone());
             }
             Request::Witness(count) => self.witness = self.witness.max(count),
         }
     }
 
-    /// Puts a record set in the present one's place; what that one has carried over stays.
-    fn replace(&mut self, records: RecordSet) {
+    /// Replaces the record set, and keeps the carried-over records of the previous one.
+    fn replace_records(&mut self, records: RecordSet) {
         let base = self.identity.base;
-        let before = std::mem::replace(&mut self.records, records);
-        let carried_over = before.carried_over(base, "");
+        let previous = std::mem::replace(&mut self.records, records);
+        let carried_over = previous.carried_over(base, "");
         let carried_over = carried_over.map(|(key, r)| (key.clone(), r.value.clone()));
         self.records.carry_over(carried_over, base);
     }
 
-    /// Sets the mark again. Whatever was told to the program without being waited for was in the queue before
-    /// the program began to wait again, so it was appended with the batch after that.
-    fn set_due_mark(&mut self) {
-        if !self.mark_due || self.log.is_none() {
+    /// Sets the mark if it is due. Changes that the program did not wait for were queued before it
+    /// resumed waiting, so they were appended with the batch after the snapshot.
+    fn set_mark_if_due(&mut self) {
+        if !self.is_mark_due || self.log.is_none() {
             return;
         }
-        self.mark_due = false;
-        if let Err(error) = self.own.directory.mark() {
-            self.fails(&error.into());
+        self.is_mark_due = false;
+        if let Err(error) = self.locked_directory.directory.set_mark() {
+            self.handle_failure(&error.into());
         }
     }
 
     fn append(&mut self, entries: &[LogEntry]) {
         let Some(log) = &mut self.log else { return };
-        let begin = Instant::now();
+        let start = Instant::now();
         match log.append(entries) {
-            Ok(()) => self.times.add(begin.elapsed()),
-            Err(error) => self.fails(&error),
+            Ok(()) => self.durations.record(start.elapsed()),
+            Err(error) => self.handle_failure(&error),
         }
     }
 
-    fn needs_snapshot(&self) -> bool {
+    fn is_snapshot_due(&self) -> bool {
         let Some(log) = &self.log else { return Instant::now() >= self.retry_at };
-        let aged = self.snapshot_at.elapsed().as_micros() as u64 >= self.settings.snapshot;
-        // What was not waited for is on the disk only with a new snapshot.
-        aged || log.bytes >= self.settings.log_bytes || self.unprotected.load(Ordering::SeqCst)
+        let is_interval_over =
+            self.last_snapshot.elapsed().as_micros() as u64 >= self.settings.snapshot_interval;
+        // Changes that were not waited for are known to be on the disk only after a new snapshot.
+        is_interval_over
+            || log.bytes >= self.settings.log_bytes
+            || self.is_unprotected.load(Ordering::SeqCst)
     }
 
-    /// Writes a snapshot, and a new log after it.
+    /// Writes a snapshot and starts a new log after it.
     fn take_snapshot(&mut self) {
         let snapshot = Snapshot {
             identity: self.identity.clone(),
             revision: self.records.revision(),
             wall_time: wall(),
-            write_times: self.times.summary(),
+            write_times: self.durations.summary(),
             rows: self.records.rows().iter().map(|(k, r)| (k.clone(), r.clone())).collect(),
         };
-        self.snapshot_at = Instant::now();
+        self.last_snapshot = Instant::now();
         match self.write_snapshot(&snapshot) {
             Ok(log) => {
                 self.log = Some(log);
-                self.mark_due = true;
-                if self.unprotected.swap(false, Ordering::SeqCst) {
+                self.is_mark_due = true;
+                if self.is_unprotected.swap(false, Ordering::SeqCst) {
                     ProgramEvent::RecoveryLogProtected.log();
                 }
             }
-            Err(error) => self.fails(&error),
+            Err(error) => self.handle_failure(&error),
         }
     }
 
     fn write_snapshot(&self, snapshot: &Snapshot) -> Result<LogFile, WriteError> {
-        let directory = &self.own.directory;
+        let directory = &self.locked_directory.directory;
         let number = directory.next_number()?;
         let mut log = directory.write_snapshot(number, snapshot, self.settings.max_bytes / 2)?;
         log.append(&[LogEntry::Heartbeat { wall_time: wall(), witness: self.witness }])?;
         Ok(log)
     }
 
-    fn fails(&mut self, error: &WriteError) {
+    fn handle_failure(&mut self, error: &WriteError) {
         self.log = None;
-        self.retry_at = Instant::now() + RETRY;
-        if !self.unprotected.swap(true, Ordering::SeqCst) {
+        self.retry_at = Instant::now() + RETRY_DELAY;
+        if !self.is_unprotected.swap(true, Ordering::SeqCst) {
             ProgramEvent::RecoveryLogUnprotected { reason: error.to_string() }.log();
         }
-        unmark_in_time(&self.own.directory);
+        remove_mark_with_timeout(&self.locked_directory.directory);
     }
 }
--- a/crates/quartzlever/src/recovery/monitor.rs
+++ b/crates/quartzlever/src/recovery/monitor.rs
@@ -1,7 +1,7 @@
-//! The thread that looks for loss where nothing else would notice it.
+//! The thread that detects losses which no call of the program would notice.
 //!
-//! Owns this controller's witness key and the writing of carried-over final states. Never mends a loss: the
-//! process begins anew instead.
+//! Owns this controller's witness key and the writing of carried-over final states. Never repairs a
+//! loss: the process restarts instead.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,96 +21,97 @@
 
 use crate::clock::Clock;
 use crate::log::ProgramEvent;
-use crate::recovery::state::{ClientAccess, GuardedStore, reset_cache};
+use crate::recovery::state::{ClientAccess, GuardedStore, restart_after_loss};
 use crate::settings::RecoverySettings;
 
-/// The witness key is written with every so many looks.
-const LOOKS_PER_WITNESS: u64 = 5;
-/// Records that are suspected to be missing are looked for no more often.
-const SUSPICION_PAUSE: Duration = Duration::from_secs(5);
+/// Number of checks for each write of the witness key.
+const CHECKS_PER_WITNESS_WRITE: u64 = 5;
+/// Minimum time between audits that are requested because records may be missing.
+const REQUESTED_AUDIT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Looks at the identity of the records now and then, and compares all records with the record set.
+/// Checks the identity of the records periodically, and audits all records: compares those in the
+/// store with the record set.
 pub struct Monitor {
     state: Arc<GuardedStore>,
     settings: RecoverySettings,
     node: String,
     access: ClientAccess,
-    looks: u64,
+    check_count: u64,
     witness: u64,
-    audited: Instant,
-    /// Carried-over final states up to this key were written, or seen to be.
-    restored_to: String,
-    pace: Pace,
+    last_audit: Instant,
+    /// Carried-over final states up to this key were written by this controller.
+    restored_up_to: String,
+    limits: RestoreLimits,
 }
 
-/// What the settings say: what this controller may take of the store's changes for carried-over final states.
+/// Limits from the settings on this controller's writing of carried-over final states.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    pub txn_ops: usize,
-    /// Changes a second.
-    pub rate: f64,
-    /// How many controllers there are by the settings.
+pub struct RestoreLimits {
+    pub max_txn_changes: usize,
+    /// Maximum changes per second.
+    pub max_changes_per_second: f64,
+    /// Number of controllers in the settings.
     pub controllers: usize,
 }
 
 impl Monitor {
-    /// Starts the thread, which lives as long as the process.
+    /// Starts the thread, which runs until the process ends.
     pub fn start(
         state: Arc<GuardedStore>,
         settings: RecoverySettings,
         node: String,
         witness: u64,
-        pace: Pace,
+        limits: RestoreLimits,
     ) -> std::io::Result<()> {
         let access = ClientAccess { client: state.client.clone(), clock: Clock::new() };
-        let audited = Instant::now();
-        let restored_to = String::new();
+        let last_audit = Instant::now();
+        let restored_up_to = String::new();
         let mut monitor = Monitor {
             state,
             settings,
             node,
             access,
-            looks: 0,
+            check_count: 0,
             witness,
-            audited,
-            restored_to,
-            pace,
+            last_audit,
+            restored_up_to,
+            limits,
         };
         thread::Builder::new()
             .name("monitor".into())
             .spawn(move || {
                 loop {
-                    thread::sleep(Duration::from_micros(monitor.settings.check));
-                    monitor.look();
+                    thread::sleep(Duration::from_micros(monitor.settings.check_interval));
+                    monitor.run_check();
                 }
             })
             .map(|_| ())
     }
 
-    fn look(&mut self) {
-        let looked = self.check_identity().and_then(|observed| {
-            let is_alone = observed.unverified.len() >= self.pace.controllers;
-            self.announce_verified(&observed.unverified, is_alone)?;
-            self.restore(observed.pending_final_states)?;
-            if self.looks.is_multiple_of(LOOKS_PER_WITNESS) {
+    fn run_check(&mut self) {
+        let result = self.check_identity().and_then(|observed| {
+            let all_unverified = observed.unverified.len() >= self.limits.controllers;
+            self.clear_unverified(&observed.unverified, all_unverified)?;
+            self.restore_pending_final_states(observed.pending_final_states)?;
+            if self.check_count.is_multiple_of(CHECKS_PER_WITNESS_WRITE) {
                 self.write_witness()?;
             }
-            self.looks += 1;
+            self.check_count += 1;
             if self.is_audit_due() {
                 self.audit()?;
             }
             Ok(())
         });
-        // A store that does not answer has lost nothing, as far as anybody knows.
-        if let Err(GuardError::Lost(loss)) = looked {
-            reset_cache(&loss);
+        // Other errors are outages or rejected calls, which are no evidence of a loss.
+        if let Err(GuardError::Lost(loss)) = result {
+            restart_after_loss(&loss);
         }
     }
 
     fn check_identity(&mut self) -> Result<StoreObservation, GuardError> {
-        let floor = self.state.guard.latest_store_revision();
+        let min_revision = self.state.guard.latest_store_revision();
         let observed = observe(&mut self.access)?;
-        self.state.guard.check_observation(&observed, floor)?;
+        self.state.guard.check_observation(&observed, min_revision)?;
         self.state.may_lack_jobs.store(observed.may_lack_jobs(&self.node), Ordering::SeqCst);
         let found = observed.witnesses.get(&self.node).copied().unwrap_or(0);
         if found < self.witness {
@@ -120,14 +121,15 @@
         Ok(observed)
     }
 
-    /// Compares the records with the record set for controllers that came without a history, and removes
-    /// their keys. Where all came without one, nobody knows better than the store.
-    fn announce_verified(
+    /// Audits the records on behalf of controllers that started without a history, and then removes
+    /// their keys. If all controllers started without one, none knows more than the store, so any
+    /// of them may do this.
+    fn clear_unverified(
         &mut self,
         unverified: &BTreeMap<String, u64>,
-        nobody_knows: bool,
+        all_unverified: bool,
     ) -> Result<(), GuardError> {
-        if unverified.is_empty() || (unverified.contains_key(&self.node) && !nobody_knows) {
+        if unverified.is_empty() || (unverified.contains_key(&self.node) && !all_unverified) {
             return Ok(());
         }
         self.audit()?;
@@ -137,49 +139,51 @@
             let key = format!("{UNVERIFIED_PREFIX}{node}");
             txn = txn.if_mod_revision(&key, *mod_revision).delete(key);
         }
-        // Another controller may have been first.
+        // A conflict is ignored: another controller may have removed the keys.
         self.state.client.call(&StoreCall::Txn(txn))?;
         Ok(())
     }
 
-    /// Writes carried-over final states for as long as a look takes, and says so when all are there.
-    fn restore(
+    /// Writes as many carried-over final states as the rate allows in the interval between checks,
+    /// and finishes the restoring once none is left.
+    fn restore_pending_final_states(
         &mut self,
         pending_final_states: Option<Versioned<PendingFinalStates>>,
     ) -> Result<(), GuardError> {
         let Some(pending_final_states) = pending_final_states else { return Ok(()) };
-        let seconds = self.settings.check as f64 / 1e6;
-        let mut left = ((self.pace.rate * seconds).ceil() as usize).max(1);
-        while left > 0 {
-            let most = left.min(self.pace.txn_ops);
-            let Some(records) = self.state.journal.carried_over(&self.restored_to, most) else {
+        let seconds = self.settings.check_interval as f64 / 1e6;
+        let mut remaining = ((self.limits.max_changes_per_second * seconds).ceil() as usize).max(1);
+        while remaining > 0 {
+            let limit = remaining.min(self.limits.max_txn_changes);
+            let Some(records) = self.state.journal.carried_over(&self.restored_up_to, limit) else {
                 return Ok(());
             };
-            let Some((last, _)) = records.last() else {
+            let Some((last_key, _)) = records.last() else {
                 return self.finish_restoring(&pending_final_states);
             };
-            let last = last.clone();
-            left -= records.len();
+            let last_key = last_key.clone();
+            remaining -= records.len();
             let mut store = |call: &StoreCall| self.state.client.call(call);
             let generation = &self.state.guard.generation;
             match restore_final_states(&mut store, generation, &records)? {
                 Some(update) => self.state.journal.record(update),
-                // Another controller has written some of them; the watch will tell which.
+                // Another controller has written some of them; the watch will report which.
                 None => return Ok(()),
             }
-            self.restored_to = last;
+            self.restored_up_to = last_key;
         }
         Ok(())
     }
 
-    /// Every final state was written by now, or another controller has written it. Those are seen by the
-    /// watch; whatever is carried over still is tried again, and when nothing is, the key goes.
+    /// Deletes the key of pending final states if no carried-over record remains. Every final
+    /// state was written by this controller or by another one, whose writes arrive by the watch.
+    /// Those that are still carried over are tried again.
     fn finish_restoring(
         &mut self,
         pending_final_states: &Versioned<PendingFinalStates>,
     ) -> Result<(), GuardError> {
-        self.restored_to.clear();
-        if self.state.journal.carried_over("", 1).is_none_or(|left| !left.is_empty()) {
+        self.restored_up_to.clear();
+        if self.state.journal.carried_over("", 1).is_none_or(|remaining| !remaining.is_empty()) {
             return Ok(());
         }
         let txn = Txn::default()
@@ -210,15 +214,19 @@
     }
 
     fn is_audit_due(&self) -> bool {
-        let since = self.audited.elapsed();
-        let suspects = self.state.suspects.load(Ordering::SeqCst);
-        since.as_micros() as u64 >= self.settings.audit || (suspects && since >= SUSPICION_PAUSE)
+        let elapsed = self.last_audit.elapsed();
+        let is_audit_requested = self.state.is_audit_requested.load(Ordering::SeqCst);
+        elapsed.as_micros() as u64 >= self.settings.audit_interval
+            || (is_audit_requested && elapsed >= REQUESTED_AUDIT_INTERVAL)
     }
 
     /// Compares all records with the record set as it was before they were listed.
+    ///
+    /// # Errors
+    /// Returns [`GuardError::Lost`] if known records are missing.
     fn audit(&mut self) -> Result<(), GuardError> {
-        self.audited = Instant::now();
-        self.state.suspects.store(false, Ordering::SeqCst);
+        self.last_audit = Instant::now();
+        self.state.is_audit_requested.store(false, Ordering::SeqCst);
         let Some(records) = self.state.journal.records() else { return Ok(()) };
         let listed = list_generation(&mut self.access, &self.state.guard.generation)?;
         let mut store = |call: &StoreCall| self.state.client.call(call);
--- a/crates/quartzlever/src/recovery/peer_log.rs
+++ b/crates/quartzlever/src/recovery/peer_log.rs
@@ -1,6 +1,7 @@
-//! Changes that other controllers have committed, taken into this one's log.
+//! Writes changes that other controllers have committed to this controller's log.
 //!
-//! Owns the way to the log from the peers' connections. Never takes a change of another generation.
+//! Owns the path from the peers' connections to the log. Never accepts a change of another
+//! generation.
 
 use std::sync::{Arc, OnceLock};
 
@@ -9,10 +10,11 @@
 
 use crate::recovery::state::GuardedStore;
 
-/// Where the changes of other controllers go once this one has an intact store.
+/// The guarded store whose journal logs the changes of other controllers; empty until this
+/// controller has an intact store.
 pub type OwnLog = Arc<OnceLock<Arc<GuardedStore>>>;
 
-/// Takes another controller's changes into the log, if they belong to the same generation.
+/// Logs another controller's changes, if they belong to the same generation.
 pub fn take_changes(log: &OwnLog, logged: LoggedChanges) -> PeerAnswer {
     let Some(state) = log.get() else { return PeerAnswer::Nothing };
     let LoggedChanges { cluster, generation, mod_revision, changes } = logged;
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -1,10 +1,13 @@
-//! What a controller has committed goes to the others' logs before anybody is told of it.
+//! Sends each committed transaction to the other controllers' logs before its outcome is reported
+//! to anyone.
 //!
-//! A controller may end in the same moment as the store loses data, and be away while the records are rebuilt.
-//! What it has told users just before must be known to another one then. One acknowledgement is enough; where no
-//! other controller gives one in time, the program goes on without.
+//! A controller may fail at the same moment as the store loses data, and be down while the records
+//! are rebuilt. Another controller must then know what it reported to users just before. One
+//! acknowledgement is enough; if no other controller sends one in time, the program continues
+//! without.
 //!
-//! Owns a queue and a thread for each other controller. Never waits for more than one acknowledgement.
+//! Owns a queue and a thread for each other controller. Never waits for more than one
+//! acknowledgement.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,43 +23,47 @@
 
 use crate::settings::Peer;
 
-/// A controller that gave none is not asked again for this time.
-const PAUSE: Duration = Duration::from_secs(2);
-/// Changes that wait for one controller; more are not told to it.
-const MAX_WAITING: usize = 64;
+/// How long nothing is sent to a controller that did not acknowledge.
+const UNACKNOWLEDGED_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum transactions queued for one controller; further ones are not sent to it.
+const MAX_QUEUED: usize = 64;
 
-/// The changes of a transaction, for one controller.
-struct Entry {
+/// The changes of a transaction, queued for one controller.
+struct QueuedChanges {
     changes: Arc<LoggedChanges>,
     acknowledged: Sender<()>,
 }
 
-/// The ways to the other controllers' logs.
+/// Sends changes to the other controllers' logs.
 pub struct Replication {
     identity: Identity,
-    peers: Vec<Sender<Entry>>,
-    /// How long an acknowledgement is waited for.
-    timeout: Duration,
+    queues: Vec<Sender<QueuedChanges>>,
+    /// How long an acknowledgement is awaited.
+    acknowledgement_timeout: Duration,
 }
 
 impl Replication {
-    /// Starts a thread for each of the other controllers. Each lives as long as the process.
-    pub fn start(identity: Identity, peers: &[Peer], timeout: Duration) -> io::Result<Replication> {
+    /// Starts a thread for each other controller. Each runs until the process ends.
+    pub fn start(
+        identity: Identity,
+        peers: &[Peer],
+        acknowledgement_timeout: Duration,
+    ) -> io::Result<Replication> {
         let mut queues = Vec::new();
         for Peer { node, address } in peers {
-            let (sender, receiver) = bounded(MAX_WAITING);
+            let (sender, receiver) = bounded(MAX_QUEUED);
             let address = *address;
             thread::Builder::new()
                 .name(format!("log-{node}"))
                 .spawn(move || send_changes(address, &receiver))?;
             queues.push(sender);
         }
-        Ok(Replication { identity, peers: queues, timeout })
+        Ok(Replication { identity, queues, acknowledgement_timeout })
     }
 
-    /// Comes back when another controller has the changes of a transaction in its log, or when none is to be
-    /// waited for.
-    pub fn share(&self, update: &Update) {
+    /// Sends the changes of a transaction to all other controllers. Returns once one of them has
+    /// logged them, after the timeout, or when no controller is left that may acknowledge.
+    pub fn replicate(&self, update: &Update) {
         let Some(mod_revision) = update.changes.first().map(|change| change.mod_revision) else {
             return;
         };
@@ -64,31 +71,32 @@
         let Identity { cluster, generation, .. } = &self.identity;
         let (cluster, generation) = (cluster.clone(), *generation);
         let changes = Arc::new(LoggedChanges { cluster, generation, mod_revision, changes });
-        let (acknowledged, first) = bounded(self.peers.len());
-        for peer in &self.peers {
-            let entry = Entry { changes: changes.clone(), acknowledged: acknowledged.clone() };
-            // One that has fallen behind learns of the changes by its watch.
-            let _ = peer.try_send(entry);
+        let (acknowledged, first_acknowledgement) = bounded(self.queues.len());
+        for queue in &self.queues {
+            let queued =
+                QueuedChanges { changes: changes.clone(), acknowledged: acknowledged.clone() };
+            // If the queue is full, that controller learns of the changes by its watch.
+            let _ = queue.try_send(queued);
         }
         drop(acknowledged);
-        // It ends at once when every one of them has been given up.
-        let _ = first.recv_timeout(self.timeout);
+        // Returns at once if every sender was dropped: no controller will acknowledge.
+        let _ = first_acknowledgement.recv_timeout(self.acknowledgement_timeout);
     }
 }
 
-/// Sends changes to one controller, one after the other.
-fn send_changes(address: SocketAddr, entries: &Receiver<Entry>) {
+/// Sends the queued changes to one controller, one transaction after the other.
+fn send_changes(address: SocketAddr, queue: &Receiver<QueuedChanges>) {
     let client = PeerClient::default();
-    let mut silent_until = Instant::now();
-    for Entry { changes, acknowledged } in entries {
-        if Instant::now() < silent_until {
+    let mut paused_until = Instant::now();
+    for QueuedChanges { changes, acknowledged } in queue {
+        if Instant::now() < paused_until {
             continue;
         }
         match client.call(address, &PeerRequest::Logged((*changes).clone())) {
             Ok(PeerAnswer::Logged) => {
                 let _ = acknowledged.send(());
             }
-            _ => silent_until = Instant::now() + PAUSE,
+            _ => paused_until = Instant::now() + UNACKNOWLEDGED_PAUSE,
         }
     }
 }
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -1,8 +1,8 @@
-//! The store as the rest of the program sees it: every answer was guarded against loss, and is in
-//! the log before it is known.
+//! The store as the rest of the program sees it: every reply is checked for a loss of data, and its
+//! changes are logged before the reply is returned.
 //!
-//! Owns the order of guard, journal and replication in a call, and how a process that has lost data begins
-//! anew. Never hands out a reply that the guard has not passed.
+//! Owns the order of guard, journal and replication in a call, and the restart of a process after a
+//! loss of data. Never returns a reply that the guard has not checked.
 
 use std::os::unix::process::CommandExt;
 use std::process::Command;
@@ -35,7 +35,7 @@
 }
 
 impl StoreService {
-    /// Makes a call.
+    /// Makes a call to the store.
     pub fn call(&self, call: &StoreCall) -> Result<StoreReply, CallError> {
         match self {
             StoreService::Direct(client) => client.call(call),
@@ -50,10 +50,10 @@
     pub guard: Guard,
     pub journal: Journal,
     pub replication: Replication,
-    /// A record that should be there was not found: all are to be compared.
-    pub suspects: AtomicBool,
-    /// Some jobs may be known to a controller alone that had no part in the rebuild: that a record is not
-    /// there does not show that nobody was told of its job.
+    /// A record that must be in the store was not found, so the monitor must audit all records.
+    pub is_audit_requested: AtomicBool,
+    /// Some jobs may be known only to a controller that took no part in the rebuild. The absence of
+    /// a record then does not show that its job was never reported to a user.
     pub may_lack_jobs: AtomicBool,
 }
 
@@ -65,8 +65,8 @@
         }
         let mut store = |call: &StoreCall| self.client.call(call);
         match self.guard.call(&mut store, call, |key| self.is_written(key)) {
-            Ok(StoreReply::Read(None)) if self.carried_over(call).is_some() => {
-                Ok(StoreReply::Read(self.carried_over(call)))
+            Ok(StoreReply::Read(None)) if self.carried_over_reply(call).is_some() => {
+                Ok(StoreReply::Read(self.carried_over_reply(call)))
             }
             Ok(StoreReply::Read(None)) if self.may_be_known_elsewhere(call) => {
                 Err(CallError::Unknown)
@@ -75,24 +75,24 @@
                 if let Some(update) = Update::from_reply(call, &reply) {
                     self.journal.record(update.clone());
                     if matches!(call, StoreCall::Txn(_)) {
-                        self.replication.share(&update);
+                        self.replication.replicate(&update);
                     }
                 } else if matches!((call, &reply), (StoreCall::Watch { .. }, StoreReply::TooOld)) {
-                    self.read_anew()?;
+                    self.relist()?;
                 }
                 Ok(reply)
             }
             Err(GuardError::Call(error)) => Err(error),
             Err(GuardError::KnownRecordAbsent) => {
-                self.suspects.store(true, Ordering::SeqCst);
+                self.is_audit_requested.store(true, Ordering::SeqCst);
                 Err(CallError::Unknown)
             }
-            Err(GuardError::Lost(loss)) => reset_cache(&loss),
+            Err(GuardError::Lost(loss)) => restart_after_loss(&loss),
         }
     }
 
-    /// Reports whether the record set has a record at a key that is written in the store, rather than
-    /// only carried over from the previous generation.
+    /// Reports whether the record set has a record at a key that is written in the store, rather
+    /// than only carried over from the previous generation.
     fn is_written(&self, key: &str) -> bool {
         self.journal.get(key).is_some_and(|r| r.mod_revision > self.guard.generation.identity.base)
     }
@@ -104,8 +104,8 @@
         (record.mod_revision <= base).then_some(record)
     }
 
-    /// A final state that is not written yet, as the answer to a read of it.
-    fn carried_over(&self, call: &StoreCall) -> Option<KeyValue> {
+    /// Returns the reply to a read of a carried-over final state that is not written yet.
+    fn carried_over_reply(&self, call: &StoreCall) -> Option<KeyValue> {
         let StoreCall::Get(key) = call else { return None };
         let Record { value, mod_revision } = self.carried_over_record(key)?;
         Some(KeyValue {
@@ -116,28 +116,31 @@
         })
     }
 
-    /// A job is not accepted if it is over by a final state that is not written yet.
+    /// Returns a conflict if a transaction requires that a job has no final state, but a
+    /// carried-over one that is not written yet exists.
     fn conflict_with_carried_over(&self, call: &StoreCall) -> Option<StoreReply> {
         let StoreCall::Txn(txn) = call else { return None };
         let absent = txn
             .conditions
             .iter()
             .filter(|c| c.mod_revision == 0 && c.path.starts_with(TERMINAL_JOB_PREFIX));
-        let over: Vec<String> = absent
+        let ended: Vec<String> = absent
             .map(|condition| condition.path.clone())
             .filter(|key| self.carried_over_record(key).is_some())
             .collect();
-        (!over.is_empty()).then_some(StoreReply::Conflict(over))
+        (!ended.is_empty()).then_some(StoreReply::Conflict(ended))
     }
 
     fn may_be_known_elsewhere(&self, call: &StoreCall) -> bool {
-        // Whether a job is live is asked first, and says nothing alone.
-        let is_final = matches!(call, StoreCall::Get(key) if key.starts_with(TERMINAL_JOB_PREFIX));
-        is_final && self.may_lack_jobs.load(Ordering::SeqCst)
+        // Only the read of the final state matters: the core reads the active job first, and its
+        // absence alone decides nothing.
+        let is_final_state_read =
+            matches!(call, StoreCall::Get(key) if key.starts_with(TERMINAL_JOB_PREFIX));
+        is_final_state_read && self.may_lack_jobs.load(Ordering::SeqCst)
     }
 
-    /// A watch begins where the record set is complete, at the latest: the core, which has listed the records
-    /// later, knows what comes twice.
+    /// Makes a watch start at the latest where the record set is complete. The core has listed the
+    /// records later, and ignores changes that it receives twice.
     fn limit_watch_start(&self, call: &StoreCall) -> StoreCall {
         match call {
             StoreCall::Watch { from, hold_ms } => {
@@ -148,14 +151,14 @@
         }
     }
 
-    /// Lists all records after the watch has missed some.
-    fn read_anew(&self) -> Result<(), CallError> {
+    /// Lists all records again after the watch has missed changes.
+    fn relist(&self) -> Result<(), CallError> {
         let mut access = ClientAccess { client: self.client.clone(), clock: Clock::new() };
         let records = list_generation(&mut access, &self.guard.generation)?;
         let mut store = |call: &StoreCall| self.client.call(call);
         match self.guard.verify_identity(&mut store) {
             Ok(()) => self.journal.replace(records),
-            Err(GuardError::Lost(loss)) => reset_cache(&loss),
+            Err(GuardError::Lost(loss)) => restart_after_loss(&loss),
             Err(GuardError::Call(error)) => return Err(error),
             Err(GuardError::KnownRecordAbsent) => return Err(CallError::Unknown),
         }
@@ -163,15 +166,15 @@
     }
 }
 
-/// Exit status of a process that could not begin anew by itself.
-const CANNOT_BEGIN_ANEW: i32 = 1;
+/// Exit status of a process that could not restart itself.
+const RESTART_FAILED: i32 = 1;
 
-/// Data was lost: the process begins anew, in place, so that nothing it has learned or asked for before can
-/// be acted on any more.
-pub fn reset_cache(loss: &Loss) -> ! {
-    static BEGUN: AtomicBool = AtomicBool::new(false);
-    if BEGUN.swap(true, Ordering::SeqCst) {
-        // Another thread is at it, and ends this one.
+/// Restarts the process in place after a loss of data, so that nothing which it has learned or
+/// requested before can be acted on any more.
+pub fn restart_after_loss(loss: &Loss) -> ! {
+    static IS_RESTARTING: AtomicBool = AtomicBool::new(false);
+    if IS_RESTARTING.swap(true, Ordering::SeqCst) {
+        // Another thread is restarting the process, which ends this thread.
         loop {
             thread::park();
         }
@@ -179,10 +182,10 @@
     ProgramEvent::StoreDataLost { loss }.log();
     let error = Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
     ProgramEvent::CannotRestart { reason: error.to_string() }.log();
-    std::process::exit(CANNOT_BEGIN_ANEW);
+    std::process::exit(RESTART_FAILED);
 }
 
-/// What the steps of a rebuild need, by a client of the store.
+/// Access to the store and the clocks for the steps of a rebuild, by a client of the store.
 pub struct ClientAccess {
     pub client: StoreClient,
     pub clock: Clock,
@@ -201,8 +204,8 @@
         wall()
     }
 
-    fn pause(&mut self, span: Micros) {
-        thread::sleep(Duration::from_micros(span));
+    fn pause(&mut self, duration: Micros) {
+        thread::sleep(Duration::from_micros(duration));
     }
 
     fn log(&mut self, event: RebuildEvent) {
--- a/crates/quartzlever/src/settings.rs
+++ b/crates/quartzlever/src/settings.rs
@@ -1,8 +1,8 @@
-//! Everything that the program is told at its start.
+//! The settings of the program, read once at startup.
 //!
-//! Owns the settings as the rest of the program sees them, put together from the platform's file
-//! (`platform`) and the operator's (`operator`, `recovery`). Never uses a module outside `settings`, and
-//! never changes a setting after the start.
+//! Owns the settings as the rest of the program sees them, combined from the platform's file
+//! (`platform`) and the operator's file (`operator`, `recovery`). Never uses a module outside
+//! `settings`, and never changes a setting after startup.
 
 mod operator;
 mod platform;
@@ -22,31 +22,35 @@
 pub use recovery::RecoverySettings;
 pub use validation::SettingsError;
 
-/// Share of the store's requests that the core keeps at least, whatever recovery asks for itself.
-const MIN_CORE_SHARE: f64 = 0.5;
+/// Minimum share of the store's request limit that is left to the cores, however many requests
+/// recovery needs.
+const MIN_CORE_REQUEST_SHARE: f64 = 0.5;
 
-/// The settings of a controller.
+/// The checked settings of a controller.
 #[derive(Debug)]
 pub struct Settings {
     pub core: Config,
-    /// Where users and workers are served.
+    /// Address on which users and workers are served.
     pub api: SocketAddr,
-    /// Where the other controllers are served.
+    /// Address on which the other controllers are served.
     pub internal: SocketAddr,
     /// The other controllers.
     pub peers: Vec<Peer>,
-    /// The address of the cloud.
+    /// Address of the cloud.
     pub cloud: String,
-    /// The address of the store.
+    /// Address of the store.
     pub state: String,
-    /// Requests a second that the cloud takes from all controllers together.
+    /// Limit of the cloud on the requests per second of all controllers together.
     pub cloud_rps: f64,
     pub limits: Limits,
-    /// None if the operator has not switched recovery on.
+    /// `None` if the operator has not enabled recovery.
     pub recovery: Option<RecoverySettings>,
 }
 
 /// Reads and checks both files, the operator's first.
+///
+/// # Errors
+/// Returns the first error found; see [`SettingsError`].
 pub fn load(
     config: &Path,
     operator: Option<&Path>,
@@ -71,7 +75,7 @@
     log_level: LogLevel,
 ) -> Settings {
     let OperatorSettings { core: operator, recovery } = operator;
-    let store_rps = core_rps(&platform, recovery.as_ref());
+    let store_rps = core_store_rps(&platform, recovery.as_ref());
     let platform::Members { node, nodes, peers } = platform.members;
     Settings {
         recovery,
@@ -93,7 +97,7 @@
             store_rps,
             store_write_rps: platform.store_write_rps,
             value_bytes: platform.value_bytes,
-            group_bytes: platform.group_bytes,
+            group_bytes: platform.present_value_bytes,
             txn_ops: platform.txn_ops,
             version: quartzlever_core::VERSION,
             machine_capacity: platform.machine_capacity,
@@ -103,12 +107,12 @@
     }
 }
 
-/// The store's requests a second that are left to the cores of all controllers: what recovery asks for
-/// itself comes off them, down to half of them.
-fn core_rps(platform: &PlatformSettings, recovery: Option<&RecoverySettings>) -> f64 {
+/// Returns the requests per second that the cores of all controllers together may send to the
+/// store: the store's limit without the requests of recovery, but at least half of the limit.
+fn core_store_rps(platform: &PlatformSettings, recovery: Option<&RecoverySettings>) -> f64 {
     let controllers = platform.members.nodes.len() as f64;
-    let own = recovery.map_or(0.0, |_| recovery::REQUESTS_PER_SECOND * controllers);
-    (platform.store_rps - own).max(platform.store_rps * MIN_CORE_SHARE)
+    let recovery_rps = recovery.map_or(0.0, |_| recovery::STORE_REQUESTS_PER_SECOND * controllers);
+    (platform.store_rps - recovery_rps).max(platform.store_rps * MIN_CORE_REQUEST_SHARE)
 }
 
 #[cfg(test)]
--- a/crates/quartzlever/src/settings/operator.rs
+++ b/crates/quartzlever/src/settings/operator.rs
@@ -7,9 +7,11 @@
 use serde::Deserialize;
 
 use super::recovery::{RecoveryEntry, RecoverySettings};
-use super::validation::{Checker, Field, Range, SettingsError, SyntaxError, Violation, one_line};
+use super::validation::{
+    Checker, Field, Range, SettingsError, SyntaxError, Violation, to_one_line,
+};
 
-const PEERS_ASKED: Range = Range::new(1.0, 1000.0);
+const PEERS_ASKED_RANGE: Range = Range::new(1.0, 1000.0);
 
 /// The operator's file. Every key may be left out.
 #[derive(Debug, Default, Deserialize)]
@@ -19,7 +21,7 @@
     steal_fraction: Option<f64>,
     steal_start_s: Option<f64>,
     steal_cap_s: Option<f64>,
-    /// Operators may have the earlier name in their files.
+    /// `hold_life_s` is the earlier name; operators' files may still have it.
     #[serde(alias = "hold_life_s")]
     lease_life_s: Option<f64>,
     takeover_after_s: Option<f64>,
@@ -28,22 +30,27 @@
     price_cap: Option<f64>,
     silent_return_s: Option<f64>,
     progress_write_s: Option<f64>,
-    /// Lost state is rebuilt from snapshots and a log; off if left out.
+    /// Enables the rebuilding of lost state from snapshots and a log; off if left out.
     recovery: Option<RecoveryEntry>,
 }
 
-/// What the operator's file says: to the core, and of recovery.
+/// The checked settings of the operator's file, for the core and for recovery.
 #[derive(Debug, Default)]
 pub struct OperatorSettings {
     pub core: Operator,
     pub recovery: Option<RecoverySettings>,
 }
 
-/// Reads and checks the text of the operator's file.
+/// Parses and checks the text of the operator's file. `file` names it in errors. An empty file is
+/// valid.
+///
+/// # Errors
+/// Returns the first error found.
 pub fn parse(file: &str, text: &str) -> Result<OperatorSettings, SettingsError> {
     let check = Checker { file };
-    let entry: Option<OperatorFile> = serde_yaml_ng::from_str(text)
-        .map_err(|error| check.syntax_error(SyntaxError::Placed(one_line(&error.to_string()))))?;
+    let entry: Option<OperatorFile> = serde_yaml_ng::from_str(text).map_err(|error| {
+        check.syntax_error(SyntaxError::WithPosition(to_one_line(&error.to_string())))
+    })?;
     let entry = entry.unwrap_or_default();
     let mut core = Operator::default();
     check_amounts(&check, &entry, &mut core)?;
@@ -55,7 +62,7 @@
     Ok(OperatorSettings { core, recovery })
 }
 
-/// An optional field, and the setting that it takes the place of.
+/// An optional field, and the setting that it replaces.
 struct Override<'a, Setting> {
     field: Field<'static, Option<f64>>,
     setting: &'a mut Setting,
@@ -71,7 +78,7 @@
         Override { field: Field { name, value, range }, setting }
     }
 
-    /// Checks the field if the file has it, and sets the setting.
+    /// Checks the field and replaces the setting, if the file has the field.
     fn apply(
         self,
         check: impl Fn(Field) -> Result<Setting, SettingsError>,
@@ -90,11 +97,11 @@
     core: &mut Operator,
 ) -> Result<(), SettingsError> {
     if let Some(count) = entry.peers_asked {
-        let field = Field { name: "peers_asked", value: count as f64, range: PEERS_ASKED };
+        let field = Field { name: "peers_asked", value: count as f64, range: PEERS_ASKED_RANGE };
         core.peers_asked = check.amount(field)? as usize;
     }
     let Operator { steal_fraction, idle_boots, price_cap, .. } = core;
-    let resources: [Override<f64>; 3] = [
+    let amounts: [Override<f64>; 3] = [
         Override::new(
             "steal_fraction",
             entry.steal_fraction,
@@ -104,7 +111,7 @@
         Override::new("idle_boots", entry.idle_boots, idle_boots, Range::new(0.0, 1000.0)),
         Override::new("price_cap", entry.price_cap, price_cap, Range::new(1.0, 1000.0)),
     ];
-    resources.into_iter().try_for_each(|amount| amount.apply(|field| check.amount(field)))
+    amounts.into_iter().try_for_each(|amount| amount.apply(|field| check.amount(field)))
 }
 
 fn check_durations(
@@ -112,30 +119,35 @@
     entry: &OperatorFile,
     core: &mut Operator,
 ) -> Result<(), SettingsError> {
-    let row = Override::<Micros>::new;
+    let duration = Override::<Micros>::new;
     let durations = [
-        row("steal_start_s", entry.steal_start_s, &mut core.steal_start, Range::new(0.01, 60.0)),
-        row("steal_cap_s", entry.steal_cap_s, &mut core.steal_cap, Range::new(0.01, 600.0)),
-        row("lease_life_s", entry.lease_life_s, &mut core.lease_life, Range::new(3.0, 300.0)),
-        row(
+        duration(
+            "steal_start_s",
+            entry.steal_start_s,
+            &mut core.steal_start,
+            Range::new(0.01, 60.0),
+        ),
+        duration("steal_cap_s", entry.steal_cap_s, &mut core.steal_cap, Range::new(0.01, 600.0)),
+        duration("lease_life_s", entry.lease_life_s, &mut core.lease_life, Range::new(3.0, 300.0)),
+        duration(
             "takeover_after_s",
             entry.takeover_after_s,
             &mut core.takeover_after,
             Range::new(0.0, 600.0),
         ),
-        row(
+        duration(
             "handback_after_s",
             entry.handback_after_s,
             &mut core.handback_after,
             Range::new(0.0, 600.0),
         ),
-        row(
+        duration(
             "silent_return_s",
             entry.silent_return_s,
             &mut core.silent_return,
             Range::new(3.0, 86_400.0),
         ),
-        row(
+        duration(
             "progress_write_s",
             entry.progress_write_s,
             &mut core.progress_write,
--- a/crates/quartzlever/src/settings/platform.rs
+++ b/crates/quartzlever/src/settings/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's settings (TOML).
 //!
-//! Owns the format of the platform's file, and the ranges and defaults of its fields. Never reads the
-//! operator's file. Fields and kinds of objectives that this version does not know are passed over.
+//! Owns the format of the platform's file, and the ranges and defaults of its fields. Never reads
+//! the operator's file. Fields and kinds of objectives that this version does not know are ignored.
 
 use std::net::SocketAddr;
 
@@ -9,14 +9,16 @@
 use quartzlever_wire::micros_from_secs;
 use serde::Deserialize;
 
-use super::validation::{Checker, Field, Range, SettingsError, SyntaxError, Violation, one_line};
+use super::validation::{
+    Checker, Field, Range, SettingsError, SyntaxError, Violation, to_one_line,
+};
 
-const REPORT_SECONDS: Range = Range::new(0.1, 3600.0);
-const WORKER_SECONDS: Range = Range::new(1.0, 86_400.0);
+const HEARTBEAT_INTERVAL_SECONDS: Range = Range::new(0.1, 3600.0);
+const WORKER_DURATION_SECONDS: Range = Range::new(1.0, 86_400.0);
 const TEAM_AMOUNT: Range = Range::new(0.0, 1e9);
 const STORE_RPS: Range = Range::new(1.0, 1e9);
 const VALUE_KILOBYTES: Range = Range::new(1.0, 1e6);
-const TRANSACTION_OPERATIONS: Range = Range::new(2.0, 1e6);
+const TRANSACTION_CHANGES: Range = Range::new(2.0, 1e6);
 const CLOUD_RPS: Range = Range::new(0.1, 1e9);
 const CPU_SHARE: Range = Range::new(0.001, 1e4);
 const MIN_SOCKETS: f64 = 64.0;
@@ -26,15 +28,16 @@
 
 const BYTES_PER_KILOBYTE: f64 = 1024.0;
 
-/// What a heartbeat costs with all that follows from it, in processor seconds.
-const HEARTBEAT_COST: f64 = 150e-6;
-/// How many heartbeats come for each that is due: every change of a task brings one.
-const HEARTBEATS_EACH: f64 = 2.0;
-/// Share of the processor that heartbeats may take: bursts need the rest.
-const REPORTS_CPU_SHARE: f64 = 0.5;
+/// Processor time per heartbeat with all work that follows from it, in seconds.
+const HEARTBEAT_CPU_SECONDS: f64 = 150e-6;
+/// Heartbeats received per interval and machine: the one that is due, and those that changes of
+/// tasks cause.
+const HEARTBEATS_PER_INTERVAL: f64 = 2.0;
+/// Share of the processor that heartbeats may use; the rest is kept for bursts.
+const HEARTBEATS_CPU_SHARE: f64 = 0.5;
 
-/// What holds for a limit of the machine that the settings leave out. Nothing is said of threads then
-/// either, and there are as many as the sockets take: a fixed number would bound the machines.
+/// Defaults of the machine's limits. If `threads` is left out, it is at least the number of
+/// sockets, since a fixed number would limit how many machines can connect.
 const DEFAULT_LIMITS: Limits = Limits { sockets: 1024, threads: 2000, memory_mb: 256.0 };
 
 #[derive(Deserialize)]
@@ -113,7 +116,7 @@
     write_rps: f64,
     value_kb: f64,
     txn_ops: usize,
-    /// Limits to come, any of them, without notice.
+    /// Future limits. Each of them may take effect at any time, without notice.
     #[serde(default)]
     next: NextEntry,
 }
@@ -143,7 +146,7 @@
     memory_mb: Option<f64>,
 }
 
-/// What the process may use.
+/// The resources of its machine that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     pub sockets: u32,
@@ -151,7 +154,7 @@
     pub memory_mb: f64,
 }
 
-/// What the platform's file says, checked.
+/// The checked settings of the platform's file.
 #[derive(Debug)]
 pub struct PlatformSettings {
     pub members: Members,
@@ -161,7 +164,7 @@
     pub teams: Vec<Team>,
     pub objectives: Vec<ServiceLevelObjective>,
     pub workers: WorkerTimes,
-    /// How many machines the processor serves without falling behind.
+    /// Number of machines whose heartbeats the processor can handle without falling behind.
     pub machine_capacity: usize,
     pub store_rps: f64,
     pub api: SocketAddr,
@@ -170,21 +173,22 @@
     pub limits: Limits,
     pub zone: String,
     pub store_write_rps: f64,
-    /// The largest value that the store takes, now and with the limits to come.
+    /// Maximum size of a value in the store, in bytes: the lower of the present and the future
+    /// limit.
     pub value_bytes: usize,
-    /// The largest value that the store takes now.
-    pub group_bytes: usize,
+    /// The store's present limit for a value, in bytes.
+    pub present_value_bytes: usize,
     pub txn_ops: usize,
 }
 
-/// The controllers.
+/// The controllers of the cluster.
 #[derive(Debug)]
 pub struct Members {
-    /// This one.
+    /// This controller.
     pub node: String,
-    /// All of them, in order.
+    /// All controllers, sorted by name.
     pub nodes: Vec<String>,
-    /// The others.
+    /// All controllers but this one.
     pub peers: Vec<Peer>,
 }
 
@@ -195,7 +199,10 @@
     pub address: SocketAddr,
 }
 
-/// Reads and checks the text of the platform's file. Of several bad fields the first one checked is told.
+/// Parses and checks the text of the platform's file. `file` names it in errors.
+///
+/// # Errors
+/// Returns the first error found, even if several fields are invalid.
 pub fn parse(file: &str, text: &str) -> Result<PlatformSettings, SettingsError> {
     let check = Checker { file };
     let entry: PlatformFile =
@@ -214,7 +221,7 @@
         state: entry.external.state.clone(),
         zones: params.zones.clone(),
         teams: check_teams(&check, &params.teams)?,
-        objectives: params.objectives.iter().filter_map(objective).collect(),
+        objectives: params.objectives.iter().filter_map(parse_objective).collect(),
         workers: check_workers(&check, &params.workers)?,
         machine_capacity: machine_capacity(&check, limits, params.workers.report_s)?,
         store_rps: store.rps()?,
@@ -225,19 +232,19 @@
         zone: check.name("site", &entry.site)?,
         store_write_rps: store.write_rps()?,
         value_bytes: store.value_bytes()?,
-        group_bytes: (params.state.value_kb * BYTES_PER_KILOBYTE) as usize,
-        txn_ops: store.transaction_operations()?,
+        present_value_bytes: (params.state.value_kb * BYTES_PER_KILOBYTE) as usize,
+        txn_ops: store.transaction_changes()?,
     })
 }
 
 fn syntax_error(text: &str, error: &toml::de::Error) -> SyntaxError {
-    let message = one_line(error.message());
+    let message = to_one_line(error.message());
     match error.span() {
         Some(span) => {
             let line = text[..span.start.min(text.len())].lines().count().max(1);
             SyntaxError::AtLine { message, line }
         }
-        None => SyntaxError::Placed(message),
+        None => SyntaxError::WithPosition(message),
     }
 }
 
@@ -282,8 +289,9 @@
     })
 }
 
-/// Objectives of kinds that this version does not know are passed over, as new fields are.
-fn objective(entry: &ObjectiveEntry) -> Option<ServiceLevelObjective> {
+/// Converts an objective. Returns `None` for a kind that this version does not know, which is
+/// ignored as new fields are.
+fn parse_objective(entry: &ObjectiveEntry) -> Option<ServiceLevelObjective> {
     let (class, share) = (entry.class.clone(), entry.share);
     match entry.kind.as_str() {
         "deadline" => Some(ServiceLevelObjective::Deadline {
@@ -308,13 +316,18 @@
 fn check_workers(check: &Checker, entry: &WorkersEntry) -> Result<WorkerTimes, SettingsError> {
     let duration = |name, value, range| check.duration(Field { name, value, range });
     Ok(WorkerTimes {
-        heartbeat_interval: duration("params.workers.report_s", entry.report_s, REPORT_SECONDS)?,
-        lease: duration("params.workers.lease_s", entry.lease_s, WORKER_SECONDS)?,
-        cancel: duration("params.workers.cancel_s", entry.cancel_s, WORKER_SECONDS)?,
+        heartbeat_interval: duration(
+            "params.workers.report_s",
+            entry.report_s,
+            HEARTBEAT_INTERVAL_SECONDS,
+        )?,
+        lease: duration("params.workers.lease_s", entry.lease_s, WORKER_DURATION_SECONDS)?,
+        cancel: duration("params.workers.cancel_s", entry.cancel_s, WORKER_DURATION_SECONDS)?,
     })
 }
 
-/// How many machines the processor serves without falling behind; any number if nothing is said of it.
+/// Returns the number of machines whose heartbeats the processor can handle without falling behind;
+/// unlimited if the settings do not give the processor's share.
 fn machine_capacity(
     check: &Checker,
     entry: Option<&LimitsEntry>,
@@ -323,12 +336,13 @@
     let Some(value) = entry.and_then(|limits| limits.cpu_share) else { return Ok(usize::MAX) };
     let name = "params.machine_limits.cpu_share";
     let share = check.amount(Field { name, value, range: CPU_SHARE })?;
-    let machines = share * REPORTS_CPU_SHARE * report_s / (HEARTBEATS_EACH * HEARTBEAT_COST);
+    let machines =
+        share * HEARTBEATS_CPU_SHARE * report_s / (HEARTBEATS_PER_INTERVAL * HEARTBEAT_CPU_SECONDS);
     Ok(machines.max(1.0) as usize)
 }
 
-/// The store's limits: of each the lower of the one now and the one to come, which may be in force at
-/// any moment.
+/// The store's limits: for each, the lower of the present limit and the future one, which may take
+/// effect at any moment.
 struct StoreLimits<'a> {
     check: &'a Checker<'a>,
     entry: &'a StateEntry,
@@ -336,26 +350,26 @@
 
 impl StoreLimits<'_> {
     fn rps(&self) -> Result<f64, SettingsError> {
-        self.lower("rps", self.entry.rps, self.entry.next.rps, STORE_RPS)
+        self.lower_limit("rps", self.entry.rps, self.entry.next.rps, STORE_RPS)
     }
 
     fn write_rps(&self) -> Result<f64, SettingsError> {
-        self.lower("write_rps", self.entry.write_rps, self.entry.next.write_rps, STORE_RPS)
+        self.lower_limit("write_rps", self.entry.write_rps, self.entry.next.write_rps, STORE_RPS)
     }
 
     fn value_bytes(&self) -> Result<usize, SettingsError> {
         let StateEntry { value_kb, next, .. } = self.entry;
-        let kilobytes = self.lower("value_kb", *value_kb, next.value_kb, VALUE_KILOBYTES)?;
+        let kilobytes = self.lower_limit("value_kb", *value_kb, next.value_kb, VALUE_KILOBYTES)?;
         Ok((kilobytes * BYTES_PER_KILOBYTE) as usize)
     }
 
-    fn transaction_operations(&self) -> Result<usize, SettingsError> {
-        let next = self.entry.next.txn_ops.map(|operations| operations as f64);
+    fn transaction_changes(&self) -> Result<usize, SettingsError> {
+        let next = self.entry.next.txn_ops.map(|count| count as f64);
         let now = self.entry.txn_ops as f64;
-        self.lower("txn_ops", now, next, TRANSACTION_OPERATIONS).map(|count| count as usize)
+        self.lower_limit("txn_ops", now, next, TRANSACTION_CHANGES).map(|count| count as usize)
     }
 
-    fn lower(
+    fn lower_limit(
         &self,
         field: &str,
         now: f64,
@@ -376,10 +390,10 @@
 }
 
 fn check_limits(check: &Checker, entry: Option<&LimitsEntry>) -> Result<Limits, SettingsError> {
-    let count = |name: &str, given: Option<u32>, default: u32, least: f64| {
+    let count = |name: &str, given: Option<u32>, default: u32, min: f64| {
         let value = f64::from(given.unwrap_or(default));
         check
-            .amount(Field { name, value, range: Range::new(least, MAX_COUNT) })
+            .amount(Field { name, value, range: Range::new(min, MAX_COUNT) })
             .map(|count| count as u32)
     };
     let given_sockets = entry.and_then(|limits| limits.sockets);
--- a/crates/quartzlever/src/settings/recovery.rs
+++ b/crates/quartzlever/src/settings/recovery.rs
@@ -1,6 +1,7 @@
-//! The operator's settings of recovery: the key `recovery` of the operator's file.
+//! The settings of recovery: the key `recovery` of the operator's file.
 //!
-//! Owns the names, the defaults and the ranges of these fields. Never touches the directory they name.
+//! Owns the names, the defaults and the ranges of these fields. Never accesses the directory they
+//! name.
 
 use std::path::PathBuf;
 
@@ -9,15 +10,16 @@
 
 use super::validation::{Checker, Field, Range, SettingsError, Violation};
 
-/// What recovery asks of the store beyond what the core asks, in requests a second: the looks at
-/// the identity, its check after each renewal, and the witness.
-pub const REQUESTS_PER_SECOND: f64 = 2.0;
+/// Requests per second that recovery sends to the store for each controller, in addition to those
+/// of the core: the periodic checks of the identity, its check after each lease renewal, and the
+/// witness.
+pub const STORE_REQUESTS_PER_SECOND: f64 = 2.0;
 
-/// The range of a size in megabytes.
-const MEGABYTES: Range = Range::new(0.1, 1e6);
+/// Range of a size, in megabytes.
+const SIZE_MEGABYTES: Range = Range::new(0.1, 1e6);
 const BYTES_PER_MEGABYTE: f64 = 1024.0 * 1024.0;
 
-/// The key `recovery` of the operator's file, as it is written.
+/// The key `recovery` of the operator's file, before it is checked.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoveryEntry {
@@ -38,28 +40,31 @@
     most_mb: Option<f64>,
 }
 
-/// What recovery is told by the operator.
+/// The checked settings of recovery.
 #[derive(Clone, Debug)]
 pub struct RecoverySettings {
     pub directory: PathBuf,
-    /// How long controllers are waited for that may know more than those that are up.
-    pub gather: Micros,
-    /// How long another controller's word that it has a change in its log is waited for.
-    pub acknowledge: Micros,
-    /// How often the identity of the records is read.
-    pub check: Micros,
-    /// How often all records are compared with the picture.
-    pub audit: Micros,
-    /// How often a snapshot is taken, at least.
-    pub snapshot: Micros,
-    /// A log of this size is followed by a snapshot.
+    /// How long a rebuild waits for controllers that are down but may know more than those up.
+    pub gather_timeout: Micros,
+    /// How long the acknowledgement of another controller that it has logged a change is awaited.
+    pub acknowledgement_timeout: Micros,
+    /// Interval between checks of the identity of the records.
+    pub check_interval: Micros,
+    /// Interval between audits, which compare all records in the store with the record set.
+    pub audit_interval: Micros,
+    /// Maximum interval between snapshots.
+    pub snapshot_interval: Micros,
+    /// Size of the log at which a snapshot is taken, in bytes.
     pub log_bytes: u64,
-    /// What all files may take.
+    /// Maximum size of all files together, in bytes.
     pub max_bytes: u64,
 }
 
 impl RecoveryEntry {
-    /// Checks the settings, but not the directory.
+    /// Checks all fields but the directory.
+    ///
+    /// # Errors
+    /// Returns the first field whose value is invalid.
     pub fn check(self, check: &Checker) -> Result<RecoverySettings, SettingsError> {
         let duration = |name: &str, given: Option<f64>, default: f64, range: Range| {
             let name = &format!("recovery.{name}");
@@ -68,20 +73,25 @@
         let size = |name: &str, given: Option<f64>, default: f64| {
             let name = &format!("recovery.{name}");
             check
-                .amount(Field { name, value: given.unwrap_or(default), range: MEGABYTES })
+                .amount(Field { name, value: given.unwrap_or(default), range: SIZE_MEGABYTES })
                 .map(|megabytes| (megabytes * BYTES_PER_MEGABYTE) as u64)
         };
         let settings = RecoverySettings {
-            gather: duration("gather_s", self.gather_s, 10.0, Range::new(1.0, 600.0))?,
-            acknowledge: duration(
+            gather_timeout: duration("gather_s", self.gather_s, 10.0, Range::new(1.0, 600.0))?,
+            acknowledgement_timeout: duration(
                 "acknowledge_s",
                 self.acknowledge_s,
                 0.3,
                 Range::new(0.05, 10.0),
             )?,
-            check: duration("check_s", self.check_s, 1.0, Range::new(0.1, 60.0))?,
-            audit: duration("audit_s", self.audit_s, 600.0, Range::new(1.0, 86_400.0))?,
-            snapshot: duration("snapshot_s", self.snapshot_s, 600.0, Range::new(1.0, 86_400.0))?,
+            check_interval: duration("check_s", self.check_s, 1.0, Range::new(0.1, 60.0))?,
+            audit_interval: duration("audit_s", self.audit_s, 600.0, Range::new(1.0, 86_400.0))?,
+            snapshot_interval: duration(
+                "snapshot_s",
+                self.snapshot_s,
+                600.0,
+                Range::new(1.0, 86_400.0),
+            )?,
             log_bytes: size("log_mb", self.log_mb, 16.0)?,
             max_bytes: size("most_mb", self.most_mb, 1024.0)?,
             directory: self.directory,
--- a/crates/quartzlever/src/settings/validation.rs
+++ b/crates/quartzlever/src/settings/validation.rs
@@ -1,68 +1,72 @@
-//! Checks of single settings, and the errors they give.
+//! Checks of single settings, and their errors.
 //!
-//! Owns what is wrong with a settings file as typed errors. Never reads a file, and knows no field by
-//! name: the fields and their ranges stand beside the file's format.
+//! Owns the typed errors of settings files. Never reads a file, and knows no field by name: the
+//! fields and their ranges are defined next to the format of each file.
 
 use std::io;
 use std::net::SocketAddr;
 
 use quartzlever_wire::{Micros, micros_from_secs};
 
-/// The longest name of a node or a zone, in bytes.
+/// Maximum length of the name of a node or a zone, in bytes.
 const MAX_NAME_BYTES: usize = 100;
 
-/// Why the program cannot start; one line that names the field.
+/// Why the settings cannot be used. The message is one line; it names the file, and the field if
+/// one is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file could not be read.
+    /// The file cannot be read.
     #[error("{file}: {cause}")]
     Read { file: String, cause: io::Error },
-    /// The file is not of its format.
+    /// The file is not valid TOML or YAML, or its fields do not fit the format.
     #[error("{file}: {cause}")]
     Syntax { file: String, cause: SyntaxError },
-    /// A field's value cannot be used.
+    /// The value of a field is invalid.
     #[error("{file}: {field}: {violation}")]
     Field { file: String, field: String, violation: Violation },
 }
 
-/// What a parser found, on one line.
+/// A parser's error message, on one line.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum SyntaxError {
-    /// The parser's message says where.
+    /// The message itself gives the position.
     #[error("{0}")]
-    Placed(String),
-    /// The line is counted from one.
+    WithPosition(String),
+    /// The message has no position; lines are counted from one.
     #[error("{message} (line {line})")]
     AtLine { message: String, line: usize },
 }
 
-/// What is wrong with the value of a field.
+/// Why the value of a field is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Violation {
-    /// Not `address:port`.
-    #[error("not an address with a port: {0:?}")]
+    /// Not an IP address with a port.
+    #[error("not an IP address with a port: {0:?}")]
     Address(String),
-    /// Not a number of the field's range.
+    /// Not a number in the field's range.
     #[error("must be from {} to {}, is {value}", range.from, range.to)]
     OutOfRange { range: Range, value: f64 },
-    /// Not a name that fits into a key.
-    #[error("not a usable name: {0:?}")]
+    /// Not a name that can be part of a key.
+    #[error(
+        "must be 1 to {max} printable ASCII characters without spaces or slashes, is {0:?}",
+        max = MAX_NAME_BYTES
+    )]
     Name(String),
-    /// A name that must be unique.
-    #[error("twice: {0:?}")]
+    /// A name that is already used.
+    #[error("duplicate name: {0:?}")]
     Duplicate(String),
-    /// An empty list of zones.
-    #[error("must name a zone")]
+    /// The list of zones is empty.
+    #[error("must name at least one zone")]
     NoZone,
-    /// A value that must not be below another field's.
+    /// A value below that of another field, which must not exceed it.
     #[error("must not be below {0}")]
     Below(&'static str),
-    /// A value that must be at least twice another field's.
-    #[error("must be twice {0} at least")]
+    /// A value below twice that of another field.
+    #[error("must be at least twice {0}")]
     BelowTwice(&'static str),
 }
 
-/// The values that a field may have, both ends included.
+/// The range of values that a field may have, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
     pub from: f64,
@@ -70,13 +74,13 @@
 }
 
 impl Range {
-    /// From the one to the other.
+    /// Creates the range of values from `from` to `to`.
     pub const fn new(from: f64, to: f64) -> Range {
         Range { from, to }
     }
 }
 
-/// A numeric field of a file: its name, what the file says, and what it may say.
+/// A numeric field of a file: its name, its value in the file, and the range of valid values.
 #[derive(Clone, Copy, Debug)]
 pub struct Field<'a, Value = f64> {
     pub name: &'a str,
@@ -84,28 +88,34 @@
     pub range: Range,
 }
 
-/// Checks the settings of one file, and names the file and the field of a bad one.
+/// Checks the fields of one file, and names the file and the invalid field in errors.
 pub struct Checker<'a> {
     pub file: &'a str,
 }
 
 impl Checker<'_> {
-    /// The error about a field of the file.
+    /// Returns the error for an invalid field of the file.
     pub fn error(&self, field: &str, violation: Violation) -> SettingsError {
         SettingsError::Field { file: self.file.to_owned(), field: field.to_owned(), violation }
     }
 
-    /// The error about the whole file.
+    /// Returns the error for a file that cannot be parsed.
     pub fn syntax_error(&self, cause: SyntaxError) -> SettingsError {
         SettingsError::Syntax { file: self.file.to_owned(), cause }
     }
 
-    /// An address with a port.
+    /// Parses an IP address with a port.
+    ///
+    /// # Errors
+    /// Returns [`Violation::Address`] for any other text.
     pub fn address(&self, field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
         text.parse().map_err(|_| self.error(field, Violation::Address(text.to_owned())))
     }
 
-    /// A number of the field's range.
+    /// Returns the field's value if it is a number in the field's range.
+    ///
+    /// # Errors
+    /// Returns [`Violation::OutOfRange`] for a value outside the range, an infinite one or NaN.
     pub fn amount(&self, field: Field) -> Result<f64, SettingsError> {
         let Field { name, value, range } = field;
         if value.is_finite() && (range.from..=range.to).contains(&value) {
@@ -115,12 +125,19 @@
         }
     }
 
-    /// A duration, written in seconds.
+    /// Converts a duration in seconds.
+    ///
+    /// # Errors
+    /// Returns the errors of [`Checker::amount`].
     pub fn duration(&self, field: Field) -> Result<Micros, SettingsError> {
         self.amount(field).map(micros_from_secs)
     }
 
-    /// A name that becomes a partition of keys.
+    /// Checks a name that becomes part of keys in the store: printable ASCII without spaces or
+    /// slashes.
+    ///
+    /// # Errors
+    /// Returns [`Violation::Name`] for a name that is empty, too long, or has another character.
     pub fn name(&self, field: &str, value: &str) -> Result<String, SettingsError> {
         let is_usable = !value.is_empty()
             && value.len() <= MAX_NAME_BYTES
@@ -133,7 +150,7 @@
     }
 }
 
-/// A parser's message without its line breaks.
-pub fn one_line(text: &str) -> String {
+/// Replaces line breaks and other white space in a parser's message by single spaces.
+pub fn to_one_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
