--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -4,7 +4,7 @@
 //! A controller may fail at the same moment as the store loses data, and be down while the records
 //! are rebuilt. Another controller must then know what it reported to users just before. One
 //! acknowledgement is enough; if no other controller sends one in time, the program continues
-//! without.
+//! without one.
 //!
 //! Owns a queue and a thread for each other controller. Never waits for more than one
 //! acknowledgement.
--- a/crates/quartzlever/src/recovery/state.rs
+++ b/crates/quartzlever/src/recovery/state.rs
@@ -97,6 +97,7 @@
         self.journal.get(key).is_some_and(|r| r.mod_revision > self.guard.generation.identity.base)
     }
 
+    /// Returns the carried-over final state at a key, if it is not written to the store yet.
     fn carried_over_record(&self, key: &str) -> Option<Record> {
         let base = self.guard.generation.identity.base;
         let record =
@@ -131,6 +132,8 @@
         (!ended.is_empty()).then_some(StoreReply::Conflict(ended))
     }
 
+    /// Reports whether a call reads a final state that may be absent only because the rebuild
+    /// missed its job.
     fn may_be_known_elsewhere(&self, call: &StoreCall) -> bool {
         // Only the read of the final state matters: the core reads the active job first, and its
         // absence alone decides nothing.
--- a/crates/quartzlever/src/settings/validation.rs
+++ b/crates/quartzlever/src/settings/validation.rs
@@ -29,7 +29,7 @@
 /// A parser's error message, on one line.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum SyntaxError {
-    /// The message itself gives the position.
+    /// The message itself gives the position, if the parser knows it.
     #[error("{0}")]
     WithPosition(String),
     /// The message has no position; lines are counted from one.
@@ -58,7 +58,7 @@
     /// The list of zones is empty.
     #[error("must name at least one zone")]
     NoZone,
-    /// A value below that of another field, which must not exceed it.
+    /// A value below that of another field, which is its minimum.
     #[error("must not be below {0}")]
     Below(&'static str),
     /// A value below twice that of another field.
