--- a/crates/quartzlever/benches/recovery.rs
+++ b/crates/quartzlever/benches/recovery.rs
@@ -1,10 +1,12 @@
-//! What rebuilding lost state costs, and how long it takes: the real program beside fakes.
+//! Measures the cost of recovery and the duration of a rebuild, with the real program and fakes of the
+//! store, the cloud and the workers.
 //!
 //! `cargo bench -p quartzlever --bench recovery -- [MACHINES [SECONDS]]`
 //!
-//! One controller fills so many machines with tasks. Processor time and memory are measured with recovery
-//! switched off and on, and what its log writes; then the store loses everything, and the time is taken to
-//! the first task that starts after it, and for how long nothing is known about a job.
+//! One controller fills `MACHINES` machines with tasks. The benchmark measures CPU time, memory and the
+//! bytes written to the log over `SECONDS` seconds, first with recovery switched off, then with recovery
+//! switched on. Then the store loses all records, and the benchmark measures the time to the first task
+//! start after the loss and the longest time without an answer about a job.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,18 +22,20 @@
 use quartzlever_wire::SECOND;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzlever");
-/// Tasks of a job; each takes a whole machine.
-const TASKS: usize = 10;
-const RUN_S: u64 = 20;
-const PATIENCE: Duration = Duration::from_secs(120);
-/// How long the machines may take to be filled.
-const FILLED_WITHIN: Duration = Duration::from_secs(60);
-/// Rounds of tasks in the queue at the start, so that all machines are worth renting.
-const ROUNDS: usize = 6;
-/// Every question was answered for so long.
-const CALM: Duration = Duration::from_secs(3);
-/// Clock ticks of the kernel's account of processor time.
-const TICKS_A_SECOND: f64 = 100.0;
+/// Tasks of a job; each occupies a whole machine.
+const TASKS_PER_JOB: usize = 10;
+/// Run time of a task in seconds.
+const TASK_RUN_S: u64 = 20;
+/// Timeout of the submission of jobs and of the rebuild.
+const MAX_WAIT: Duration = Duration::from_secs(120);
+/// Maximum time until the machines are filled with tasks.
+const MAX_FILL_TIME: Duration = Duration::from_secs(60);
+/// Tasks per machine in the queue at the start; enough work that launching all machines pays off.
+const QUEUED_TASKS_PER_MACHINE: usize = 6;
+/// The rebuild counts as finished when every lookup has been answered for this long.
+const ANSWERED_PERIOD: Duration = Duration::from_secs(3);
+/// Unit in which the kernel reports CPU time in `/proc`.
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
 fn settings(state: SocketAddr, cloud: SocketAddr, address: &str) -> String {
     format!(
@@ -66,31 +70,33 @@
     )
 }
 
-/// Processor seconds that a process has used.
-fn processor_s(process: u32) -> f64 {
+/// Returns the CPU time of a process in seconds, user and system.
+fn cpu_seconds(process: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
-    (ticks(11) + ticks(12)) / TICKS_A_SECOND
+    (ticks(11) + ticks(12)) / CLOCK_TICKS_PER_SECOND
 }
 
+/// Returns the resident memory of a process in kilobytes.
 fn resident_kb(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("VmRSS")).unwrap_or("");
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).unwrap_or(0)
 }
 
+/// Returns the total size of the logs in a directory in bytes.
 fn log_bytes(directory: &Path) -> u64 {
     let Ok(entries) = std::fs::read_dir(directory) else { return 0 };
     let logs = entries.flatten().filter(|e| e.file_name().to_string_lossy().starts_with("log-"));
     logs.filter_map(|entry| entry.metadata().ok()).map(|metadata| metadata.len()).sum()
 }
 
-/// A controller among its machines.
+/// A controller process, the fakes around it, and the jobs submitted to it.
 struct Bench {
     begin: Instant,
     store: Arc<Mutex<Store>>,
-    crowd: Arc<WorkerFleet>,
+    workers: Arc<WorkerFleet>,
     node: Node,
     directory: PathBuf,
     machines: usize,
@@ -98,62 +104,69 @@
 }
 
 impl Bench {
+    /// Starts the fakes and a controller, with recovery or without.
     fn start(machines: usize, with_recovery: bool) -> Bench {
         let begin = Instant::now();
         let store = Arc::new(Mutex::new(Store::default()));
-        let state = http::serve_store(store.clone(), begin).expect("store");
+        let state = http::serve_store(store.clone(), begin).expect("cannot serve the store");
         let behaviour = WorkerBehaviour {
             heartbeat_interval: 6 * SECOND,
             lease: 36 * SECOND,
-            run_time: RUN_S * SECOND,
+            run_time: TASK_RUN_S * SECOND,
         };
-        let crowd = WorkerFleet::start(behaviour, begin).expect("crowd");
+        let workers = WorkerFleet::start(behaviour, begin).expect("cannot start the workers");
         let mut cloud = Cloud::new(2.0, &["a"], machines);
-        // Idle machines are kept for as long as one boots.
+        // Idle machines are kept for as long as a machine takes to boot: a long boot time keeps them.
         cloud.catalogue.types[0].ready_s = 600.0;
-        let (joined, left) = (crowd.clone(), crowd.clone());
+        let (launching, terminating) = (workers.clone(), workers.clone());
         let cloud = Arc::new(Mutex::new(cloud));
-        let gone = move |machine: &str| left.terminated(machine);
-        let cloud = http::serve_cloud(cloud, gone, move |r| joined.launched(r)).expect("cloud");
+        let on_termination = move |machine: &str| terminating.terminated(machine);
+        let cloud = http::serve_cloud(cloud, on_termination, move |r| launching.launched(r))
+            .expect("cannot serve the cloud");
 
         let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let directory = scratch.join("recovery-bench");
         let _ = std::fs::remove_dir_all(&directory);
-        std::fs::create_dir_all(&directory).expect("a directory");
+        std::fs::create_dir_all(&directory).expect("cannot create the directory");
         let address = format!("127.1.{}.{}", machines % 250, 1 + u8::from(with_recovery));
         let config = scratch.join("recovery-bench.toml");
-        std::fs::write(&config, settings(state, cloud, &address)).expect("a settings file");
+        std::fs::write(&config, settings(state, cloud, &address))
+            .expect("cannot write the settings file");
         let operator = scratch.join("recovery-bench.yaml");
         let recovery = format!("recovery:\n  directory: {}\n", directory.display());
-        std::fs::write(&operator, if with_recovery { &recovery } else { "" }).expect("a file");
-        let node = Node::start_with(Path::new(PROGRAM), &config, Some(&operator)).expect("a start");
-        crowd.report_to(node.address);
-        Bench { begin, store, crowd, node, directory, machines, jobs: Vec::new() }
+        std::fs::write(&operator, if with_recovery { &recovery } else { "" })
+            .expect("cannot write the operator file");
+        let node = Node::start_with(Path::new(PROGRAM), &config, Some(&operator))
+            .expect("the program did not start");
+        workers.report_to(node.address);
+        Bench { begin, store, workers, node, directory, machines, jobs: Vec::new() }
     }
 
+    /// Returns the URL of a path below `/v2/runs`.
     fn url(&self, path: &str) -> String {
         format!("http://{}/v2/runs{path}", self.node.address)
     }
 
-    /// Submits jobs of so many tasks together.
+    /// Submits jobs with `tasks` tasks in total, rounded up to whole jobs.
     fn submit(&mut self, tasks: usize) {
         let agent = ureq::AgentBuilder::new().timeout(Duration::from_secs(5)).build();
-        let end = Instant::now() + PATIENCE;
-        let jobs = tasks.div_ceil(TASKS);
+        let end = Instant::now() + MAX_WAIT;
+        let jobs = tasks.div_ceil(TASKS_PER_JOB);
         for _ in 0..jobs {
-            let spec = array(self.jobs.len() as u32 + 1, TASKS as u32);
-            let body = serde_json::to_string(&spec).expect("a job");
+            let spec = array(self.jobs.len() as u32 + 1, TASKS_PER_JOB as u32);
+            let body = serde_json::to_string(&spec).expect("a job is valid JSON");
             while agent.post(&self.url("")).send_string(&body).is_err() {
-                assert!(Instant::now() < end, "{} is not accepted", spec.id);
+                assert!(Instant::now() < end, "{} was not accepted in time", spec.id);
                 thread::sleep(Duration::from_millis(50));
             }
             self.jobs.push(spec.id);
         }
     }
 
+    /// Waits until at least `tasks` tasks run, and reports whether they do in time.
     fn await_running(&self, tasks: usize) -> bool {
-        let end = Instant::now() + FILLED_WITHIN;
-        while self.crowd.running().0 < tasks {
+        let end = Instant::now() + MAX_FILL_TIME;
+        while self.workers.running().0 < tasks {
             if Instant::now() > end {
                 return false;
             }
@@ -162,29 +175,30 @@
         true
     }
 
-    /// Measures a span of usual work.
-    fn work(&mut self, seconds: u64) {
+    /// Measures the controller under a steady load of submissions for `seconds` seconds, and prints the
+    /// result.
+    fn measure_load(&mut self, seconds: u64) {
         let process = self.node.process();
-        let (spent, bytes) = (processor_s(process), log_bytes(&self.directory));
+        let (cpu_before, bytes_before) = (cpu_seconds(process), log_bytes(&self.directory));
         let begin = Instant::now();
         while begin.elapsed() < Duration::from_secs(seconds) {
-            self.submit(self.machines / RUN_S as usize);
+            self.submit(self.machines / TASK_RUN_S as usize);
             thread::sleep(Duration::from_secs(1));
         }
         let span = begin.elapsed().as_secs_f64();
         println!(
-            "  work: {:.2}% of a core, {} kB resident, log {:.1} kB a second",
-            (processor_s(process) - spent) * 100.0 / span,
+            "  load: {:.2}% of a core, {} kB resident, log {:.1} kB per second",
+            (cpu_seconds(process) - cpu_before) * 100.0 / span,
             resident_kb(process),
-            (log_bytes(&self.directory).saturating_sub(bytes)) as f64 / 1e3 / span,
+            (log_bytes(&self.directory).saturating_sub(bytes_before)) as f64 / 1e3 / span,
         );
     }
 
-    /// The store loses everything.
-    fn lose(&mut self) {
+    /// Makes the store lose all records, measures the rebuild, and prints the result.
+    fn measure_rebuild(&mut self) {
         let lost = SECOND + self.begin.elapsed().as_micros() as u64;
         let at = Instant::now();
-        let started = self.crowd.started();
+        let started = self.workers.started();
         let keys = {
             let mut store = self.store.lock().expect("lock");
             let keys = store.keys("").len();
@@ -192,55 +206,61 @@
             keys
         };
         let agent = ureq::AgentBuilder::new().timeout(Duration::from_secs(2)).build();
-        // Spans between two answers about the same job; some still come before the loss is noticed.
-        let mut unanswered = Histogram::<u64>::new(3).expect("a histogram");
-        let mut answered = vec![at; self.jobs.len()];
-        let (mut first_start, mut failed) = (None, at);
-        while (first_start.is_none() || failed.elapsed() < CALM) && at.elapsed() < PATIENCE {
-            for (job, last) in self.jobs.iter().zip(&mut answered) {
+        // Times in milliseconds between two answers about the same job. Some answers still arrive before
+        // the loss is detected.
+        let mut unanswered = Histogram::<u64>::new(3).expect("a valid histogram");
+        let mut last_answers = vec![at; self.jobs.len()];
+        let (mut first_start, mut last_failure) = (None, at);
+        while (first_start.is_none() || last_failure.elapsed() < ANSWERED_PERIOD)
+            && at.elapsed() < MAX_WAIT
+        {
+            for (job, last) in self.jobs.iter().zip(&mut last_answers) {
                 if agent.get(&self.url(&format!("/{job}"))).call().is_ok() {
                     let span = last.elapsed().as_millis() as u64;
-                    unanswered.record(span).expect("it grows");
+                    unanswered.record(span).expect("the histogram resizes itself");
                     *last = Instant::now();
                 } else {
-                    failed = Instant::now();
+                    last_failure = Instant::now();
                 }
             }
-            first_start = first_start.or_else(|| self.crowd.first_start_since(lost));
+            first_start = first_start.or_else(|| self.workers.first_start_since(lost));
             thread::sleep(Duration::from_millis(100));
         }
         let first = first_start.map_or("none".into(), |t| format!("{} ms", (t - lost) / 1000));
         println!(
-            "  loss of {keys} keys: first task started after {first}; no job of {} without an answer \
-             for more than {} ms, the last refusal after {} ms",
+            "  loss of {keys} keys: first task started after {first}; longest time without an answer \
+             about one of {} jobs: {} ms; last failed lookup after {} ms",
             self.jobs.len(),
             unanswered.max(),
-            (failed - at).as_millis()
+            (last_failure - at).as_millis()
         );
-        thread::sleep(Duration::from_secs(RUN_S));
-        let repeated = self.crowd.started_again();
+        thread::sleep(Duration::from_secs(TASK_RUN_S));
+        let repeated = self.workers.started_again();
         println!(
-            "  {} tasks started since, {repeated} of all twice",
-            self.crowd.started() - started
+            "  {} tasks started since the loss; {repeated} repeated starts since the beginning",
+            self.workers.started() - started
         );
     }
 }
 
 fn main() {
     // Cargo itself adds `--bench`.
-    let numbers = std::env::args().skip(1).filter(|a| !a.starts_with("--"));
-    let mut numbers = numbers.map(|a| a.parse::<usize>().expect("a number"));
-    let machines = numbers.next().unwrap_or(100);
-    let seconds = numbers.next().unwrap_or(20) as u64;
+    let arguments = std::env::args().skip(1).filter(|a| !a.starts_with("--"));
+    let mut arguments =
+        arguments.map(|a| a.parse::<usize>().expect("the arguments must be numbers"));
+    let machines = arguments.next().unwrap_or(100);
+    let seconds = arguments.next().unwrap_or(20) as u64;
     for with_recovery in [false, true] {
         let mut bench = Bench::start(machines, with_recovery);
-        bench.submit(machines * ROUNDS);
+        bench.submit(machines * QUEUED_TASKS_PER_MACHINE);
         let filled = bench.await_running(machines * 95 / 100);
-        let (tasks, up) = bench.crowd.running();
-        println!("recovery {with_recovery}: {up} machines, {tasks} tasks running, filled {filled}");
-        bench.work(seconds);
+        let (tasks, workers) = bench.workers.running();
+        println!(
+            "recovery {with_recovery}: {workers} machines, {tasks} tasks running, filled {filled}"
+        );
+        bench.measure_load(seconds);
         if with_recovery {
-            bench.lose();
+            bench.measure_rebuild();
         }
     }
 }
--- a/crates/quartzlever/benches/resource_usage.rs
+++ b/crates/quartzlever/benches/resource_usage.rs
@@ -1,14 +1,23 @@
-//! Where the real program's processor time and memory go, beside fakes for everything else.
+//! Measures the CPU time and memory of the real program by thread, with fakes of the store, the cloud
+//! and the workers.
 //!
 //! `cargo bench -p quartzlever --bench resource_usage -- [MACHINES [PARTITIONS [SECONDS]]]`
 //!
-//! One controller holds one partition, or the partitions of all three names; so many machines are rented for
-//! its queue and report every six seconds and at each change. Three spans are measured: the start
-//! with all machines coming up, so many seconds with a queue and users who submit and look up, and
-//! so many seconds in which machines only report. Between the two the process is killed and started
-//! again among its machines, first without the store, so that it turns all of them away. Processor time and thread switches are the kernel's own account of
-//! each thread, by name; system calls are counted with `perf trace` if that is there, in spans
-//! of their own, since it slows the program down.
+//! One controller leads one partition, or up to three partitions in place of controllers that are not
+//! running. `MACHINES` machines are launched for its queue; their workers send a heartbeat every six
+//! seconds and at each change. Three spans are measured:
+//!
+//! - the start, while all machines are launched;
+//! - `SECONDS` seconds with a queue and with users who submit and look up jobs;
+//! - `SECONDS` seconds in which the only requests are heartbeats.
+//!
+//! Between the last two, the process is killed and started again with its machines running: first
+//! during an outage of the store, so that it rejects all heartbeats, then with the store available.
+//! Both starts are measured too.
+//!
+//! CPU time and context switches are the kernel's figures for each thread, summed by thread name. System
+//! calls are counted with `perf trace` if it is installed, in spans of their own, since tracing slows
+//! the program down.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,11 +35,11 @@
 use serde_json::json;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_quartzlever");
-/// Processors of a machine, and of a task.
-const MACHINE: f64 = 16.0;
-const TASK: f64 = 4.0;
-const TASKS: usize = 40;
-const RUN_S: u64 = 20;
+const MACHINE_CPUS: f64 = 16.0;
+const TASK_CPUS: f64 = 4.0;
+const TASKS_PER_JOB: usize = 40;
+/// Run time of a task in seconds.
+const TASK_RUN_S: u64 = 20;
 
 fn settings(state: SocketAddr, cloud: SocketAddr, names: &[&str]) -> String {
     let seeds: String = names
@@ -38,7 +47,7 @@
         .skip(1)
         .enumerate()
         .map(|(n, name)| {
-            // Nobody listens there: the other controllers are gone for good.
+            // Nothing listens at these addresses: the other controllers never run.
             format!(
                 "[[seeds]]\nnode_name = \"{name}\"\nsite = \"a\"\naddr = \"127.0.0.1:{}\"\n",
                 n + 1
@@ -85,52 +94,56 @@
 }
 
 fn start(config: &Path) -> Node {
-    Node::start(PROGRAM, config).expect("the program starts")
+    Node::start(PROGRAM, config).expect("the program did not start")
 }
 
-/// Processor time and switches of a thread, or of all threads of a name.
+/// CPU time and context switches of a thread, or of all threads with the same name.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spent {
+struct ThreadUsage {
     threads: u64,
-    nanos: u64,
+    cpu_ns: u64,
     switches: u64,
 }
 
-/// What every thread of a process has spent, by its number.
-fn threads(process: u32) -> BTreeMap<u32, (String, Spent)> {
+/// Returns name and usage of every thread of a process, by thread id.
+fn read_threads(process: u32) -> BTreeMap<u32, (String, ThreadUsage)> {
     let mut all = BTreeMap::new();
     let Ok(entries) = std::fs::read_dir(format!("/proc/{process}/task")) else { return all };
     for entry in entries.flatten() {
         let path = entry.path();
         let read = |name: &str| std::fs::read_to_string(path.join(name)).unwrap_or_default();
-        let nanos = read("schedstat").split(' ').next().and_then(|t| t.parse().ok()).unwrap_or(0);
+        let cpu_ns = read("schedstat").split(' ').next().and_then(|t| t.parse().ok()).unwrap_or(0);
         let switches = read("status")
             .lines()
             .filter(|l| l.contains("ctxt_switches"))
             .filter_map(|l| l.split_whitespace().last()?.parse::<u64>().ok())
             .sum();
-        let number = entry.file_name().to_string_lossy().parse().unwrap_or(0);
-        all.insert(number, (read("comm").trim().to_owned(), Spent { threads: 1, nanos, switches }));
+        let thread_id = entry.file_name().to_string_lossy().parse().unwrap_or(0);
+        all.insert(
+            thread_id,
+            (read("comm").trim().to_owned(), ThreadUsage { threads: 1, cpu_ns, switches }),
+        );
     }
     all
 }
 
-fn status(process: u32, field: &str) -> u64 {
+/// Returns a numeric field of `/proc/PROCESS/status`, 0 if it is absent.
+fn read_status(process: u32, field: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with(field)).unwrap_or("");
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// Resident memory by what it belongs to, in kilobytes.
-fn memory(process: u32) -> BTreeMap<&'static str, u64> {
+/// Returns the resident memory of a process in kilobytes, by the kind of mapping.
+fn read_resident_memory(process: u32) -> BTreeMap<&'static str, u64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/smaps")).unwrap_or_default();
     let mut sums: BTreeMap<&'static str, u64> = BTreeMap::new();
-    let (mut owner, mut size) = ("other", 0);
+    let (mut kind, mut size) = ("other", 0);
     for line in text.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
             [span, _, _, _, _, rest @ ..] if span.contains('-') => {
-                owner = match rest.first() {
+                kind = match rest.first() {
                     Some(&"[heap]") => "main heap",
                     Some(path) if path.ends_with("quartzlever") => "program",
                     Some(path) if path.starts_with('/') => "libraries",
@@ -139,10 +152,10 @@
             }
             ["Size:", kb, _] => size = kb.parse().unwrap_or(0),
             ["Rss:", kb, _] => {
-                // Stacks are maps of their own, far smaller than an arena's 64 MB.
-                let stack = owner == "arenas" && size <= 256;
+                // A thread's stack is a mapping of its own, far smaller than an arena of 64 MB.
+                let stack = kind == "arenas" && size <= 256;
                 let kb: u64 = kb.parse().unwrap_or(0);
-                *sums.entry(if stack { "stacks" } else { owner }).or_default() += kb;
+                *sums.entry(if stack { "stacks" } else { kind }).or_default() += kb;
             }
             _ => {}
         }
@@ -150,31 +163,36 @@
     sums
 }
 
-/// Everything around the controller.
-struct World {
-    crowd: Arc<WorkerFleet>,
+/// The workers and users around the controller.
+struct Environment {
+    workers: Arc<WorkerFleet>,
     users: Arc<Users>,
 }
 
 /// Submits jobs and looks them up until they are done.
 #[derive(Default)]
 struct Users {
+    /// Address of the controller, `None` before the first one has started.
     controller: Mutex<Option<SocketAddr>>,
+    /// Set while new jobs are submitted.
     busy: std::sync::atomic::AtomicBool,
-    count: AtomicU64,
+    /// Number of the next job.
+    next_job: AtomicU64,
     submitted: AtomicU64,
     looked_up: AtomicU64,
+    /// Number of requests that failed or were rejected.
     failed: AtomicU64,
 }
 
 impl Users {
+    /// Submits a job and returns its id, or `None` if the request fails.
     fn submit(&self, agent: &ureq::Agent, base: &str) -> Option<String> {
-        let id = format!("req-{:06}", self.count.fetch_add(1, Ordering::Relaxed));
+        let id = format!("req-{:06}", self.next_job.fetch_add(1, Ordering::Relaxed));
         let body = json!({
             "ref": id, "jobclass": "c", "owner": "free", "shape": "batch", "rank": "standard",
-            "shards": TASKS, "cpus": TASK, "gpus": 0, "ram_gb": 1.0, "bundle": "img",
+            "shards": TASKS_PER_JOB, "cpus": TASK_CPUS, "gpus": 0, "ram_gb": 1.0, "bundle": "img",
             "size_gb": 0.5, "together": false, "apart": false, "loaners": true,
-            "expect_s": RUN_S as f64, "snapshot_s": 0.0, "flush_s": 0.0, "due_s": 600.0
+            "expect_s": TASK_RUN_S as f64, "snapshot_s": 0.0, "flush_s": 0.0, "due_s": 600.0
         });
         let sent = agent.post(&format!("{base}/v2/runs")).send_string(&body.to_string());
         self.submitted.fetch_add(1, Ordering::Relaxed);
@@ -187,9 +205,9 @@
         }
     }
 
-    /// Keeps as many jobs open as fill the machines and half as much again, each looked up every
-    /// five seconds.
-    fn go_on(&self, jobs: usize) {
+    /// Keeps up to `max_jobs` jobs open while `busy` is set, and looks each of them up every five
+    /// seconds until it is done. Never returns.
+    fn run(&self, max_jobs: usize) {
         let agent = ureq::AgentBuilder::new().timeout(Duration::from_secs(5)).build();
         let mut open: Vec<(String, Instant)> = Vec::new();
         loop {
@@ -197,16 +215,16 @@
             let Some(controller) = self.controller.lock().ok().and_then(|c| *c) else { continue };
             let base = format!("http://{controller}");
             if self.busy.load(Ordering::Relaxed)
-                && open.len() < jobs
+                && open.len() < max_jobs
                 && let Some(id) = self.submit(&agent, &base)
             {
                 open.push((id, Instant::now()));
             }
-            open.retain_mut(|(id, asked)| {
-                if asked.elapsed() < Duration::from_secs(5) {
+            open.retain_mut(|(id, last_lookup)| {
+                if last_lookup.elapsed() < Duration::from_secs(5) {
                     return true;
                 }
-                *asked = Instant::now();
+                *last_lookup = Instant::now();
                 self.looked_up.fetch_add(1, Ordering::Relaxed);
                 match agent.get(&format!("{base}/v2/runs/{id}")).call() {
                     Ok(answer) => !answer.into_string().is_ok_and(|t| t.contains("\"done\":40,")),
@@ -220,97 +238,100 @@
     }
 }
 
-/// One measured span.
+/// A span in which the usage of the controller is measured.
 struct Span<'a> {
     name: &'a str,
     process: u32,
     begin: Instant,
-    threads: BTreeMap<u32, (String, Spent)>,
-    counts: [u64; 4],
+    threads: BTreeMap<u32, (String, ThreadUsage)>,
+    request_counts: [u64; 4],
 }
 
 impl<'a> Span<'a> {
-    fn begin(name: &'a str, process: u32, world: &World) -> Self {
-        let (threads, counts) = (threads(process), world.counts());
-        Span { name, process, begin: Instant::now(), threads, counts }
+    fn begin(name: &'a str, process: u32, environment: &Environment) -> Self {
+        let (threads, request_counts) = (read_threads(process), environment.request_counts());
+        Span { name, process, begin: Instant::now(), threads, request_counts }
     }
 
-    fn end(self, world: &World) {
+    fn end(self, environment: &Environment) {
         let seconds = self.begin.elapsed().as_secs_f64();
-        let mut by_name: BTreeMap<String, Spent> = BTreeMap::new();
-        for (number, (name, now)) in threads(self.process) {
-            let before = self.threads.get(&number).map(|t| t.1).unwrap_or_default();
+        let mut by_name: BTreeMap<String, ThreadUsage> = BTreeMap::new();
+        for (thread_id, (name, now)) in read_threads(self.process) {
+            let before = self.threads.get(&thread_id).map(|t| t.1).unwrap_or_default();
             let sum = by_name.entry(name).or_default();
             sum.threads += 1;
-            sum.nanos += now.nanos.saturating_sub(before.nanos);
+            sum.cpu_ns += now.cpu_ns.saturating_sub(before.cpu_ns);
             sum.switches += now.switches.saturating_sub(before.switches);
         }
-        let after = world.counts();
-        let [reports, unanswered, submitted, looked_up] =
-            std::array::from_fn(|n| after[n] - self.counts[n]);
-        let requests = (reports + unanswered + submitted + looked_up).max(1);
-        let nanos: u64 = by_name.values().map(|s| s.nanos).sum();
+        let after = environment.request_counts();
+        let [heartbeats, unanswered, submitted, looked_up] =
+            std::array::from_fn(|n| after[n] - self.request_counts[n]);
+        let requests = (heartbeats + unanswered + submitted + looked_up).max(1);
+        let cpu_ns: u64 = by_name.values().map(|s| s.cpu_ns).sum();
         let switches: u64 = by_name.values().map(|s| s.switches).sum();
-        let (tasks, machines) = world.crowd.running();
+        let (tasks, machines) = environment.workers.running();
         println!(
-            "{}: {seconds:.1} s, {machines} machines, {tasks} tasks running; {reports} reports, \
+            "{}: {seconds:.1} s, {machines} machines, {tasks} tasks running; {heartbeats} heartbeats, \
              {unanswered} unanswered, {submitted} submissions, {looked_up} lookups",
             self.name
         );
         println!(
-            "  {:.2}% of a core, {:.1} microseconds and {:.1} switches a request",
-            nanos as f64 / 1e7 / seconds,
-            nanos as f64 / 1e3 / requests as f64,
+            "  {:.2}% of a core, {:.1} microseconds and {:.1} context switches per request",
+            cpu_ns as f64 / 1e7 / seconds,
+            cpu_ns as f64 / 1e3 / requests as f64,
             switches as f64 / requests as f64
         );
         let mut rows: Vec<_> = by_name.into_iter().collect();
-        rows.sort_by_key(|(_, spent)| std::cmp::Reverse(spent.nanos));
+        rows.sort_by_key(|(_, spent)| std::cmp::Reverse(spent.cpu_ns));
         for (name, spent) in rows {
             println!(
-                "  {name:<14} {:>5} threads {:>8.2} ms a second {:>9.1} switches a second",
+                "  {name:<14} {:>5} threads {:>8.2} ms per second {:>9.1} context switches per second",
                 spent.threads,
-                spent.nanos as f64 / 1e6 / seconds,
+                spent.cpu_ns as f64 / 1e6 / seconds,
                 spent.switches as f64 / seconds
             );
         }
-        let parts: Vec<String> =
-            memory(self.process).iter().map(|(owner, kb)| format!("{owner} {kb}")).collect();
+        let kinds: Vec<String> = read_resident_memory(self.process)
+            .iter()
+            .map(|(kind, kb)| format!("{kind} {kb}"))
+            .collect();
         println!(
-            "  memory, kB: {} now, {} at most; {}",
-            status(self.process, "VmRSS"),
-            status(self.process, "VmHWM"),
-            parts.join(", ")
+            "  memory, kB: {} now, {} peak; {}",
+            read_status(self.process, "VmRSS"),
+            read_status(self.process, "VmHWM"),
+            kinds.join(", ")
         );
     }
 }
 
-impl World {
-    fn counts(&self) -> [u64; 4] {
-        let (crowd, users) = (&self.crowd, &self.users);
-        [&crowd.answered, &crowd.unanswered, &users.submitted, &users.looked_up]
+impl Environment {
+    /// Returns the numbers of answered heartbeats, unanswered heartbeats, submissions and lookups.
+    fn request_counts(&self) -> [u64; 4] {
+        let (workers, users) = (&self.workers, &self.users);
+        [&workers.answered, &workers.unanswered, &users.submitted, &users.looked_up]
             .map(|c| c.load(Ordering::Relaxed))
     }
 
-    /// Points workers and users to a controller.
-    fn serve_from(&self, node: &Node) {
-        self.crowd.report_to(node.address);
+    /// Directs workers and users to a controller.
+    fn set_controller(&self, node: &Node) {
+        self.workers.report_to(node.address);
         if let Ok(mut known) = self.users.controller.lock() {
             *known = Some(node.address);
         }
     }
 
-    /// Waits until so many machines run enough, or for a while.
+    /// Waits until at least `tasks` tasks run, or until the timeout.
     fn await_running(&self, tasks: usize, timeout: Duration) {
         let end = Instant::now() + timeout;
-        while self.crowd.running().0 < tasks && Instant::now() < end {
+        while self.workers.running().0 < tasks && Instant::now() < end {
             thread::sleep(Duration::from_millis(200));
         }
     }
 }
 
-/// Counts system calls over a span, if there is a program for it.
-fn count_calls(process: u32, seconds: u64, world: &World) {
-    let before = world.counts();
+/// Counts the system calls of a process for `seconds` seconds and prints them, if `perf` is installed.
+fn count_system_calls(process: u32, seconds: u64, environment: &Environment) {
+    let before = environment.request_counts();
     let traced = Command::new("timeout")
         .args(["-s", "INT", &seconds.to_string(), "perf", "trace", "-s", "-p"])
         .arg(process.to_string())
@@ -318,9 +339,9 @@
         .stderr(Stdio::piped())
         .output();
     let Ok(output) = traced else { return };
-    let after = world.counts();
+    let after = environment.request_counts();
     let requests: u64 = [0, 2, 3].iter().map(|n| after[*n] - before[*n]).sum();
-    // A line for each call of each thread: name, count, and times.
+    // `perf trace -s` prints a line for each system call of each thread: name, count, errors, times.
     let mut calls: BTreeMap<String, u64> = BTreeMap::new();
     for line in String::from_utf8_lossy(&output.stderr).lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -334,9 +355,9 @@
     calls.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
     let sum: u64 = calls.iter().map(|(_, count)| count).sum();
     let each = sum as f64 / requests.max(1) as f64;
-    println!("  system calls for {requests} requests: {sum}, {each:.1} each");
+    println!("  system calls for {requests} requests: {sum}, {each:.1} per request");
     for (name, count) in calls.iter().filter(|(_, count)| *count >= seconds) {
-        println!("    {name:<18} {:>7.1} a second", *count as f64 / seconds as f64);
+        println!("    {name:<18} {:>7.1} per second", *count as f64 / seconds as f64);
     }
 }
 
@@ -345,83 +366,84 @@
     let mut arguments = std::env::args()
         .skip(1)
         .filter(|a| !a.starts_with("--"))
-        .map(|a| a.parse::<usize>().expect("a number"));
+        .map(|a| a.parse::<usize>().expect("the arguments must be numbers"));
     let machines = arguments.next().unwrap_or(500);
-    let parts = arguments.next().unwrap_or(1).clamp(1, 3);
+    let partitions = arguments.next().unwrap_or(1).clamp(1, 3);
     let seconds = arguments.next().unwrap_or(20) as u64;
     let begin = Instant::now();
     let keys = Arc::new(Mutex::new(Store::default()));
-    let store = http::serve_store(keys.clone(), begin).expect("store");
+    let store = http::serve_store(keys.clone(), begin).expect("cannot serve the store");
     let behaviour = WorkerBehaviour {
         heartbeat_interval: 6 * SECOND,
         lease: 36 * SECOND,
-        run_time: RUN_S * SECOND,
+        run_time: TASK_RUN_S * SECOND,
     };
-    let crowd = WorkerFleet::start(behaviour, begin).expect("crowd");
-    let mut cloud = Cloud::new(MACHINE, &["a"], machines);
-    // Idle machines are kept for as long as one boots.
+    let workers = WorkerFleet::start(behaviour, begin).expect("cannot start the workers");
+    let mut cloud = Cloud::new(MACHINE_CPUS, &["a"], machines);
+    // Idle machines are kept for as long as a machine takes to boot: a long boot time keeps them.
     cloud.catalogue.types[0].ready_s = 600.0;
-    let (joined, left) = (crowd.clone(), crowd.clone());
+    let (launching, terminating) = (workers.clone(), workers.clone());
     let cloud = Arc::new(Mutex::new(cloud));
     let cloud = http::serve_cloud(
         cloud,
-        move |machine| left.terminated(machine),
-        move |r| joined.launched(r),
+        move |machine| terminating.terminated(machine),
+        move |r| launching.launched(r),
     );
-    let cloud = cloud.expect("cloud");
-    let names = &["one", "two", "three"][..parts];
-    let config =
-        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("account-{}.toml", std::process::id()));
-    std::fs::write(&config, settings(store, cloud, names)).expect("a scratch file");
+    let cloud = cloud.expect("cannot serve the cloud");
+    let names = &["one", "two", "three"][..partitions];
+    let config = Path::new(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("resource-usage-{}.toml", std::process::id()));
+    std::fs::write(&config, settings(store, cloud, names)).expect("cannot write the settings file");
 
     let users = Arc::new(Users::default());
-    let world = World { crowd, users: users.clone() };
-    let fills = (machines as f64 * MACHINE / TASK) as usize;
-    thread::spawn(move || users.go_on(fills * 3 / 2 / TASKS + 1));
+    let environment = Environment { workers, users: users.clone() };
+    let tasks_to_fill = (machines as f64 * MACHINE_CPUS / TASK_CPUS) as usize;
+    // Half as many jobs again as fill the machines.
+    thread::spawn(move || users.run(tasks_to_fill * 3 / 2 / TASKS_PER_JOB + 1));
     let node = start(&config);
     let process = node.process();
-    let span = Span::begin("start", process, &world);
-    world.serve_from(&node);
-    world.users.busy.store(true, Ordering::Relaxed);
-    world.await_running(fills * 95 / 100, Duration::from_secs(90));
-    span.end(&world);
+    let span = Span::begin("start", process, &environment);
+    environment.set_controller(&node);
+    environment.users.busy.store(true, Ordering::Relaxed);
+    environment.await_running(tasks_to_fill * 95 / 100, Duration::from_secs(90));
+    span.end(&environment);
 
-    let span = Span::begin("busy", process, &world);
+    let span = Span::begin("busy", process, &environment);
     thread::sleep(Duration::from_secs(seconds));
-    span.end(&world);
-    count_calls(process, seconds / 2, &world);
+    span.end(&environment);
+    count_system_calls(process, seconds / 2, &environment);
 
-    world.users.busy.store(false, Ordering::Relaxed);
+    environment.users.busy.store(false, Ordering::Relaxed);
     thread::sleep(Duration::from_secs(4));
     drop(node);
-    // Started anew while the store is away, so that every worker is turned away.
+    // The controller is restarted during an outage of the store, so it rejects every heartbeat.
     keys.lock().expect("lock").outage = true;
     let node = start(&config);
     let process = node.process();
-    world.serve_from(&node);
-    let span = Span::begin("turned away", process, &world);
+    environment.set_controller(&node);
+    let span = Span::begin("store outage", process, &environment);
     thread::sleep(Duration::from_secs(8));
-    span.end(&world);
+    span.end(&environment);
     let now = SECOND + begin.elapsed().as_micros() as u64;
     keys.lock().expect("lock").end_outage(now);
     drop(node);
     let node = start(&config);
     let process = node.process();
-    let span = Span::begin("restart", process, &world);
-    world.serve_from(&node);
+    let span = Span::begin("restart", process, &environment);
+    environment.set_controller(&node);
     thread::sleep(Duration::from_secs(12));
-    span.end(&world);
+    span.end(&environment);
 
-    // The queue runs dry.
-    let end = Instant::now() + Duration::from_secs(3 * RUN_S);
-    while world.crowd.running().0 > 0 && Instant::now() < end {
+    // Waits until the queue is empty and no task runs.
+    let end = Instant::now() + Duration::from_secs(3 * TASK_RUN_S);
+    while environment.workers.running().0 > 0 && Instant::now() < end {
         thread::sleep(Duration::from_millis(200));
     }
     thread::sleep(Duration::from_secs(12));
-    let span = Span::begin("idle", process, &world);
+    let span = Span::begin("idle", process, &environment);
     thread::sleep(Duration::from_secs(seconds));
-    span.end(&world);
-    count_calls(process, seconds / 2, &world);
-    let failed = world.users.failed.load(Ordering::Relaxed);
-    println!("users' requests that failed: {failed}");
+    span.end(&environment);
+    count_system_calls(process, seconds / 2, &environment);
+    let failed = environment.users.failed.load(Ordering::Relaxed);
+    println!("failed requests of users: {failed}");
 }
--- a/crates/quartzlever/tests/end_to_end.rs
+++ b/crates/quartzlever/tests/end_to_end.rs
@@ -1,4 +1,5 @@
-//! The real program with the fakes on loopback.
+//! One real controller process with a fake store, a fake cloud and fake workers on loopback addresses,
+//! and the check of settings files.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -46,16 +47,19 @@
     )
 }
 
-fn scratch(name: &str, text: &str) -> PathBuf {
+/// Writes a file into the scratch directory of the tests and returns its path.
+fn write_scratch_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("a scratch file");
+    std::fs::write(&path, text).expect("cannot write the scratch file");
     path
 }
 
 fn start(config: &Path) -> Node {
-    Node::start(PROGRAM, config).expect("the program starts")
+    Node::start(PROGRAM, config).expect("the program did not start")
 }
 
+/// Sends an HTTP request. Returns the status, 0 without a response, and the JSON body, `Null` if the
+/// body is not JSON.
 fn call(method: &str, url: &str, body: Option<&str>) -> (u16, Value) {
     let request = ureq::request(method, url).timeout(Duration::from_secs(5));
     let result = match body {
@@ -72,12 +76,20 @@
     }
 }
 
-/// Repeats a call until its answer is as wanted.
-fn until(what: &str, mut make: impl FnMut() -> (u16, Value), fine: impl Fn(&(u16, Value)) -> bool) {
+/// Repeats a call, with a pause of 100 ms, until `wanted` accepts its status and body.
+///
+/// # Panics
+///
+/// Panics after 400 calls, with `what` and the last result.
+fn until(
+    what: &str,
+    mut send: impl FnMut() -> (u16, Value),
+    wanted: impl Fn(&(u16, Value)) -> bool,
+) {
     let mut last = (0, Value::Null);
     for _ in 0..400 {
-        last = make();
-        if fine(&last) {
+        last = send();
+        if wanted(&last) {
             return;
         }
         thread::sleep(Duration::from_millis(100));
@@ -85,7 +97,8 @@
     panic!("{what}: {last:?}");
 }
 
-fn job(id: &str, tasks: u32) -> String {
+/// Returns the body of a submission of a batch job.
+fn job_body(id: &str, tasks: u32) -> String {
     json!({
         "ref": id, "jobclass": "c", "owner": "free", "shape": "batch", "rank": "standard",
         "shards": tasks, "cpus": 2.0, "gpus": 0, "ram_gb": 1.0, "bundle": "img", "size_gb": 0.5,
@@ -96,32 +109,41 @@
 }
 
 #[test]
-fn jobs_survive_a_kill() {
+fn jobs_survive_a_controller_kill() {
     let begin = Instant::now();
-    let store = http::serve_store(Arc::new(Mutex::new(Store::default())), begin).expect("store");
-    let nowhere = ("one".to_owned(), "127.0.0.1:1".parse().expect("address"));
-    let controllers = Arc::new(Mutex::new(vec![nowhere]));
+    let store = http::serve_store(Arc::new(Mutex::new(Store::default())), begin)
+        .expect("cannot serve the store");
+    let unreachable = ("one".to_owned(), "127.0.0.1:1".parse().expect("a valid address"));
+    let controllers = Arc::new(Mutex::new(vec![unreachable]));
     let heartbeat_interval = Duration::from_millis(100);
     let slow_calls = Duration::ZERO;
     let behaviour =
         Behaviour { heartbeat_interval, slow_calls, lease: 10 * SECOND, run_time: SECOND };
     let rules = RuleChecker::new(20 * SECOND, Vec::new());
     let fleet = Fleet::new(rules, controllers.clone(), behaviour, begin);
-    let cloud = fleet.serve_cloud(Cloud::new(8.0, &["a"], 3)).expect("cloud");
-    let config = scratch("one.toml", &settings(&store.to_string(), &cloud.to_string()));
+    let cloud = fleet.serve_cloud(Cloud::new(8.0, &["a"], 3)).expect("cannot serve the cloud");
+    let config = write_scratch_file("one.toml", &settings(&store.to_string(), &cloud.to_string()));
     let node = start(&config);
     *controllers.lock().expect("lock") = vec![("one".to_owned(), node.address)];
     let base = format!("http://{}", node.address);
-    until("ready", || call("GET", &format!("{base}/ready"), None), |a| a.0 == 200);
+    until("controller ready", || call("GET", &format!("{base}/ready"), None), |a| a.0 == 200);
 
     let runs = format!("{base}/v2/runs");
-    until("accept", || call("POST", &runs, Some(&job("req-1", 3))), |a| a.0 == 201);
-    assert_eq!(call("POST", &runs, Some(&job("req-1", 3))).0, 200, "known");
+    until(
+        "submission accepted",
+        || call("POST", &runs, Some(&job_body("req-1", 3))),
+        |a| a.0 == 201,
+    );
+    assert_eq!(
+        call("POST", &runs, Some(&job_body("req-1", 3))).0,
+        200,
+        "a repeated submission is recognised"
+    );
     let first = format!("{runs}/req-1");
-    until("done", || call("GET", &first, None), |a| a.1["phase"] == "done" && a.1["done"] == 3);
+    until("job done", || call("GET", &first, None), |a| a.1["phase"] == "done" && a.1["done"] == 3);
 
     // (method, path, body, status)
-    let long = format!("{{\"ref\":\"{}\"}}", "x".repeat(70_000));
+    let long_body = format!("{{\"ref\":\"{}\"}}", "x".repeat(70_000));
     for (method, path, body, status) in [
         ("GET", "/v2/runs/req-77", None, 404),
         ("GET", "/v2/runs/nonsense", None, 404),
@@ -129,66 +151,75 @@
         ("POST", "/ready", Some("{}"), 405),
         ("GET", "/v2/runs", None, 405),
         ("POST", "/v2/runs", Some("{"), 400),
-        ("POST", "/v2/runs", Some(long.as_str()), 400),
+        ("POST", "/v2/runs", Some(long_body.as_str()), 400),
         ("POST", "/hello", Some("{\"host\":1}"), 400),
         ("POST", "/v2/runs/req-77/abort", Some(""), 404),
     ] {
         assert_eq!(call(method, &format!("{base}{path}"), body).0, status, "{method} {path}");
     }
 
-    until("accept", || call("POST", &runs, Some(&job("req-2", 12))), |a| a.0 == 201);
+    until(
+        "submission accepted",
+        || call("POST", &runs, Some(&job_body("req-2", 12))),
+        |a| a.0 == 201,
+    );
     drop(node);
     let node = start(&config);
     *controllers.lock().expect("lock") = vec![("one".to_owned(), node.address)];
     let runs = format!("http://{}/v2/runs", node.address);
     let (first, second) = (format!("{runs}/req-1"), format!("{runs}/req-2"));
-    until("lookup", || call("GET", &first, None), |a| a.0 == 200);
-    assert_eq!(call("GET", &first, None).1["phase"], "done", "what was done stays done");
-    until("done", || call("GET", &second, None), |a| a.1["phase"] == "done");
+    until("job found after the restart", || call("GET", &first, None), |a| a.0 == 200);
+    assert_eq!(
+        call("GET", &first, None).1["phase"],
+        "done",
+        "a done job stays done after the restart"
+    );
+    until("job done", || call("GET", &second, None), |a| a.1["phase"] == "done");
     let (status, answer) = call("POST", &format!("{second}/abort"), Some(""));
-    assert_eq!((status, &answer["phase"]), (200, &json!("done")), "too late to cancel");
+    assert_eq!((status, &answer["phase"]), (200, &json!("done")), "a done job cannot be cancelled");
 }
 
 #[test]
-fn bad_settings_end_the_start_with_one_line() {
-    let good = settings("127.0.0.1:1", "127.0.0.1:2");
-    let limits = |fields: &str| format!("{good}[params.machine_limits]\n{fields}\n");
-    let next = |fields: &str| format!("{good}[params.state.next]\n{fields}\n");
+fn invalid_settings_are_reported_in_one_line() {
+    let valid = settings("127.0.0.1:1", "127.0.0.1:2");
+    let limits = |fields: &str| format!("{valid}[params.machine_limits]\n{fields}\n");
+    let next = |fields: &str| format!("{valid}[params.state.next]\n{fields}\n");
+    // (name, settings, operator file, exit status, text on standard error)
     let cases: &[(&str, String, &str, i32, &str)] = &[
-        ("good", good.clone(), "steal_fraction: 0.5\n", 0, ""),
-        ("empty operator file", good.clone(), "", 0, ""),
-        ("missing field", good.replace("site = \"a\"", ""), "", 2, "site"),
-        ("bad address", good.replace("127.0.0.1:1\"", "nowhere\""), "", 2, "external.state"),
-        ("out of range", good.replace("lease_s = 10.0", "lease_s = -1.0"), "", 2, "lease_s"),
+        ("valid", valid.clone(), "steal_fraction: 0.5\n", 0, ""),
+        ("empty operator file", valid.clone(), "", 0, ""),
+        ("missing field", valid.replace("site = \"a\"", ""), "", 2, "site"),
+        ("bad address", valid.replace("127.0.0.1:1\"", "nowhere\""), "", 2, "external.state"),
+        ("out of range", valid.replace("lease_s = 10.0", "lease_s = -1.0"), "", 2, "lease_s"),
         (
-            "no time to be gone",
-            good.replace("cancel_s = 20.0", "cancel_s = 0.0"),
+            "zero cancellation time",
+            valid.replace("cancel_s = 20.0", "cancel_s = 0.0"),
             "",
             2,
             "cancel_s",
         ),
-        ("nothing said of it", good.replace("cancel_s = 20.0", ""), "", 2, "cancel_s"),
-        ("the earlier name", good.clone(), "hold_life_s: 20\n", 0, ""),
-        ("no lease", good.clone(), "lease_life_s: 0\n", 2, "lease_life_s"),
-        ("a limit to come", next("value_kb = 2.0\ntxn_ops = 8"), "", 0, ""),
-        ("a senseless one", next("txn_ops = 1"), "", 2, "state.next.txn_ops"),
-        ("wrong type", good.replace("rps = 500.0", "rps = \"many\""), "", 2, "string"),
-        ("no processor", limits("cpu_share = 0.0"), "", 2, "machine_limits.cpu_share"),
-        ("less than none", limits("cpu_share = -0.019"), "", 2, "machine_limits.cpu_share"),
-        ("no memory", limits("memory_mb = 0.0"), "", 2, "machine_limits.memory_mb"),
-        ("small, but enough", limits("cpu_share = 0.019\nmemory_mb = 85.0"), "", 0, ""),
-        ("unknown key", good.clone(), "steal_everything: true\n", 2, "steal_everything"),
-        ("operator out of range", good.clone(), "steal_fraction: 7\n", 2, "steal_fraction"),
+        ("no cancellation time given", valid.replace("cancel_s = 20.0", ""), "", 2, "cancel_s"),
+        ("previous name of a field", valid.clone(), "hold_life_s: 20\n", 0, ""),
+        ("zero lease", valid.clone(), "lease_life_s: 0\n", 2, "lease_life_s"),
+        ("announced store limit", next("value_kb = 2.0\ntxn_ops = 8"), "", 0, ""),
+        ("announced store limit out of range", next("txn_ops = 1"), "", 2, "state.next.txn_ops"),
+        ("wrong type", valid.replace("rps = 500.0", "rps = \"many\""), "", 2, "string"),
+        ("zero CPU limit", limits("cpu_share = 0.0"), "", 2, "machine_limits.cpu_share"),
+        ("negative CPU limit", limits("cpu_share = -0.019"), "", 2, "machine_limits.cpu_share"),
+        ("zero memory limit", limits("memory_mb = 0.0"), "", 2, "machine_limits.memory_mb"),
+        ("small but sufficient limits", limits("cpu_share = 0.019\nmemory_mb = 85.0"), "", 0, ""),
+        ("unknown key", valid.clone(), "steal_everything: true\n", 2, "steal_everything"),
+        ("operator value out of range", valid.clone(), "steal_fraction: 7\n", 2, "steal_fraction"),
     ];
-    for (n, (name, config, operator, code, mentions)) in cases.iter().enumerate() {
-        let config = scratch(&format!("check-{n}.toml"), config);
-        let operator = scratch(&format!("check-{n}.yaml"), operator);
+    for (n, (name, config, operator, code, expected_text)) in cases.iter().enumerate() {
+        let config = write_scratch_file(&format!("check-{n}.toml"), config);
+        let operator = write_scratch_file(&format!("check-{n}.yaml"), operator);
         let mut command = Command::new(PROGRAM);
         command.arg("check").arg("--config").arg(config).arg("--operator").arg(operator);
-        let output = command.output().expect("the program runs");
+        let output = command.output().expect("the program did not start");
         let error = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(*code), "{name}: {error}");
-        assert!(error.contains(mentions), "{name}: {error}");
+        assert!(error.contains(expected_text), "{name}: {error}");
         assert_eq!(error.lines().count(), usize::from(*code != 0), "{name}: {error}");
     }
 }
--- a/crates/quartzlever/tests/recovery/main.rs
+++ b/crates/quartzlever/tests/recovery/main.rs
@@ -1,4 +1,6 @@
-//! The real program rebuilds what the store has lost, while controllers and machines fail.
+//! The program rebuilds records that the store has lost, while controllers and machines fail.
+//!
+//! Several real controller processes run against a fake store, a fake cloud and fake workers.
 
 mod commands;
 mod testbed;
@@ -14,59 +16,66 @@
 
 use testbed::Testbed;
 
-/// A watch brings what others have changed within this time.
-const WATCHED_WITHIN: Duration = Duration::from_secs(1);
+/// Time within which a watch delivers the changes made by other controllers.
+const MAX_WATCH_DELAY: Duration = Duration::from_secs(1);
 
-/// What the store loses.
+/// The data that the store loses.
 #[derive(Clone, Copy, Debug)]
-enum Lost {
+enum DataLoss {
     Everything,
-    /// It is restored from a backup, of before the last jobs.
+    /// All changes since a backup that was taken before the last jobs were submitted.
     Backup,
+    /// The identity record.
     Identity,
-    /// The records of all jobs that are over; of one job; of half of all keys.
+    /// The records of all terminal jobs.
     TerminalJobs,
+    /// The record of one job.
     OneJob,
+    /// About half of all keys, drawn at random, and at least one terminal job.
     Half,
 }
 
-/// What else goes wrong at the same time.
+/// A fault that coincides with the loss.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
     AllControllersKilled,
-    /// What it has done last is known to the others by then.
-    OneControllerAway,
-    /// It may have done something that no other knows of yet.
-    OneControllerEndsWithTheStore,
+    /// One controller is killed after watches have delivered its last changes to the others, and
+    /// stays down during the rebuild.
+    OneControllerDown,
+    /// The controller that has just confirmed a cancellation is killed, possibly before a watch has
+    /// delivered the cancellation to the others, and stays down during the rebuild.
+    LastResponderKilled,
     MachinesFail,
-    /// Everything is lost once more while it is being rebuilt.
+    /// All records are lost once more during the rebuild.
     LostAgain,
 }
 
-fn bring_about(store: &mut Store, lost: Lost, backup: &Store, rng: &mut SmallRng) {
+/// Removes or resets the records in the store as `lost` says.
+fn apply_loss(store: &mut Store, lost: DataLoss, backup: &Store, rng: &mut SmallRng) {
     match lost {
-        Lost::Everything => store.wipe(),
-        Lost::Backup => *store = backup.clone(),
-        Lost::Identity => store.lose(|key| key == "recovery/identity"),
-        Lost::TerminalJobs => store.lose(|key| key.starts_with("over/")),
-        Lost::OneJob => {
-            let live = store.keys("live/");
-            let lost = live.first().cloned().unwrap_or_else(|| store.keys("over/")[0].clone());
+        DataLoss::Everything => store.wipe(),
+        DataLoss::Backup => *store = backup.clone(),
+        DataLoss::Identity => store.lose(|key| key == "recovery/identity"),
+        DataLoss::TerminalJobs => store.lose(|key| key.starts_with("over/")),
+        DataLoss::OneJob => {
+            let live_jobs = store.keys("live/");
+            let lost = live_jobs.first().cloned().unwrap_or_else(|| store.keys("over/")[0].clone());
             store.lose(|key| key == lost);
         }
-        Lost::Half => {
-            let first = store.keys("over/").first().cloned();
-            store.lose(|key| Some(key) == first.as_deref() || rng.random_bool(0.5));
+        DataLoss::Half => {
+            let first_terminal = store.keys("over/").first().cloned();
+            store.lose(|key| Some(key) == first_terminal.as_deref() || rng.random_bool(0.5));
         }
     }
 }
 
-/// Jobs run and end, data is lost at a drawn moment, and every job has one final answer.
-fn jobs_survive(lost: Lost, trouble: Trouble, seed: u64) {
+/// Submits and cancels jobs, makes the store lose data at a random moment, and checks that each job
+/// gets exactly one final answer.
+fn check_jobs_survive(lost: DataLoss, fault: Fault, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let name = format!("{lost:?}-{trouble:?}").to_lowercase();
-    // Only an audit finds single records that nobody asks for.
+    let name = format!("{lost:?}-{fault:?}").to_lowercase();
+    // Only an audit detects the loss of single records that nobody requests.
     let mut bed = Testbed::start(&name, 2.0);
     let first = bed.submit(10);
     bed.submit_and_cancel();
@@ -78,26 +87,26 @@
     thread::sleep(Duration::from_millis(rng.random_range(0..2_500)));
 
     let before = bed.generation();
-    match trouble {
-        Trouble::AllControllersKilled => bed.kill(&[0, 1, 2]),
-        Trouble::OneControllerAway => {
-            thread::sleep(WATCHED_WITHIN);
+    match fault {
+        Fault::AllControllersKilled => bed.kill(&[0, 1, 2]),
+        Fault::OneControllerDown => {
+            thread::sleep(MAX_WATCH_DELAY);
             bed.kill(&[rng.random_range(0..3)]);
         }
-        Trouble::OneControllerEndsWithTheStore => {
+        Fault::LastResponderKilled => {
             bed.submit_and_cancel();
-            bed.kill(&[bed.last_asked()]);
+            bed.kill(&[bed.last_cancelling_node()]);
         }
-        Trouble::MachinesFail => {
+        Fault::MachinesFail => {
             bed.fleet.fail_busy_machine();
             bed.fleet.fail_busy_machine();
         }
-        Trouble::None | Trouble::LostAgain => {}
+        Fault::None | Fault::LostAgain => {}
     }
-    bring_about(&mut bed.store(), lost, &backup, &mut rng);
-    match trouble {
-        Trouble::AllControllersKilled => bed.start_nodes(&[0, 1, 2]),
-        Trouble::LostAgain => {
+    apply_loss(&mut bed.store(), lost, &backup, &mut rng);
+    match fault {
+        Fault::AllControllersKilled => bed.start_nodes(&[0, 1, 2]),
+        Fault::LostAgain => {
             thread::sleep(Duration::from_millis(rng.random_range(500..4_000)));
             bed.store().wipe();
         }
@@ -105,8 +114,8 @@
     }
     bed.await_generation_after(before);
     bed.submit(12);
-    bed.ask_about_all();
-    if matches!(trouble, Trouble::OneControllerAway | Trouble::OneControllerEndsWithTheStore) {
+    bed.look_up_all_jobs();
+    if matches!(fault, Fault::OneControllerDown | Fault::LastResponderKilled) {
         for node in 0..3 {
             bed.kill(&[node]);
             bed.start_nodes(&[node]);
@@ -117,87 +126,89 @@
 }
 
 #[test]
-fn everything_is_lost() {
-    jobs_survive(Lost::Everything, Trouble::None, 1);
+fn jobs_survive_the_loss_of_all_records() {
+    check_jobs_survive(DataLoss::Everything, Fault::None, 1);
 }
 
 #[test]
-fn everything_is_lost_and_all_controllers_are_killed() {
-    jobs_survive(Lost::Everything, Trouble::AllControllersKilled, 2);
+fn jobs_survive_the_loss_of_all_records_with_all_controllers_killed() {
+    check_jobs_survive(DataLoss::Everything, Fault::AllControllersKilled, 2);
 }
 
 #[test]
-fn everything_is_lost_while_one_controller_is_away() {
-    jobs_survive(Lost::Everything, Trouble::OneControllerAway, 3);
+fn jobs_survive_the_loss_of_all_records_with_one_controller_down() {
+    check_jobs_survive(DataLoss::Everything, Fault::OneControllerDown, 3);
 }
 
-/// What a controller has told a user just before it ends together with the store, another controller knows:
-/// no watch had brought it yet, and a job that was cancelled was called queued.
+/// A controller confirms a cancellation to a user and is killed when the store loses all records. If
+/// no other controller has the cancellation, because a watch had not delivered it yet, the rebuilt
+/// job is reported as queued.
 #[test]
-fn everything_is_lost_at_the_moment_when_a_controller_ends() {
-    jobs_survive(Lost::Everything, Trouble::OneControllerEndsWithTheStore, 3);
+fn a_confirmed_cancellation_survives_the_loss_of_all_records_and_its_controller() {
+    check_jobs_survive(DataLoss::Everything, Fault::LastResponderKilled, 3);
 }
 
-/// No watch has brought a cancellation to any other controller when its user is told of it, and yet another
-/// one has it in its log. The test above rests on that; it failed in one run of six before, when the loss
-/// came sooner than the watches.
+/// Before a cancellation is confirmed to the user, another controller has it in its log, although
+/// watches are held back and no watch has delivered it. The test above depends on this: without it,
+/// that test failed in one run of six, when the loss came before the watches.
 #[test]
-fn another_log_has_a_cancellation_before_its_user_is_told() {
+fn a_cancellation_is_in_another_log_before_it_is_confirmed() {
     let mut bed = Testbed::start("second-log", 60.0);
     let first = bed.submit(4);
     bed.await_done(&first);
     bed.store().watches_held = true;
     let cancelled = bed.submit_and_cancel();
-    let others = bed.others_with_final_state(&cancelled);
+    let others = bed.count_other_logs_with_final_state(&cancelled);
     bed.store().watches_held = false;
-    assert!(others > 0, "no other controller has {cancelled} in its log");
+    assert!(others > 0, "no other controller has the cancellation of {cancelled} in its log");
     bed.finish();
 }
 
 #[test]
-fn everything_is_lost_again_during_the_rebuild() {
-    jobs_survive(Lost::Everything, Trouble::LostAgain, 4);
+fn jobs_survive_a_second_loss_during_the_rebuild() {
+    check_jobs_survive(DataLoss::Everything, Fault::LostAgain, 4);
 }
 
 #[test]
-fn a_backup_is_restored_while_machines_fail() {
-    jobs_survive(Lost::Backup, Trouble::MachinesFail, 5);
+fn jobs_survive_a_restored_backup_and_machine_failures() {
+    check_jobs_survive(DataLoss::Backup, Fault::MachinesFail, 5);
 }
 
 #[test]
-fn the_identity_is_lost() {
-    jobs_survive(Lost::Identity, Trouble::None, 6);
+fn jobs_survive_the_loss_of_the_identity() {
+    check_jobs_survive(DataLoss::Identity, Fault::None, 6);
 }
 
 #[test]
-fn final_states_are_lost() {
-    jobs_survive(Lost::TerminalJobs, Trouble::None, 7);
+fn jobs_survive_the_loss_of_final_states() {
+    check_jobs_survive(DataLoss::TerminalJobs, Fault::None, 7);
 }
 
 #[test]
-fn the_record_of_one_job_is_lost() {
-    jobs_survive(Lost::OneJob, Trouble::MachinesFail, 8);
+fn jobs_survive_the_loss_of_one_job_record_and_machine_failures() {
+    check_jobs_survive(DataLoss::OneJob, Fault::MachinesFail, 8);
 }
 
 #[test]
-fn half_of_the_records_are_lost() {
-    jobs_survive(Lost::Half, Trouble::None, 9);
+fn jobs_survive_the_loss_of_half_of_the_records() {
+    check_jobs_survive(DataLoss::Half, Fault::None, 9);
 }
 
-/// While a disk takes nothing the service goes on without its log, and says so by the mark that it
-/// removes. What is lost then costs the workers their leases, and the records that only that log lacks
-/// come from the others. Once the disk takes something again, the log is written first again.
+/// While its disk is full, a controller keeps working without its log and removes the marker file
+/// that says that the log is written first. After a loss in that state, the rebuild waits until the
+/// leases of the workers have expired, and takes the records missing from that log from the other
+/// controllers. Once the disk accepts writes again, the log is written first and marked again.
 #[test]
-fn the_service_goes_on_while_a_disk_is_full() {
+fn a_controller_keeps_working_while_its_disk_is_full() {
     let mut bed = Testbed::start("full-disk", 60.0);
     let done = bed.submit(6);
-    let marks: Vec<_> = (0..3).map(|n| bed.directory(n).join("written-first")).collect();
+    let markers: Vec<_> = (0..3).map(|n| bed.directory(n).join("written-first")).collect();
     let partial = bed.directory(0).join("partial");
-    let marked = || marks.iter().map(|mark| mark.exists()).collect::<Vec<_>>();
-    until("all marked", marked, |all| *all == [true; 3]);
+    let marker_states = || markers.iter().map(|marker| marker.exists()).collect::<Vec<_>>();
+    until("all marker files exist", marker_states, |all| *all == [true; 3]);
 
-    symlink("/dev/full", &partial).expect("a link");
-    until("unmarked", marked, |all| *all == [false, true, true]);
+    symlink("/dev/full", &partial).expect("cannot create the symbolic link");
+    until("the first marker file is removed", marker_states, |all| *all == [false, true, true]);
     bed.submit(8);
     bed.submit_and_cancel();
     bed.await_done(&done);
@@ -206,8 +217,8 @@
     bed.await_generation_after(before);
     bed.submit(8);
 
-    std::fs::remove_file(&partial).expect("the link");
-    until("marked again", marked, |all| *all == [true; 3]);
+    std::fs::remove_file(&partial).expect("cannot remove the symbolic link");
+    until("all marker files exist again", marker_states, |all| *all == [true; 3]);
     let before = bed.generation();
     bed.store().wipe();
     bed.await_generation_after(before);
--- a/crates/quartzlever/tests/rolling_upgrade/main.rs
+++ b/crates/quartzlever/tests/rolling_upgrade/main.rs
@@ -1,23 +1,25 @@
-//! The program in production and this one, as real processes side by side on one store, one cloud
-//! and one fleet of workers, while controllers are replaced in several orders. The checker of the
-//! protocol's rules judges from what workers and users saw.
+//! Rolling upgrades from the version in production to the present version.
 //!
-//! The version in production is built from the repository's own history, so a clone needs it in
-//! full. Nothing here waits for less than the leases need; a run takes about two minutes.
+//! Real processes of both versions share a fake store, a fake cloud and a fleet of fake workers while
+//! the controllers are replaced in several orders. The rule checker of the testkit verifies the
+//! protocol from what workers and users observe.
+//!
+//! The version in production is built from the history of the repository, so the tests need a full
+//! clone. Every wait allows for the leases to expire; a run takes about two minutes.
 
 mod testbed;
 
 use testbed::{PARTITIONS, Testbed, Version};
 
-/// Replaces controllers, so many at a time, and lets both versions answer for each other's jobs
-/// between.
-fn replace_in_turns(name: &'static str, turns: &[&[usize]]) {
+/// Upgrades the controllers in groups. After each group, every node must answer for jobs that a node
+/// of either version accepted.
+fn check_upgrade_in_groups(name: &'static str, groups: &[&[usize]]) {
     let mut bed = Testbed::start(name, [Version::Production; 3]);
-    bed.exchange_jobs();
-    for (turn, nodes) in turns.iter().enumerate() {
+    bed.check_jobs_known_everywhere();
+    for (index, nodes) in groups.iter().enumerate() {
         bed.restart(nodes, Version::Present);
-        bed.exchange_jobs();
-        if turn + 1 < turns.len() {
+        bed.check_jobs_known_everywhere();
+        if index + 1 < groups.len() {
             bed.expect_services_refused();
         }
     }
@@ -25,57 +27,59 @@
 }
 
 #[test]
-fn one_controller_at_a_time_from_the_first() {
-    replace_in_turns("first", &[&[0], &[1], &[2]]);
+fn jobs_survive_an_upgrade_of_one_controller_at_a_time_in_order() {
+    check_upgrade_in_groups("first", &[&[0], &[1], &[2]]);
 }
 
 #[test]
-fn one_controller_at_a_time_from_the_last() {
-    replace_in_turns("last", &[&[2], &[0], &[1]]);
+fn jobs_survive_an_upgrade_of_one_controller_at_a_time_from_the_last() {
+    check_upgrade_in_groups("last", &[&[2], &[0], &[1]]);
 }
 
 #[test]
-fn two_controllers_and_then_one() {
-    replace_in_turns("two", &[&[1, 2], &[0]]);
+fn jobs_survive_an_upgrade_of_two_controllers_and_then_one() {
+    check_upgrade_in_groups("two", &[&[1, 2], &[0]]);
 }
 
 #[test]
-fn three_controllers_at_once() {
-    replace_in_turns("three", &[&[0, 1, 2]]);
+fn jobs_survive_an_upgrade_of_all_controllers_at_once() {
+    check_upgrade_in_groups("three", &[&[0, 1, 2]]);
 }
 
-/// An old process takes a partition from a new one, with its machines and unfinished array tasks,
-/// is killed, comes back old and holds it again, and hands it back to a new one.
+/// An old process takes over a partition of a new one that was killed, with its machines and the
+/// unfinished tasks of batch jobs. It is killed, is started again in the old version and leads the
+/// partition again, and hands it back to a new process.
 #[test]
-fn an_old_process_holds_what_a_new_one_had() {
+fn an_old_process_can_lead_a_partition_after_a_new_one() {
     let mut bed = Testbed::start("holds", [Version::Production; 3]);
     bed.restart(&[0], Version::Present);
     bed.expect_leader(0, 0);
-    bed.submit_arrays(&[0, 1, 2]);
+    bed.submit_batch_jobs(&[0, 1, 2]);
     bed.kill(&[0]);
-    let old = bed.expect_taken_over(0, &[1, 2]);
-    bed.exchange_jobs();
-    bed.restart(&[old], Version::Production);
-    bed.expect_leader(0, old);
-    bed.submit_arrays(&[1, 2]);
+    let old_node = bed.expect_taken_over(0, &[1, 2]);
+    bed.check_jobs_known_everywhere();
+    bed.restart(&[old_node], Version::Production);
+    bed.expect_leader(0, old_node);
+    bed.submit_batch_jobs(&[1, 2]);
     bed.restart(&[0], Version::Present);
     bed.expect_leader(0, 0);
-    bed.exchange_jobs();
+    bed.check_jobs_known_everywhere();
     bed.expect_services_refused();
     bed.restart(&[1], Version::Present);
     bed.restart(&[2], Version::Present);
     bed.finish();
 }
 
-/// A new process takes a partition from an old one that does not come back for a while.
+/// A new process takes over the partition of an old one that was killed, and hands it back when the
+/// old version is started again.
 #[test]
-fn a_new_process_holds_what_an_old_one_had() {
+fn a_new_process_can_lead_a_partition_after_an_old_one() {
     let mut bed = Testbed::start("takes", [Version::Production; 3]);
     bed.restart(&[0, 1], Version::Present);
-    bed.submit_arrays(&[2, 2, 0]);
+    bed.submit_batch_jobs(&[2, 2, 0]);
     bed.kill(&[2]);
     bed.expect_taken_over(2, &[0, 1]);
-    bed.exchange_jobs();
+    bed.check_jobs_known_everywhere();
     bed.restart(&[2], Version::Production);
     bed.expect_leader(2, 2);
     bed.expect_services_refused();
@@ -83,36 +87,36 @@
     bed.finish();
 }
 
-/// All controllers are killed in the middle of the upgrade and once more after it.
+/// All controllers are killed during the upgrade, and again when all are started in the new version.
 #[test]
-fn all_controllers_killed_at_once() {
+fn jobs_survive_the_kill_of_all_controllers_during_and_after_an_upgrade() {
     let mut bed = Testbed::start("killed", [Version::Production; 3]);
-    bed.submit_arrays(&[0, 1, 2]);
+    bed.submit_batch_jobs(&[0, 1, 2]);
     bed.restart(&[1], Version::Present);
     bed.kill(&[0, 1, 2]);
     bed.start_nodes(&[0, 2], Version::Production);
     bed.start_nodes(&[1], Version::Present);
-    bed.exchange_jobs();
+    bed.check_jobs_known_everywhere();
     bed.expect_services_refused();
     bed.kill(&[0, 1, 2]);
     bed.start_nodes(&[0, 1, 2], Version::Present);
     bed.finish();
 }
 
-/// After the cluster version is raised, a process of the version in production comes back at one
-/// node. It must hold no partition, and whatever it does must break no rule.
+/// After the cluster version is raised, a process of the version in production is started at one
+/// node. It must lead no partition, and must break no rule.
 #[test]
-fn an_old_process_after_the_upgrade_holds_nothing() {
+fn an_old_process_leads_no_partition_after_the_upgrade() {
     let mut bed = Testbed::start("late", [Version::Present; 3]);
-    bed.expect_raised();
+    bed.expect_version_raised();
     bed.start_service();
-    bed.submit_arrays(&[0, 1, 2]);
+    bed.submit_batch_jobs(&[0, 1, 2]);
     bed.restart(&[1], Version::Production);
     for partition in 0..PARTITIONS.len() {
         bed.expect_taken_over(partition, &[0, 2]);
     }
-    bed.submit_arrays(&[0, 2]);
-    // The leader of one partition dies while the old process is up.
+    bed.submit_batch_jobs(&[0, 2]);
+    // The leader of a partition is replaced while the old process is running.
     bed.restart(&[0], Version::Present);
     bed.expect_taken_over(0, &[0, 2]);
     bed.expect_taken_over(1, &[0, 2]);
