--- a/crates/quartzlever/benches/recovery.rs
+++ b/crates/quartzlever/benches/recovery.rs
@@ -1,12 +1,12 @@
-//! Measures the cost of recovery and the duration of a rebuild, with the real program and fakes of the
-//! store, the cloud and the workers.
+//! Measures the cost of recovery and the duration of a rebuild, with the real program and fakes of
+//! the store, the cloud and the workers.
 //!
 //! `cargo bench -p quartzlever --bench recovery -- [MACHINES [SECONDS]]`
 //!
-//! One controller fills `MACHINES` machines with tasks. The benchmark measures CPU time, memory and the
-//! bytes written to the log over `SECONDS` seconds, first with recovery switched off, then with recovery
-//! switched on. Then the store loses all records, and the benchmark measures the time to the first task
-//! start after the loss and the longest time without an answer about a job.
+//! One controller fills `MACHINES` machines with tasks. The benchmark measures CPU time, memory and
+//! the bytes written to the log over `SECONDS` seconds, first with recovery switched off, then with
+//! recovery switched on. Then the store loses all records, and the benchmark measures the time to
+//! the first task start after the loss and the longest time without an answer about a job.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -116,7 +116,8 @@
         };
         let workers = WorkerFleet::start(behaviour, begin).expect("cannot start the workers");
         let mut cloud = Cloud::new(2.0, &["a"], machines);
-        // Idle machines are kept for as long as a machine takes to boot: a long boot time keeps them.
+        // Idle machines are kept for as long as a machine takes to boot: a long boot time keeps
+        // them.
         cloud.catalogue.types[0].ready_s = 600.0;
         let (launching, terminating) = (workers.clone(), workers.clone());
         let cloud = Arc::new(Mutex::new(cloud));
@@ -154,7 +155,7 @@
         let jobs = tasks.div_ceil(TASKS_PER_JOB);
         for _ in 0..jobs {
             let spec = array(self.jobs.len() as u32 + 1, TASKS_PER_JOB as u32);
-            let body = serde_json::to_string(&spec).expect("a job is valid JSON");
+            let body = serde_json::to_string(&spec).expect("cannot serialize the job");
             while agent.post(&self.url("")).send_string(&body).is_err() {
                 assert!(Instant::now() < end, "{} was not accepted in time", spec.id);
                 thread::sleep(Duration::from_millis(50));
@@ -175,8 +176,8 @@
         true
     }
 
-    /// Measures the controller under a steady load of submissions for `seconds` seconds, and prints the
-    /// result.
+    /// Measures the controller under a steady load of submissions for `seconds` seconds, and prints
+    /// the result.
     fn measure_load(&mut self, seconds: u64) {
         let process = self.node.process();
         let (cpu_before, bytes_before) = (cpu_seconds(process), log_bytes(&self.directory));
@@ -206,9 +207,9 @@
             keys
         };
         let agent = ureq::AgentBuilder::new().timeout(Duration::from_secs(2)).build();
-        // Times in milliseconds between two answers about the same job. Some answers still arrive before
-        // the loss is detected.
-        let mut unanswered = Histogram::<u64>::new(3).expect("a valid histogram");
+        // Times in milliseconds between two answers about the same job. Some answers still arrive
+        // before the loss is detected.
+        let mut unanswered = Histogram::<u64>::new(3).expect("cannot create the histogram");
         let mut last_answers = vec![at; self.jobs.len()];
         let (mut first_start, mut last_failure) = (None, at);
         while (first_start.is_none() || last_failure.elapsed() < ANSWERED_PERIOD)
@@ -254,9 +255,9 @@
         let mut bench = Bench::start(machines, with_recovery);
         bench.submit(machines * QUEUED_TASKS_PER_MACHINE);
         let filled = bench.await_running(machines * 95 / 100);
-        let (tasks, workers) = bench.workers.running();
+        let (tasks, running) = bench.workers.running();
         println!(
-            "recovery {with_recovery}: {workers} machines, {tasks} tasks running, filled {filled}"
+            "recovery {with_recovery}: {running} machines, {tasks} tasks running, filled {filled}"
         );
         bench.measure_load(seconds);
         if with_recovery {
--- a/crates/quartzlever/benches/resource_usage.rs
+++ b/crates/quartzlever/benches/resource_usage.rs
@@ -1,11 +1,11 @@
-//! Measures the CPU time and memory of the real program by thread, with fakes of the store, the cloud
-//! and the workers.
+//! Measures the CPU time and memory of the real program by thread, with fakes of the store, the
+//! cloud and the workers.
 //!
 //! `cargo bench -p quartzlever --bench resource_usage -- [MACHINES [PARTITIONS [SECONDS]]]`
 //!
-//! One controller leads one partition, or up to three partitions in place of controllers that are not
-//! running. `MACHINES` machines are launched for its queue; their workers send a heartbeat every six
-//! seconds and at each change. Three spans are measured:
+//! One controller leads one partition, or up to three partitions in place of controllers that are
+//! not running. `MACHINES` machines are launched for its queue; their workers send a heartbeat
+//! every six seconds and at each change. Three spans are measured:
 //!
 //! - the start, while all machines are launched;
 //! - `SECONDS` seconds with a queue and with users who submit and look up jobs;
@@ -15,9 +15,9 @@
 //! during an outage of the store, so that it rejects all heartbeats, then with the store available.
 //! Both starts are measured too.
 //!
-//! CPU time and context switches are the kernel's figures for each thread, summed by thread name. System
-//! calls are counted with `perf trace` if it is installed, in spans of their own, since tracing slows
-//! the program down.
+//! CPU time and context switches are the kernel's figures for each thread, summed by thread name.
+//! System calls are counted with `perf trace` if it is installed, in spans of their own, since
+//! tracing slows the program down.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -329,7 +329,8 @@
     }
 }
 
-/// Counts the system calls of a process for `seconds` seconds and prints them, if `perf` is installed.
+/// Counts the system calls of a process for `seconds` seconds and prints them, if `perf` is
+/// installed.
 fn count_system_calls(process: u32, seconds: u64, environment: &Environment) {
     let before = environment.request_counts();
     let traced = Command::new("timeout")
@@ -341,7 +342,8 @@
     let Ok(output) = traced else { return };
     let after = environment.request_counts();
     let requests: u64 = [0, 2, 3].iter().map(|n| after[*n] - before[*n]).sum();
-    // `perf trace -s` prints a line for each system call of each thread: name, count, errors, times.
+    // `perf trace -s` prints a line for each system call of each thread: name, count, errors,
+    // times.
     let mut calls: BTreeMap<String, u64> = BTreeMap::new();
     for line in String::from_utf8_lossy(&output.stderr).lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
--- a/crates/quartzlever/tests/end_to_end.rs
+++ b/crates/quartzlever/tests/end_to_end.rs
@@ -1,5 +1,5 @@
-//! One real controller process with a fake store, a fake cloud and fake workers on loopback addresses,
-//! and the check of settings files.
+//! One real controller process with a fake store, a fake cloud and fake workers on loopback
+//! addresses, and the check of settings files.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -58,8 +58,8 @@
     Node::start(PROGRAM, config).expect("the program did not start")
 }
 
-/// Sends an HTTP request. Returns the status, 0 without a response, and the JSON body, `Null` if the
-/// body is not JSON.
+/// Sends an HTTP request. Returns the status, 0 without a response, and the JSON body, `Null` if
+/// the body is not JSON.
 fn call(method: &str, url: &str, body: Option<&str>) -> (u16, Value) {
     let request = ureq::request(method, url).timeout(Duration::from_secs(5));
     let result = match body {
--- a/crates/quartzlever/tests/recovery/main.rs
+++ b/crates/quartzlever/tests/recovery/main.rs
@@ -31,7 +31,7 @@
     TerminalJobs,
     /// The record of one job.
     OneJob,
-    /// About half of all keys, drawn at random, and at least one terminal job.
+    /// About half of all keys, drawn at random, and the record of one terminal job in any case.
     Half,
 }
 
@@ -51,7 +51,7 @@
     LostAgain,
 }
 
-/// Removes or resets the records in the store as `lost` says.
+/// Makes the store lose data. `backup` is the state that a restored backup brings back.
 fn apply_loss(store: &mut Store, lost: DataLoss, backup: &Store, rng: &mut SmallRng) {
     match lost {
         DataLoss::Everything => store.wipe(),
@@ -140,8 +140,8 @@
     check_jobs_survive(DataLoss::Everything, Fault::OneControllerDown, 3);
 }
 
-/// A controller confirms a cancellation to a user and is killed when the store loses all records. If
-/// no other controller has the cancellation, because a watch had not delivered it yet, the rebuilt
+/// A controller confirms a cancellation to a user and is killed when the store loses all records.
+/// If no other controller has the cancellation, because no watch had delivered it yet, the rebuilt
 /// job is reported as queued.
 #[test]
 fn a_confirmed_cancellation_survives_the_loss_of_all_records_and_its_controller() {
--- a/crates/quartzlever/tests/recovery/testbed.rs
+++ b/crates/quartzlever/tests/recovery/testbed.rs
@@ -80,8 +80,8 @@
         let controller = |(n, (node, address)): (usize, (String, SocketAddr))| {
             let directory = scratch.join(format!("recovery-{name}-{node}"));
             create_empty_directory(&directory);
-            // The acknowledgement and gather times leave a margin for a host that is busy with other
-            // tests.
+            // The acknowledgement and gather times leave a margin for a host that is busy with
+            // other tests.
             let operator = format!(
                 "lease_life_s: 6\ntakeover_after_s: 1\nhandback_after_s: 2\nsilent_return_s: 5\n\
                  recovery:\n  directory: {}\n  acknowledge_s: 10\n  gather_s: 3\n  check_s: 0.3\n  audit_s: {audit_s}\n\
@@ -194,8 +194,8 @@
         [&controller.config, &controller.operator]
     }
 
-    /// Submits a batch job until some controller accepts it, and returns its id. The job must be done
-    /// by the end of the test.
+    /// Submits a batch job until some controller accepts it, and returns its id. The job must be
+    /// done by the end of the test.
     pub fn submit(&mut self, tasks: u32) -> String {
         self.last_job += 1;
         let spec = array(self.last_job, tasks);
@@ -228,8 +228,8 @@
         job
     }
 
-    /// Waits until every running controller answers a lookup of every job. The rule checker verifies
-    /// the answers.
+    /// Waits until every running controller answers a lookup of every job. The rule checker
+    /// verifies the answers.
     pub fn look_up_all_jobs(&self) {
         for controller in self.controllers.iter().filter(|c| c.process.is_some()) {
             for job in self.expected_done.iter().chain(&self.cancelled) {
@@ -248,8 +248,8 @@
         self.last_job as usize % NODES.len()
     }
 
-    /// Returns how many controllers, other than [`Testbed::last_cancelling_node`], have the key of a
-    /// job's final state in their files.
+    /// Returns how many controllers, other than [`Testbed::last_cancelling_node`], have the key of
+    /// a job's final state in their files.
     pub fn count_other_logs_with_final_state(&self, job: &str) -> usize {
         let key = format!("over/{job}").into_bytes();
         let contains_key = |path: &Path| {
--- a/crates/quartzlever/tests/rolling_upgrade/main.rs
+++ b/crates/quartzlever/tests/rolling_upgrade/main.rs
@@ -1,8 +1,8 @@
 //! Rolling upgrades from the version in production to the present version.
 //!
-//! Real processes of both versions share a fake store, a fake cloud and a fleet of fake workers while
-//! the controllers are replaced in several orders. The rule checker of the testkit verifies the
-//! protocol from what workers and users observe.
+//! Real processes of both versions share a fake store, a fake cloud and a fleet of fake workers
+//! while the controllers are replaced in several orders. The rule checker of the testkit verifies
+//! the protocol from what workers and users observe.
 //!
 //! The version in production is built from the history of the repository, so the tests need a full
 //! clone. Every wait allows for the leases to expire; a run takes about two minutes.
@@ -11,8 +11,8 @@
 
 use testbed::{PARTITIONS, Testbed, Version};
 
-/// Upgrades the controllers in groups. After each group, every node must answer for jobs that a node
-/// of either version accepted.
+/// Upgrades the controllers in groups. After each group, every node must answer for jobs that a
+/// node of either version accepted. No node may accept a service before the last group.
 fn check_upgrade_in_groups(name: &'static str, groups: &[&[usize]]) {
     let mut bed = Testbed::start(name, [Version::Production; 3]);
     bed.check_jobs_known_everywhere();
@@ -87,9 +87,10 @@
     bed.finish();
 }
 
-/// All controllers are killed during the upgrade, and again when all are started in the new version.
+/// All controllers are killed twice while both versions are in use, and then all are started in the
+/// present version.
 #[test]
-fn jobs_survive_the_kill_of_all_controllers_during_and_after_an_upgrade() {
+fn jobs_survive_two_kills_of_all_controllers_during_an_upgrade() {
     let mut bed = Testbed::start("killed", [Version::Production; 3]);
     bed.submit_batch_jobs(&[0, 1, 2]);
     bed.restart(&[1], Version::Present);
@@ -116,7 +117,7 @@
         bed.expect_taken_over(partition, &[0, 2]);
     }
     bed.submit_batch_jobs(&[0, 2]);
-    // The leader of a partition is replaced while the old process is running.
+    // The leader of a partition is killed and restarted while the old process is running.
     bed.restart(&[0], Version::Present);
     bed.expect_taken_over(0, &[0, 2]);
     bed.expect_taken_over(1, &[0, 2]);
--- a/crates/quartzlever/tests/rolling_upgrade/testbed.rs
+++ b/crates/quartzlever/tests/rolling_upgrade/testbed.rs
@@ -25,8 +25,8 @@
 pub const PARTITIONS: [&str; 3] = ["one", "two", "three"];
 const ZONES: [&str; 3] = ["a", "b", "a"];
 const MACHINES: usize = 9;
-/// Limits of the store, in the `[params.state]` section of the settings. The section `next` announces
-/// a smaller value size, which records have to respect throughout the upgrade.
+/// Limits of the store, in the `[params.state]` section of the settings. The section `next`
+/// announces a smaller value size, which records have to respect throughout the upgrade.
 const LIMITS: &str = "value_kb = 16.0\ntxn_ops = 24\n[params.state.next]\nvalue_kb = 1.0";
 /// Number of the service.
 const SERVICE: u32 = 900;
@@ -69,7 +69,7 @@
     config: PathBuf,
     /// `None` while the controller is not running.
     process: Option<Node>,
-    /// Version of the process that was started last.
+    /// Version of the current or last process; before the first start, the version to start.
     version: Version,
     /// Revision of the store when the process was started.
     started_at: u64,
@@ -83,8 +83,8 @@
     users: Users,
     controllers: Vec<Controller>,
     operator: PathBuf,
-    /// Set until all controllers run the present version for the first time. Until then, the store may
-    /// hold only forms that the version in production knows.
+    /// Set until all controllers run the present version for the first time. Until then, the store
+    /// may hold only forms that the version in production knows.
     upgrading: Arc<AtomicBool>,
     watchers: Watchers,
     /// Ids of the accepted batch jobs that must complete.
@@ -147,8 +147,8 @@
         bed
     }
 
-    /// Starts the threads that advance the workers, check the keys and values in the store, and look up
-    /// all accepted jobs.
+    /// Starts the threads that advance the workers, check the keys and values in the store, and
+    /// look up all accepted jobs.
     fn start_checks(&mut self) {
         let (store, upgrading) = (self.store.clone(), self.upgrading.clone());
         self.watchers.look(move |fleet| {
@@ -205,8 +205,8 @@
         read(&self.store.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Returns the node that leads a partition, according to the store. Returns `None` if the node is
-    /// not running or took the partition before its process was started.
+    /// Returns the node that leads a partition, according to the store. Returns `None` if the node
+    /// is not running or took the partition before its process was started.
     fn leader(&self, partition: usize) -> Option<usize> {
         let key = format!("{PARTITION_PREFIX}{}", PARTITIONS[partition]);
         let (record, revision) =
@@ -240,8 +240,8 @@
         self.last_job
     }
 
-    /// Submits a batch job to each of these nodes until it is accepted. The jobs must be done by the end
-    /// of the test.
+    /// Submits a batch job to each of these nodes until it is accepted. The jobs must be done by
+    /// the end of the test.
     pub fn submit_batch_jobs(&mut self, nodes: &[usize]) {
         for node in nodes {
             let spec = array(self.next_job_number(), 30);
@@ -261,8 +261,8 @@
         );
     }
 
-    /// Submits two batch jobs to each running node and cancels one of them at the next node. Checks that
-    /// every running node knows both jobs and reports the same phase for the cancelled one.
+    /// Submits two batch jobs to each running node and cancels one of them at the next node. Checks
+    /// that every running node knows both jobs and reports the same phase for the cancelled one.
     pub fn check_jobs_known_everywhere(&mut self) {
         let nodes = self.running_nodes();
         for (turn, node) in nodes.iter().enumerate() {
@@ -290,15 +290,15 @@
         }
     }
 
-    /// Checks that no running node accepts a service, and that the cluster version is not raised, while a
-    /// process of the version in production, which cannot read services, may be running.
+    /// Checks that no running node accepts a service, and that the cluster version is not raised,
+    /// while a process of the version in production, which cannot read services, may be running.
     pub fn expect_services_refused(&mut self) {
         for node in self.running_nodes() {
             let refused_service = service(self.next_job_number(), 2);
             let address = self.controllers[node].address;
             let reply = self.users.submit(address, &refused_service);
-            // The version in production rejects a service as malformed; the present version answers that
-            // it cannot accept one yet.
+            // The version in production rejects a service as malformed; the present version answers
+            // that it cannot accept one yet.
             let status = match self.controllers[node].version {
                 Version::Production => 400,
                 Version::Present => 503,
@@ -347,8 +347,9 @@
         until(&what, || self.fleet.running(&id), |running| *running == replicas);
     }
 
-    /// Checks the end of a test, with all nodes at the present version: the cluster version is raised,
-    /// a service runs and can be cancelled, every batch job is done, and no rule was broken.
+    /// Checks the end of a test, with all nodes at the present version: the cluster version is
+    /// raised, a service runs and can be cancelled, every batch job is done, and no rule was
+    /// broken.
     ///
     /// # Panics
     ///
