--- a/crates/quartzlever-recovery/src/rebuild/listing.rs
+++ b/crates/quartzlever-recovery/src/rebuild/listing.rs
@@ -1,7 +1,8 @@
 //! Reading whole prefixes of the store, page by page.
 //!
-//! A listing of several pages is no snapshot: its revision is that of the first page where completeness is
-//! claimed ([`list_generation`]), and that of the last where only the latest state counts ([`observe`]).
+//! A listing of several pages is not a consistent snapshot. Where completeness up to a revision is
+//! claimed, that is the revision of the first page ([`list_generation`]); where only the latest
+//! state counts, it is the revision of the last page ([`observe`]).
 
 use std::collections::BTreeMap;
 
@@ -10,21 +11,22 @@
 
 use crate::access::StoreAccess;
 use crate::generation::Generation;
-use crate::identity::{Observed, RECOVERY_PREFIX};
-use crate::picture::{Picture, Record};
+use crate::identity::{RECOVERY_PREFIX, StoreObservation};
+use crate::records::{Record, RecordSet};
 
-/// Reads the keys of this crate.
+/// Reads all keys under `recovery/`.
 ///
 /// # Errors
-/// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
-pub fn observe(access: &mut impl StoreAccess) -> Result<Observed, CallError> {
+/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a
+/// listing.
+pub fn observe(access: &mut impl StoreAccess) -> Result<StoreObservation, CallError> {
     let mut all = Vec::new();
     let mut from: Option<String> = None;
     loop {
         let page = read_page(access, RECOVERY_PREFIX, from)?;
         all.extend(page.entries);
         if !page.has_next {
-            return Ok(Observed::of(&ListPage {
+            return Ok(StoreObservation::from_page(&ListPage {
                 entries: all,
                 has_next: false,
                 revision: page.revision,
@@ -34,14 +36,15 @@
     }
 }
 
-/// Reads all records of a generation; the picture is complete up to the revision of the first page.
+/// Reads all records of a generation. The set is complete up to the revision of the first page.
 ///
 /// # Errors
-/// The error of the first call that fails; [`CallError::Unknown`] for an answer that is no listing.
+/// Returns the error of the first call that fails, or [`CallError::Unknown`] if a reply is not a
+/// listing.
 pub fn list_generation(
     access: &mut impl StoreAccess,
     generation: &Generation,
-) -> Result<Picture, CallError> {
+) -> Result<RecordSet, CallError> {
     let mut records: BTreeMap<String, Record> = BTreeMap::new();
     let mut from: Option<String> = None;
     let mut revision = None;
@@ -56,7 +59,7 @@
         records.extend(records_of(own));
         match last.filter(|_| has_next) {
             Some(last) => from = Some(last),
-            None => return Ok(Picture::new(revision.unwrap_or(0), records)),
+            None => return Ok(RecordSet::new(revision.unwrap_or(0), records)),
         }
     }
 }
