--- a/crates/quartzlever-core/tests/simulation/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -8,7 +8,7 @@
 use quartzlever_wire::users::JobPhase;
 
 use crate::sim::{Simulation, job};
-use crate::upgrade::{Between, replace, simulation};
+use crate::upgrade::{FaultBetween, first_version_simulation, replace_controllers};
 
 const JOBS: u32 = 9;
 /// Bound on transactions refused for their size: those by which three controllers learn the limit, and
@@ -64,7 +64,7 @@
         w.run(2 * SECOND);
         lower_limits(w, limits);
     }
-    replace(w, [0, 1, 2], Between::Nothing);
+    replace_controllers(w, [0, 1, 2], FaultBetween::Nothing);
     w.run_with_lookups(6 * SECOND);
     if moment == Moment::AfterUpgrade {
         lower_limits(w, limits);
@@ -106,7 +106,7 @@
         for moment in [BeforeUpgrade, DuringUpgrade, AfterUpgrade, InBurst, InRecovery] {
             seed += 1;
             let name = format!("{moment:?}, {limits:?}");
-            let mut w = simulation(seed, unchanged);
+            let mut w = first_version_simulation(seed, unchanged);
             w.run_time = 20 * SECOND;
             run_scenario(&mut w, moment, limits);
             w.run(30 * SECOND);
--- a/crates/quartzlever-core/tests/simulation/safety.rs
+++ b/crates/quartzlever-core/tests/simulation/safety.rs
@@ -1,5 +1,5 @@
-//! The safety statements, driven against pure cores: messages reordered, repeated, lost and
-//! late, processes killed, machines hung, networks cut.
+//! The safety rules hold while messages are reordered, repeated, lost and delayed, processes are killed
+//! and paused, machines hang, and network links are severed.
 
 use crate::sim::{FaultRates, Simulation, job};
 use quartzlever_wire::SECOND;
@@ -7,40 +7,42 @@
 
 const NODES: &[&str] = &["one", "two", "three"];
 
-/// Trouble that befalls the world while it has work.
+/// A fault that is injected while jobs run.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
-    /// A node is killed and starts again after so many tenths of a second.
+    /// Kills a node and starts it again after this many tenths of a second.
     Kill(usize, u64),
-    /// All nodes are killed during an outage of the store, and start again in it.
+    /// Kills all nodes during an outage of the store, and starts them again in it.
     KillAllInOutage,
+    /// Takes the store down for this many seconds.
     Outage(u64),
-    /// A machine executes nothing for so many seconds.
+    /// Hangs one machine for this many seconds.
     Hang(u64),
-    /// A node cannot reach any machine, nor they it, for so many seconds.
-    Cut(usize, u64),
-    /// Nobody can reach the machines for so many seconds while all nodes are restarted; with or
-    /// without a cloud that could take the machines back.
-    Unreachable(u64, bool),
-    /// One machine is out of everybody's reach for so many seconds, with the cloud down.
-    Lose(u64),
-    /// One node alone gets no answer from the store for so many seconds.
+    /// Severs the links between a node and all machines for this many seconds. Commands on a severed
+    /// link arrive 8 s late.
+    SeverNode(usize, u64),
+    /// Severs the links of all machines for this many seconds and restarts all nodes meanwhile. With
+    /// `true`, the cloud is up and can terminate the machines.
+    SeverAllMachines(u64, bool),
+    /// Severs the links of one busy machine for this many seconds, with the cloud down.
+    SeverOneMachine(u64),
+    /// Lets the store refuse a single node for this many seconds.
     RefusedByStore(usize, u64),
-    /// One node has neither the store nor its peers for so many seconds, only workers.
+    /// Leaves a node with neither the store nor its peers for this many seconds, only with workers.
     OnlyWorkers(usize, u64),
-    /// One node loses its workers while no peer reaches another.
-    CutUntold(usize, u64),
-    /// One node stands still for so many seconds while its clocks run on.
+    /// Severs the links between a node and all machines while no node reaches a peer.
+    SeverNodeWithoutPeers(usize, u64),
+    /// Pauses a node for this many seconds, while its clocks run on.
     Pause(usize, u64),
-    /// Every task fails on one machine.
-    Faulty,
-    /// A node is stopped for good.
-    TerminatedMachines(usize),
+    /// Lets every task fail on one machine.
+    FaultyMachine,
+    /// Stops a node permanently.
+    Stop(usize),
 }
 
-fn inject(simulation: &mut Simulation, trouble: Fault) {
-    match trouble {
+fn inject(simulation: &mut Simulation, fault: Fault) {
+    match fault {
         Fault::None => simulation.run(SECOND),
         Fault::Kill(n, tenths) => {
             simulation.kill(n);
@@ -77,25 +79,25 @@
                 worker.hung = false;
             }
         }
-        Fault::Cut(n, secs) => {
+        Fault::SeverNode(n, secs) => {
             let names: Vec<String> = simulation.workers.keys().cloned().collect();
             simulation.severed_links.extend(names.into_iter().map(|name| (n, name)));
             simulation.run(secs * SECOND);
             simulation.severed_links.clear();
         }
-        Fault::Unreachable(secs, cloud) => {
+        Fault::SeverAllMachines(secs, cloud_up) => {
             let names: Vec<String> = simulation.workers.keys().cloned().collect();
             for n in 0..NODES.len() {
                 simulation.severed_links.extend(names.iter().map(|name| (n, name.clone())));
                 simulation.kill(n);
                 simulation.start(n);
             }
-            simulation.cloud_down = !cloud;
+            simulation.cloud_down = !cloud_up;
             simulation.run(secs * SECOND);
             simulation.severed_links.clear();
             simulation.cloud_down = false;
         }
-        Fault::Lose(secs) => {
+        Fault::SeverOneMachine(secs) => {
             let busy = simulation.workers.iter().find(|(_, w)| !w.running().is_empty());
             let name = busy.map(|(name, _)| name.clone()).unwrap_or_default();
             simulation.severed_links.extend((0..NODES.len()).map(|n| (n, name.clone())));
@@ -116,9 +118,9 @@
             simulation.refused_by_store.clear();
             simulation.isolated_from_peers.clear();
         }
-        Fault::CutUntold(n, secs) => {
+        Fault::SeverNodeWithoutPeers(n, secs) => {
             simulation.isolated_from_peers.extend(0..NODES.len());
-            inject(simulation, Fault::Cut(n, secs));
+            inject(simulation, Fault::SeverNode(n, secs));
             simulation.isolated_from_peers.clear();
         }
         Fault::Pause(n, secs) => {
@@ -126,69 +128,109 @@
             simulation.run(secs * SECOND);
             simulation.paused.clear();
         }
-        Fault::Faulty => {
+        Fault::FaultyMachine => {
             if let Some(worker) = simulation.workers.values_mut().next() {
                 worker.faulty = true;
             }
             simulation.run(SECOND);
         }
-        Fault::TerminatedMachines(n) => simulation.kill(n),
+        Fault::Stop(n) => simulation.kill(n),
     }
 }
 
 #[test]
-fn work_is_done_once_whatever_befalls() {
+fn every_job_finishes_and_no_rule_is_broken_under_any_fault() {
     use Fault::*;
-    let bad = FaultRates { lost_answers: 4, late_calls: 4, ..FaultRates::default() };
-    let good = FaultRates::default();
+    let unreliable = FaultRates { lost_answers: 4, late_calls: 4, ..FaultRates::default() };
+    let reliable = FaultRates::default();
     let cases: &[(&str, FaultRates, &[Fault])] = &[
-        ("nothing happens", good, &[None]),
-        ("calls are lost and come late", bad, &[None, None]),
-        ("a node is restarted at once", good, &[Kill(0, 1), Kill(0, 2), Kill(0, 5)]),
-        ("a node is restarted in the middle of an acquisition", bad, &[Kill(1, 1), Kill(1, 1)]),
-        ("nodes roll", bad, &[Kill(0, 20), Kill(1, 20), Kill(2, 20)]),
-        ("a node is away long enough to be taken over", bad, &[Kill(2, 120)]),
-        ("a node goes for good", good, &[TerminatedMachines(0)]),
-        ("an outage outlasts the holds", bad, &[Outage(9)]),
-        ("all are killed in an outage", bad, &[KillAllInOutage]),
-        ("a machine hangs within its lease", good, &[Hang(3)]),
-        ("a machine hangs and resumes during recovery", bad, &[Hang(10), Kill(0, 1), Hang(6)]),
-        ("a machine hangs over its lease", bad, &[Hang(16)]),
-        ("a cut holds packets across a takeover", bad, &[Cut(0, 5), Kill(0, 90), Cut(1, 6)]),
-        ("machines are out of reach across a restart", good, &[Unreachable(8, true)]),
-        ("so they are, with the cloud down", good, &[Unreachable(8, false)]),
-        ("so they are, longer than their lease", bad, &[Unreachable(20, false)]),
-        ("a machine is out of reach, with the cloud down", good, &[Lose(9)]),
-        ("so it is, for longer than its lease", bad, &[Lose(18)]),
+        ("nothing happens", reliable, &[None]),
+        ("answers are lost and calls are executed late", unreliable, &[None, None]),
+        ("a node is restarted at once", reliable, &[Kill(0, 1), Kill(0, 2), Kill(0, 5)]),
         (
-            "a node alone is refused by the state service",
-            bad,
+            "a node is restarted in the middle of an acquisition",
+            unreliable,
+            &[Kill(1, 1), Kill(1, 1)],
+        ),
+        (
+            "all nodes are restarted one after another",
+            unreliable,
+            &[Kill(0, 20), Kill(1, 20), Kill(2, 20)],
+        ),
+        ("a node is down long enough for a takeover", unreliable, &[Kill(2, 120)]),
+        ("a node is stopped permanently", reliable, &[Stop(0)]),
+        ("an outage outlasts the leases of controllers", unreliable, &[Outage(9)]),
+        ("all nodes are killed in an outage", unreliable, &[KillAllInOutage]),
+        ("a machine hangs within its lease", reliable, &[Hang(3)]),
+        (
+            "a machine hangs and resumes during recovery",
+            unreliable,
+            &[Hang(10), Kill(0, 1), Hang(6)],
+        ),
+        ("a machine hangs for longer than its lease", unreliable, &[Hang(16)]),
+        (
+            "severed links delay commands beyond a takeover",
+            unreliable,
+            &[SeverNode(0, 5), Kill(0, 90), SeverNode(1, 6)],
+        ),
+        ("machines are cut off across a restart", reliable, &[SeverAllMachines(8, true)]),
+        (
+            "machines are cut off across a restart, cloud down",
+            reliable,
+            &[SeverAllMachines(8, false)],
+        ),
+        (
+            "machines are cut off for longer than their lease, cloud down",
+            unreliable,
+            &[SeverAllMachines(20, false)],
+        ),
+        ("one machine is cut off, cloud down", reliable, &[SeverOneMachine(9)]),
+        (
+            "one machine is cut off for longer than its lease, cloud down",
+            unreliable,
+            &[SeverOneMachine(18)],
+        ),
+        (
+            "the store refuses a single node",
+            unreliable,
             &[RefusedByStore(0, 12), RefusedByStore(1, 3)],
         ),
-        ("a node loses the workers, beyond their lease", good, &[Cut(0, 20)]),
-        ("two nodes do so, one after the other", bad, &[Cut(1, 14), Cut(2, 14)]),
-        ("a node loses the workers, and no peer reaches it", bad, &[CutUntold(0, 14)]),
-        ("a node has only its workers left", bad, &[OnlyWorkers(0, 4), OnlyWorkers(2, 14)]),
-        ("a node stands still, and its hold lives on", bad, &[Pause(0, 3), Pause(1, 4)]),
-        ("a node stands still beyond its hold", bad, &[Pause(0, 9), Pause(2, 16)]),
-        ("it does so in an outage, and is restarted", bad, &[Outage(6), Pause(1, 14), Kill(1, 1)]),
-        ("one machine fails all", good, &[Faulty]),
+        ("a node loses the workers for longer than their lease", reliable, &[SeverNode(0, 20)]),
+        (
+            "two nodes lose the workers one after the other",
+            unreliable,
+            &[SeverNode(1, 14), SeverNode(2, 14)],
+        ),
+        (
+            "a node loses the workers, all peers are isolated",
+            unreliable,
+            &[SeverNodeWithoutPeers(0, 14)],
+        ),
+        ("a node reaches only its workers", unreliable, &[OnlyWorkers(0, 4), OnlyWorkers(2, 14)]),
+        ("a node is paused for less than its lease", unreliable, &[Pause(0, 3), Pause(1, 4)]),
+        ("a node is paused for longer than its lease", unreliable, &[Pause(0, 9), Pause(2, 16)]),
+        (
+            "a node is paused after an outage, and is restarted",
+            unreliable,
+            &[Outage(6), Pause(1, 14), Kill(1, 1)],
+        ),
+        ("every task fails on one machine", reliable, &[FaultyMachine]),
     ];
-    for (n, (name, fault_rates, troubles)) in cases.iter().enumerate() {
+    for (n, (name, fault_rates, faults)) in cases.iter().enumerate() {
         for seed in 0..6 {
             let mut simulation = Simulation::new(100 * n as u64 + seed, NODES);
             simulation.run(3 * SECOND);
             simulation.fault_rates = *fault_rates;
-            let mut more = 3;
-            if matches!(troubles.first(), Some(Unreachable(..) | Lose(_))) {
-                // Tasks that outlast the trouble, so that a second start would meet the first,
-                // and room for that.
+            let mut additional_tasks = 3;
+            if matches!(faults.first(), Some(SeverAllMachines(..) | SeverOneMachine(_))) {
+                // The tasks outlast the fault, so that a second start would overlap with the first,
+                // and free capacity is left for a second start.
                 simulation.run_time = 11 * SECOND;
-                more = 0;
+                additional_tasks = 0;
             }
             let mut jobs = Vec::new();
             for k in 0..6 {
-                let mut spec = job(k, 4 + more * k);
+                let mut spec = job(k, 4 + additional_tasks * k);
                 if k == 3 {
                     spec.team = "tight".into();
                 }
@@ -196,18 +238,18 @@
                 assert_ne!(
                     simulation.submit_until_accepted(k as usize % 3, &spec),
                     0,
-                    "{name}: no answer"
+                    "{name}: the submission of job {k} got no answer"
                 );
                 jobs.push(spec.id);
             }
             simulation.run(2 * SECOND);
-            for trouble in *troubles {
-                inject(&mut simulation, *trouble);
+            for fault in *faults {
+                inject(&mut simulation, *fault);
                 simulation.run(4 * SECOND);
             }
-            let up = if matches!(troubles.first(), Some(TerminatedMachines(0))) { 1 } else { 0 };
-            let ended = simulation.cancel_until_confirmed(up, &jobs[5]);
-            assert!(ended.is_some(), "{name} {seed}: cancellation is never answered");
+            let running_node = if matches!(faults.first(), Some(Stop(0))) { 1 } else { 0 };
+            let cancelled = simulation.cancel_until_confirmed(running_node, &jobs[5]);
+            assert!(cancelled.is_some(), "{name} {seed}: the cancellation is never answered");
             simulation.run(150 * SECOND);
             simulation.settle_and_check();
             assert!(
@@ -223,9 +265,9 @@
 }
 
 #[test]
-fn a_lost_steal_write_gives_nothing_away_twice() {
-    // One node has all the work, the others are idle: steals happen, and their writes are lost
-    // or come into force late.
+fn a_lost_or_late_steal_transaction_moves_no_task_twice() {
+    // One node gets all jobs and the others steal from it. The answers to the transactions of the steals
+    // are lost, or the transactions are committed late.
     for seed in 0..40 {
         let mut simulation = Simulation::new(seed, NODES);
         simulation.run(3 * SECOND);
@@ -249,9 +291,9 @@
 }
 
 #[test]
-fn preempting_what_was_hardly_started_starts_nothing_twice() {
-    // Urgent jobs keep displacing tasks whose `run` is still on its way, by two roads: the
-    // answer to a heartbeat and a direct command.
+fn preempting_a_task_whose_start_is_in_flight_starts_no_task_twice() {
+    // Urgent jobs keep preempting tasks whose `run` is still in flight in either of two ways: in the
+    // answer to a heartbeat and in a direct command.
     for seed in 0..25 {
         let mut simulation = Simulation::new(seed, NODES);
         simulation.run(3 * SECOND);
@@ -281,9 +323,9 @@
 }
 
 #[test]
-fn cancelling_meets_starting_and_finishing() {
-    // (tenths of a second between acceptance and cancellation, what the answers may be)
-    for (tenths, may) in [
+fn a_cancellation_that_races_with_start_or_completion_is_answered_consistently() {
+    // (tenths of a second between acceptance and cancellation, allowed phases in the answer)
+    for (tenths, allowed) in [
         (0, vec!["aborted"]),
         (5, vec!["aborted"]),
         (30, vec!["aborted", "done"]),
@@ -295,7 +337,10 @@
             assert_eq!(simulation.submit_until_accepted(seed as usize % 3, &job(1, 3)), 201);
             simulation.run(tenths * SECOND / 10);
             let phase = simulation.cancel_until_confirmed((seed as usize + 1) % 3, "req-000001");
-            assert!(may.contains(&phase.as_deref().unwrap_or("")), "{tenths} {seed}: {phase:?}");
+            assert!(
+                allowed.contains(&phase.as_deref().unwrap_or("")),
+                "{tenths} {seed}: {phase:?}"
+            );
             simulation.run(30 * SECOND);
             simulation.settle_and_check();
             assert!(
@@ -303,7 +348,7 @@
                 "{tenths} {seed}: {:?}",
                 &simulation.rules.broken[..1]
             );
-            // Whatever was said stays true, at every node.
+            // Every node reports the same phase as the answer to the cancellation.
             for n in 0..3 {
                 let id = simulation.lookup(n, "req-000001");
                 let answer = simulation.wait_for_answer(id, SECOND).map(|a| a.1["phase"].clone());
@@ -314,10 +359,10 @@
 }
 
 #[test]
-fn submissions_get_the_right_answer() {
+fn submissions_are_answered_with_the_expected_status() {
     let mut simulation = Simulation::new(7, NODES);
     simulation.run(3 * SECOND);
-    let unlike = |change: fn(&mut quartzlever_wire::users::JobSpec)| {
+    let changed = |change: fn(&mut quartzlever_wire::users::JobSpec)| {
         let mut spec = job(50, 2);
         change(&mut spec);
         spec
@@ -326,25 +371,25 @@
         ("new", job(1, 2), 201),
         ("again", job(1, 2), 200),
         (
-            "again, with a team that nobody knows",
-            unlike(|s| {
+            "again, with an unknown team",
+            changed(|s| {
                 s.id = "req-000001".into();
                 s.team = "nobody".into();
             }),
             200,
         ),
-        ("unknown team", unlike(|s| s.team = "nobody".into()), 422),
-        ("too large for any type", unlike(|s| s.cpus = 9.0), 422),
-        ("no such type", unlike(|s| s.types = Some(vec!["x".into()])), 422),
-        ("no such zone", unlike(|s| s.zone = Some("x".into())), 422),
+        ("unknown team", changed(|s| s.team = "nobody".into()), 422),
+        ("too large for any machine type", changed(|s| s.cpus = 9.0), 422),
+        ("unknown machine type", changed(|s| s.types = Some(vec!["x".into()])), 422),
+        ("unknown zone", changed(|s| s.zone = Some("x".into())), 422),
         (
-            "too long to be kept",
-            unlike(|s| s.types = Some(vec!["m".into(), "x".repeat(17 * 1024)])),
+            "too long to be stored",
+            changed(|s| s.types = Some(vec!["m".into(), "x".repeat(17 * 1024)])),
             422,
         ),
         (
-            "over the team's limit",
-            unlike(|s| {
+            "over the team's quota",
+            changed(|s| {
                 s.team = "tight".into();
                 s.cpus = 5.0;
             }),
@@ -360,17 +405,17 @@
         assert_eq!(
             simulation.wait_for_answer(id, SECOND).map(|a| a.0),
             Some(404),
-            "never submitted"
+            "a job that was never submitted, at node {n}"
         );
     }
-    // In an outage everything is answered at once with a time to come back.
+    // In an outage of the store, every request is answered at once with 503 and a time to retry.
     simulation.store.outage = true;
     let id = simulation.submit(0, job(2, 2));
     assert_eq!(simulation.wait_for_answer(id, SECOND).map(|a| a.0), Some(503), "outage");
 }
 
 #[test]
-fn a_large_job_stays_within_the_limits_of_a_value() {
+fn the_record_of_a_large_job_stays_within_the_value_limit() {
     let mut simulation = Simulation::new(3, NODES);
     simulation.run(3 * SECOND);
     simulation.run_time = SECOND / 4;
@@ -378,7 +423,7 @@
     for _ in 0..30 {
         simulation.run(2 * SECOND);
         let size = simulation.store.get("live/req-000001").map_or(0, |(v, _)| v.text().len());
-        assert!(size > 0 && size <= 16 * 1024, "{size}");
+        assert!(size > 0 && size <= 16 * 1024, "the record has {size} bytes");
     }
     simulation.settle_and_check();
     assert!(simulation.rules.broken.is_empty(), "{:?}", &simulation.rules.broken[..1]);
