--- a/crates/quartzlever-core/tests/simulation/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -1,4 +1,4 @@
-//! Runs combinations of faults, checks the rules after each, and has the helpers that the tables share.
+//! Runs combinations of faults and checks the rules after each; helpers that the tables share.
 
 use quartzlever_core::Config;
 use quartzlever_testkit::rules::RuleChecker;
@@ -221,7 +221,11 @@
     sum.failed_boots += one.failed_boots;
 }
 
-/// Runs each combination with its seeds. Panics after the last one with the names of those that failed.
+/// Runs each combination with its seeds.
+///
+/// # Panics
+///
+/// Panics after the last combination with the names of those that failed.
 pub fn run_all(combinations: &[FaultCombination]) {
     let mut failures = Vec::new();
     for combination in combinations {
--- a/crates/quartzlever-core/tests/simulation/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -104,7 +104,8 @@
             for k in 0..10 {
                 assert_eq!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 201, "{name}");
             }
-            // A service is not accepted while a controller of the first version, which cannot read it, runs.
+            // A service is not accepted while a controller of the first version runs, which cannot read
+            // it.
             let early = w.submit(0, service(50, 2));
             assert_eq!(
                 w.wait_for_answer(early, SECOND).map(|a| a.0),
