--- a/crates/quartzlever-core/tests/simulation/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -118,7 +118,7 @@
     w.store.end_outage(now);
 }
 
-/// Starts long jobs and does with them as [`cancel_while_leader_refused`].
+/// Starts long jobs and calls [`cancel_while_leader_refused`] with them.
 pub fn refuse_leader_then_all(
     w: &mut Simulation,
     pause: Micros,
--- a/crates/quartzlever-core/tests/simulation/fault_combinations.rs
+++ b/crates/quartzlever-core/tests/simulation/fault_combinations.rs
@@ -21,7 +21,7 @@
         },
     },
     FaultCombination {
-        name: "the same, with controllers isolated from peers and machines that hang and resume",
+        name: "the store refuses the leader, then fails; peers are isolated, machines hang for 9 s",
         first_seed: 0x09e6_7e8f_e17d_bdf7,
         adjust_config: long_leases,
         inject: |w| {
