--- a/crates/quartzlever-core/examples/cost.rs
+++ b/crates/quartzlever-core/examples/cost.rs
@@ -110,7 +110,7 @@
         store_rps: 300.0,
         store_write_rps: 300.0,
         value_bytes: 16 * 1024,
-        group_bytes: 16 * 1024,
+        present_value_bytes: 16 * 1024,
         txn_ops: 24,
         version: quartzlever_core::VERSION,
         machine_capacity: 10_000,
--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -119,7 +119,7 @@
             self.list_instances(None, Vec::new());
         }
         let names: Vec<String> =
-            self.partitions.values().filter(|p| p.active()).map(|p| p.name.clone()).collect();
+            self.partitions.values().filter(|p| p.is_loaded()).map(|p| p.name.clone()).collect();
         for name in names {
             self.scale_out(&name);
             self.scale_in(&name);
@@ -140,7 +140,7 @@
     ) {
         match pending {
             PendingCloudCall::Catalogue => self.catalogue_replied(result),
-            PendingCloudCall::ScaleOutRequest { partition, term, request } => {
+            PendingCloudCall::ScaleOut { partition, term, request } => {
                 self.scale_out_replied(&partition, term, request, result)
             }
             PendingCloudCall::ScaleIn { partition, machines } => {
@@ -187,7 +187,7 @@
         let types = catalogue.types.into_iter().map(|t| (t.name.clone(), t));
         let types: Types = Arc::new(types.collect());
         for partition in self.partitions.values_mut() {
-            partition.use_types(types.clone());
+            partition.set_machine_types(types.clone());
         }
         self.types = Some(types);
     }
@@ -234,7 +234,7 @@
             let Some(partition) = owner else { continue };
             if let Some(machine) = partition.machines.get_mut(&instance.name) {
                 machine.scale_in_reason = Some(ScaleInReason::Failed);
-                partition.refresh(&instance.name);
+                partition.refresh_machine(&instance.name);
             }
         }
     }
--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -121,9 +121,9 @@
     /// Places as many of the tasks as possible on a pending or planned machine.
     fn place_in(&mut self, bin: &mut Bin, need: &Resources) {
         let zone = &bin.offer.zone;
-        let count = bin.free.count(need).min(self.tasks).min(self.zones.left(zone));
+        let count = bin.free.count_fitting(need).min(self.tasks).min(self.zones.left(zone));
         for _ in 0..count {
-            bin.free.take(need);
+            bin.free.subtract(need);
         }
         self.zones.take(zone, count);
         self.tasks -= count;
@@ -194,7 +194,7 @@
         wanted: &mut Wanted,
     ) {
         let ScaleOutContext { config, run_times, types, now, .. } = *context;
-        let (spec, need) = (job.spec(), job.need());
+        let (spec, need) = (job.spec(), job.required_resources());
         let mut unplaced = Unplaced::of_job(self, job, config);
         for bin in supply.bins.iter_mut().filter(|bin| bin.offer.is_allowed_for(spec)) {
             unplaced.place_in(bin, &need);
@@ -310,7 +310,8 @@
         let mut work = 0.0;
         for attempt in self.active_attempts() {
             let ran = attempt.running_since.map_or(0, |since| now.saturating_sub(since));
-            work += attempt.expect.saturating_sub(ran) as f64 / 1e6 * attempt.need.cpus;
+            work += attempt.expected_run_time.saturating_sub(ran) as f64 / 1e6
+                * attempt.required_resources.cpus;
         }
         work
     }
@@ -318,14 +319,16 @@
     /// Reports whether lower-priority work may still be preempted for a service, which is faster
     /// than launching a machine.
     fn may_preempt_for(&self, job: &PartitionJob, now: Micros) -> bool {
-        job.service() && !self.saturated && now.saturating_sub(job.since) < PREEMPTION_GRACE
+        job.is_service()
+            && !self.saturated
+            && now.saturating_sub(job.submitted_at) < PREEMPTION_GRACE
     }
 
     /// Reports whether a job has failed before and has failed on every machine that is not marked
     /// for termination.
     fn has_failed_on_all_machines(&self, job: &PartitionJob) -> bool {
         let is_untried = |machine: &Machine| {
-            !job.failures.includes(&machine.name) && machine.scale_in_reason.is_none()
+            !job.failures.has_failed_on(&machine.name) && machine.scale_in_reason.is_none()
         };
         !job.failures.is_empty() && !self.machines.values().any(|machine| is_untried(machine))
     }
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -70,7 +70,7 @@
     ) -> bool {
         let spec = job.spec();
         let boot = micros_from_secs(USUAL_BOOT_FACTOR * machine_type.ready_s);
-        let wait_until_up = self.now.saturating_sub(job.since) + boot;
+        let wait_until_up = self.now.saturating_sub(job.submitted_at) + boot;
         let must_start =
             job.is_starved(self.now) && wait_until_up >= MACHINE_UP_WITHIN && !has_placed_tasks;
         spec.spot
@@ -112,10 +112,11 @@
 
     /// Returns all offers that unplaced tasks of a job could run on, by type and zone, spot first.
     fn candidates(&self, job: &PartitionJob, unplaced: &Unplaced) -> Vec<Candidate<'_>> {
-        let (spec, need) = (job.spec(), job.need());
+        let (spec, need) = (job.spec(), job.required_resources());
         let mut all = Vec::new();
         for machine_type in self.types.values() {
-            let count = Resources::capacity_of(machine_type).count(&need).min(unplaced.tasks);
+            let count =
+                Resources::capacity_of(machine_type).count_fitting(&need).min(unplaced.tasks);
             if count == 0 {
                 continue;
             }
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -58,7 +58,7 @@
             spot: request.spot,
             count: request.count,
         });
-        let pending = PendingCloudCall::ScaleOutRequest {
+        let pending = PendingCloudCall::ScaleOut {
             partition: name.to_owned(),
             term,
             request: request.clone(),
@@ -106,7 +106,7 @@
         for node in self.config.nodes.iter().filter(|node| **node != self.config.node) {
             let request =
                 PeerRequest::ScaledOut { partition: name.to_owned(), machines: machines.to_vec() };
-            self.outbox.ask_peer(node, request, PendingPeerCall::Notification);
+            self.outbox.call_peer(node, request, PendingPeerCall::Notification);
         }
     }
 }
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -101,7 +101,7 @@
                 if let Some(machine) = partition.machines.get_mut(&machine_name) {
                     machine.scaling_in = false;
                 }
-                partition.refresh(&machine_name);
+                partition.refresh_machine(&machine_name);
             }
             return;
         }
@@ -160,14 +160,15 @@
             }
         }
         for machine_name in changed {
-            self.refresh(&machine_name);
+            self.refresh_machine(&machine_name);
         }
     }
 
     /// Returns the marked machines that can be terminated now.
     fn machines_to_terminate(&self) -> Vec<String> {
-        let is_free =
-            |m: &Machine| !m.busy() && m.attempts.values().all(|attempt| attempt.accounted);
+        let is_free = |m: &Machine| {
+            !m.has_active_attempts() && m.attempts.values().all(|attempt| attempt.end_processed)
+        };
         let can_terminate = |m: &Machine| {
             m.scale_in_reason.is_some_and(|reason| reason.is_immediate() || is_free(m))
         };
@@ -185,7 +186,7 @@
                 machine.scaling_in = true;
                 machine.scale_in_reason
             }));
-            self.refresh(machine_name);
+            self.refresh_machine(machine_name);
         }
         reasons
     }
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -64,7 +64,7 @@
 
     /// Reports whether the machine has turned out not to be at fault for what it is marked for.
     pub(super) fn is_disproven(self, machine: &Machine, now: Micros) -> bool {
-        self == ScaleInReason::FailsTasks && !machine.failures.blame_machine(now)
+        self == ScaleInReason::FailsTasks && !machine.failures.is_machine_at_fault(now)
     }
 
     /// Reports whether a recent heartbeat shows that the reason no longer holds.
@@ -109,10 +109,10 @@
     }),
     // A spot notice may be late or wrong: a machine that sends heartbeats still exists.
     (ScaleInReason::Reclaimed, |rules, machine| {
-        machine.spot_notice_until.is_some_and(|until| rules.now > until)
+        machine.spot_reclaim_at.is_some_and(|until| rules.now > until)
             && rules.silence(machine) > 2 * rules.config.workers.heartbeat_interval
     }),
-    (ScaleInReason::FailsTasks, |rules, machine| machine.failures.blame_machine(rules.now)),
+    (ScaleInReason::FailsTasks, |rules, machine| machine.failures.is_machine_at_fault(rules.now)),
     (ScaleInReason::Slow, |_, machine| is_slow(machine)),
     (ScaleInReason::Idle, |rules, machine| rules.is_idle(machine)),
 ];
@@ -156,7 +156,7 @@
             config,
             types,
             now,
-            acquired_at: partition.acquired,
+            acquired_at: partition.acquired_at,
             listening_since,
             unreachable_zones: partition.autoscaling.unreachable_zones().cloned().collect(),
             terminates_ignoring_machines: ignoring <= MAX_IGNORING_MACHINES.max(tenth),
@@ -201,7 +201,7 @@
             };
             return (operator.silent_return / 2).max(heartbeat_wait);
         }
-        if machine.failed_calls > 0 && self.few_late && machine.serves() {
+        if machine.failed_calls > 0 && self.few_late && machine.has_service_replicas() {
             // Replicas on a dead machine wait for nothing else, so the machine is terminated once a
             // failed call has confirmed what a late heartbeat suggests.
             return self.config.late_heartbeat_after();
@@ -246,6 +246,7 @@
 }
 
 fn is_slow(machine: &Machine) -> bool {
-    machine.pace.len() >= MIN_TASKS_FOR_SLOW
-        && machine.pace.iter().sum::<u32>() / machine.pace.len() as u32 > SLOW_RUN_TIME_PERMILLE
+    machine.recent_paces.len() >= MIN_TASKS_FOR_SLOW
+        && machine.recent_paces.iter().sum::<u32>() / machine.recent_paces.len() as u32
+            > SLOW_RUN_TIME_PERMILLE
 }
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -50,7 +50,7 @@
     for (after, copies, expected) in [(1, true, false), (30, true, true), (30, false, true)] {
         let mut core = core();
         if let Some(partition) = core.partitions.get_mut("one") {
-            partition.acquired = NOW;
+            partition.acquired_at = NOW;
             partition.recovery_complete = false;
             if let Some(machine) = partition.machines.get_mut("n-1") {
                 (machine.fenced, machine.verified) = (false, false);
@@ -125,7 +125,7 @@
             core.step(now, vec![Command::Heartbeat { id: 2 + n as u64, heartbeat: next }]);
             if n == 0 {
                 let machine = &core.partitions["one"].machines["n-1"];
-                assert_eq!(machine.usable(), usable, "{name}");
+                assert_eq!(machine.is_usable(), usable, "{name}");
             }
             terminated |= core.partitions["one"].machines["n-1"].scale_in_reason
                 == Some(ScaleInReason::IgnoresCommands);
@@ -180,7 +180,7 @@
         ("the node stalled and has read some heartbeats", 13, true, 4, 0),
         ("some machines are silent, and the node listened", 13, false, 4, 6),
     ] {
-        let mut core = with_cache(&[("one", "one", 5)]);
+        let mut core = core_with_cache(&[("one", "one", 5)]);
         with_ten_machines(&mut core, NOW);
         let now = NOW + silence_s * SECOND;
         let mut commands = vec![Command::Tick { wall: NOW, behind }];
@@ -188,7 +188,7 @@
             let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
             commands.push(Command::Heartbeat { id: n, heartbeat });
         }
-        assert_eq!(returned(&core.step(now, commands)), terminated, "{name}");
+        assert_eq!(scaled_in_count(&core.step(now, commands)), terminated, "{name}");
         // The silent machines are terminated later in each case.
         let mut late = 0;
         for step in 1..=30 {
@@ -197,7 +197,7 @@
                 id: 100 + n,
                 heartbeat: idle_heartbeat(&format!("n-{n}"), 10 + step, 5),
             });
-            late += returned(&core.step(now, heartbeats.collect()));
+            late += scaled_in_count(&core.step(now, heartbeats.collect()));
         }
         assert_eq!(late + terminated, 10 - reporting as usize, "{name}: in total");
     }
@@ -220,7 +220,7 @@
     .enumerate()
     {
         let mut core = core();
-        let mut record = record("0-3", "");
+        let mut record = job_record("0-3", "");
         if service {
             record.job.shape = Shape::Service;
         }
@@ -230,7 +230,7 @@
             vec![Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-1", 1, 1, 5, &[]) }],
         );
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
-        assert!(partition.machines["n-1"].serves() == service, "{n}");
+        assert!(partition.machines["n-1"].has_service_replicas() == service, "{n}");
         for other in 0..others {
             let name = format!("x-{other}");
             partition.add_machine(&name, machine_record_of(&name, "one"), true, NOW);
@@ -348,7 +348,7 @@
             zones.iter().enumerate().map(|(k, zone)| (format!("x-{k}"), *zone)).collect();
         let list: Vec<_> =
             list.iter().map(|(name, zone)| (name.as_str(), "m", *zone, false)).collect();
-        machines(&mut core, &list);
+        set_machines(&mut core, &list);
         let service = JobSpec {
             shape: Shape::Service,
             priority: Priority::Prod,
@@ -387,7 +387,7 @@
     .enumerate()
     {
         let mut core = core();
-        machines(&mut core, &[]);
+        set_machines(&mut core, &[]);
         let mut records = if raised_before { vec![raised_version(3)] } else { Vec::new() };
         for (node, process, announced) in [("one", core.process, true), ("two", 22, !old)] {
             records.push(partition_entry(node, node, process, 5));
@@ -395,7 +395,7 @@
                 records.push(announcement(node, process, 4));
             }
         }
-        list_records(&mut core, &records, 9);
+        relist_records(&mut core, &records, 9);
         if let Some(seconds) = raised_after {
             core.now = NOW + seconds * SECOND;
             core.apply_cluster_record(&raised_version(10));
@@ -416,7 +416,7 @@
     // capacity)
     for (boots, counted) in [(0.5, true), (1.1, true), (1.3, false)] {
         let mut core = core();
-        machines(&mut core, &[]);
+        set_machines(&mut core, &[]);
         let types = core.types.clone().expect("machine types are known");
         let boot = quartzlever_wire::micros_from_secs(types["m"].ready_s * boots);
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
@@ -533,7 +533,7 @@
         types.values_mut().for_each(|machine_type| machine_type.market_price = Some(0.4));
         let claimed: Vec<_> =
             case.claimed.iter().map(|machine_type| ("s-1", *machine_type, "a", true)).collect();
-        machines(&mut core, &claimed);
+        set_machines(&mut core, &claimed);
         // Work of higher priority that occupies the claimed machine for a long time.
         let full = JobSpec { cpus: 8.0, priority: Priority::Prod, expect_s: 600.0, ..spec(1) };
         if case.claimed.is_some() {
@@ -552,9 +552,9 @@
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.autoscaling.record_spot_refusals(&["m", "x"], &["a", "b"], now + SECOND);
         let job = partition.jobs.get_mut("req-1").expect("req-1 is known");
-        job.since = NOW;
+        job.submitted_at = NOW;
         for n in 0..case.failed_on {
-            job.failures.note(&format!("gone-{n}"), NOW, SECOND, NOW);
+            job.failures.record_failure(&format!("gone-{n}"), NOW, SECOND, NOW);
         }
         for machine in partition.machines.values_mut() {
             (machine.last_heartbeat_at, machine.last_answered_at) = (now, now);
--- a/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
+++ b/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
@@ -27,8 +27,8 @@
     pub(super) fn warm_capacity(&self) -> Vec<MachineOffer> {
         let has_service =
             || self.cache.active_jobs().values().any(|known| known.record.job.is_service());
-        let services =
-            self.cluster.expects_services(self.now) || (self.cluster.services() && has_service());
+        let services = self.cluster.expects_services(self.now)
+            || (self.cluster.supports_services() && has_service());
         let Some(types) = self.types.as_ref().filter(|_| services) else { return Vec::new() };
         let fastest = types
             .values()
@@ -71,11 +71,11 @@
             let record = &m.record;
             let machine_type = types.get(&record.machine_type);
             let array_attempts =
-                m.attempts.values().filter(|a| a.wanted && !a.exited() && !a.service);
-            let cpus = m.free.cpus + array_attempts.map(|a| a.need.cpus).sum::<f64>();
+                m.attempts.values().filter(|a| a.wanted && !a.has_exited() && !a.service);
+            let cpus = m.free.cpus + array_attempts.map(|a| a.required_resources.cpus).sum::<f64>();
             record.zone == offer.zone
                 && !record.spot
-                && m.usable()
+                && m.is_usable()
                 && machine_type.is_some_and(|t| cpus >= t.cpus * MIN_WARM_CAPACITY_SHARE)
         };
         self.machines.values().find(|m| is_warm(m)).map(|m| m.name.clone())
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -52,7 +52,7 @@
         /// Key of the oversized group.
         key: String,
         /// The small groups that the step writes, by key.
-        small: Vec<(String, MachineRecords)>,
+        small_groups: Vec<(String, MachineRecords)>,
         /// Whether the step deletes the oversized group.
         is_complete: bool,
     },
@@ -63,7 +63,7 @@
     /// A read of the store's current revision, for the lookups that wait for it and for the age of
     /// the view.
     Revision {
-        asked: Vec<PendingLookup>,
+        lookups: Vec<PendingLookup>,
         sent: Micros,
     },
     ReadActiveJob {
@@ -80,11 +80,11 @@
         id: RequestId,
         job: String,
         done: u32,
-        tries: u32,
+        attempts: u32,
     },
     JobWrite(Box<JobWrite>),
     /// A read of an active job after a write found that its record had changed.
-    Reread {
+    RereadActiveJob {
         partition: String,
         term: u64,
         job: String,
@@ -136,7 +136,7 @@
 #[derive(Debug)]
 pub(crate) enum PendingCloudCall {
     Catalogue,
-    ScaleOutRequest { partition: String, term: u64, request: ScaleOutRequest },
+    ScaleOut { partition: String, term: u64, request: ScaleOutRequest },
     ScaleIn { partition: Option<(String, u64)>, machines: Vec<String> },
     List { seen: Vec<Instance> },
 }
@@ -166,9 +166,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransactionSize {
     /// Size of the largest value, in bytes.
-    pub value: usize,
+    pub largest_value_bytes: usize,
     /// Number of changes.
-    pub ops: usize,
+    pub changes: usize,
 }
 
 /// A transaction that writes a group of machines.
@@ -178,9 +178,9 @@
     /// Contents of the group after the write.
     pub records: MachineRecords,
     pub added: BTreeSet<String>,
-    pub dropped: BTreeSet<String>,
+    pub removed: BTreeSet<String>,
     /// The partitions whose machines are added or removed, with their terms.
-    pub partitions: BTreeMap<String, u64>,
+    pub partition_terms: BTreeMap<String, u64>,
 }
 
 /// A transaction that changes the record of a job.
@@ -223,7 +223,7 @@
     Submit {
         id: RequestId,
         job: String,
-        refuse: bool,
+        reject_if_unknown: bool,
     },
     Lookup {
         id: RequestId,
@@ -232,7 +232,7 @@
     Cancel {
         id: RequestId,
         job: String,
-        tries: u32,
+        attempts: u32,
     },
 }
 
@@ -261,7 +261,7 @@
 pub(crate) struct TaskMove {
     pub job: String,
     /// The moved tasks.
-    pub cut: Ranges,
+    pub tasks: Ranges,
     /// The job's record after the move.
     pub record: ActiveJobRecord,
 }
@@ -271,7 +271,7 @@
 pub(crate) struct PendingLookup {
     pub id: RequestId,
     pub job: String,
-    pub since: Micros,
+    pub queued_at: Micros,
 }
 
 /// A kind of records in the store, listed separately.
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -124,7 +124,7 @@
     pub value_bytes: usize,
     /// Maximum size of a group of machines while a controller may be of version 1, in bytes: the
     /// store's present limit for a value.
-    pub group_bytes: usize,
+    pub present_value_bytes: usize,
     /// Maximum number of changes in a transaction: the lower of the present limit and the coming
     /// one.
     pub txn_ops: usize,
--- a/crates/quartzlever-core/src/jobs/cancellation.rs
+++ b/crates/quartzlever-core/src/jobs/cancellation.rs
@@ -14,10 +14,10 @@
 /// How often a record is read again that changes each time between its read and the cancellation.
 const MAX_CANCEL_RETRIES: u32 = 6;
 /// Number of changes in the transaction of a cancellation.
-pub(crate) const CHANGES: usize = 2;
+pub(crate) const CANCELLATION_CHANGES: usize = 2;
 
 /// Returns the final state of a cancelled job with `done` finished tasks.
-pub(crate) fn cancelled(done: u32) -> TerminalJobRecord {
+pub(crate) fn cancelled_state(done: u32) -> TerminalJobRecord {
     TerminalJobRecord { phase: JobPhase::Cancelled, done }
 }
 
@@ -27,7 +27,7 @@
     Txn::default()
         .if_mod_revision(active_key.clone(), mod_revision)
         .delete(active_key)
-        .write(terminal_job_key(job), Json::of(&cancelled(done)))
+        .write(terminal_job_key(job), Json::of(&cancelled_state(done)))
 }
 
 /// The outcome of a cancellation.
@@ -41,11 +41,13 @@
 }
 
 impl CancelOutcome {
-    /// Derives the outcome from the store's reply, after `tries` earlier attempts.
-    pub fn of(result: &Result<StoreReply, CallError>, tries: u32) -> Self {
+    /// Derives the outcome from the store's reply, after `attempts` earlier attempts.
+    pub fn of(result: &Result<StoreReply, CallError>, attempts: u32) -> Self {
         match result {
             Ok(StoreReply::Committed(_)) => CancelOutcome::Committed,
-            Ok(StoreReply::Conflict(_)) if tries < MAX_CANCEL_RETRIES => CancelOutcome::ReadAgain,
+            Ok(StoreReply::Conflict(_)) if attempts < MAX_CANCEL_RETRIES => {
+                CancelOutcome::ReadAgain
+            }
             _ => CancelOutcome::Failed,
         }
     }
--- a/crates/quartzlever-core/src/jobs/lookups/tests.rs
+++ b/crates/quartzlever-core/src/jobs/lookups/tests.rs
@@ -3,7 +3,7 @@
 use quartzlever_wire::Ranges;
 
 use super::*;
-use crate::testing::record;
+use crate::testing::job_record;
 
 #[test]
 fn a_job_is_running_once_any_of_its_tasks_has_started() {
@@ -13,7 +13,7 @@
         (false, 1, 0, JobPhase::Running),
         (false, 0, 2, JobPhase::Running),
     ] {
-        let mut record = record("0-3", "");
+        let mut record = job_record("0-3", "");
         (record.started, record.finished) = (started, Ranges::first(finished));
         let view = view_active_job(&record, running);
         let found = (view.phase, view.done, view.running);
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub(crate) enum PageEntry<'a> {
     /// The key is not the key of a page.
-    NoPage,
+    NotAPage,
     /// The value is not the record of that page.
     Unreadable,
     /// The finished tasks of a page.
@@ -75,7 +75,7 @@
 impl<'a> PageEntry<'a> {
     /// Parses the key and the value of an entry.
     pub fn read(entry: &'a KeyValue) -> Self {
-        let Some((job, number)) = page_of_key(&entry.key) else { return PageEntry::NoPage };
+        let Some((job, number)) = page_of_key(&entry.key) else { return PageEntry::NotAPage };
         match parse::<PageRecord>(entry).and_then(|record| record.tasks(number)) {
             Some(finished) => PageEntry::Page { job, number, finished },
             None => PageEntry::Unreadable,
@@ -259,7 +259,7 @@
 /// Returns how many pages the write budget and the limit of changes per transaction allow in
 /// addition to a record.
 pub(crate) fn affordable_pages(budget: &WriteBudget, txn_ops: usize) -> usize {
-    let affordable = |pages: &usize| budget.has(WriteKind::Progress, *pages);
+    let affordable = |pages: &usize| budget.allows(WriteKind::Progress, *pages);
     (1..txn_ops).rev().find(affordable).unwrap_or(0)
 }
 
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -286,7 +286,7 @@
         let mut core = core();
         core.cache.set_loaded(true);
         core.wall_offset = Some(0);
-        let mut record = record("0-1", "2-3");
+        let mut record = job_record("0-1", "2-3");
         record.paged = true;
         record.finished = Ranges::of(own_tasks);
         if taken_over {
@@ -311,7 +311,7 @@
 #[test]
 fn a_finished_task_stays_finished_in_every_view() {
     let mut core = core();
-    let mut first = record("0-3", "");
+    let mut first = job_record("0-3", "");
     first.finished = Ranges::of(0..2);
     core.reconcile_job(first.clone(), 10);
     // The finished tasks have moved to a page whose watch event has not arrived yet.
@@ -329,14 +329,14 @@
 fn leftover_pages_are_removed() {
     // (whether the job is active; whether this node leads the first partition; pages removed)
     for (active, first, removed) in [(false, true, 2), (true, true, 0), (false, false, 0)] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         if !first {
             core.cache.record_partition("a", PartitionRecord { node: "a".into(), process: 1 }, 4);
         }
         core.apply_page_record(&page_event(0, &Ranges::of(0..3), 8));
         core.apply_page_record(&page_event(1, &Ranges::of(PAGE_TASKS..PAGE_TASKS + 3), 9));
         if active {
-            core.reconcile_job(record("0-3", ""), 10);
+            core.reconcile_job(job_record("0-3", ""), 10);
         }
         let txns = |effects: Vec<Effect>| -> Vec<Txn> {
             let txn = |e| match e {
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -61,7 +61,7 @@
     /// Whether the record is to be written even without newly finished tasks.
     needs_write: bool,
     /// Time of the submission, on the monotonic clock.
-    pub since: Micros,
+    pub submitted_at: Micros,
     /// When the job should be done, on the monotonic clock.
     pub due: Option<Micros>,
     /// Failed attempts in this partition.
@@ -93,7 +93,7 @@
     /// Tasks were added to the queue.
     pub placement_wanted: bool,
     /// The partition may forget the job.
-    pub nothing_left_here: bool,
+    pub may_forget_job: bool,
 }
 
 impl PartitionJob {
@@ -117,7 +117,7 @@
             write_outcome_unknown: false,
             write_not_before: 0,
             needs_write: false,
-            since,
+            submitted_at: since,
             due,
             failures: JobFailures::default(),
             succeeded: 0,
@@ -128,13 +128,13 @@
     }
 
     /// Reports whether a record is relevant to a partition that does not know the job yet.
-    pub fn concerns(record: &ActiveJobRecord, partition: &str) -> bool {
+    pub fn is_relevant(record: &ActiveJobRecord, partition: &str) -> bool {
         may_have_to_end(record, partition) || !record.owned_by(partition).is_empty()
     }
 
     /// Applies a record read from the store if it is newer than the known one. `team_limited` tells
     /// whether the job's team has resource limits.
-    pub fn take_record(
+    pub fn apply_record(
         &mut self,
         record: ActiveJobRecord,
         mod_revision: u64,
@@ -170,13 +170,13 @@
         self.moving = self.moving.intersect(&owned);
         self.finished = self.finished.intersect(&owned);
         effects.placement_wanted |= !self.ready.is_empty() && !startable.is_empty();
-        effects.nothing_left_here =
+        effects.may_forget_job =
             self.idle() && owned.is_empty() && !may_have_to_end(&self.record, context.partition);
         effects
     }
 
     /// Applies a page of the job, possibly written by another leader: its tasks have finished.
-    pub fn take_page(&mut self, number: u32, finished: &Ranges) {
+    pub fn apply_page(&mut self, number: u32, finished: &Ranges) {
         self.record.paged = true;
         // Most pages were written by this leader and add nothing; comparing only the tasks of this
         // page is cheap.
@@ -261,18 +261,18 @@
     }
 
     /// Returns the resources that one task requires.
-    pub fn need(&self) -> Resources {
+    pub fn required_resources(&self) -> Resources {
         Resources::required_by(&self.record.job)
     }
 
     /// Reports whether the job is a service, whose replicas run until it is cancelled.
-    pub fn service(&self) -> bool {
+    pub fn is_service(&self) -> bool {
         self.record.job.is_service()
     }
 
-    /// Reports whether the job is best-effort work that writes checkpoints; see [`yields`].
-    pub fn yields(&self) -> bool {
-        yields(&self.record.job)
+    /// Reports whether the job is best-effort work that writes checkpoints; see [`is_cheap_to_preempt`].
+    pub fn is_cheap_to_preempt(&self) -> bool {
+        is_cheap_to_preempt(&self.record.job)
     }
 
     /// Returns all tasks that this partition tracks, in any state.
@@ -307,19 +307,19 @@
     /// earlier failures.
     pub fn mark_healthy(&mut self) {
         self.succeeded = self.succeeded.max(1);
-        self.failures.forget();
+        self.failures.reset();
     }
 
     /// Reports whether the job fails on every machine that it is tried on. A service may do so even
     /// after it has run well, since its failures before that were forgotten.
     pub fn fails_everywhere(&self) -> bool {
-        (self.succeeded == 0 || self.service()) && self.failures.blame_job()
+        (self.succeeded == 0 || self.is_service()) && self.failures.is_job_at_fault()
     }
 
     /// Returns how many ready tasks may be placed now. A job that fails everywhere gets at most
     /// `MAX_TRIAL_TASKS` tasks at a time, so that it uses few resources until it is cancelled.
     pub fn placeable(&self) -> u32 {
-        if self.fails_everywhere() && !self.service() {
+        if self.fails_everywhere() && !self.is_service() {
             MAX_TRIAL_TASKS.saturating_sub(self.assignments.len() as u32).min(self.ready.len())
         } else {
             self.ready.len()
@@ -330,10 +330,10 @@
     /// fail everywhere: no task of it is running, and there may be no other machines. Without this,
     /// a service whose attempts had failed on all machines was never placed again after the
     /// machines recovered.
-    pub fn forgives_at(&self) -> Option<Micros> {
+    pub fn retry_failed_machines_at(&self) -> Option<Micros> {
         let waits =
             !self.failures.is_empty() && self.assignments.is_empty() && !self.fails_everywhere();
-        waits.then(|| self.failures.last() + FAILED_MACHINE_RETRY_DELAY)
+        waits.then(|| self.failures.last_failure_at() + FAILED_MACHINE_RETRY_DELAY)
     }
 
     /// Reports whether this partition has no unfinished or unrecorded work on the job.
@@ -350,7 +350,7 @@
 
 /// Reports whether tasks of a job can be preempted by any other work at almost no loss: best-effort
 /// work that writes checkpoints.
-pub fn yields(job: &JobSpec) -> bool {
+pub fn is_cheap_to_preempt(job: &JobSpec) -> bool {
     job.priority == Priority::BestEffort && job.checkpoint_s > 0.0
 }
 
--- a/crates/quartzlever-core/src/jobs/partition_job/moves.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/moves.rs
@@ -21,9 +21,9 @@
         self.moving.len()
     }
 
-    /// Starts the move of tasks that were cut from the ready ones.
-    pub fn begin_move(&mut self, cut: &Ranges) {
-        self.moving.add(cut);
+    /// Starts the move of tasks that were removed from the ready ones.
+    pub fn begin_move(&mut self, tasks: &Ranges) {
+        self.moving.add(tasks);
         self.writing = true;
     }
 
@@ -31,12 +31,12 @@
     /// meantime are added to `record`.
     pub fn move_committed(
         &mut self,
-        cut: &Ranges,
+        tasks: &Ranges,
         record: &mut ActiveJobRecord,
         mod_revision: u64,
     ) {
         self.writing = false;
-        self.moving.subtract(cut);
+        self.moving.subtract(tasks);
         if mod_revision > self.mod_revision {
             // A page may have added finished tasks in the meantime.
             record.finished.add(&self.record.finished);
@@ -47,18 +47,18 @@
 
     /// Ends a move that conflicted and can no longer be committed: the tasks that the partition
     /// still owns return to the queue.
-    pub fn move_conflicted(&mut self, cut: &Ranges, partition: &str) {
+    pub fn move_conflicted(&mut self, tasks: &Ranges, partition: &str) {
         self.writing = false;
-        self.moving.subtract(cut);
+        self.moving.subtract(tasks);
         let owned = self.record.owned_by(partition);
-        self.ready.add(&cut.intersect(&owned));
+        self.ready.add(&tasks.intersect(&owned));
     }
 
     /// Ends a move that was not carried out: its tasks return to the queue.
-    pub fn move_undone(&mut self, cut: &Ranges) {
+    pub fn move_not_applied(&mut self, tasks: &Ranges) {
         self.writing = false;
-        self.moving.subtract(cut);
-        self.ready.add(cut);
+        self.moving.subtract(tasks);
+        self.ready.add(tasks);
     }
 
     /// Notes that the outcome of the move is unknown. It may still be committed minutes later, so
@@ -76,8 +76,8 @@
         if !std::mem::take(&mut self.write_outcome_unknown) {
             return false;
         }
-        let cut = std::mem::take(&mut self.moving);
-        self.ready.add(&cut);
+        let tasks = std::mem::take(&mut self.moving);
+        self.ready.add(&tasks);
         true
     }
 }
--- a/crates/quartzlever-core/src/jobs/partition_job/tests.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/tests.rs
@@ -1,7 +1,7 @@
 //! The states of a job's tasks as records, pages and replies to writes arrive.
 
 use super::*;
-use crate::testing::{NOW, record};
+use crate::testing::{NOW, job_record};
 
 const CONTEXT: PartitionContext<'_> =
     PartitionContext { partition: "one", term: 5, recovery_complete: true };
@@ -13,9 +13,9 @@
 /// Returns a job of four tasks with a record at revision 10; `own` are those of partition "one".
 fn job(own: &str) -> PartitionJob {
     let other = Ranges::first(4).minus(&ranges(own)).to_string();
-    let record = record(own, &other);
+    let record = job_record(own, &other);
     let mut job = PartitionJob::new(record.clone(), NOW, NOW);
-    job.take_record(record, 10, CONTEXT, false);
+    job.apply_record(record, 10, CONTEXT, false);
     job
 }
 
@@ -29,43 +29,51 @@
         (false, false, 9, "", "0-3"),
         (false, true, 5, "", "0-3"),
     ] {
-        let record = record("0-3", "");
+        let record = job_record("0-3", "");
         let mut job = PartitionJob::new(record.clone(), NOW, NOW);
         let context = PartitionContext { partition: "one", term, recovery_complete };
-        let effects = job.take_record(record, 10, context, team_limited);
+        let effects = job.apply_record(record, 10, context, team_limited);
         let found = (job.ready.to_string(), job.awaiting_recovery.to_string());
         let name = format!("{recovery_complete} {team_limited} {term}");
         assert_eq!(found, (ready.to_owned(), awaiting.to_owned()), "{name}");
         assert_eq!(effects.placement_wanted, !ready.is_empty(), "{name}");
-        assert!(!effects.nothing_left_here, "{name}");
+        assert!(!effects.may_forget_job, "{name}");
     }
 }
 
 #[test]
 fn a_record_that_is_not_newer_changes_nothing() {
     let mut job = job("0-1");
-    assert_eq!(job.take_record(record("0-3", ""), 10, CONTEXT, false), RecordEffects::default());
+    assert_eq!(
+        job.apply_record(job_record("0-3", ""), 10, CONTEXT, false),
+        RecordEffects::default()
+    );
     assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-1".into(), 10));
-    let effects = job.take_record(record("", "0-3"), 11, CONTEXT, false);
-    assert!(effects.nothing_left_here && job.ready.is_empty());
+    let effects = job.apply_record(job_record("", "0-3"), 11, CONTEXT, false);
+    assert!(effects.may_forget_job && job.ready.is_empty());
 }
 
 #[test]
 fn a_move_ends_with_each_task_in_one_state() {
     type End = fn(&mut PartitionJob, &Ranges);
     let ends: [(&str, End, &str, usize); 4] = [
-        ("undone", |job, cut| job.move_undone(cut), "0-3", 0),
-        ("conflict", |job, cut| job.move_conflicted(cut, "one"), "0-3", 0),
+        ("undone", |job, tasks| job.move_not_applied(tasks), "0-3", 0),
+        ("conflict", |job, tasks| job.move_conflicted(tasks, "one"), "0-3", 0),
         ("unknown", |job, _| job.move_outcome_unknown(NOW), "0-1", 2),
-        ("committed", |job, cut| job.move_committed(cut, &mut record("0-1", "2-3"), 11), "0-1", 0),
+        (
+            "committed",
+            |job, tasks| job.move_committed(tasks, &mut job_record("0-1", "2-3"), 11),
+            "0-1",
+            0,
+        ),
     ];
     for (name, end, ready, moving) in ends {
         let mut job = job("0-3");
-        let cut = job.ready.cut_last(2);
-        job.begin_move(&cut);
+        let tasks = job.ready.cut_last(2);
+        job.begin_move(&tasks);
         assert!(job.is_moving(2) && !job.is_record_settled(), "{name}");
         assert_eq!(job.next_record_step("one", NOW), RecordStep::Wait, "{name}");
-        end(&mut job, &cut);
+        end(&mut job, &tasks);
         assert_eq!((job.ready.to_string(), job.moving_count() as usize), (ready.into(), moving));
         assert_eq!(job.is_record_settled(), moving == 0, "{name}");
     }
@@ -77,21 +85,21 @@
 fn tasks_of_a_move_of_unknown_outcome_stay_out_of_the_queue_until_it_is_settled() {
     let with_unknown_outcome = || {
         let mut job = job("0-3");
-        let cut = job.ready.cut_last(2);
-        job.begin_move(&cut);
+        let tasks = job.ready.cut_last(2);
+        job.begin_move(&tasks);
         job.move_outcome_unknown(NOW);
         job
     };
     let mut job = with_unknown_outcome();
     assert_eq!(job.next_record_step("one", NOW), RecordStep::WriteProgress);
     job.begin_write(NOW + 1);
-    let effects = job.take_record(record("0-3", ""), 11, CONTEXT, false);
+    let effects = job.apply_record(job_record("0-3", ""), 11, CONTEXT, false);
     assert_eq!((effects.placement_wanted, job.ready.to_string()), (false, "0-1".into()));
     job.end_write();
     assert!(job.progress_written(&Ranges::default(), 12));
     assert_eq!((job.ready.to_string(), job.mod_revision()), ("0-3".into(), 12));
     let mut job = with_unknown_outcome();
-    let effects = job.take_record(record("0-2", "3"), 11, CONTEXT, false);
+    let effects = job.apply_record(job_record("0-2", "3"), 11, CONTEXT, false);
     assert_eq!((effects.placement_wanted, job.ready.to_string()), (true, "0-2".into()));
     assert!(job.is_record_settled());
 }
@@ -129,12 +137,12 @@
         (true, "0-3", RecordStep::WriteFinalState),
     ] {
         let mut job = job("0-1");
-        let mut record = record("0-1", "2-3");
+        let mut record = job_record("0-1", "2-3");
         (record.paged, record.finished) = (paged, ranges(finished));
         if !paged {
-            record = crate::testing::record("", "0-3");
+            record = crate::testing::job_record("", "0-3");
         }
-        job.take_record(record, 11, CONTEXT, false);
+        job.apply_record(record, 11, CONTEXT, false);
         assert_eq!(job.next_record_step("one", NOW), step, "{paged} {finished}");
     }
 }
@@ -142,11 +150,11 @@
 #[test]
 fn a_page_removes_its_finished_tasks_from_every_other_state() {
     let mut job = job("0-3");
-    let cut = job.ready.cut_last(1);
-    job.begin_move(&cut);
+    let tasks = job.ready.cut_last(1);
+    job.begin_move(&tasks);
     job.ready.remove(0);
     job.finish(0, "one", NOW);
-    job.take_page(0, &ranges("0-1,3"));
+    job.apply_page(0, &ranges("0-1,3"));
     assert_eq!(job.ready.to_string(), "2");
     assert!(job.finished.is_empty() && !job.is_moving(3));
     assert_eq!(job.record.finished.to_string(), "0-1,3");
@@ -183,7 +191,7 @@
     let mut job = job("0-3");
     job.ready.remove(0);
     job.assignments.insert(0, Assignment { machine: "n-1".into(), attempt: 7 });
-    job.take_record(record("1-3", "0"), 11, CONTEXT, false);
+    job.apply_record(job_record("1-3", "0"), 11, CONTEXT, false);
     assert!(!job.requeue(0, 7, CONTEXT), "now owned by another partition");
     assert_eq!(job.ready.to_string(), "1-3");
 }
@@ -193,8 +201,8 @@
 #[test]
 fn a_reported_attempt_is_adopted_only_if_its_task_has_no_other_state() {
     let mut job = job("0-3");
-    let cut = job.ready.cut_last(1);
-    job.begin_move(&cut);
+    let tasks = job.ready.cut_last(1);
+    job.begin_move(&tasks);
     job.finish(0, "one", NOW);
     job.assign(1, "n-1", 7);
     for (index, partition, adopted) in [
--- a/crates/quartzlever-core/src/jobs/records.rs
+++ b/crates/quartzlever-core/src/jobs/records.rs
@@ -35,7 +35,7 @@
 
 impl DueWrite {
     /// Returns the number of changes that the write takes without its pages.
-    pub fn changes(&self) -> usize {
+    pub fn change_count(&self) -> usize {
         if self.write_kind == WriteKind::Finish { 2 } else { 1 }
     }
 }
--- a/crates/quartzlever-core/src/jobs/records/tests.rs
+++ b/crates/quartzlever-core/src/jobs/records/tests.rs
@@ -44,10 +44,10 @@
 
 fn partition_job(id: &str, mine: &str) -> PartitionJob {
     let context = PartitionContext { partition: "one", term: 5, recovery_complete: true };
-    let mut record = record(mine, "");
+    let mut record = job_record(mine, "");
     record.job.id = id.into();
     let mut job = PartitionJob::new(record.clone(), NOW, NOW);
-    job.take_record(record, 10, context, false);
+    job.apply_record(record, 10, context, false);
     job
 }
 
@@ -66,7 +66,7 @@
     };
     let mut given_away = job_with("e", 0, 0);
     let context = PartitionContext { partition: "one", term: 5, recovery_complete: true };
-    given_away.take_record(record("", "0-3"), 11, context, false);
+    given_away.apply_record(job_record("", "0-3"), 11, context, false);
     let jobs = BTreeMap::from([
         ("a".to_owned(), job_with("a", 1, NOW)),
         ("b".to_owned(), job_with("b", 1, NOW - 5)),
@@ -82,7 +82,7 @@
         let found: Vec<&str> = due.iter().map(|write| write.job.as_str()).collect();
         assert_eq!(found.join(" "), order, "{may_write_progress}");
         assert_eq!(forgotten, ["e"]);
-        assert_eq!(due[0].changes(), 2, "one deletes the record, one writes the final state");
+        assert_eq!(due[0].change_count(), 2, "one deletes the record, one writes the final state");
     }
 }
 
--- a/crates/quartzlever-core/src/jobs/submission.rs
+++ b/crates/quartzlever-core/src/jobs/submission.rs
@@ -46,7 +46,7 @@
 
 /// The partition that a new job enters, and its term, which is 0 if the partition has no leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Entry {
+pub(crate) struct EntryPartition {
     pub partition: String,
     pub term: u64,
 }
@@ -73,24 +73,26 @@
     /// leader.
     ///
     /// All jobs of a limited team enter the same partition, so that one leader enforces the limit.
-    pub fn choose(&self, spec: &JobSpec, rng: &mut SmallRng) -> Option<Entry> {
+    pub fn choose(&self, spec: &JobSpec, rng: &mut SmallRng) -> Option<EntryPartition> {
         if self.config.is_team_limited(&spec.team) {
             let partition = self.config.partition_of_team(&spec.team);
             let term = self.cache.partition(partition).map_or(0, |leader| leader.mod_revision);
-            return Some(Entry { partition: partition.to_owned(), term });
+            return Some(EntryPartition { partition: partition.to_owned(), term });
         }
         if let Some(LedPartition { name, term }) = self.own {
             return Some(
                 self.less_loaded(name)
-                    .unwrap_or_else(|| Entry { partition: name.to_owned(), term }),
+                    .unwrap_or_else(|| EntryPartition { partition: name.to_owned(), term }),
             );
         }
         // A node without a partition, such as a restarted one that waits to get its own back,
         // accepts jobs into the partition of another node: the write is conditional on that
         // partition's term, and its leader learns of the job by the watch.
         let led: Vec<_> = self.cache.partitions().iter().collect();
-        led.choose(rng)
-            .map(|(name, leader)| Entry { partition: (*name).clone(), term: leader.mod_revision })
+        led.choose(rng).map(|(name, leader)| EntryPartition {
+            partition: (*name).clone(),
+            term: leader.mod_revision,
+        })
     }
 
     /// Returns the partition of another node that a new job enters instead of `own`: the one with
@@ -100,7 +102,7 @@
     /// Each task brings at most one machine, and machines are never transferred to another
     /// partition. Without this rule one of three controllers had two thirds of the machines and was
     /// overloaded while the others were at a quarter of their share.
-    fn less_loaded(&self, own: &str) -> Option<Entry> {
+    fn less_loaded(&self, own: &str) -> Option<EntryPartition> {
         let others = || {
             self.cache.partitions().iter().filter(|(name, leader)| {
                 // Each partition is named after the node that it belongs to.
@@ -121,7 +123,7 @@
         }
         let (name, leader) = others().min_by_key(|(name, _)| tasks_of(name))?;
         (tasks_of(name) < tasks_of(own) / 2)
-            .then(|| Entry { partition: name.clone(), term: leader.mod_revision })
+            .then(|| EntryPartition { partition: name.clone(), term: leader.mod_revision })
     }
 }
 
@@ -136,11 +138,11 @@
 /// `value_bytes`, the store's limit for a value.
 pub(crate) fn plan_acceptance(
     spec: &JobSpec,
-    entry: Entry,
+    entry: EntryPartition,
     wall: Micros,
     value_bytes: usize,
 ) -> Option<Acceptance> {
-    let Entry { partition, term } = entry;
+    let EntryPartition { partition, term } = entry;
     let fence = (term > 0).then(|| format!("{PARTITION_PREFIX}{partition}"));
     let share = Share { partition, term, tasks: Ranges::first(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), wall, vec![share]);
@@ -165,7 +167,7 @@
         mod_revision: u64,
     },
     /// The job has an active record or a final state: the submission is a repeated one.
-    Known,
+    AlreadyExists,
     /// The term of the partition has changed since it was chosen.
     PartitionChanged,
     /// The transaction was not carried out, or its outcome is unknown.
@@ -183,7 +185,7 @@
                 let known = failed.iter().any(|k| {
                     k.starts_with(ACTIVE_JOB_PREFIX) || k.starts_with(TERMINAL_JOB_PREFIX)
                 });
-                if known { AcceptOutcome::Known } else { AcceptOutcome::PartitionChanged }
+                if known { AcceptOutcome::AlreadyExists } else { AcceptOutcome::PartitionChanged }
             }
             _ => AcceptOutcome::Failed,
         }
--- a/crates/quartzlever-core/src/jobs/submission/tests.rs
+++ b/crates/quartzlever-core/src/jobs/submission/tests.rs
@@ -93,7 +93,7 @@
         (5, vec![("live/req-1", 0), ("over/req-1", 0), ("parts/one", 5)]),
         (0, vec![("live/req-1", 0), ("over/req-1", 0)]),
     ] {
-        let entry = || Entry { partition: "one".into(), term };
+        let entry = || EntryPartition { partition: "one".into(), term };
         let planned = plan_acceptance(&spec(4), entry(), NOW, 16 * 1024).expect("it fits");
         let found: Vec<(&str, u64)> =
             planned.txn.conditions.iter().map(|c| (c.path.as_str(), c.mod_revision)).collect();
@@ -112,8 +112,8 @@
     };
     for (result, outcome) in [
         (Ok(StoreReply::Committed(7)), AcceptOutcome::Committed { mod_revision: 7 }),
-        (conflict(&["live/req-1"]), AcceptOutcome::Known),
-        (conflict(&["over/req-1", "parts/one"]), AcceptOutcome::Known),
+        (conflict(&["live/req-1"]), AcceptOutcome::AlreadyExists),
+        (conflict(&["over/req-1", "parts/one"]), AcceptOutcome::AlreadyExists),
         (conflict(&["parts/one"]), AcceptOutcome::PartitionChanged),
         (Ok(StoreReply::TooLarge), AcceptOutcome::Failed),
         (Err(CallError::Unknown), AcceptOutcome::Failed),
--- a/crates/quartzlever-core/src/jobs/user_requests.rs
+++ b/crates/quartzlever-core/src/jobs/user_requests.rs
@@ -27,11 +27,11 @@
 impl UserRequests {
     /// Reports whether a submission may be sent to the store now.
     pub fn admits_submission(&self, budget: &WriteBudget) -> bool {
-        self.calls_in_flight < MAX_SUBMISSIONS && !budget.exhausted()
+        self.calls_in_flight < MAX_SUBMISSIONS && !budget.is_exhausted()
     }
 
     /// Sends a call for a user, regardless of the limits.
-    pub fn call(&mut self, call: StoreCall, pending: PendingStoreCall, outbox: &mut Outbox) {
+    pub fn start_call(&mut self, call: StoreCall, pending: PendingStoreCall, outbox: &mut Outbox) {
         self.calls_in_flight += 1;
         outbox.call_store(CallPriority::User, call, pending);
     }
@@ -44,7 +44,7 @@
     /// Reads a job's record for a request in progress.
     pub fn read(&mut self, purpose: JobReadPurpose, outbox: &mut Outbox) {
         let call = StoreCall::Get(active_job_key(purpose.job()));
-        self.call(call, PendingStoreCall::ReadActiveJob { purpose }, outbox);
+        self.start_call(call, PendingStoreCall::ReadActiveJob { purpose }, outbox);
     }
 
     /// Reads a job's record for a new request, or rejects the request as retryable if
--- a/crates/quartzlever-core/src/jobs/user_requests/tests.rs
+++ b/crates/quartzlever-core/src/jobs/user_requests/tests.rs
@@ -38,6 +38,6 @@
     let mut budget = WriteBudget::new(NOW);
     assert!(requests.admits_submission(&budget));
     budget.spend(100);
-    assert_eq!(requests.admits_submission(&budget), !budget.exhausted());
-    assert!(budget.exhausted());
+    assert_eq!(requests.admits_submission(&budget), !budget.is_exhausted());
+    assert!(budget.is_exhausted());
 }
--- a/crates/quartzlever-core/src/leadership.rs
+++ b/crates/quartzlever-core/src/leadership.rs
@@ -5,14 +5,14 @@
 //! - `authority`: until when this process may act: while its lease is valid and its view fresh.
 //! - `partition_keys`: takeover, eviction, hand-back, and the writes of keys that are pending.
 //! - `reachability`: whether this node receives heartbeats from the workers of its partitions.
-//! - `awaited`: the conditions that a controller may be waiting for.
+//! - `unmet_conditions`: the conditions that a controller may be waiting for.
 //!
 //! No component here holds a partition's queue or machines. The router applies the effect of a
 //! lease or a key on them.
 
 pub(crate) mod authority;
-pub(crate) mod awaited;
 pub(crate) mod connectivity;
 pub(crate) mod lease;
 pub(crate) mod partition_keys;
 pub(crate) mod reachability;
+pub(crate) mod unmet_conditions;
--- a/crates/quartzlever-core/src/leadership/connectivity.rs
+++ b/crates/quartzlever-core/src/leadership/connectivity.rs
@@ -45,7 +45,7 @@
     }
 
     /// Reports whether the store has replied within [`UNREACHABLE_AFTER`].
-    pub fn is_reached(&self, now: Micros) -> bool {
+    pub fn is_reachable(&self, now: Micros) -> bool {
         now < self.last_reply_at + UNREACHABLE_AFTER
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Handles a reply of the store, which ends an outage.
-    pub fn store_replied(&mut self, now: Micros, outbox: &mut Outbox) {
+    pub fn record_store_reply(&mut self, now: Micros, outbox: &mut Outbox) {
         let duration = now.saturating_sub(self.last_reply_at);
         self.last_reply_at = now;
         self.isolated_at = None;
@@ -66,7 +66,7 @@
     }
 
     /// Handles a peer's reply that it reaches the store.
-    pub fn peer_reaches_store(&mut self, now: Micros, outbox: &mut Outbox) {
+    pub fn record_peer_reply(&mut self, now: Micros, outbox: &mut Outbox) {
         // A reply that arrives after the outage has ended says nothing about the present.
         if self.outage_logged && self.isolated_at.replace(now).is_none() {
             outbox.log(LogLevel::Info, || LogEvent::IsolatedFromStore);
@@ -75,7 +75,7 @@
 
     /// Asks the peers at intervals, while the store does not reply, whether they reach it.
     pub fn poll(&mut self, now: Micros, config: &Config, outbox: &mut Outbox) {
-        if self.is_reached(now) || now < self.last_peer_probe_at + PEER_PROBE_INTERVAL {
+        if self.is_reachable(now) || now < self.last_peer_probe_at + PEER_PROBE_INTERVAL {
             return;
         }
         self.last_peer_probe_at = now;
@@ -85,7 +85,7 @@
         }
         for node in config.nodes.iter().filter(|node| **node != config.node) {
             let request = PeerRequest::StoreConnectivity;
-            outbox.ask_peer(node, request, PendingPeerCall::StoreConnectivity);
+            outbox.call_peer(node, request, PendingPeerCall::StoreConnectivity);
         }
     }
 }
--- a/crates/quartzlever-core/src/leadership/connectivity/tests.rs
+++ b/crates/quartzlever-core/src/leadership/connectivity/tests.rs
@@ -21,12 +21,12 @@
         [(0, true, 0), (3_999, true, 0), (4_000, false, 1), (4_999, false, 0), (5_000, false, 1)]
     {
         let now = NOW + silent * 1_000;
-        assert_eq!(connectivity.is_reached(now), reached, "{silent}");
+        assert_eq!(connectivity.is_reachable(now), reached, "{silent}");
         assert_eq!(peers_asked(&mut connectivity, now), peers, "{silent}");
     }
     let now = NOW + 6 * SECOND;
-    connectivity.store_replied(now, &mut Outbox::new(LogLevel::Error, now));
-    assert!(connectivity.is_reached(now));
+    connectivity.record_store_reply(now, &mut Outbox::new(LogLevel::Error, now));
+    assert!(connectivity.is_reachable(now));
     assert_eq!(peers_asked(&mut connectivity, now), 0);
 }
 
@@ -34,14 +34,14 @@
 fn a_peer_reply_marks_the_node_isolated_for_three_seconds_or_until_the_store_replies() {
     let mut outbox = Outbox::new(LogLevel::Error, NOW);
     let mut connectivity = StoreConnectivity::new(NOW);
-    connectivity.peer_reaches_store(NOW, &mut outbox);
+    connectivity.record_peer_reply(NOW, &mut outbox);
     assert!(!connectivity.is_isolated(NOW), "no outage on this node");
     let now = NOW + 5 * SECOND;
     connectivity.poll(now, &core().config, &mut outbox);
     assert!(!connectivity.is_isolated(now), "an outage for every node");
-    connectivity.peer_reaches_store(now, &mut outbox);
+    connectivity.record_peer_reply(now, &mut outbox);
     assert!(connectivity.is_isolated(now + 3 * SECOND - 1));
     assert!(!connectivity.is_isolated(now + 3 * SECOND));
-    connectivity.store_replied(now + SECOND, &mut outbox);
+    connectivity.record_store_reply(now + SECOND, &mut outbox);
     assert!(!connectivity.is_isolated(now + SECOND));
 }
--- a/crates/quartzlever-core/src/leadership/partition_keys.rs
+++ b/crates/quartzlever-core/src/leadership/partition_keys.rs
@@ -47,20 +47,20 @@
 
 /// The inputs of a decision on a key other than the key itself.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Circumstances<'a> {
+pub(crate) struct KeyContext<'a> {
     pub now: Micros,
     pub config: &'a Config,
     /// Whether this node gave up a partition because it received no heartbeats from its workers.
-    pub is_cut_from_workers: bool,
+    pub is_isolated_from_workers: bool,
     /// How much later than this node another node may see a change through its watch.
     pub watch_delay: Micros,
 }
 
-impl Circumstances<'_> {
+impl KeyContext<'_> {
     /// Reports whether this node is a partition's home node. While it is cut off from the workers,
     /// it is the home of none.
     fn is_home(&self, name: &str) -> bool {
-        name == self.config.node && !self.is_cut_from_workers
+        name == self.config.node && !self.is_isolated_from_workers
     }
 }
 
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReleaseOutcome {
     /// The key was deleted, or had already changed.
-    GivenUp,
+    Released,
     /// The key was not changed, or the outcome is unknown; the release is retried.
     Failed,
 }
@@ -162,14 +162,14 @@
         &mut self,
         name: &str,
         key: Option<HeldKey<'a>>,
-        circumstances: &Circumstances<'_>,
+        key_context: &KeyContext<'_>,
         rng: &mut SmallRng,
     ) -> KeyDecision<'a> {
         match key {
-            None => self.decide_on_absent(name, circumstances, rng),
+            None => self.decide_on_absent(name, key_context, rng),
             Some(key) => {
                 self.absent_since.remove(name);
-                self.decide_on_held(name, key, circumstances)
+                self.decide_on_held(name, key, key_context)
             }
         }
     }
@@ -179,19 +179,19 @@
     fn decide_on_absent(
         &mut self,
         name: &str,
-        circumstances: &Circumstances<'_>,
+        key_context: &KeyContext<'_>,
         rng: &mut SmallRng,
     ) -> KeyDecision<'static> {
-        let now = circumstances.now;
-        let (grace, startup_grace) = if circumstances.is_home(name) {
+        let now = key_context.now;
+        let (grace, startup_grace) = if key_context.is_home(name) {
             (0, 0)
         } else {
             let spread = rng.random_range(0..SECOND);
             let peer_window =
-                if circumstances.is_cut_from_workers { PEER_TAKEOVER_WINDOW } else { 0 };
+                if key_context.is_isolated_from_workers { PEER_TAKEOVER_WINDOW } else { 0 };
             // The home node may learn of the release later than this node.
-            let watch_delay = circumstances.watch_delay;
-            let takeover_after = circumstances.config.operator.takeover_after;
+            let watch_delay = key_context.watch_delay;
+            let takeover_after = key_context.config.operator.takeover_after;
             (takeover_after + spread + peer_window + watch_delay, STARTUP_GRACE)
         };
         let since = *self.absent_since.entry(name.to_owned()).or_insert(now);
@@ -203,7 +203,7 @@
         &self,
         name: &str,
         key: HeldKey<'a>,
-        circumstances: &Circumstances<'_>,
+        key_context: &KeyContext<'_>,
     ) -> KeyDecision<'a> {
         let HeldKey { leader, mod_revision, is_outdated } = key;
         let is_own_node = leader.node == self.own_record.node;
@@ -213,20 +213,20 @@
         } else if is_outdated {
             KeyDecision::Evict { mod_revision }
         } else if is_own_node {
-            if self.releasing.contains(name) || self.is_handback_due(name, circumstances) {
+            if self.releasing.contains(name) || self.is_handback_due(name, key_context) {
                 KeyDecision::Release { mod_revision }
             } else {
                 KeyDecision::Keep
             }
-        } else if circumstances.is_home(name) {
+        } else if key_context.is_home(name) {
             KeyDecision::RequestHandback { leader: &leader.node }
         } else {
             KeyDecision::Keep
         }
     }
 
-    fn is_handback_due(&self, name: &str, circumstances: &Circumstances<'_>) -> bool {
-        let Circumstances { now, config, .. } = *circumstances;
+    fn is_handback_due(&self, name: &str, key_context: &KeyContext<'_>) -> bool {
+        let KeyContext { now, config, .. } = *key_context;
         name != self.own_record.node
             && self.handback_requests.get(name).is_some_and(|request| {
                 let requested_for = request.last.saturating_sub(request.since);
@@ -338,7 +338,7 @@
     ) -> ReleaseOutcome {
         self.pending_writes.remove(name);
         if matches!(result, Ok(StoreReply::Committed(_) | StoreReply::Conflict(_))) {
-            return ReleaseOutcome::GivenUp;
+            return ReleaseOutcome::Released;
         }
         self.retry_later(now, name);
         ReleaseOutcome::Failed
@@ -363,7 +363,7 @@
         }
         self.next_handback_request_at = now + HANDBACK_REQUEST_INTERVAL;
         let request = PeerRequest::HandBack { partition: self.own_record.node.clone() };
-        outbox.ask_peer(leader, request, PendingPeerCall::Notification);
+        outbox.call_peer(leader, request, PendingPeerCall::Notification);
     }
 
     /// Records that a home node has requested its partition.
--- a/crates/quartzlever-core/src/leadership/partition_keys/tests.rs
+++ b/crates/quartzlever-core/src/leadership/partition_keys/tests.rs
@@ -18,8 +18,8 @@
 }
 
 /// A node that receives heartbeats and whose peers see changes without delay.
-fn circumstances(config: &Config, now: Micros) -> Circumstances<'_> {
-    Circumstances { now, config, is_cut_from_workers: false, watch_delay: 0 }
+fn key_context(config: &Config, now: Micros) -> KeyContext<'_> {
+    KeyContext { now, config, is_isolated_from_workers: false, watch_delay: 0 }
 }
 
 #[test]
@@ -30,7 +30,7 @@
     let request = KeyDecision::RequestHandback { leader: "two" };
     // (partition, its leader's node and process, whether the leader is outdated, whether this node
     // is cut off from the workers, decision)
-    for (n, (name, node, process, is_outdated, is_cut_from_workers, decision)) in [
+    for (n, (name, node, process, is_outdated, is_isolated_from_workers, decision)) in [
         ("one", "one", 1, false, false, KeyDecision::Keep),
         ("two", "one", 1, false, false, KeyDecision::Keep),
         ("one", "one", 9, false, false, acquire),
@@ -48,8 +48,8 @@
         let leader = PartitionRecord { node: node.into(), process };
         let key = HeldKey { leader: &leader, mod_revision: 7, is_outdated };
         let mut rng = SmallRng::seed_from_u64(1);
-        let circumstances = Circumstances { is_cut_from_workers, ..circumstances(&config, NOW) };
-        let decided = keys().decide(name, Some(key), &circumstances, &mut rng);
+        let key_context = KeyContext { is_isolated_from_workers, ..key_context(&config, NOW) };
+        let decided = keys().decide(name, Some(key), &key_context, &mut rng);
         assert_eq!(decided, decision, "{n}");
     }
 }
@@ -60,7 +60,7 @@
     // (partition, seconds since this process started, whether it is cut off from the workers, watch
     // delay in seconds, earliest and latest seconds of absence after which it acquires the
     // partition)
-    for (n, (name, up, is_cut_from_workers, watch_delay, earliest, latest)) in [
+    for (n, (name, up, is_isolated_from_workers, watch_delay, earliest, latest)) in [
         ("one", 0, false, 0, 0, 0),
         // The configured 2 s, and a random delay of up to a second.
         ("two", 60, false, 0, 2, 3),
@@ -78,12 +78,12 @@
             let mut rng = SmallRng::seed_from_u64(seed);
             let mut keys = PartitionKeys::new("one", 1, NOW - up * SECOND);
             let acquired_after = (0..200).find(|tenths| {
-                let circumstances = Circumstances {
-                    is_cut_from_workers,
+                let key_context = KeyContext {
+                    is_isolated_from_workers,
                     watch_delay: watch_delay * SECOND,
-                    ..circumstances(&config, NOW + tenths * SECOND / 10)
+                    ..key_context(&config, NOW + tenths * SECOND / 10)
                 };
-                let decided = keys.decide(name, None, &circumstances, &mut rng);
+                let decided = keys.decide(name, None, &key_context, &mut rng);
                 decided == KeyDecision::Acquire { mod_revision: 0 }
             });
             let acquired_after = acquired_after.map(|tenths| tenths * SECOND / 10);
@@ -119,8 +119,8 @@
             keys.note_handback_request(NOW + second * SECOND, name);
         }
         let mut rng = SmallRng::seed_from_u64(1);
-        let circumstances = circumstances(&config, NOW + at * SECOND);
-        assert_eq!(keys.decide(name, Some(key), &circumstances, &mut rng), *decision, "{n}");
+        let key_context = key_context(&config, NOW + at * SECOND);
+        assert_eq!(keys.decide(name, Some(key), &key_context, &mut rng), *decision, "{n}");
     }
 }
 
@@ -156,7 +156,7 @@
     assert_eq!(release(&mut keys, now + SECOND / 4 - 1), 0);
     assert_eq!(release(&mut keys, now + SECOND / 4), 1);
     let conflict = Ok(StoreReply::Conflict(vec!["parts/two".into()]));
-    assert_eq!(keys.released(now, "two", &conflict), ReleaseOutcome::GivenUp);
+    assert_eq!(keys.released(now, "two", &conflict), ReleaseOutcome::Released);
     assert!(keys.is_releasing("two"), "the cache may still name this process");
     let ended = keys.acquired(now, "two", &Ok(StoreReply::NoLease));
     assert_eq!(ended, AcquireOutcome::LeaseEnded);
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -129,7 +129,7 @@
 
     /// Reports whether this node gave up a partition because it received no heartbeats from its
     /// workers and has reached none of them since.
-    pub fn is_cut_from_workers(&self) -> bool {
+    pub fn is_isolated_from_workers(&self) -> bool {
         self.probe_not_before.is_some()
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// Records that a partition is given up because a peer receives its workers' heartbeats.
-    pub fn give_up(&mut self, now: Micros, partition: &str, term: u64, outbox: &mut Outbox) {
+    pub fn record_release(&mut self, now: Micros, partition: &str, term: u64, outbox: &mut Outbox) {
         outbox.log(LogLevel::Info, || LogEvent::WorkersUnreachable {
             partition: partition.to_owned(),
             term,
@@ -284,7 +284,7 @@
     }
 
     /// Handles the outcome of a probe: whether the machine answered.
-    pub fn probed(&mut self, is_reached: bool, outbox: &mut Outbox) {
+    pub fn handle_probe_result(&mut self, is_reached: bool, outbox: &mut Outbox) {
         if is_reached && self.probe_not_before.take().is_some() {
             outbox.log(LogLevel::Info, || LogEvent::WorkersReachable);
         }
--- a/crates/quartzlever-core/src/leadership/reachability/tests.rs
+++ b/crates/quartzlever-core/src/leadership/reachability/tests.rs
@@ -23,10 +23,10 @@
         let mut last = 0;
         for at in *times {
             if at - last > 10 {
-                reachability.probed(true, &mut outbox);
+                reachability.handle_probe_result(true, &mut outbox);
             }
             last = *at;
-            reachability.give_up(at * SECOND, "one", 5, &mut outbox);
+            reachability.record_release(at * SECOND, "one", 5, &mut outbox);
         }
         assert_eq!(reachability.backoff, backoff * SECOND, "{times:?}");
     }
@@ -126,19 +126,19 @@
     let mut unused_outbox = Outbox::new(LogLevel::Error, NOW);
     let mut reachability = Reachability::new(NOW);
     assert!(probe(&mut reachability, NOW, &machines).is_empty(), "no partition was given up");
-    reachability.give_up(NOW, "one", 5, &mut unused_outbox);
+    reachability.record_release(NOW, "one", 5, &mut unused_outbox);
     let due = NOW + INITIAL_BACKOFF;
     assert!(probe(&mut reachability, due - 1, &machines).is_empty());
     assert_eq!(probe(&mut reachability, due, &machines), ["n-2:9000"]);
     assert!(probe(&mut reachability, due + 2 * SECOND - 1, &machines).is_empty());
-    reachability.probed(false, &mut unused_outbox);
-    assert!(reachability.is_cut_from_workers());
+    reachability.handle_probe_result(false, &mut unused_outbox);
+    assert!(reachability.is_isolated_from_workers());
     assert_eq!(probe(&mut reachability, due + 2 * SECOND, &machines), ["n-2:9000"]);
-    reachability.probed(true, &mut unused_outbox);
-    assert!(!reachability.is_cut_from_workers());
+    reachability.handle_probe_result(true, &mut unused_outbox);
+    assert!(!reachability.is_isolated_from_workers());
     // Without machines to probe, the node no longer counts as cut off.
-    reachability.give_up(due + 3 * SECOND, "one", 5, &mut unused_outbox);
-    assert!(reachability.is_cut_from_workers());
+    reachability.record_release(due + 3 * SECOND, "one", 5, &mut unused_outbox);
+    assert!(reachability.is_isolated_from_workers());
     assert!(probe(&mut reachability, due + 60 * SECOND, &MachineRecords::new()).is_empty());
-    assert!(!reachability.is_cut_from_workers());
+    assert!(!reachability.is_isolated_from_workers());
 }
--- a/crates/quartzlever-core/src/leadership/awaited.rs
+++ b/crates/quartzlever-core/src/leadership/unmet_conditions.rs
@@ -8,7 +8,7 @@
 
 /// An unmet condition that keeps a controller or one of its partitions from making progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Awaited {
+pub enum UnmetCondition {
     /// A lease in the store that is certainly valid.
     Lease,
     /// The announcement of this process's version.
@@ -22,7 +22,7 @@
     /// A partition to act for.
     Partition,
     /// A partition whose key names this process although the process does not act for it.
-    Unattended { partition: String },
+    HeldWithoutLeadership { partition: String },
     /// The records up to the revision at which a partition was acquired.
     PartitionRecords { partition: String },
     /// Verification that a partition's machines run no tasks of earlier leaders; `machines` are not
@@ -32,27 +32,29 @@
     /// scale-out request.
     Machines { partition: String, ready: u32 },
     /// Write budget: the account for the store's write limit is in debt.
-    ChangeBudget,
+    WriteBudget,
 }
 
-impl fmt::Display for Awaited {
+impl fmt::Display for UnmetCondition {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Awaited::Lease => f.write_str("a lease"),
-            Awaited::Announcement => f.write_str("its version announcement"),
-            Awaited::Records => f.write_str("the records"),
-            Awaited::FreshView => f.write_str("a fresh view"),
-            Awaited::Catalogue => f.write_str("the catalogue"),
-            Awaited::Partition => f.write_str("a partition"),
-            Awaited::Unattended { partition } => write!(f, "{partition}: key held, not active"),
-            Awaited::PartitionRecords { partition } => write!(f, "{partition}: records"),
-            Awaited::Recovery { partition, machines } => {
+            UnmetCondition::Lease => f.write_str("a lease"),
+            UnmetCondition::Announcement => f.write_str("its version announcement"),
+            UnmetCondition::Records => f.write_str("the records"),
+            UnmetCondition::FreshView => f.write_str("a fresh view"),
+            UnmetCondition::Catalogue => f.write_str("the catalogue"),
+            UnmetCondition::Partition => f.write_str("a partition"),
+            UnmetCondition::HeldWithoutLeadership { partition } => {
+                write!(f, "{partition}: key held, not active")
+            }
+            UnmetCondition::PartitionRecords { partition } => write!(f, "{partition}: records"),
+            UnmetCondition::Recovery { partition, machines } => {
                 write!(f, "{partition}: verification of {machines} machines")
             }
-            Awaited::Machines { partition, ready } => {
+            UnmetCondition::Machines { partition, ready } => {
                 write!(f, "{partition}: machines for {ready} tasks")
             }
-            Awaited::ChangeBudget => f.write_str("write budget"),
+            UnmetCondition::WriteBudget => f.write_str("write budget"),
         }
     }
 }
--- a/crates/quartzlever-core/src/lib.rs
+++ b/crates/quartzlever-core/src/lib.rs
@@ -45,7 +45,7 @@
 
 pub use config::{Config, Operator, ServiceLevelObjective, Team, WorkerTimes};
 pub use events::LogEvent;
-pub use leadership::awaited::Awaited;
+pub use leadership::unmet_conditions::UnmetCondition;
 pub use messages::{Answer, CallId, CallPriority, Command, Effect, LogLevel, RequestId};
 pub use router::Core;
 pub use upgrade::VERSION;
--- a/crates/quartzlever-core/src/machines/attempt.rs
+++ b/crates/quartzlever-core/src/machines/attempt.rs
@@ -10,7 +10,7 @@
 use quartzlever_wire::{Micros, micros_from_secs};
 
 pub use crate::calls::AttemptKey;
-use crate::jobs::partition_job::yields;
+use crate::jobs::partition_job::is_cheap_to_preempt;
 use crate::machines::resources::Resources;
 
 /// The outcome of the last direct call that carried an attempt's `run` command.
@@ -28,7 +28,7 @@
 /// An attempt that is or may be on a machine.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    pub need: Resources,
+    pub required_resources: Resources,
     pub priority: Priority,
     /// Team of the job; empty if the job is not known here.
     pub team: String,
@@ -36,9 +36,9 @@
     pub class: String,
     pub image: String,
     /// Run time that the job's owner estimated.
-    pub expect: Micros,
+    pub expected_run_time: Micros,
     /// When the attempt was placed here or first seen in a heartbeat.
-    pub since: Micros,
+    pub placed_at: Micros,
     /// When a heartbeat first reported it as running.
     pub running_since: Option<Micros>,
     pub phase: Option<TaskPhase>,
@@ -52,14 +52,14 @@
     /// that the answer may still be in flight. Answers and direct commands use different
     /// connections, so a late answer would start the attempt again if it had been killed and
     /// cleared in the meantime.
-    pub in_answer: bool,
+    pub run_in_answer: bool,
     /// Whether its end has been processed.
-    pub accounted: bool,
+    pub end_processed: bool,
     /// Whether its `run` command was sent to the worker's address at least once.
-    pub sent: bool,
+    pub run_sent: bool,
     /// Whether it is a best-effort task with checkpoints, which loses almost nothing when
     /// preempted.
-    pub yields: bool,
+    pub is_cheap_to_preempt: bool,
     /// Whether it is a replica of a service.
     pub service: bool,
     /// Earliest time at which its job may have ended.
@@ -67,51 +67,51 @@
     /// Whether its `run` may wait for the answer to the next heartbeat instead of a direct call.
     pub can_wait_for_heartbeat: bool,
     /// When a direct call last carried its `kill`.
-    pub kill_sent: Option<Micros>,
+    pub kill_sent_at: Option<Micros>,
 }
 
 impl Attempt {
     /// Reports whether the worker reported it as exited.
-    pub fn exited(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         self.phase == Some(TaskPhase::Exited)
     }
 
     /// Copies the details that the attempt takes from its job.
     pub fn set_job_details(&mut self, job: &JobSpec) {
-        self.need = Resources::required_by(job);
+        self.required_resources = Resources::required_by(job);
         self.priority = job.priority;
         self.service = job.is_service();
-        self.yields = yields(job);
+        self.is_cheap_to_preempt = is_cheap_to_preempt(job);
         self.team.clone_from(&job.team);
         self.class.clone_from(&job.class);
         self.image.clone_from(&job.image);
-        self.expect = micros_from_secs(job.expect_s);
+        self.expected_run_time = micros_from_secs(job.expect_s);
     }
 
     /// Returns an attempt whose job and state are not known yet.
     pub(super) fn without_job(now: Micros) -> Self {
         Attempt {
-            need: Resources::default(),
+            required_resources: Resources::default(),
             priority: Priority::BestEffort,
             team: String::new(),
             class: String::new(),
             image: String::new(),
-            expect: 0,
-            since: now,
+            expected_run_time: 0,
+            placed_at: now,
             running_since: None,
             phase: None,
             cause: None,
             wanted: true,
             leeway_s: 0.0,
             direct_command: DirectCommand::Settled,
-            in_answer: false,
-            accounted: false,
-            sent: false,
+            run_in_answer: false,
+            end_processed: false,
+            run_sent: false,
             service: false,
-            yields: false,
+            is_cheap_to_preempt: false,
             job_terminal_since: None,
             can_wait_for_heartbeat: false,
-            kill_sent: None,
+            kill_sent_at: None,
         }
     }
 
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -59,19 +59,19 @@
         if attempt.running_since.is_none() {
             attempt.running_since = Some(now);
             if config.log_level >= LogLevel::Debug {
-                let submitted = self.jobs.get(&task.job).map_or(now, |job| job.since);
+                let submitted = self.jobs.get(&task.job).map_or(now, |job| job.submitted_at);
                 self.log_events.push(LogEvent::TaskRunning {
                     partition: self.name.clone(),
                     job: task.job.clone(),
                     task: task.index,
                     machine: machine_name.to_owned(),
                     class: attempt.class.clone(),
-                    since_placement: now - attempt.since,
+                    since_placement: now - attempt.placed_at,
                     since_submission: now - submitted,
                 });
             }
         }
-        if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| j.service()) {
+        if let Some(job) = self.jobs.get_mut(&task.job).filter(|j| j.is_service()) {
             job.record_start();
             if attempt.running_since.is_some_and(|t| now.saturating_sub(t) > REPLICA_HEALTHY_AFTER)
             {
@@ -93,7 +93,7 @@
     ) {
         let status = ended.status;
         let job = self.jobs.get_mut(&status.task.job);
-        if let Some(job) = job.filter(|job| job.service())
+        if let Some(job) = job.filter(|job| job.is_service())
             && (ended.run_time.is_some_and(|run_time| run_time > REPLICA_HEALTHY_AFTER)
                 || status.cause == Some(Cause::Done))
         {
@@ -121,15 +121,15 @@
             machine.failures.reset();
             if let Some(run_time) = ended.run_time.filter(|_| ended.expect > 0) {
                 let pace = (run_time.saturating_mul(1000) / ended.expect).min(1_000_000) as u32;
-                machine.pace.push(run_times.relative(&ended.class, pace));
+                machine.recent_paces.push(run_times.relative(&ended.class, pace));
                 run_times.learn(&ended.class, pace);
-                if machine.pace.len() > MAX_RECENT_PACES {
-                    machine.pace.remove(0);
+                if machine.recent_paces.len() > MAX_RECENT_PACES {
+                    machine.recent_paces.remove(0);
                 }
             }
         }
         let is_first_success = self.jobs.get(&task.job).is_some_and(|job| job.succeeded == 0);
-        self.finish(&task.job, task.index, now);
+        self.record_finished_task(&task.job, task.index, now);
         if is_first_success {
             self.record_success_elsewhere(&task.job);
         }
@@ -144,7 +144,12 @@
         let id = &ended.status.task.job;
         let Some(job) = self.jobs.get_mut(id) else { return };
         let failed_everywhere_before = job.fails_everywhere();
-        job.failures.note(ended.machine, ended.placed_at, ended.run_time.unwrap_or(0), now);
+        job.failures.record_failure(
+            ended.machine,
+            ended.placed_at,
+            ended.run_time.unwrap_or(0),
+            now,
+        );
         let (has_succeeded, on_multiple_machines) =
             (job.succeeded > 0, job.failures.on_multiple_machines());
         if on_multiple_machines {
@@ -168,7 +173,7 @@
 
     /// Stops treating a job as failing everywhere once one of its attempts has outlasted the failed
     /// ones.
-    pub(crate) fn try_to_clear(&mut self, config: &Config, id: &str, now: Micros) {
+    pub(crate) fn clear_failures_if_outlasted(&mut self, config: &Config, id: &str, now: Micros) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.fails_everywhere()) else { return };
         // A heartbeat may report a start or a failure one interval late.
         let margin = config.workers.heartbeat_interval * 2;
@@ -179,7 +184,7 @@
             };
             let attempt = self.machines.get(&place.machine).and_then(|m| m.attempts.get(&key));
             let since = attempt
-                .filter(|attempt| !attempt.exited())
+                .filter(|attempt| !attempt.has_exited())
                 .and_then(|attempt| attempt.running_since);
             if let Some(since) = since {
                 job.failures.record_running_for(now.saturating_sub(since), margin);
--- a/crates/quartzlever-core/src/machines/call_queue.rs
+++ b/crates/quartzlever-core/src/machines/call_queue.rs
@@ -49,12 +49,12 @@
     }
 
     /// Cancels all fencing calls, as every machine is verified.
-    pub(super) fn all_verified(&mut self) {
+    pub(super) fn clear_unfenced(&mut self) {
         self.unfenced.clear();
     }
 
     /// Removes a machine that left the partition.
-    pub(super) fn forget(&mut self, machine: &str) {
+    pub(super) fn remove(&mut self, machine: &str) {
         self.urgent.remove(machine);
         self.unfenced.remove(machine);
     }
--- a/crates/quartzlever-core/src/machines/call_queue/tests.rs
+++ b/crates/quartzlever-core/src/machines/call_queue/tests.rs
@@ -8,8 +8,8 @@
 /// Returns a core whose machine n-1 has sent a heartbeat and has a task to start.
 fn core_with_urgent_machine() -> Core {
     let mut core = core();
-    core.reconcile_job(record("0-3", ""), 10);
-    ready_machine(&mut core);
+    core.reconcile_job(job_record("0-3", ""), 10);
+    make_machine_usable(&mut core);
     let partition = core.partitions.get_mut("one").expect("partition one is led here");
     partition.start("req-1", 0, "n-1", NOW);
     core
@@ -74,8 +74,8 @@
     let steps: [Step; 4] = [
         (|_| {}, true),
         (|queue| queue.mark_fenced("n-1"), false),
-        (|queue| queue.forget("n-1"), false),
-        (|queue| queue.all_verified(), false),
+        (|queue| queue.remove("n-1"), false),
+        (|queue| queue.clear_unfenced(), false),
     ];
     for (n, (step, called)) in steps.into_iter().enumerate() {
         let core = core();
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -58,10 +58,10 @@
         let mut commands = Vec::new();
         for (key, state) in &self.attempts {
             let (task, attempt) = (key.task.clone(), key.attempt);
-            if state.exited() {
+            if state.has_exited() {
                 let no_run_in_flight =
-                    state.direct_command == DirectCommand::Settled && !state.in_answer;
-                if state.accounted && no_run_in_flight && may_clear(key, state) {
+                    state.direct_command == DirectCommand::Settled && !state.run_in_answer;
+                if state.end_processed && no_run_in_flight && may_clear(key, state) {
                     commands.push(WorkerCommand::Clear { task, attempt });
                 }
             } else if !state.wanted && state.phase.is_some() {
@@ -75,7 +75,7 @@
             // Repeating a `run` that the worker has already executed has no effect. An unwanted
             // attempt that was never reported gets no command: it is removed once a later heartbeat
             // proves that the worker does not have it.
-            if state.wanted && !state.exited() && state.phase.is_none() {
+            if state.wanted && !state.has_exited() && state.phase.is_none() {
                 commands.push(WorkerCommand::Run { task: key.task.clone(), attempt: key.attempt });
             }
         }
@@ -95,17 +95,17 @@
     fn record_direct_commands(&mut self, now: Micros) -> Vec<AttemptKey> {
         let mut run_attempts = Vec::new();
         for (key, attempt) in &mut self.attempts {
-            if attempt.exited() {
+            if attempt.has_exited() {
                 continue;
             }
             if attempt.wanted && attempt.phase.is_none() {
-                attempt.sent = true;
+                attempt.run_sent = true;
                 if attempt.direct_command == DirectCommand::Settled {
                     attempt.direct_command = DirectCommand::InFlight;
                 }
                 run_attempts.push(key.clone());
             } else if !attempt.wanted {
-                attempt.kill_sent = Some(now);
+                attempt.kill_sent_at = Some(now);
             }
         }
         run_attempts
@@ -153,7 +153,7 @@
         until: Micros,
         outbox: &mut Outbox,
     ) {
-        if !self.active() {
+        if !self.is_loaded() {
             return;
         }
         let limits = CallLimits {
@@ -171,7 +171,7 @@
     /// heartbeat, so a processor that lacks time for both first waits half an interval for
     /// heartbeats.
     fn max_fencing_calls(&self, config: &Config, now: Micros) -> usize {
-        let since = now.saturating_sub(self.acquired);
+        let since = now.saturating_sub(self.acquired_at);
         let heartbeat_interval = config.workers.heartbeat_interval;
         let near_capacity = self.machines.len() > config.machine_capacity / 2;
         match since {
@@ -191,7 +191,7 @@
         until: Micros,
         outbox: &mut Outbox,
     ) {
-        if !self.active() {
+        if !self.is_loaded() {
             return;
         }
         let late = config.late_heartbeat_after();
@@ -202,7 +202,7 @@
                 m.verified
                     && now.saturating_sub(m.last_heartbeat_at) > late
                     && m.can_be_called(now)
-                    && m.serves()
+                    && m.has_service_replicas()
             })
             .map(|m| m.name.clone())
             .take(MAX_WORKER_CALLS.saturating_sub(outbox.worker_calls_in_flight()))
@@ -242,7 +242,7 @@
     }
 
     /// Processes the end of a direct call that this partition made under its current term.
-    pub(crate) fn worker_replied(
+    pub(crate) fn handle_worker_reply(
         &mut self,
         config: &Config,
         run_times: &mut RunTimes,
@@ -270,7 +270,7 @@
             }
             Err(_) => {
                 machine.record_failed_call(now);
-                self.refresh(&call.machine);
+                self.refresh_machine(&call.machine);
                 DirectCallOutcome::NoStatus
             }
         }
@@ -279,7 +279,7 @@
     /// Returns the answer to a heartbeat; `None` if the partition does not have the machine.
     /// `is_newer` says whether the heartbeat was newer than the known state, and `is_over` reports
     /// whether a job has ended.
-    pub(crate) fn answer_to(
+    pub(crate) fn heartbeat_answer(
         &mut self,
         heartbeat: &Heartbeat,
         is_newer: bool,
@@ -307,9 +307,9 @@
             // The machine keeps a finished task until the job's record in the store lists it as
             // finished.
             attempt.cause != Some(Cause::Done)
-                || jobs
-                    .get(&key.task.job)
-                    .is_none_or(|job| job.service() || job.record.finished.contains(key.task.index))
+                || jobs.get(&key.task.job).is_none_or(|job| {
+                    job.is_service() || job.record.finished.contains(key.task.index)
+                })
         });
         // Any command in an answer makes the worker send another heartbeat at once. An exited
         // attempt does no harm on the worker, so its `clear` waits for another kind of command or
@@ -320,8 +320,8 @@
         }
         for attempt in machine.attempts.values_mut() {
             if attempt.wanted && attempt.phase.is_none() {
-                attempt.sent = true;
-                attempt.in_answer |= in_answer;
+                attempt.run_sent = true;
+                attempt.run_in_answer |= in_answer;
             }
         }
         commands
--- a/crates/quartzlever-core/src/machines/commands/tests.rs
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -18,7 +18,7 @@
         (true, true, true, false),
     ] {
         let mut core = core();
-        core.reconcile_job(record("0", "1-3"), 10);
+        core.reconcile_job(job_record("0", "1-3"), 10);
         let config = core.config.clone();
         let Some(partition) = core.partitions.get_mut("one") else { unreachable!() };
         let mut run_times = RunTimes::default();
@@ -80,7 +80,7 @@
         (0, true, true, 1, 0),
     ] {
         let mut core = core();
-        core.reconcile_job(record("0-9", ""), 10);
+        core.reconcile_job(job_record("0-9", ""), 10);
         let config = core.config.clone();
         let Some(partition) = core.partitions.get_mut("one") else { unreachable!() };
         let mut run_times = RunTimes::default();
@@ -125,7 +125,7 @@
     for (machine_capacity, within, called) in
         [(100, None, true), (1, None, false), (1, Some(2), true)]
     {
-        let mut core = with_leaders(machine_capacity);
+        let mut core = core_with_leaders(machine_capacity);
         core.config.objectives = within
             .map(|s| ServiceLevelObjective::Wait {
                 class: spec(1).class,
@@ -148,7 +148,7 @@
                 (machine.incarnation, machine.last_heartbeat_at) = (1, NOW);
             }
             for machine_name in ["n-1", "n-2"] {
-                partition.refresh(machine_name);
+                partition.refresh_machine(machine_name);
             }
         }
         core.reconcile_job(record_of(1, 1, "one"), 10);
@@ -193,7 +193,7 @@
     ] {
         let mut core = core();
         if active {
-            core.reconcile_job(record("0-3", ""), 4);
+            core.reconcile_job(job_record("0-3", ""), 4);
         }
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.add_machine("n-2", machine_record_of("n-2", "one"), !before, NOW);
@@ -278,8 +278,8 @@
         ("unknown", Err(CallError::Unknown), OutcomeUnknown, false),
     ] {
         let mut core = core();
-        core.reconcile_job(record("0-3", ""), 10);
-        ready_machine(&mut core);
+        core.reconcile_job(job_record("0-3", ""), 10);
+        make_machine_usable(&mut core);
         let config = core.config.clone();
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.start("req-1", 0, "n-1", NOW);
@@ -294,7 +294,7 @@
         };
         assert_eq!(direct_command(partition), Some(DirectCommand::InFlight), "{name}");
         let run_times = &mut RunTimes::default();
-        partition.worker_replied(&config, run_times, *call_id, &call, result, NOW);
+        partition.handle_worker_reply(&config, run_times, *call_id, &call, result, NOW);
         assert_eq!(direct_command(partition), Some(expected), "{name}");
         assert_eq!(partition.machines["n-1"].can_be_called(NOW), can_be_called, "{name}");
     }
--- a/crates/quartzlever-core/src/machines/failures.rs
+++ b/crates/quartzlever-core/src/machines/failures.rs
@@ -39,7 +39,13 @@
 
 impl JobFailures {
     /// Records the failure of an attempt that was placed at `placed_at` and ran for `run_time`.
-    pub fn note(&mut self, machine: &str, placed_at: Micros, run_time: Micros, now: Micros) {
+    pub fn record_failure(
+        &mut self,
+        machine: &str,
+        placed_at: Micros,
+        run_time: Micros,
+        now: Micros,
+    ) {
         self.record_round(placed_at, now);
         self.machines.insert(machine.to_owned());
         self.longest_failed_run = self.longest_failed_run.max(run_time);
@@ -61,7 +67,7 @@
     }
 
     /// Reports whether a task failed on this machine.
-    pub fn includes(&self, machine: &str) -> bool {
+    pub fn has_failed_on(&self, machine: &str) -> bool {
         self.machines.contains(machine)
     }
 
@@ -76,7 +82,7 @@
     }
 
     /// Returns the time of the last failure.
-    pub fn last(&self) -> Micros {
+    pub fn last_failure_at(&self) -> Micros {
         self.last_failure_at
     }
 
@@ -87,7 +93,7 @@
 
     /// Reports whether the failures count against the job. The caller checks that no task of it has
     /// succeeded.
-    pub fn blame_job(&self) -> bool {
+    pub fn is_job_at_fault(&self) -> bool {
         self.machines.len() >= FAILS_EVERYWHERE_AFTER_MACHINES && !self.outlasted_failures
     }
 
@@ -98,7 +104,7 @@
     }
 
     /// Clears the record, so that earlier failures no longer count.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         *self = JobFailures::default();
     }
 }
@@ -167,7 +173,7 @@
     }
 
     /// Reports whether the failures count against the machine.
-    pub fn blame_machine(&self, now: Micros) -> bool {
+    pub fn is_machine_at_fault(&self, now: Micros) -> bool {
         let runs_elsewhere = self.count >= MIN_FAILURES_FOR_FAULT
             && self.jobs.values().any(|elsewhere| *elsewhere == OutcomeElsewhere::RunsWell);
         runs_elsewhere || (self.several_jobs_failed_only_here() && self.retry_window_elapsed(now))
@@ -175,7 +181,7 @@
 
     /// Reports whether the failures may be due to either the machine or the jobs. The machine gets
     /// no new tasks until that is decided.
-    pub fn in_doubt(&self, now: Micros) -> bool {
+    pub fn is_undecided(&self, now: Micros) -> bool {
         self.several_jobs_failed_only_here() && !self.retry_window_elapsed(now)
     }
 
--- a/crates/quartzlever-core/src/machines/failures/tests.rs
+++ b/crates/quartzlever-core/src/machines/failures/tests.rs
@@ -16,7 +16,7 @@
         let placed_at = now;
         for machine in ["n-1", "n-2", "n-3", "n-4"] {
             now += SECOND / 10;
-            failures.note(machine, placed_at, SECOND, now);
+            failures.record_failure(machine, placed_at, SECOND, now);
             assert_eq!(failures.retry_delay(), delay_s * SECOND);
         }
         now += failures.retry_delay();
@@ -38,7 +38,7 @@
     ] {
         let mut failures = JobFailures::default();
         for machine in 0..machines {
-            failures.note(
+            failures.record_failure(
                 &format!("n-{machine}"),
                 NOW,
                 failed_run * SECOND,
@@ -46,12 +46,12 @@
             );
         }
         failures.record_running_for(running_for * SECOND, 12 * SECOND);
-        assert_eq!(failures.blame_job(), at_fault, "{machines} {failed_run} {running_for}");
+        assert_eq!(failures.is_job_at_fault(), at_fault, "{machines} {failed_run} {running_for}");
         // A new round of failures cancels the evidence of the attempt that outlasted the earlier
         // ones.
-        failures.note("n-0", NOW + 60 * SECOND, failed_run * SECOND, NOW + 90 * SECOND);
+        failures.record_failure("n-0", NOW + 60 * SECOND, failed_run * SECOND, NOW + 90 * SECOND);
         assert_eq!(
-            failures.blame_job(),
+            failures.is_job_at_fault(),
             machines >= 3,
             "{machines} {failed_run} {running_for} again"
         );
@@ -98,10 +98,10 @@
             }
         }
         for (at, at_fault) in [NOW, NOW + 30 * SECOND].into_iter().zip(at_fault) {
-            assert_eq!(failures.blame_machine(at), at_fault, "{name}");
-            assert!(!(at_fault && failures.in_doubt(at)), "{name}");
+            assert_eq!(failures.is_machine_at_fault(at), at_fault, "{name}");
+            assert!(!(at_fault && failures.is_undecided(at)), "{name}");
         }
         failures.reset();
-        assert!(!failures.blame_machine(NOW + 60 * SECOND), "{name}: a task has completed");
+        assert!(!failures.is_machine_at_fault(NOW + 60 * SECOND), "{name}: a task has completed");
     }
 }
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -60,7 +60,7 @@
         {
             return HeartbeatRoute::Own { partition: name.clone() };
         }
-        if !self.cache.loaded() {
+        if !self.cache.is_loaded() {
             return HeartbeatRoute::CacheNotLoaded;
         }
         if let Some(record) = self.cache.machine_record(machine) {
@@ -94,7 +94,7 @@
         let partition = launched_for
             .and_then(|p| self.partitions.get(p))
             .or_else(|| self.partitions.get(self.node))
-            .filter(|p| p.active());
+            .filter(|p| p.is_loaded());
         let Some(partition) = partition else { return Claimant::NotEntitled };
         if !may_act || partition.autoscaling.terminated.contains(machine) {
             return Claimant::NotEntitled;
@@ -113,7 +113,7 @@
     pub(crate) fn is_entitled_to_answer(&self, heartbeat: &Heartbeat) -> bool {
         // A later fencing token means that a later term has begun, even if the watch has not
         // reported it yet.
-        self.active() && heartbeat.fencing_token <= self.term
+        self.is_loaded() && heartbeat.fencing_token <= self.term
     }
 }
 
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -29,7 +29,7 @@
         ("n-9", Some("two"), true, "one", unclaimed(Some("two"))),
         ("n-9", Some("three"), true, "two", unclaimed(Some("three"))),
     ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", leader, 6)]);
         let records = [("n-7".into(), machine_record_of("n-7", "two"))].into();
         core.apply_group_change(&large_group_key("n-7"), records, 9);
         core.cache.set_loaded(loaded);
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -35,14 +35,14 @@
     pub last_answered_at: Micros,
     pub idle_since: Option<Micros>,
     /// The approximate time at which the cloud reclaims the spot instance, if it gave notice.
-    pub spot_notice_until: Option<Micros>,
+    pub spot_reclaim_at: Option<Micros>,
     pub attempts: BTreeMap<AttemptKey, Attempt>,
-    /// The free capacity, kept up to date by `Partition::refresh`.
+    /// The free capacity, kept up to date by `Partition::refresh_machine`.
     pub free: Resources,
     /// Consecutive failed direct calls since the last newer status.
     pub failed_calls: u32,
     /// Consecutive heartbeats that show no effect of the answers to earlier ones.
-    pub unacknowledged: u32,
+    pub unacknowledged_heartbeats: u32,
     /// When the first of these heartbeats arrived.
     pub unacknowledged_since: Micros,
     /// When a heartbeat without this term's fencing token last arrived, which may be a late copy.
@@ -57,7 +57,7 @@
     /// Task failures on the machine since the last task that succeeded here.
     pub failures: MachineFailures,
     /// Run times of the latest tasks relative to the usual run time of their class, in thousandths.
-    pub pace: Vec<u32>,
+    pub recent_paces: Vec<u32>,
 }
 
 impl Machine {
@@ -73,11 +73,11 @@
             last_heartbeat_at: now,
             last_answered_at: now,
             idle_since: Some(now),
-            spot_notice_until: None,
+            spot_reclaim_at: None,
             attempts: BTreeMap::new(),
             free: Resources::default(),
             failed_calls: 0,
-            unacknowledged: 0,
+            unacknowledged_heartbeats: 0,
             unacknowledged_since: 0,
             stale_heartbeat_at: 0,
             images: BTreeSet::new(),
@@ -86,24 +86,24 @@
             scaling_in: false,
             scale_in_reason: None,
             failures: MachineFailures::default(),
-            pace: Vec::new(),
+            recent_paces: Vec::new(),
         }
     }
 
     /// Reports whether the machine may get new tasks, provided that its heartbeats keep arriving.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         self.fenced
             && self.incarnation > 0
             && !self.scaling_in
             && self.scale_in_reason.is_none()
-            && self.spot_notice_until.is_none()
+            && self.spot_reclaim_at.is_none()
             && self.failed_calls == 0
-            && self.unacknowledged == 0
+            && self.unacknowledged_heartbeats == 0
     }
 
     /// Reports whether any service replica is meant to run on the machine.
-    pub fn serves(&self) -> bool {
-        self.attempts.values().any(|a| a.service && a.wanted && !a.exited())
+    pub fn has_service_replicas(&self) -> bool {
+        self.attempts.values().any(|a| a.service && a.wanted && !a.has_exited())
     }
 
     /// Reports whether an unwanted attempt is still not confirmed as ended after `exit_timeout`.
@@ -111,17 +111,17 @@
     /// This concerns attempts whose job is over, and attempts that were never reported although
     /// their `run` command may still arrive: no status will ever confirm the end of those.
     pub fn has_lingering_attempt(&self, now: Micros, exit_timeout: Micros) -> bool {
-        self.attempts.values().filter(|a| !a.wanted && !a.exited()).any(|a| {
+        self.attempts.values().filter(|a| !a.wanted && !a.has_exited()).any(|a| {
             let unconfirmed =
                 a.phase.is_none() && a.direct_command == DirectCommand::OutcomeUnknown;
-            let since = a.job_terminal_since.or(unconfirmed.then_some(a.since));
+            let since = a.job_terminal_since.or(unconfirmed.then_some(a.placed_at));
             since.is_some_and(|t| now.saturating_sub(t) > exit_timeout)
         })
     }
 
     /// Reports whether the machine sends heartbeats but does not act on the answers to them.
     pub fn ignores_commands(&self, now: Micros, heartbeat_interval: Micros) -> bool {
-        self.unacknowledged >= MIN_UNACKNOWLEDGED_HEARTBEATS
+        self.unacknowledged_heartbeats >= MIN_UNACKNOWLEDGED_HEARTBEATS
             && now.saturating_sub(self.unacknowledged_since) >= heartbeat_interval
     }
 
@@ -136,11 +136,11 @@
             entry.is_some_and(|(_, attempt)| {
                 attempt.phase == Some(status.phase)
                     && attempt.cause == status.cause
-                    && (status.phase != TaskPhase::Exited || attempt.accounted)
+                    && (status.phase != TaskPhase::Exited || attempt.end_processed)
                     && (status.phase != TaskPhase::Running || attempt.running_since.is_some())
             })
         };
-        self.usable()
+        self.is_usable()
             && self.verified
             && heartbeat.incarnation == self.incarnation
             && heartbeat.warning_s.is_none()
@@ -155,61 +155,64 @@
     /// A worker has one heartbeat in flight at a time, so a newer heartbeat proves that the worker
     /// has received the answer to the previous one, or never will.
     pub fn track_acknowledgement(&mut self, heartbeat: &Heartbeat, now: Micros) {
-        let missing = self
-            .attempts
-            .iter()
-            .any(|(key, a)| a.in_answer && a.wanted && !heartbeat.lists(&key.task, key.attempt));
+        let missing = self.attempts.iter().any(|(key, a)| {
+            a.run_in_answer && a.wanted && !heartbeat.lists(&key.task, key.attempt)
+        });
         // The lease of the earlier incarnation expired although its heartbeats were answered.
         let lease_expired = heartbeat.incarnation > self.incarnation
             && self.incarnation > 0
-            && self.unacknowledged > 0;
+            && self.unacknowledged_heartbeats > 0;
         if missing || lease_expired {
-            if self.unacknowledged == 0 {
+            if self.unacknowledged_heartbeats == 0 {
                 self.unacknowledged_since = now;
             }
-            self.unacknowledged += 1;
+            self.unacknowledged_heartbeats += 1;
         } else {
-            self.unacknowledged = 0;
+            self.unacknowledged_heartbeats = 0;
         }
     }
 
     /// Reports whether the machine may get new tasks: it is usable, and its last heartbeat is less
     /// than `max_silence` old.
     pub fn accepts_tasks(&self, now: Micros, max_silence: Micros) -> bool {
-        self.usable() && now.saturating_sub(self.last_heartbeat_at) < max_silence
+        self.is_usable() && now.saturating_sub(self.last_heartbeat_at) < max_silence
     }
 
     /// Returns the part of `capacity` that is free. Every attempt that may be on the machine counts
     /// as using what it needs.
     pub fn free_capacity(&self, capacity: Resources) -> Resources {
         let mut free = capacity;
-        for attempt in self.attempts.values().filter(|a| !a.exited()) {
-            free.take(&attempt.need);
+        for attempt in self.attempts.values().filter(|a| !a.has_exited()) {
+            free.subtract(&attempt.required_resources);
         }
         free
     }
 
     /// Reports whether the machine pulls an image for a task, or is about to.
-    pub fn pulls(&self, image: &str) -> bool {
+    pub fn is_pulling(&self, image: &str) -> bool {
         let is_starting = |a: &Attempt| matches!(a.phase, None | Some(TaskPhase::Pulling));
         self.attempts.values().any(|a| is_starting(a) && a.image == image)
     }
 
     /// Reports whether an attempt may be running on the machine.
-    pub fn busy(&self) -> bool {
-        self.attempts.values().any(|a| !a.exited())
+    pub fn has_active_attempts(&self) -> bool {
+        self.attempts.values().any(|a| !a.has_exited())
     }
 
     /// Reports whether a command is pending that needs a direct call instead of waiting for the
     /// answer to the next heartbeat.
     pub fn has_urgent_commands(&self) -> bool {
-        self.attempts.values().filter(|a| !a.exited()).any(|a| {
-            if a.wanted { !a.sent && !a.can_wait_for_heartbeat } else { a.kill_sent.is_none() }
+        self.attempts.values().filter(|a| !a.has_exited()).any(|a| {
+            if a.wanted {
+                !a.run_sent && !a.can_wait_for_heartbeat
+            } else {
+                a.kill_sent_at.is_none()
+            }
         })
     }
 
     /// Marks an attempt as unwanted, with the time in seconds that it gets to save its work.
-    pub fn stop(&mut self, key: &AttemptKey, leeway_s: f64) {
+    pub fn mark_unwanted(&mut self, key: &AttemptKey, leeway_s: f64) {
         if let Some(attempt) = self.attempts.get_mut(key) {
             attempt.wanted = false;
             attempt.leeway_s = leeway_s;
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -34,7 +34,7 @@
         if !machine.fenced {
             self.call_queue.add_unfenced(name);
         }
-        self.refresh(name);
+        self.refresh_machine(name);
     }
 
     /// Adds a machine whose claim for this partition is committed, if the claim was made under the present term.
@@ -45,7 +45,7 @@
         mod_revision: u64,
         now: Micros,
     ) {
-        if self.active()
+        if self.is_loaded()
             && !self.machines.contains_key(name)
             && !self.autoscaling.terminated.contains(name)
             && mod_revision > self.term
@@ -58,11 +58,14 @@
 
     /// Opens the recovery barrier once every machine is verified. Returns whether this call opened it.
     pub fn try_complete_recovery(&mut self) -> bool {
-        if self.recovery_complete || !self.active() || self.machines.values().any(|m| !m.verified) {
+        if self.recovery_complete
+            || !self.is_loaded()
+            || self.machines.values().any(|m| !m.verified)
+        {
             return false;
         }
         self.recovery_complete = true;
-        self.call_queue.all_verified();
+        self.call_queue.clear_unfenced();
         self.placement_wanted = true;
         for job in self.jobs.values_mut() {
             job.complete_recovery();
@@ -71,23 +74,23 @@
     }
 
     /// Removes all attempts from a machine on which none can still run, and requeues their tasks.
-    pub fn empty_machine(&mut self, name: &str) {
+    pub fn requeue_attempts_of(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         let attempts = std::mem::take(&mut machine.attempts);
         for (AttemptKey { task, attempt }, state) in attempts {
-            if state.phase == Some(TaskPhase::Exited) && state.accounted {
+            if state.phase == Some(TaskPhase::Exited) && state.end_processed {
                 continue;
             }
             self.requeue(&task, attempt);
         }
-        self.refresh(name);
+        self.refresh_machine(name);
     }
 
     /// Removes a machine on which no attempt can still run, and requeues its tasks. Returns whether the
     /// machine belonged to the partition.
     pub fn remove_machine(&mut self, name: &str) -> bool {
-        self.empty_machine(name);
-        self.call_queue.forget(name);
+        self.requeue_attempts_of(name);
+        self.call_queue.remove(name);
         self.free_capacity_index.remove(name);
         self.reservations.machine_removed(name);
         self.machines.swap_remove(name).is_some()
@@ -95,13 +98,13 @@
 
     /// Updates a machine's free capacity after its attempts or its usability have changed, and
     /// queues a direct call if it has urgent commands.
-    pub fn refresh(&mut self, name: &str) {
+    pub fn refresh_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else { return };
         if machine.has_urgent_commands() {
             self.call_queue.add_urgent(name);
         }
         let machine_type = self.types.as_ref().and_then(|t| t.get(&machine.record.machine_type));
-        match machine_type.filter(|_| machine.usable()) {
+        match machine_type.filter(|_| machine.is_usable()) {
             Some(machine_type) => {
                 machine.free = machine.free_capacity(Resources::capacity_of(machine_type));
                 self.free_capacity_index.put(name, &machine.record, machine.free.cpus);
--- a/crates/quartzlever-core/src/machines/membership/tests.rs
+++ b/crates/quartzlever-core/src/machines/membership/tests.rs
@@ -69,7 +69,7 @@
 fn tasks_of_an_emptied_or_removed_machine_are_requeued() {
     for removed in [true, false] {
         let mut core = core();
-        core.reconcile_job(record("0-3", ""), 10);
+        core.reconcile_job(job_record("0-3", ""), 10);
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.start("req-1", 0, "n-1", NOW);
         assert!(!partition.jobs["req-1"].ready.contains(0));
@@ -77,7 +77,7 @@
             assert!(partition.remove_machine("n-1"));
             assert!(!partition.remove_machine("n-1"), "n-1 was removed before");
         } else {
-            partition.empty_machine("n-1");
+            partition.requeue_attempts_of("n-1");
             assert!(partition.machines["n-1"].attempts.is_empty());
         }
         assert!(partition.jobs["req-1"].ready.contains(0), "removed {removed}");
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -63,7 +63,7 @@
 /// A pending claim of a machine: the latest of its heartbeats, and the requests that wait for an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnershipClaim {
-    pub ids: Vec<RequestId>,
+    pub requests: Vec<RequestId>,
     pub heartbeat: Heartbeat,
     owner: PartitionTerm,
 }
@@ -94,7 +94,7 @@
     /// loaded, and may act for it.
     fn leads(&self, owner: &PartitionTerm) -> bool {
         let partition = self.partitions.get(&owner.partition);
-        self.may_act && partition.is_some_and(|p| p.term == owner.term && p.active())
+        self.may_act && partition.is_some_and(|p| p.term == owner.term && p.is_loaded())
     }
 }
 
@@ -105,8 +105,8 @@
         mod_revision: u64,
     },
     /// A condition failed or the outcome is unknown. The caller gives up the lost partitions, then rereads the group.
-    ToBeReread {
-        lost: Vec<PartitionTerm>,
+    RereadNeeded {
+        lost_partitions: Vec<PartitionTerm>,
     },
     /// The write did not take effect, and is retried.
     Failed,
@@ -115,7 +115,7 @@
 impl Ownership {
     /// Records that an unclaimed machine, which sent this heartbeat, is to be claimed for a partition led by this
     /// node. The heartbeat's request waits until the claim is settled.
-    pub fn request(
+    pub fn request_claim(
         &mut self,
         id: RequestId,
         heartbeat: Heartbeat,
@@ -128,7 +128,7 @@
         change.not_before = change.not_before.min(claim_due);
         match change.claims.get_mut(&heartbeat.machine) {
             Some(claim) => {
-                claim.ids.push(id);
+                claim.requests.push(id);
                 if (heartbeat.incarnation, heartbeat.sequence)
                     > (claim.heartbeat.incarnation, claim.heartbeat.sequence)
                 {
@@ -136,14 +136,14 @@
                 }
             }
             None => {
-                let claim = OwnershipClaim { ids: vec![id], heartbeat, owner };
+                let claim = OwnershipClaim { requests: vec![id], heartbeat, owner };
                 change.claims.insert(claim.heartbeat.machine.clone(), claim);
             }
         }
     }
 
     /// Records that a terminated machine is to be removed from its group.
-    pub fn release(
+    pub fn request_removal(
         &mut self,
         machine: &str,
         owner: PartitionTerm,
@@ -211,7 +211,9 @@
         outbox: &mut Outbox,
     ) {
         let Some(change) = self.changes.get_mut(key) else { return };
-        if context.may_act && !write_budget.try_reserve(write_kind(!change.claims.is_empty()), 1) {
+        if context.may_act
+            && !write_budget.check_or_record_denial(write_kind(!change.claims.is_empty()), 1)
+        {
             return;
         }
         reject_all(change.discard_lost_partitions(context), outbox);
@@ -220,7 +222,10 @@
             // Nothing to change, or no claim that fits: the waiting requests are rejected as
             // retryable, so that the workers try elsewhere.
             let claims = self.changes.remove(key).map(|change| change.claims).unwrap_or_default();
-            return reject_all(claims.into_values().flat_map(|claim| claim.ids).collect(), outbox);
+            return reject_all(
+                claims.into_values().flat_map(|claim| claim.requests).collect(),
+                outbox,
+            );
         }
         let has_claims = !update.added.is_empty();
         if update.exceeds(context.layout.value_limit) {
@@ -250,7 +255,7 @@
         let delay = match result {
             Ok(StoreReply::Committed(mod_revision)) => {
                 if let Some(change) = change {
-                    change.removals.retain(|machine, _| !write.dropped.contains(machine));
+                    change.removals.retain(|machine, _| !write.removed.contains(machine));
                 }
                 return GroupWriteOutcome::Committed { mod_revision: *mod_revision };
             }
@@ -260,16 +265,18 @@
                         path.strip_prefix(PARTITION_PREFIX).is_some_and(|name| name == partition)
                     })
                 };
-                let lost = write.partitions.iter().filter(|(partition, _)| is_lost(partition));
+                let lost = write.partition_terms.iter().filter(|(partition, _)| is_lost(partition));
                 let lost = lost.map(|(partition, term)| PartitionTerm {
                     partition: partition.clone(),
                     term: *term,
                 });
-                return GroupWriteOutcome::ToBeReread { lost: lost.collect() };
+                return GroupWriteOutcome::RereadNeeded { lost_partitions: lost.collect() };
             }
             // The write may still take effect. A later write conditional on the same modification
             // revision fails in that case.
-            Err(CallError::Unknown) => return GroupWriteOutcome::ToBeReread { lost: Vec::new() },
+            Err(CallError::Unknown) => {
+                return GroupWriteOutcome::RereadNeeded { lost_partitions: Vec::new() };
+            }
             // The write is known not to have taken effect.
             Ok(StoreReply::TooLarge) => TOO_LARGE_RETRY_DELAY,
             Ok(_) | Err(CallError::Refused | CallError::Throttled) => RETRY_DELAY,
@@ -314,7 +321,7 @@
         self.claims.retain(|_, claim| {
             let is_led = context.leads(&claim.owner);
             if !is_led {
-                rejected.append(&mut claim.ids);
+                rejected.append(&mut claim.requests);
             }
             is_led
         });
@@ -335,13 +342,7 @@
 fn send_write(key: &str, update: GroupUpdate, context: &GroupContext, outbox: &mut Outbox) {
     let txn = update.transaction(key, context);
     let GroupUpdate { records, added, removed, partition_terms, .. } = update;
-    let write = GroupWrite {
-        key: key.to_owned(),
-        records,
-        added,
-        dropped: removed,
-        partitions: partition_terms,
-    };
+    let write = GroupWrite { key: key.to_owned(), records, added, removed, partition_terms };
     let pending = PendingStoreCall::WriteGroup(write);
     outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
 }
--- a/crates/quartzlever-core/src/machines/ownership/layout.rs
+++ b/crates/quartzlever-core/src/machines/ownership/layout.rs
@@ -45,7 +45,7 @@
             let agreed = agreement.size.map_or(size, |agreed| agreed.min(size));
             (agreed, limits.value_bytes())
         } else {
-            (LARGE_GROUP_SIZE, config.group_bytes.min(limits.learned_value_bytes()))
+            (LARGE_GROUP_SIZE, config.present_value_bytes.min(limits.learned_value_bytes()))
         };
         GroupLayout {
             size,
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -54,12 +54,12 @@
         };
         // The split may overdraw the write budget: under load the budget never holds that many
         // changes at once, and a lower limit of the store may take effect at any moment.
-        if !write_budget.has(WriteKind::Claim, 1) {
+        if !write_budget.allows(WriteKind::Claim, 1) {
             return;
         }
         write_budget.spend(txn.changes.len());
         self.splitting = true;
-        let pending = PendingStoreCall::SplitGroup { key, small: small_groups, is_complete };
+        let pending = PendingStoreCall::SplitGroup { key, small_groups, is_complete };
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
     }
 
--- a/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
@@ -129,7 +129,7 @@
         if writing {
             let owner = PartitionTerm { partition: "one".into(), term: 5 };
             let layout = GroupLayout { size: large, ..LAYOUT };
-            ownership.request(1, idle_heartbeat("n-2", 1, 0), owner, &layout, NOW);
+            ownership.request_claim(1, idle_heartbeat("n-2", 1, 0), owner, &layout, NOW);
             ownership.reread(LARGE_KEY, &mut Outbox::new(LogLevel::Info, NOW));
         }
         let layout = GroupLayout { size, larger_groups_known, ..LAYOUT };
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -79,8 +79,8 @@
         key: large_group_key("n-9"),
         records: [("n-9".into(), machine_record_of("n-9", "one"))].into(),
         added: ["n-9".into()].into(),
-        dropped: ["n-8".into()].into(),
-        partitions: [("one".into(), 5)].into(),
+        removed: ["n-8".into()].into(),
+        partition_terms: [("one".into(), 5)].into(),
     }
 }
 
@@ -97,7 +97,7 @@
     ] {
         let (core, mut ownership) = (core(), Ownership::default());
         let owner = PartitionTerm { term, ..owner() };
-        ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner, &LAYOUT, NOW);
+        ownership.request_claim(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner, &LAYOUT, NOW);
         let layout = GroupLayout { larger_groups_known, value_limit, ..LAYOUT };
         let effects = write(&mut ownership, &core, may_act, layout, NOW);
         let case = format!("{may_act} {term} {larger_groups_known} {value_limit}: {effects:?}");
@@ -113,17 +113,18 @@
     let mut ownership = Ownership::default();
     for (id, sequence) in [(1, 5), (2, 7), (3, 6)] {
         let heartbeat = heartbeat_from("n-9", 1, sequence, 0, &[]);
-        ownership.request(id, heartbeat, owner(), &LAYOUT, NOW);
+        ownership.request_claim(id, heartbeat, owner(), &LAYOUT, NOW);
     }
     let claim = ownership.take_claim(&large_group_key("n-9"), "n-9").expect("the claim is pending");
-    assert_eq!((claim.ids, claim.heartbeat.sequence), (vec![1, 2, 3], 7));
+    assert_eq!((claim.requests, claim.heartbeat.sequence), (vec![1, 2, 3], 7));
     assert!(ownership.take_claim(&large_group_key("n-9"), "n-9").is_none());
 }
 
 /// A group has one write in flight at a time. (the result; the outcome; the delay before the next write)
 #[test]
 fn the_delay_before_a_group_is_written_again_depends_on_the_result() {
-    let reread = |lost: &[PartitionTerm]| GroupWriteOutcome::ToBeReread { lost: lost.to_vec() };
+    let reread =
+        |lost: &[PartitionTerm]| GroupWriteOutcome::RereadNeeded { lost_partitions: lost.to_vec() };
     let conflict = |path: &str| Ok(StoreReply::Conflict(vec![path.to_owned()]));
     for (result, outcome, again_after) in [
         (
@@ -140,7 +141,7 @@
         (conflict("parts/two"), reread(&[]), CLAIM_INTERVAL),
     ] {
         let (core, mut ownership) = (core(), Ownership::default());
-        ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
+        ownership.request_claim(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
         assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW)));
         let later = write(&mut ownership, &core, true, LAYOUT, NOW + 60 * SECOND);
         assert!(later.is_empty(), "another write while one is in flight: {later:?}");
@@ -155,7 +156,7 @@
 fn a_group_is_not_written_while_it_is_reread() {
     for (is_read, delay) in [(true, CLAIM_INTERVAL), (false, RETRY_DELAY)] {
         let (core, mut ownership) = (core(), Ownership::default());
-        ownership.request(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
+        ownership.request_claim(1, heartbeat_from("n-9", 1, 1, 0, &[]), owner(), &LAYOUT, NOW);
         let (key, mut outbox) = (large_group_key("n-9"), Outbox::new(LogLevel::Info, NOW));
         ownership.reread(&key, &mut outbox);
         let reads = outbox.take_effects();
@@ -177,7 +178,7 @@
         let (mut core, mut ownership) = (core(), Ownership::default());
         let records = [("n-8".into(), machine_record_of("n-8", recorded_for))].into();
         core.cache.record_group(&large_group_key("n-8"), records, 9);
-        ownership.release("n-8", owner(), &core.cache, &LAYOUT);
+        ownership.request_removal("n-8", owner(), &core.cache, &LAYOUT);
         let effects = write(&mut ownership, &core, true, LAYOUT, NOW);
         assert_eq!(is_write(&effects), removed, "{recorded_for}");
         if let [Effect::Store { call: StoreCall::Txn(txn), .. }] = &effects[..] {
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -37,13 +37,13 @@
             // A worker has one heartbeat in flight at a time, so no earlier answer can still take
             // effect.
             StatusSource::Heartbeat => {
-                self.attempts.values_mut().for_each(|attempt| attempt.in_answer = false);
+                self.attempts.values_mut().for_each(|attempt| attempt.run_in_answer = false);
             }
             // The worker received a call, so it does receive commands.
-            StatusSource::DirectReply => self.unacknowledged = 0,
+            StatusSource::DirectReply => self.unacknowledged_heartbeats = 0,
         }
         self.record.address.clone_from(&heartbeat.address);
-        self.spot_notice_until = heartbeat.warning_s.map(|s| now + micros_from_secs(s));
+        self.spot_reclaim_at = heartbeat.warning_s.map(|s| now + micros_from_secs(s));
     }
 }
 
@@ -74,7 +74,7 @@
         if source == StatusSource::Heartbeat && machine.confirms_known_state(heartbeat) {
             machine.sequence = heartbeat.sequence;
             machine.last_heartbeat_at = now;
-            machine.attempts.values_mut().for_each(|attempt| attempt.in_answer = false);
+            machine.attempts.values_mut().for_each(|attempt| attempt.run_in_answer = false);
             return true;
         }
         self.apply_status_changes(config, run_times, heartbeat, source, now);
@@ -97,7 +97,7 @@
         }
         if heartbeat.incarnation > machine.incarnation && machine.incarnation > 0 {
             // The worker's lease expired and it stopped every task of the earlier incarnation.
-            self.empty_machine(&heartbeat.machine);
+            self.requeue_attempts_of(&heartbeat.machine);
         }
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         machine.record_status(heartbeat, source, now);
@@ -112,12 +112,12 @@
         self.remove_unlisted_attempts(heartbeat, source);
         self.checkpoint_before_reclaim(heartbeat);
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
-        if machine.busy() {
+        if machine.has_active_attempts() {
             machine.idle_since = None;
         } else if machine.idle_since.is_none() {
             machine.idle_since = Some(now);
         }
-        self.refresh(&heartbeat.machine);
+        self.refresh_machine(&heartbeat.machine);
     }
 
     /// Stops the tasks that can still save their progress after a spot notice. The others keep
@@ -196,20 +196,20 @@
         };
         attempt.phase = Some(status.phase);
         attempt.cause = status.cause;
-        if status.phase != TaskPhase::Exited || attempt.accounted {
+        if status.phase != TaskPhase::Exited || attempt.end_processed {
             return;
         }
-        attempt.accounted = true;
+        attempt.end_processed = true;
         // Resources that a team with a limit used, or may have used, are available to its tasks on
         // any machine.
         self.placement_wanted |= attempt.team.is_empty() || config.is_team_limited(&attempt.team);
         let ended = EndedAttempt {
             machine,
             status,
-            placed_at: attempt.since,
+            placed_at: attempt.placed_at,
             run_time: attempt.running_since.map(|since| now.saturating_sub(since)),
             class: attempt.class.clone(),
-            expect: attempt.expect,
+            expect: attempt.expected_run_time,
         };
         self.handle_ended_attempt(config, run_times, &ended, now);
     }
@@ -226,7 +226,7 @@
         let exited = status.phase == TaskPhase::Exited;
         let mut attempt = Attempt::without_job(now);
         (attempt.phase, attempt.cause) = (Some(status.phase), status.cause);
-        (attempt.wanted, attempt.sent) = (false, true);
+        (attempt.wanted, attempt.run_sent) = (false, true);
         if !self.jobs.contains_key(&status.task.job) {
             // The job may have ended while the partition had no active leader, so the duration of a
             // takeover counts as elapsed since its end.
@@ -254,11 +254,11 @@
 
     /// Treats machines that have been silent for a full lease as empty and verified.
     pub(crate) fn expire_silent_machines(&mut self, config: &Config, now: Micros) {
-        if !self.active() {
+        if !self.is_loaded() {
             return;
         }
         let gone_after = config.worker_lease_expired_after();
-        let sole_leader_from = self.acquired.max(self.sole_leader_from);
+        let sole_leader_from = self.acquired_at.max(self.sole_leader_from);
         let silent: Vec<String> = self
             .machines
             .values()
@@ -275,7 +275,7 @@
             .map(|m| m.name.clone())
             .collect();
         for machine in silent {
-            self.empty_machine(&machine);
+            self.requeue_attempts_of(&machine);
             if let Some(machine) = self.machines.get_mut(&machine) {
                 machine.verified = true;
             }
--- a/crates/quartzlever-core/src/machines/reconciliation/tests.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation/tests.rs
@@ -21,7 +21,7 @@
     ] {
         let set_up = || {
             let mut core = core();
-            core.reconcile_job(record("0-9", ""), 10);
+            core.reconcile_job(job_record("0-9", ""), 10);
             let config = core.config.clone();
             let partition = core.partitions.get_mut("one").expect("partition one is led here");
             let mut run_times = RunTimes::default();
@@ -103,11 +103,11 @@
         (100, 12, 100, 100, true),
     ] {
         let mut core = core();
-        core.reconcile_job(record("0", "1-3"), 10);
+        core.reconcile_job(job_record("0", "1-3"), 10);
         assert_eq!(core.config.worker_lease_expired_after(), lease_expired_after);
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.start("req-1", 0, "n-1", NOW);
-            partition.acquired = NOW - acquired * SECOND;
+            partition.acquired_at = NOW - acquired * SECOND;
             partition.sole_leader_from = NOW - sole_leader * SECOND;
             if let Some(machine) = partition.machines.get_mut("n-1") {
                 machine.last_answered_at = NOW - answered * SECOND;
--- a/crates/quartzlever-core/src/machines/resources.rs
+++ b/crates/quartzlever-core/src/machines/resources.rs
@@ -35,7 +35,7 @@
     }
 
     /// Subtracts the resources that a task needs.
-    pub fn take(&mut self, need: &Resources) {
+    pub fn subtract(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.ram_gb -= need.ram_gb;
@@ -49,7 +49,7 @@
     }
 
     /// Returns the number of tasks of `need` that fit.
-    pub fn count(&self, need: &Resources) -> u32 {
+    pub fn count_fitting(&self, need: &Resources) -> u32 {
         let tasks_by = |available: f64, needed: f64| {
             if needed > 0.0 { available / needed + ROUNDING_TOLERANCE } else { UNLIMITED_TASKS }
         };
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -73,7 +73,7 @@
     /// Returns the rank of the command in the order of processing under load, lowest first:
     /// heartbeats and replies, then ticks, requests of peers and readiness checks, then lookups and
     /// cancellations, then submissions.
-    pub fn class(&self) -> u8 {
+    pub fn processing_rank(&self) -> u8 {
         match self {
             Command::Heartbeat { .. }
             | Command::StoreReply { .. }
--- a/crates/quartzlever-core/src/outbox.rs
+++ b/crates/quartzlever-core/src/outbox.rs
@@ -75,7 +75,7 @@
         let call_id = self.next_call_id();
         if let StoreCall::Txn(txn) = &call {
             let value = txn.changes.iter().map(value_bytes).max().unwrap_or(0);
-            let size = TransactionSize { value, ops: txn.changes.len() };
+            let size = TransactionSize { largest_value_bytes: value, changes: txn.changes.len() };
             self.transaction_sizes.insert(call_id, size);
         }
         self.store_calls.insert(call_id, pending);
@@ -104,7 +104,7 @@
     }
 
     /// Sends a request or a notification to another controller.
-    pub fn ask_peer(&mut self, node: &str, request: PeerRequest, pending: PendingPeerCall) {
+    pub fn call_peer(&mut self, node: &str, request: PeerRequest, pending: PendingPeerCall) {
         let call_id = self.next_call_id();
         self.peer_calls.insert(call_id, pending);
         self.effects.push(Effect::Peer { call_id, node: node.to_owned(), request });
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -33,7 +33,7 @@
     /// The modification revision of the partition's key: the term, and the fencing token of its
     /// commands.
     pub term: u64,
-    pub acquired: Micros,
+    pub acquired_at: Micros,
     /// From this time on no earlier leader answers workers. It is the time of the acquisition if
     /// the partition had been released or its leader's lease had ended, and later if the partition
     /// was taken from a live process.
@@ -82,7 +82,7 @@
         Partition {
             name: name.to_owned(),
             term,
-            acquired: now,
+            acquired_at: now,
             sole_leader_from: now,
             loaded: false,
             jobs: Table::default(),
@@ -107,7 +107,7 @@
     }
 
     /// Reports whether the partition's records are loaded, so that decisions may be made.
-    pub fn active(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
@@ -138,7 +138,9 @@
         now: Micros,
         wall: Micros,
     ) {
-        if !self.jobs.contains_key(&record.job.id) && !PartitionJob::concerns(&record, &self.name) {
+        if !self.jobs.contains_key(&record.job.id)
+            && !PartitionJob::is_relevant(&record, &self.name)
+        {
             return;
         }
         let context = PartitionContext {
@@ -152,9 +154,9 @@
             .jobs
             .entry(id)
             .or_insert_with(|| Box::new(PartitionJob::new(record.clone(), now, wall)));
-        let effects = job.take_record(record, mod_revision, context, team_limited);
+        let effects = job.apply_record(record, mod_revision, context, team_limited);
         self.placement_wanted |= effects.placement_wanted;
-        if effects.nothing_left_here {
+        if effects.may_forget_job {
             let id = job.spec().id.clone();
             self.jobs.swap_remove(&id);
         }
@@ -176,8 +178,8 @@
             for (_, attempt) in machine.attempts.range_mut::<AttemptKey, _>(all) {
                 attempt.wanted = false;
                 attempt.leeway_s = 0.0;
-                if attempt.exited() {
-                    attempt.accounted = true;
+                if attempt.has_exited() {
+                    attempt.end_processed = true;
                 } else {
                     attempt.job_terminal_since.get_or_insert(since);
                     self.call_queue.add_urgent(name.clone());
@@ -187,7 +189,7 @@
     }
 
     /// Notes that a task is done; it counts as finished once the job's record says so.
-    pub fn finish(&mut self, id: &str, index: u32, now: Micros) {
+    pub fn record_finished_task(&mut self, id: &str, index: u32, now: Micros) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.finish(index, &self.name, now);
         if let Some(assignment) = job.assignments.get(&index).cloned()
@@ -198,7 +200,7 @@
             })
         {
             // If this is another attempt than the one that finished the task, it is not needed.
-            attempt.wanted = attempt.exited();
+            attempt.wanted = attempt.has_exited();
             self.call_queue.add_urgent(assignment.machine);
         }
     }
@@ -215,23 +217,23 @@
     }
 
     /// Sets the machine types, or replaces them by newer ones.
-    pub fn use_types(&mut self, types: Types) {
+    pub fn set_machine_types(&mut self, types: Types) {
         self.types = Some(types);
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
-            self.refresh(&name);
+            self.refresh_machine(&name);
         }
         self.placement_wanted = true;
     }
 
     /// Returns the resources that a team's tasks may be using in this partition, and whether that
     /// is certain: an attempt of an unknown job could belong to any team.
-    pub fn team_use(&self, team: &str) -> (Resources, bool) {
+    pub fn team_usage(&self, team: &str) -> (Resources, bool) {
         let mut sum = Resources::default();
         let mut certain = true;
         for attempt in self.active_attempts() {
             if attempt.team == team {
-                sum.add(&attempt.need);
+                sum.add(&attempt.required_resources);
             } else if attempt.team.is_empty() {
                 certain = false;
             }
@@ -241,7 +243,7 @@
 
     /// Returns the attempts that may still be on a machine.
     pub fn active_attempts(&self) -> impl Iterator<Item = &Attempt> {
-        self.machines.values().flat_map(|m| m.attempts.values()).filter(|s| !s.exited())
+        self.machines.values().flat_map(|m| m.attempts.values()).filter(|s| !s.has_exited())
     }
 
     /// Returns the number of ready tasks of this priority or a higher one. Tasks of jobs that fail
--- a/crates/quartzlever-core/src/partition/tests.rs
+++ b/crates/quartzlever-core/src/partition/tests.rs
@@ -29,16 +29,16 @@
         let mut core = core();
         for (mod_revision, tasks) in *records {
             let other = Ranges::first(4).minus(&tasks.parse().unwrap_or_default());
-            core.reconcile_job(record(tasks, &other.to_string()), *mod_revision);
+            core.reconcile_job(job_record(tasks, &other.to_string()), *mod_revision);
         }
         let job = core.partitions["one"].jobs.get("req-1");
         let found = job.map(|j| j.ready.to_string()).unwrap_or_default();
         assert_eq!(found, *ready, "{name}");
     }
     let mut core = core();
-    core.reconcile_job(record("0-3", ""), 10);
+    core.reconcile_job(job_record("0-3", ""), 10);
     core.job_terminated("req-1", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
-    core.reconcile_job(record("0-3", ""), 9);
+    core.reconcile_job(job_record("0-3", ""), 9);
     assert!(
         core.partitions["one"].jobs.is_empty(),
         "the job has ended, then an older record arrives late"
--- a/crates/quartzlever-core/src/peers.rs
+++ b/crates/quartzlever-core/src/peers.rs
@@ -11,14 +11,14 @@
 
 impl Core {
     /// Handles a request or notification of a peer.
-    pub(crate) fn peer_request(&mut self, id: RequestId, request: PeerRequest) {
+    pub(crate) fn handle_peer_request(&mut self, id: RequestId, request: PeerRequest) {
         let answer = match request {
             PeerRequest::Saturated => {
                 self.stealing.peer_saturated(&self.config, self.now);
                 PeerAnswer::Nothing
             }
             PeerRequest::StoreConnectivity => PeerAnswer::StoreConnectivity {
-                reached: self.store_connectivity.is_reached(self.now),
+                reached: self.store_connectivity.is_reachable(self.now),
             },
             PeerRequest::Counts { priority } => self.answer_counts(priority),
             PeerRequest::HandBack { partition } => {
@@ -64,7 +64,7 @@
             }
             PendingPeerCall::StoreConnectivity => {
                 if let Ok(PeerAnswer::StoreConnectivity { reached: true }) = result {
-                    self.store_connectivity.peer_reaches_store(self.now, &mut self.outbox);
+                    self.store_connectivity.record_peer_reply(self.now, &mut self.outbox);
                 }
             }
             PendingPeerCall::Count { round, node } => self.counts_replied(round, node, result),
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -1,7 +1,6 @@
 //! The controller's state machine: owns all state of the process and dispatches every command to
 //! the component that it concerns.
 
-mod awaited;
 mod heartbeats;
 mod job_records;
 mod leadership;
@@ -9,6 +8,7 @@
 mod ownership;
 mod reachability;
 mod store_changes;
+mod unmet_conditions;
 mod user_requests;
 
 use std::collections::BTreeMap;
@@ -146,7 +146,7 @@
         self.now = self.now.max(now);
         // Leaders divide the write limit among themselves. A node without a partition writes little
         // and takes an equal share among all nodes.
-        let leaders = self.cache.leaders();
+        let leaders = self.cache.leader_count();
         let sharers =
             leaders.max(if self.partitions.is_empty() { self.config.nodes.len() } else { 1 });
         self.write_budget.refill(self.now, self.config.store_write_rps, sharers);
@@ -166,7 +166,7 @@
                         | Command::Submit { .. }
                 )
             });
-        commands.sort_by_key(Command::class);
+        commands.sort_by_key(Command::processing_rank);
         for command in commands {
             self.dispatch(command);
         }
@@ -190,14 +190,14 @@
             Command::Cancel { id, job } => self.cancel(id, job),
             Command::Ready { id } => self.ready(id),
             Command::Heartbeat { id, heartbeat } => self.handle_heartbeat(id, heartbeat),
-            Command::PeerRequest { id, request } => self.peer_request(id, request),
+            Command::PeerRequest { id, request } => self.handle_peer_request(id, request),
             Command::StoreReply { call_id, result } => {
                 if result.is_ok() {
-                    self.store_connectivity.store_replied(self.now, &mut self.outbox);
+                    self.store_connectivity.record_store_reply(self.now, &mut self.outbox);
                 }
                 if let Some(size) = self.outbox.take_transaction_size(call_id) {
                     let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
-                    self.limits.learn(self.now, size, &result, budget, outbox);
+                    self.limits.adapt_to_result(self.now, size, &result, budget, outbox);
                 }
                 if let Some(pending) = self.outbox.take_store_call(call_id) {
                     self.dispatch_store_reply(pending, result);
@@ -241,12 +241,12 @@
 
     /// Reports whether the cache is not loaded and no partition is led yet, so that all heartbeats
     /// and health checks are rejected.
-    pub fn starting(&self) -> bool {
-        !self.cache.loaded() && self.partitions.is_empty()
+    pub fn is_starting(&self) -> bool {
+        !self.cache.is_loaded() && self.partitions.is_empty()
     }
 
     /// Reports whether any partition has a placement requested or scheduled for a certain time.
-    pub fn awaits_time(&self) -> bool {
+    pub fn has_pending_placement(&self) -> bool {
         self.partitions.values().any(|p| p.placement_wanted || p.placement_due_at.is_some())
     }
 
@@ -270,7 +270,7 @@
         // cut off from the store is not ready, because its peers can serve the users instead. In an
         // outage for all nodes every node stays ready, since no other could do better.
         let is_isolated = self.store_connectivity.is_isolated(self.now);
-        self.cache.loaded() && self.wall_offset.is_some() && !is_isolated
+        self.cache.is_loaded() && self.wall_offset.is_some() && !is_isolated
     }
 
     fn dispatch_store_reply(
@@ -283,7 +283,7 @@
             PendingStoreCall::Grant { sent } => self.lease_granted(sent, &result),
             PendingStoreCall::Renew { sent, lease } => self.lease_renewed(sent, lease, &result),
             PendingStoreCall::Acquire { partition, lease } => {
-                self.acquired(&partition, lease, &result)
+                self.acquire_replied(&partition, lease, &result)
             }
             PendingStoreCall::Release { partition, mod_revision } => {
                 self.release_replied(&partition, mod_revision, &result)
@@ -292,24 +292,26 @@
                 self.page_listed(listing, section, result)
             }
             PendingStoreCall::Cluster { write, lease } => {
-                self.cluster_answered(write, lease, &result)
+                self.cluster_write_replied(write, lease, &result)
             }
-            PendingStoreCall::SplitGroup { key, small, is_complete } => {
-                self.group_split(&key, small, is_complete, &result);
+            PendingStoreCall::SplitGroup { key, small_groups, is_complete } => {
+                self.group_split(&key, small_groups, is_complete, &result);
             }
             PendingStoreCall::Watch { number, sent } => self.watch_replied(number, sent, result),
-            PendingStoreCall::Revision { asked, sent } => self.revision_read(asked, sent, result),
+            PendingStoreCall::Revision { lookups, sent } => {
+                self.revision_read(lookups, sent, result)
+            }
             PendingStoreCall::ReadCatalogue => self.catalogue_read(result),
             PendingStoreCall::ReadActiveJob { purpose } => self.active_job_read(purpose, result),
             PendingStoreCall::ReadTerminalJob { purpose } => {
                 self.terminal_job_read(purpose, result)
             }
             PendingStoreCall::Accept { id, record } => self.accept_replied(id, *record, &result),
-            PendingStoreCall::Cancel { id, job, done, tries } => {
-                self.cancel_replied(id, job, done, tries, &result);
+            PendingStoreCall::Cancel { id, job, done, attempts } => {
+                self.cancel_replied(id, job, done, attempts, &result);
             }
             PendingStoreCall::JobWrite(write) => self.job_written(*write, result),
-            PendingStoreCall::Reread { partition, term, job } => {
+            PendingStoreCall::RereadActiveJob { partition, term, job } => {
                 self.active_job_reread(&partition, term, &job, result)
             }
             PendingStoreCall::RereadTerminalJob { partition, term, job } => {
@@ -353,7 +355,7 @@
         if let Some(partition) = self.partitions.get_mut(name)
             && partition.try_complete_recovery()
         {
-            let duration = self.now - partition.acquired;
+            let duration = self.now - partition.acquired_at;
             self.outbox.log(LogLevel::Info, || LogEvent::RecoveryCompleted {
                 partition: name.to_owned(),
                 duration,
--- a/crates/quartzlever-core/src/router/heartbeats.rs
+++ b/crates/quartzlever-core/src/router/heartbeats.rs
@@ -50,7 +50,7 @@
         // redirected workers to each other, past the node that had taken over, until 809 machines
         // were given up. A worker that is rejected without the name of a leader tries the
         // controllers in turn.
-        let store_reachable = self.store_connectivity.is_reached(self.now);
+        let store_reachable = self.store_connectivity.is_reachable(self.now);
         match self.other_leader_of(partition).filter(|_| store_reachable) {
             Some(node) => {
                 let leader = node.to_owned();
@@ -121,7 +121,7 @@
         let cache = &self.cache;
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let is_terminal = |job: &str| !cache.is_active_job(job);
-        match partition.answer_to(heartbeat, is_newer, is_terminal, now) {
+        match partition.heartbeat_answer(heartbeat, is_newer, is_terminal, now) {
             Some(commands) => {
                 self.outbox.answer_until(id, Answer::WorkerCommands(commands), until);
             }
@@ -167,7 +167,8 @@
             return;
         };
         let (config, run_times) = (&self.config, &mut self.run_times);
-        let outcome = partition.worker_replied(config, run_times, call_id, &call, result, self.now);
+        let outcome =
+            partition.handle_worker_reply(config, run_times, call_id, &call, result, self.now);
         if outcome == DirectCallOutcome::StatusReceived {
             self.fill(&call.partition, &call.machine);
         }
--- a/crates/quartzlever-core/src/router/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -63,7 +63,7 @@
     for (silent, leader, status) in
         [(1, "two", 421), (3, "two", 421), (5, "two", 503), (1, "one", 503)]
     {
-        let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", leader, 6)]);
         core.apply_group_change(
             &large_group_key("n-7"),
             [("n-7".into(), machine_record_of("n-7", "two"))].into(),
--- a/crates/quartzlever-core/src/router/job_records.rs
+++ b/crates/quartzlever-core/src/router/job_records.rs
@@ -29,7 +29,7 @@
     pub(crate) fn reconcile_job(&mut self, mut record: ActiveJobRecord, mod_revision: u64) {
         // A watch may deliver earlier writes after this process has ended the job itself.
         if self.terminal_jobs.get(&record.job.id).is_some()
-            || !self.latest_revisions.saw(&record.job.id, mod_revision)
+            || !self.latest_revisions.record(&record.job.id, mod_revision)
         {
             return;
         }
@@ -49,8 +49,8 @@
 
     /// Records that a job is done or cancelled, and drops it from the partitions led here.
     pub(crate) fn job_terminated(&mut self, id: &str, terminal: TerminalJobRecord) {
-        self.terminal_jobs.put(id, terminal);
-        self.cache.active_job_ended(id);
+        self.terminal_jobs.insert(id, terminal);
+        self.cache.remove_active_job(id);
         // The view still showed the job as active, so it ended no earlier than that view was read.
         let since = self.cache.view_as_of().min(self.now);
         for partition in self.partitions.values_mut() {
@@ -61,7 +61,7 @@
     /// Applies a page record from the store.
     pub(crate) fn apply_page_record(&mut self, entry: &KeyValue) {
         match PageEntry::read(entry) {
-            PageEntry::NoPage => {}
+            PageEntry::NotAPage => {}
             PageEntry::Unreadable => {
                 self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key));
             }
@@ -76,7 +76,7 @@
         self.cache.add_finished(job, &finished);
         for partition in self.partitions.values_mut().filter(|partition| partition.loaded) {
             if let Some(job) = partition.jobs.get_mut(job) {
-                job.take_page(number, &finished);
+                job.apply_page(number, &finished);
             }
         }
         self.pages.insert(job, number, finished, mod_revision);
@@ -88,7 +88,7 @@
             return;
         }
         let Some((first, _)) = self.cache.partitions().first_key_value() else { return };
-        let Some(partition) = self.partitions.get(first).filter(|partition| partition.active())
+        let Some(partition) = self.partitions.get(first).filter(|partition| partition.is_loaded())
         else {
             return;
         };
@@ -108,8 +108,8 @@
     pub(super) fn write_jobs(&mut self) {
         let now = self.now;
         let mut due: Vec<DueWrite> = Vec::new();
-        let may_write_progress = self.write_budget.has(WriteKind::Progress, 1);
-        for (name, partition) in self.partitions.iter_mut().filter(|(_, p)| p.active()) {
+        let may_write_progress = self.write_budget.allows(WriteKind::Progress, 1);
+        for (name, partition) in self.partitions.iter_mut().filter(|(_, p)| p.is_loaded()) {
             let jobs = partition.jobs.iter().map(|(id, job)| (id, &**job));
             for id in records::collect_due(name, jobs, may_write_progress, now, &mut due) {
                 partition.jobs.swap_remove(&id);
@@ -117,7 +117,7 @@
         }
         due.sort();
         for write in due {
-            if !self.write_budget.try_spend(write.write_kind, write.changes()) {
+            if !self.write_budget.try_spend(write.write_kind, write.change_count()) {
                 break;
             }
             self.write_job(&write.partition, &write.job);
@@ -131,7 +131,7 @@
             value_bytes: self.limits.value_bytes(),
             pages: affordable_pages(&self.write_budget, self.limits.txn_ops()),
         };
-        let paging_supported = self.cluster.pages();
+        let paging_supported = self.cluster.supports_pages();
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let (term, leader_txn) = (partition.term, partition.txn());
         let Some(job) = partition.jobs.get_mut(id) else { return };
@@ -164,7 +164,7 @@
         let outcome = WriteOutcome::of(&result, &name);
         if let WriteOutcome::Committed { mod_revision } = outcome {
             if action != JobWriteAction::PagesOnly {
-                self.latest_revisions.saw(&id, mod_revision);
+                self.latest_revisions.record(&id, mod_revision);
             }
             for PageWrite { number, finished } in pages {
                 self.record_page(&id, number, finished, mod_revision);
@@ -207,8 +207,11 @@
 
     /// Reads a job's record again after a write found that it had changed.
     pub(crate) fn reread_job(&mut self, partition: &str, term: u64, job: &str) {
-        let pending =
-            PendingStoreCall::Reread { partition: partition.into(), term, job: job.into() };
+        let pending = PendingStoreCall::RereadActiveJob {
+            partition: partition.into(),
+            term,
+            job: job.into(),
+        };
         self.outbox.call_store(CallPriority::Work, StoreCall::Get(active_job_key(job)), pending);
     }
 
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -11,13 +11,13 @@
 use crate::leadership::authority::Authority;
 use crate::leadership::lease::LeaseOutcome;
 use crate::leadership::partition_keys::{
-    AcquireOutcome, Circumstances, HeldKey, KeyDecision, ReleaseOutcome,
+    AcquireOutcome, HeldKey, KeyContext, KeyDecision, ReleaseOutcome,
 };
 use crate::messages::LogLevel;
 use crate::partition::Partition;
 use crate::router::Core;
 use crate::store::cache::Versioned;
-use crate::store::watch::{WATCH_PAUSE, WATCH_SHARE};
+use crate::store::watch::{MIN_WATCH_INTERVAL, WATCH_SHARE};
 
 impl Core {
     /// Reports whether this process certainly still holds its lease.
@@ -73,7 +73,7 @@
             LeaseOutcome::Ended => {
                 // The node's announcement and its partition keys were attached to the lease and are
                 // gone with it.
-                self.cluster.forget_node(&self.config.node);
+                self.cluster.remove_announcement(&self.config.node);
                 let partitions = self.partitions.len();
                 self.outbox.log(LogLevel::Info, || LogEvent::LeaseLost { partitions });
                 self.partitions.clear();
@@ -95,16 +95,16 @@
     /// Loads, acquires, requests and releases partitions as their keys require.
     pub(crate) fn poll_leadership(&mut self) {
         self.load_partitions();
-        if !self.cache.loaded() || !self.holds_lease() {
+        if !self.cache.is_loaded() || !self.holds_lease() {
             return;
         }
         // A process announces itself before it acquires a partition, on the same lease.
         let lease = self.lease.id().filter(|_| self.has_announced());
-        let circumstances = Circumstances {
+        let key_context = KeyContext {
             now: self.now,
             config: &self.config,
-            is_cut_from_workers: self.reachability.is_cut_from_workers(),
-            watch_delay: self.min_interval_for(WATCH_SHARE).saturating_sub(WATCH_PAUSE),
+            is_isolated_from_workers: self.reachability.is_isolated_from_workers(),
+            watch_delay: self.min_interval_for(WATCH_SHARE).saturating_sub(MIN_WATCH_INTERVAL),
         };
         let (now, keys) = (self.now, &mut self.partition_keys);
         let (budget, outbox) = (&mut self.write_budget, &mut self.outbox);
@@ -115,7 +115,7 @@
                 mod_revision: *mod_revision,
                 is_outdated: self.cluster.is_outdated_leader(leader, *mod_revision),
             });
-            match keys.decide(name, held, &circumstances, &mut self.rng) {
+            match keys.decide(name, held, &key_context, &mut self.rng) {
                 KeyDecision::Keep => {}
                 KeyDecision::Acquire { mod_revision } => {
                     keys.acquire(now, name, mod_revision, lease, budget, outbox);
@@ -142,7 +142,7 @@
     }
 
     /// Handles the reply to the acquisition of a partition whose key is attached to `lease`.
-    pub(crate) fn acquired(
+    pub(crate) fn acquire_replied(
         &mut self,
         name: &str,
         lease: u64,
@@ -150,8 +150,8 @@
     ) {
         match self.partition_keys.acquired(self.now, name, result) {
             AcquireOutcome::Committed { term } => {
-                self.cache.saw_revision(term);
-                if self.cache.is_ahead_of_cache(term) {
+                self.cache.record_revision(term);
+                if self.cache.has_not_reached(term) {
                     let record = self.partition_keys.own_record().clone();
                     self.apply_partition_record(name, record, term);
                 }
@@ -174,8 +174,8 @@
         result: &Result<StoreReply, CallError>,
     ) {
         match self.partition_keys.released(self.now, name, result) {
-            ReleaseOutcome::GivenUp => {
-                self.cache.partition_given_up(name, mod_revision);
+            ReleaseOutcome::Released => {
+                self.cache.partition_released(name, mod_revision);
             }
             ReleaseOutcome::Failed => {}
         }
@@ -202,7 +202,7 @@
     /// Loads the partitions whose acquisition the cache has reached. The cache then holds
     /// everything that an earlier leader wrote, and the earlier leader can no longer write.
     fn load_partitions(&mut self) {
-        if !self.cache.loaded() {
+        if !self.cache.is_loaded() {
             return;
         }
         let (now, wall, revision) = (self.now, self.wall(), self.cache.revision());
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -11,17 +11,20 @@
         ("not applied", Err(CallError::Refused), 1),
         ("unknown", Err(CallError::Unknown), 1),
     ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "one", 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "one", 6)]);
         for second in (0..=60).rev() {
             core.partition_keys.note_handback_request(NOW - second * SECOND, "two");
         }
-        let first = changes(&core.step(NOW, Vec::new()), "parts/two");
+        let first = transactions_on(&core.step(NOW, Vec::new()), "parts/two");
         assert_eq!(first.len(), 1, "{name}: requested for long enough");
         // The cache has not seen the release yet, and the home node still requests its partition.
         let result = Command::StoreReply { call_id: first[0], result: reply };
-        let mut further = changes(&core.step(NOW + SECOND / 20, vec![result]), "parts/two");
+        let mut further = transactions_on(&core.step(NOW + SECOND / 20, vec![result]), "parts/two");
         for step in 2..20 {
-            further.extend(changes(&core.step(NOW + step * SECOND / 20, Vec::new()), "parts/two"));
+            further.extend(transactions_on(
+                &core.step(NOW + step * SECOND / 20, Vec::new()),
+                "parts/two",
+            ));
         }
         assert_eq!(further.len(), more, "{name}");
     }
@@ -105,14 +108,14 @@
         ("throttled", Err(CallError::Throttled)),
         ("conflict", Ok(StoreReply::Conflict(vec!["parts/one".into()]))),
     ] {
-        let mut core = with_cache(&[("two", "two", 6)]);
+        let mut core = core_with_cache(&[("two", "two", 6)]);
         core.partitions.clear();
         core.apply_cluster_record(&announcement("one", core.process, 4));
         let (mut attempts, mut answers) = (0, Vec::new());
         for step in 0..200 {
             let now = NOW + step * SECOND / 100;
             let effects = core.step(now, std::mem::take(&mut answers));
-            for call_id in changes(&effects, "parts/one") {
+            for call_id in transactions_on(&effects, "parts/one") {
                 attempts += 1;
                 answers.push(Command::StoreReply { call_id, result: reply.clone() });
             }
--- a/crates/quartzlever-core/src/router/lookups.rs
+++ b/crates/quartzlever-core/src/router/lookups.rs
@@ -16,7 +16,7 @@
         if let Some(terminal) = self.terminal_jobs.get(&job).cloned() {
             return self.answer_terminal_job(id, &job, &terminal);
         }
-        if !self.lookups.ask(self.now, id, job) {
+        if !self.lookups.enqueue(self.now, id, job) {
             self.outbox.reject_retryable(id, 503, "busy");
         }
     }
@@ -47,13 +47,13 @@
         result: Result<StoreReply, CallError>,
     ) {
         if lookups.is_empty() {
-            self.cache.view_read_answered();
+            self.cache.record_view_read_reply();
         } else {
-            self.lookups.read_answered();
+            self.lookups.record_read_reply();
         }
         match result {
             Ok(StoreReply::Revision(revision)) => {
-                self.cache.read_revision(revision, sent);
+                self.cache.record_revision_read(revision, sent);
                 if !lookups.is_empty() {
                     self.lookups.wait_for(revision, lookups);
                 }
--- a/crates/quartzlever-core/src/router/ownership.rs
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -15,7 +15,7 @@
 impl Core {
     fn group_layout(&self) -> GroupLayout {
         let agreement = GroupSizeAgreement {
-            small_groups: self.cluster.services(),
+            small_groups: self.cluster.supports_services(),
             size: self.cluster.agreed_group_size(),
             revision: self.cluster.group_size_revision(),
         };
@@ -35,14 +35,14 @@
         owner: PartitionTerm,
     ) {
         let layout = self.group_layout();
-        self.ownership.request(id, heartbeat, owner, &layout, self.now);
+        self.ownership.request_claim(id, heartbeat, owner, &layout, self.now);
     }
 
     /// Queues the removal of a terminated machine's record.
     pub(crate) fn release_ownership(&mut self, machine: &str, partition: &str, term: u64) {
         let owner = PartitionTerm { partition: partition.to_owned(), term };
         let layout = self.group_layout();
-        self.ownership.release(machine, owner, &self.cache, &layout);
+        self.ownership.request_removal(machine, owner, &self.cache, &layout);
     }
 
     /// Writes the groups with queued changes, and splits a group that is too large.
@@ -62,12 +62,12 @@
     pub(super) fn group_split(
         &mut self,
         key: &str,
-        small: Vec<(String, MachineRecords)>,
+        small_groups: Vec<(String, MachineRecords)>,
         is_complete: bool,
         result: &Result<StoreReply, CallError>,
     ) {
         let Some(mod_revision) = self.ownership.split_answered(result, self.now) else { return };
-        for (key, records) in small {
+        for (key, records) in small_groups {
             self.cache.record_group(&key, records, mod_revision);
         }
         if is_complete {
@@ -92,8 +92,8 @@
                 }
                 self.ownership.forget_if_settled(&key);
             }
-            GroupWriteOutcome::ToBeReread { lost } => {
-                for owner in lost {
+            GroupWriteOutcome::RereadNeeded { lost_partitions } => {
+                for owner in lost_partitions {
                     self.lose_partition(&owner.partition, owner.term);
                 }
                 self.ownership.reread(&write.key, &mut self.outbox);
@@ -156,7 +156,7 @@
     /// Answers the heartbeats that waited for the claim of a machine, now that it has an owner.
     fn complete_claim(&mut self, key: &str, machine: &str) {
         let Some(claim) = self.ownership.take_claim(key, machine) else { return };
-        for id in claim.ids {
+        for id in claim.requests {
             self.handle_heartbeat(id, claim.heartbeat.clone());
         }
     }
--- a/crates/quartzlever-core/src/router/reachability.rs
+++ b/crates/quartzlever-core/src/router/reachability.rs
@@ -40,7 +40,7 @@
             if let Some(node) = self.other_leader_of(&partition).map(str::to_owned) {
                 let request = PeerRequest::MachinesSeen { partition: partition.clone(), machines };
                 let pending = PendingPeerCall::MachinesSeen { partition, machines };
-                self.outbox.ask_peer(&node, request, pending);
+                self.outbox.call_peer(&node, request, pending);
             }
         }
     }
@@ -49,7 +49,7 @@
         let is_unreachable = |partition: &&Partition| {
             let own = OwnHeartbeats {
                 partition: &partition.name,
-                acquired_at: partition.acquired,
+                acquired_at: partition.acquired_at,
                 last_heartbeats: partition.machines.values().map(|m| m.last_heartbeat_at),
             };
             self.reachability.peer_sees_more_machines(self.now, &self.config, own)
@@ -58,7 +58,7 @@
         let unreachable: Vec<(String, u64)> =
             unreachable.map(|partition| (partition.name.clone(), partition.term)).collect();
         for (name, term) in unreachable {
-            self.reachability.give_up(self.now, &name, term, &mut self.outbox);
+            self.reachability.record_release(self.now, &name, term, &mut self.outbox);
             self.release(&name, term);
         }
     }
@@ -83,7 +83,7 @@
 
     /// Handles the outcome of a probe of whether workers are reachable.
     pub(crate) fn probe_replied(&mut self, is_reached: bool) {
-        self.reachability.probed(is_reached, &mut self.outbox);
+        self.reachability.handle_probe_result(is_reached, &mut self.outbox);
     }
 }
 
--- a/crates/quartzlever-core/src/router/reachability/tests.rs
+++ b/crates/quartzlever-core/src/router/reachability/tests.rs
@@ -17,7 +17,7 @@
         ("the leader was stalled, with heartbeats unprocessed", 4, 0, 9, true, false),
         ("too early to tell", 1, 0, 9, false, false),
     ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         with_ten_machines(&mut core, NOW);
         let now = NOW + silent * SECOND;
         let mut commands = vec![
@@ -31,7 +31,7 @@
             let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
             commands.push(Command::Heartbeat { id: 10 + n, heartbeat });
         }
-        let releases = changes(&core.step(now, commands), "parts/one");
+        let releases = transactions_on(&core.step(now, commands), "parts/one");
         assert_eq!(releases.len(), usize::from(given_up), "{name}");
         assert_eq!(core.partitions.contains_key("one"), !given_up, "{name}: at most one leader");
     }
@@ -42,7 +42,7 @@
     // (machines of the leader's partition that send heartbeats here, the number that it is notified
     // of)
     for (machines, notified) in [(2, None), (3, Some(3)), (7, Some(7))] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
         let records: MachineRecords =
             names.iter().map(|n| (n.clone(), machine_record_of(n, "two"))).collect();
@@ -70,7 +70,7 @@
     // (whether the leader is reached, whether the notice is stored instead; a leader that receives
     // no heartbeats then acts on it)
     for (reached, stored) in [(true, false), (false, true)] {
-        let mut peer = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        let mut peer = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         let names: Vec<String> = (101..=110).map(|n| format!("n-{n}")).collect();
         let records: MachineRecords =
             names.iter().map(|n| (n.clone(), machine_record_of(n, "two"))).collect();
@@ -106,11 +106,11 @@
         // "one".
         let Event::Write { write, v, .. } = event else { continue };
         let write = write.replacen("two", "one", 1);
-        let mut leader = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        let mut leader = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         with_ten_machines(&mut leader, NOW - 10 * SECOND);
         leader.reachability.restart_listening(NOW - 60 * SECOND);
         if let Some(partition) = leader.partitions.get_mut("one") {
-            partition.acquired = NOW - 60 * SECOND;
+            partition.acquired_at = NOW - 60 * SECOND;
         }
         let watch = leader.step(NOW, Vec::new()).into_iter().find_map(|e| match e {
             Effect::Store { call_id, call: StoreCall::Watch { .. }, .. } => Some(call_id),
@@ -121,7 +121,7 @@
         let result = Ok(StoreReply::Watched(WatchAnswer { revision: 30, log }));
         let mut effects = leader.step(NOW, vec![Command::StoreReply { call_id, result }]);
         effects.extend(leader.step(NOW + SECOND, Vec::new()));
-        assert_eq!(changes(&effects, "parts/one").len(), 1, "given up");
+        assert_eq!(transactions_on(&effects, "parts/one").len(), 1, "given up");
     }
 }
 
@@ -136,11 +136,11 @@
         ("reachable again", 40, true, true, true, false),
         ("reachable at once: not back and forth", 4, true, true, false, false),
     ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         with_ten_machines(&mut core, NOW - 10 * SECOND);
         core.reachability.restart_listening(NOW - 60 * SECOND);
         if let Some(partition) = core.partitions.get_mut("one") {
-            partition.acquired = NOW - 60 * SECOND;
+            partition.acquired_at = NOW - 60 * SECOND;
         }
         core.apply_group_change(
             &large_group_key("n-1"),
@@ -149,7 +149,7 @@
         );
         let request = PeerRequest::MachinesSeen { partition: "one".into(), machines: 10 };
         let effects = core.step(NOW, vec![Command::PeerRequest { id: 1, request }]);
-        let call_ids = changes(&effects, "parts/one");
+        let call_ids = transactions_on(&effects, "parts/one");
         assert_eq!(call_ids.len(), 1, "{name}: given up");
         let mut commands = vec![Command::StoreReply {
             call_id: call_ids[0],
--- a/crates/quartzlever-core/src/router/store_changes.rs
+++ b/crates/quartzlever-core/src/router/store_changes.rs
@@ -18,7 +18,7 @@
     /// Keeps the cache loaded and fresh: begins a listing while it is not loaded, otherwise polls
     /// the watch and the age of the view.
     pub(super) fn poll_cache(&mut self) {
-        if !self.cache.loaded() {
+        if !self.cache.is_loaded() {
             return self.listing.begin(self.now, &mut self.outbox);
         }
         let min_interval = self.min_interval_for(WATCH_SHARE);
@@ -34,21 +34,22 @@
         sent: Micros,
         result: Result<StoreReply, CallError>,
     ) {
-        let Some(answer) = self.watch.answered(self.now, number, result, &mut self.cache) else {
+        let Some(answer) = self.watch.handle_reply(self.now, number, result, &mut self.cache)
+        else {
             return;
         };
         // An earlier watch may answer after a later one; its events are known already then.
         let known = self.cache.revision();
         for event in answer.log {
             // Whether an event is new depends on the events applied before it.
-            let event = StoreEvent::watched(event, known, &self.cache, &self.terminal_jobs);
+            let event = StoreEvent::from_watch(event, known, &self.cache, &self.terminal_jobs);
             if let Some(event) = event {
                 self.apply_store_event(event);
             }
         }
-        self.cache.advance(answer.revision);
+        self.cache.advance_to(answer.revision);
         // The answer includes at least everything that was committed before the watch was sent.
-        self.cache.read_revision(answer.revision, sent);
+        self.cache.record_revision_read(answer.revision, sent);
     }
 
     /// Handles a page of a listing, or its failure.
@@ -58,25 +59,25 @@
         section: Section,
         result: Result<StoreReply, CallError>,
     ) {
-        let Some(page) = self.listing.page_listed(self.now, number, section, result) else {
+        let Some(page) = self.listing.handle_page(self.now, number, section, result) else {
             return;
         };
-        if let Some(revision) = page.begins_at {
+        if let Some(revision) = page.listing_revision {
             // The watch starts at the revision of the first page.
             self.cache.reset(revision);
             self.pages.clear();
         }
-        if section == Section::Cluster && page.begins_section {
-            self.cluster.forget_nodes();
+        if section == Section::Cluster && page.is_first_of_section {
+            self.cluster.clear_announcements();
         }
         for entry in page.entries {
-            if let Some(event) = StoreEvent::listed(section, entry) {
+            if let Some(event) = StoreEvent::from_listing(section, entry) {
                 self.apply_store_event(event);
             }
         }
-        if let Some(sent) = self.listing.proceed(section, page.next, &mut self.outbox) {
-            self.look_for_upgrade();
-            self.cache.listing_complete(sent);
+        if let Some(sent) = self.listing.request_next(section, page.next, &mut self.outbox) {
+            self.detect_upgrade();
+            self.cache.complete_listing(sent);
             self.reconcile_after_listing();
         }
     }
@@ -87,7 +88,7 @@
                 self.apply_partition_record(&name, record, mod_revision);
             }
             StoreEvent::PartitionDeleted { name, mod_revision } => {
-                self.cache.partition_deleted(&name, mod_revision);
+                self.cache.remove_deleted_partition(&name, mod_revision);
                 if self.partitions.get(&name).is_some_and(|p| p.term <= mod_revision) {
                     self.partitions.remove(&name);
                 }
@@ -102,14 +103,14 @@
             }
             StoreEvent::Job(entry) => self.apply_job_record(&entry),
             StoreEvent::JobDeleted { id, mod_revision } => {
-                self.cache.active_job_deleted(&id, mod_revision);
+                self.cache.remove_deleted_job(&id, mod_revision);
             }
             StoreEvent::JobTerminated { id, record } => self.job_terminated(&id, record),
             StoreEvent::Page(entry) => self.apply_page_record(&entry),
             StoreEvent::PageDeleted { key, mod_revision } => self.pages.remove(&key, mod_revision),
             StoreEvent::Cluster(entry) => self.apply_cluster_record(&entry),
             StoreEvent::ClusterDeleted { key, mod_revision } => {
-                self.cluster_deleted(&key, mod_revision);
+                self.apply_cluster_deletion(&key, mod_revision);
             }
             StoreEvent::MachinesSeen(entry) => self.apply_machines_seen_record(&entry),
         }
@@ -180,7 +181,7 @@
         // has ended. Its tasks are stopped now, since the view counts as fresh from here on. Its
         // final state is read when a user asks for it.
         let revision = self.cache.revision();
-        for partition in self.partitions.values_mut().filter(|p| p.active()) {
+        for partition in self.partitions.values_mut().filter(|p| p.is_loaded()) {
             let ended: Vec<String> = partition
                 .jobs
                 .iter()
--- a/crates/quartzlever-core/src/router/store_changes/tests.rs
+++ b/crates/quartzlever-core/src/router/store_changes/tests.rs
@@ -13,26 +13,26 @@
 /// first marked the incomplete cache as loaded and fresh.
 #[test]
 fn only_one_listing_runs_at_a_time() {
-    let mut core = with_cache(&[("one", "one", 5)]);
+    let mut core = core_with_cache(&[("one", "one", 5)]);
     core.watch.set_number(3);
     core.watch_replied(3, NOW, Ok(StoreReply::TooOld));
     assert_eq!(pages_requested(&core.step(NOW, Vec::new())), 1);
-    let first = core.listing.latest();
+    let first = core.listing.latest_number();
     core.watch_replied(2, NOW, Ok(StoreReply::TooOld));
     assert_eq!(pages_requested(&core.step(NOW + SECOND, Vec::new())), 0);
-    assert_eq!(core.listing.latest(), first);
+    assert_eq!(core.listing.latest_number(), first);
     // A page that fails ends the listing; later pages of it are ignored.
     core.page_listed(first, Section::Partitions, Err(CallError::Unknown));
     assert_eq!(pages_requested(&core.step(NOW + 2 * SECOND, Vec::new())), 1);
     let late = ListPage { entries: Vec::new(), has_next: false, revision: 90 };
     core.page_listed(first, Section::Cluster, Ok(StoreReply::Listed(late)));
-    assert!(!core.cache.loaded() && core.cache.revision() < 90);
+    assert!(!core.cache.is_loaded() && core.cache.revision() < 90);
     // The answer of the earlier watch does not invalidate a cache that was listed since.
     core.listing.abandon();
     let own = partition_entry("one", "one", core.process, 5);
-    list_records(&mut core, &[own], 95);
+    relist_records(&mut core, &[own], 95);
     core.watch_replied(2, NOW, Ok(StoreReply::TooOld));
-    assert!(core.cache.loaded() && core.cache.revision() == 95);
+    assert!(core.cache.is_loaded() && core.cache.revision() == 95);
 }
 
 /// A listing shows that a partition was lost in a change that the watch missed. Without this check
@@ -59,7 +59,7 @@
             })
             .into_iter()
             .collect();
-        list_records(&mut core, &entries, revision);
+        relist_records(&mut core, &entries, revision);
         assert_eq!(core.partitions.contains_key("one"), led, "{n}");
     }
 }
@@ -77,7 +77,7 @@
         let mut core = core();
         core.cache.set_loaded(loaded);
         core.cache.set_revision(revision);
-        core.acquired("two", 1, &Ok(StoreReply::Committed(30)));
+        core.acquire_replied("two", 1, &Ok(StoreReply::Committed(30)));
         assert_eq!(core.partitions.contains_key("two"), led, "{revision} {loaded}");
     }
 }
@@ -90,7 +90,7 @@
     for (lease, kept) in [(1, true), (2, false)] {
         let mut core = core();
         core.lease = Lease::held(2, NOW + 1_000 * SECOND);
-        core.acquired("two", lease, &Ok(StoreReply::NoLease));
+        core.acquire_replied("two", lease, &Ok(StoreReply::NoLease));
         assert_eq!(core.lease.id().is_some(), kept, "{lease}");
         assert_eq!(core.partitions.contains_key("one"), kept, "{lease}");
     }
@@ -108,7 +108,7 @@
         ("live/req-3", 11, false),
         ("over/req-3", 11, false),
     ] {
-        let mut core = with_leaders(100);
+        let mut core = core_with_leaders(100);
         core.outbox.set_log_level(LogLevel::Error);
         core.reconcile_job(record_of(1, 4, "one"), 10);
         core.job_terminated("req-3", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
--- a/crates/quartzlever-core/src/router/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -102,12 +102,15 @@
 fn a_lagging_controller_keeps_its_lease_and_its_machines() {
     // Milliseconds between two steps over 30 s; each call is answered only in the next step.
     for step_ms in [200, 1_500, 3_000, 5_000] {
-        let mut core = with_leaders(100);
+        let mut core = core_with_leaders(100);
         core.lease.renew_at(NOW + 1);
         core.lease.expire_at(NOW + 13 * SECOND);
         // The one task runs all the time, so that the machine is not terminated as idle.
         core.reconcile_job(record_of(1, 1, "one"), 10);
-        core.step(NOW, vec![Command::Heartbeat { id: 1_000, heartbeat: report_of_one(1, None) }]);
+        core.step(
+            NOW,
+            vec![Command::Heartbeat { id: 1_000, heartbeat: heartbeat_of_one(1, None) }],
+        );
         let attempt = core.partitions["one"].jobs["req-1"].assignments.get(&0).map(|p| p.attempt);
         assert!(attempt.is_some(), "{step_ms}: placed");
         let (mut now, mut renewals, mut terminations) = (NOW, 0, 0);
@@ -122,7 +125,7 @@
                 heartbeats += 1;
                 batch.push(Command::Heartbeat {
                     id: heartbeats,
-                    heartbeat: report_of_one(1 + heartbeats, attempt),
+                    heartbeat: heartbeat_of_one(1 + heartbeats, attempt),
                 });
             }
             for effect in core.step(now, batch) {
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -13,12 +13,12 @@
 
 use crate::calls::{JobReadPurpose, PendingPeerCall, PendingStoreCall};
 use crate::events::LogEvent;
-use crate::jobs::cancellation::{self, CancelOutcome, cancelled};
+use crate::jobs::cancellation::{self, CancelOutcome, cancelled_state};
 use crate::jobs::feasibility::feasibility;
 use crate::jobs::lookups;
 use crate::jobs::records::terminal_job_key;
 use crate::jobs::submission::{
-    self, AcceptOutcome, Acceptance, Entry, EntryChoice, LedPartition, Refusal,
+    self, AcceptOutcome, Acceptance, EntryChoice, EntryPartition, LedPartition, Refusal,
 };
 use crate::messages::{Answer, LogLevel, RequestId};
 use crate::router::Core;
@@ -69,11 +69,15 @@
         }
         let types = self.types.as_ref().map(|t| t.values());
         let feasibility = feasibility(&self.config, types, &spec);
-        let refusal = submission::refusal(feasibility, &spec, self.cluster.services());
+        let refusal = submission::refusal(feasibility, &spec, self.cluster.supports_services());
         let entry = self.choose_entry(&spec);
         let (Some(entry), None) = (entry, refusal) else {
-            let refuse = refusal == Some(Refusal::Permanent);
-            return self.read_job(JobReadPurpose::Submit { id, job: spec.id.clone(), refuse });
+            let reject_if_unknown = refusal == Some(Refusal::Permanent);
+            return self.read_job(JobReadPurpose::Submit {
+                id,
+                job: spec.id.clone(),
+                reject_if_unknown,
+            });
         };
         let (wall, value_bytes) = (self.wall(), self.limits.value_bytes());
         let planned = submission::plan_acceptance(&spec, entry, wall, value_bytes);
@@ -83,16 +87,16 @@
             return self.read_job(JobReadPurpose::Submit {
                 id,
                 job: spec.id.clone(),
-                refuse: true,
+                reject_if_unknown: true,
             });
         };
         self.write_budget.spend(1);
         let pending = PendingStoreCall::Accept { id, record };
-        self.user_requests.call(StoreCall::Txn(txn), pending, &mut self.outbox);
+        self.user_requests.start_call(StoreCall::Txn(txn), pending, &mut self.outbox);
     }
 
     /// Chooses the partition that a new job enters.
-    fn choose_entry(&mut self, spec: &JobSpec) -> Option<Entry> {
+    fn choose_entry(&mut self, spec: &JobSpec) -> Option<EntryPartition> {
         let own_partition = if self.may_act() {
             let home = self.partitions.get(&self.config.node);
             home.or_else(|| self.partitions.values().next())
@@ -128,8 +132,8 @@
                     None => self.answer_phase(id, 201, &job, JobPhase::Queued),
                 }
             }
-            AcceptOutcome::Known => {
-                self.read_job(JobReadPurpose::Submit { id, job, refuse: false })
+            AcceptOutcome::AlreadyExists => {
+                self.read_job(JobReadPurpose::Submit { id, job, reject_if_unknown: false })
             }
             AcceptOutcome::PartitionChanged => {
                 self.outbox.reject_retryable(id, 503, "the part has changed hands");
@@ -144,7 +148,7 @@
             let phase = terminal.phase;
             return self.answer_phase(id, 200, &job, phase);
         }
-        self.read_for_user(JobReadPurpose::Cancel { id, job, tries: 0 });
+        self.read_for_user(JobReadPurpose::Cancel { id, job, attempts: 0 });
     }
 
     /// Handles the reply to the read of an active job; without a record, reads the final state.
@@ -159,7 +163,7 @@
             Ok(StoreReply::Read(None)) => {
                 let call = StoreCall::Get(terminal_job_key(purpose.job()));
                 let pending = PendingStoreCall::ReadTerminalJob { purpose };
-                self.user_requests.call(call, pending, &mut self.outbox);
+                self.user_requests.start_call(call, pending, &mut self.outbox);
             }
             _ => self.outbox.reject_retryable(purpose.request(), 503, NO_STORE_REPLY),
         }
@@ -183,12 +187,12 @@
                 };
                 self.outbox.answer(id, 200, Answer::View(view));
             }
-            JobReadPurpose::Cancel { id, job, tries } => {
+            JobReadPurpose::Cancel { id, job, attempts } => {
                 let done = record.map_or(0, |r| r.finished.len());
                 let txn = cancellation::plan_cancellation(&job, stored.mod_revision, done);
-                self.write_budget.spend(cancellation::CHANGES);
-                let pending = PendingStoreCall::Cancel { id, job, done, tries };
-                self.user_requests.call(StoreCall::Txn(txn), pending, &mut self.outbox);
+                self.write_budget.spend(cancellation::CANCELLATION_CHANGES);
+                let pending = PendingStoreCall::Cancel { id, job, done, attempts };
+                self.user_requests.start_call(StoreCall::Txn(txn), pending, &mut self.outbox);
             }
         }
     }
@@ -227,7 +231,7 @@
     /// Answers a request for a job that has neither an active nor a terminal record.
     fn answer_unknown_job(&mut self, purpose: &JobReadPurpose) {
         match *purpose {
-            JobReadPurpose::Submit { id, refuse: true, .. } => {
+            JobReadPurpose::Submit { id, reject_if_unknown: true, .. } => {
                 self.outbox.answer(id, 422, Answer::Error { error: "can never run" });
             }
             JobReadPurpose::Submit { id, .. } => {
@@ -245,18 +249,18 @@
         id: RequestId,
         job: String,
         done: u32,
-        tries: u32,
+        attempts: u32,
         result: &Result<StoreReply, CallError>,
     ) {
         self.user_requests.call_answered();
-        match CancelOutcome::of(result, tries) {
+        match CancelOutcome::of(result, attempts) {
             CancelOutcome::Committed => {
                 self.notify_cancelled(&job, done);
-                self.job_terminated(&job, cancelled(done));
+                self.job_terminated(&job, cancelled_state(done));
                 self.answer_phase(id, 200, &job, JobPhase::Cancelled);
             }
             CancelOutcome::ReadAgain => {
-                self.read_job(JobReadPurpose::Cancel { id, job, tries: tries + 1 })
+                self.read_job(JobReadPurpose::Cancel { id, job, attempts: attempts + 1 })
             }
             CancelOutcome::Failed => self.outbox.reject_retryable(id, 503, "not written"),
         }
@@ -269,7 +273,7 @@
         let leaders = cancellation::other_leaders(&known.record, |name| self.other_leader_of(name));
         for node in leaders.into_iter().map(str::to_owned).collect::<Vec<_>>() {
             let request = PeerRequest::Cancelled { job: job.to_owned(), done };
-            self.outbox.ask_peer(&node, request, PendingPeerCall::Notification);
+            self.outbox.call_peer(&node, request, PendingPeerCall::Notification);
         }
     }
 }
--- a/crates/quartzlever-core/src/router/user_requests/tests.rs
+++ b/crates/quartzlever-core/src/router/user_requests/tests.rs
@@ -14,7 +14,7 @@
         (false, &[], None),
     ];
     for (n, (leads, partitions, condition)) in cases.iter().enumerate() {
-        let mut core = with_cache(partitions);
+        let mut core = core_with_cache(partitions);
         if !leads {
             core.partitions.clear();
         }
@@ -47,7 +47,7 @@
         (100, 150, 80, "one"),
         (1_000, 150, 0, "one"),
     ] {
-        let mut core = with_leaders(machine_capacity);
+        let mut core = core_with_leaders(machine_capacity);
         for (number, tasks, partition) in [(1, own, "one"), (2, other, "two")] {
             if tasks > 0 {
                 core.reconcile_job(record_of(number, tasks, partition), 10);
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -67,8 +67,10 @@
     /// Starts tasks that found no capacity in the last placement on one machine.
     pub(crate) fn fill(&mut self, name: &str, machine: &str) {
         let now = self.now;
-        let Some(partition) = self.partitions.get_mut(name).filter(|p| p.active()) else { return };
-        if !partition.machines.get(machine).is_some_and(|m| m.usable() && m.free.cpus > 0.0) {
+        let Some(partition) = self.partitions.get_mut(name).filter(|p| p.is_loaded()) else {
+            return;
+        };
+        if !partition.machines.get(machine).is_some_and(|m| m.is_usable() && m.free.cpus > 0.0) {
             return;
         }
         let waiting = std::mem::take(&mut partition.jobs_without_capacity);
@@ -92,7 +94,7 @@
     fn placement_is_due(&self, now: Micros) -> bool {
         let is_requested =
             self.placement_wanted || self.placement_due_at.is_some_and(|at| now >= at);
-        self.active() && is_requested && now >= self.next_placement_at && self.types.is_some()
+        self.is_loaded() && is_requested && now >= self.next_placement_at && self.types.is_some()
     }
 
     /// Clears the requests for a placement and the results of the last one.
@@ -130,7 +132,7 @@
             return false;
         }
         let Some(job) = self.jobs.get(id) else { return false };
-        let (spec, need, service) = (job.spec(), job.need(), job.service());
+        let (spec, need, service) = (job.spec(), job.required_resources(), job.is_service());
         let machines = self.feasible_machines(config, job, only_machine, now);
         let zone_constrained = spec.one_zone || spec.spread;
         let allowance = self.team_allowance(config, spec, &need);
@@ -160,11 +162,11 @@
             return false;
         }
         if job.fails_everywhere() {
-            self.try_to_clear(config, id, now);
+            self.clear_failures_if_outlasted(config, id, now);
             self.schedule_placement(now + TRIAL_CHECK_INTERVAL);
         }
-        let forgives_at = self.jobs.get(id).and_then(|j| j.forgives_at());
-        if let Some(at) = forgives_at.filter(|at| *at > now) {
+        let retry_at = self.jobs.get(id).and_then(|j| j.retry_failed_machines_at());
+        if let Some(at) = retry_at.filter(|at| *at > now) {
             self.schedule_placement(at);
         }
         true
@@ -204,7 +206,8 @@
     /// the number of tasks started.
     fn start_tasks_on(&mut self, placement: &JobPlacement, machine: &str, max_tasks: u32) -> u32 {
         let JobPlacement { config, id, need, zone_constrained, now } = placement;
-        let most = self.machines.get(machine).map_or(0, |m| m.free.count(need)).min(max_tasks);
+        let most =
+            self.machines.get(machine).map_or(0, |m| m.free.count_fitting(need)).min(max_tasks);
         let mut started = 0;
         while started < most {
             if *zone_constrained && !self.zone_has_capacity(&config.zones, id, machine) {
@@ -214,7 +217,7 @@
             self.start(id, index, machine, *now);
             started += 1;
         }
-        self.refresh(machine);
+        self.refresh_machine(machine);
         started
     }
 
@@ -228,7 +231,7 @@
         if !self.recovery_complete || config.partition_of_team(&team.name) != self.name {
             return 0;
         }
-        let (used, certain) = self.team_use(&team.name);
+        let (used, certain) = self.team_usage(&team.name);
         if !certain {
             return 0;
         }
@@ -238,7 +241,7 @@
             gpus: remaining(team.gpus_max, used.gpus),
             ram_gb: f64::INFINITY,
         };
-        left.count(need)
+        left.count_fitting(need)
     }
 
     /// Assigns a ready task to a machine as a new attempt, and queues a call to the machine. The
@@ -266,7 +269,7 @@
     /// call to its machine.
     pub fn stop_attempt(&mut self, machine_name: &str, key: &AttemptKey, leeway_s: f64) {
         if let Some(machine) = self.machines.get_mut(machine_name) {
-            machine.stop(key, leeway_s);
+            machine.mark_unwanted(key, leeway_s);
             self.call_queue.add_urgent(machine_name);
         }
     }
--- a/crates/quartzlever-core/src/scheduling/assignment/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment/tests.rs
@@ -27,14 +27,14 @@
     ];
     for (name, change, expected) in cases {
         let mut core = core();
-        machines(&mut core, machine_list);
+        set_machines(&mut core, machine_list);
         let mut job = spec(4);
         job.cpus = 4.0;
         change(&mut job);
         queue_job(&mut core, &job, 10);
         let expected: Vec<(String, usize)> =
             expected.iter().map(|(m, n)| ((*m).to_owned(), *n)).collect();
-        assert_eq!(placed(&core, &job.id), expected, "{name}");
+        assert_eq!(task_counts_by_machine(&core, &job.id), expected, "{name}");
     }
 }
 
@@ -44,7 +44,7 @@
     // eight of 2 processors each within a limit of 8 processors)
     for (recovered, unknown_job, starts) in [(true, false, 4), (false, false, 0), (true, true, 0)] {
         let mut core = core();
-        machines(&mut core, &[("n-1", "m", "a", false), ("n-2", "m", "a", false)]);
+        set_machines(&mut core, &[("n-1", "m", "a", false), ("n-2", "m", "a", false)]);
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.recovery_complete = recovered;
             if unknown_job {
@@ -61,7 +61,7 @@
         let mut job = spec(8);
         job.team = "tight".into();
         queue_job(&mut core, &job, 10);
-        let count: usize = placed(&core, &job.id).iter().map(|(_, n)| n).sum();
+        let count: usize = task_counts_by_machine(&core, &job.id).iter().map(|(_, n)| n).sum();
         assert_eq!(count, starts, "recovered {recovered}, unknown job {unknown_job}");
     }
 }
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -54,10 +54,10 @@
         // A job is tried again on machines where it failed only if it fails everywhere, or after a
         // delay.
         let retries_failed_machines =
-            job.fails_everywhere() || job.forgives_at().is_some_and(|at| at <= now);
+            job.fails_everywhere() || job.retry_failed_machines_at().is_some_and(|at| at <= now);
         Feasibility {
             spec: job.spec(),
-            need: job.need(),
+            need: job.required_resources(),
             job,
             retries_failed_machines,
             reservations: &partition.reservations,
@@ -71,8 +71,8 @@
         !self.reservations.is_reserved_for_other_job(&machine.name, &self.spec.id)
             && machine.accepts_tasks(self.now, self.max_silence)
             && machine.free.fits(&self.need)
-            && (self.retries_failed_machines || !self.job.failures.includes(&machine.name))
-            && !machine.failures.in_doubt(self.now)
+            && (self.retries_failed_machines || !self.job.failures.has_failed_on(&machine.name))
+            && !machine.failures.is_undecided(self.now)
             && !self.reservations.is_reserved_for_higher_priority(
                 &machine.name,
                 self.spec.priority,
