--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -61,7 +61,7 @@
 
 impl PreemptionTimes {
     fn new(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Self {
-        let checkpointed_from = job.since + MIN_WAIT_BEFORE_PREEMPTION;
+        let checkpointed_from = job.submitted_at + MIN_WAIT_BEFORE_PREEMPTION;
         let latest = urgency(config, run_times, job, now).latest;
         let urgent_from = (latest + 1).saturating_sub(PREEMPTION_LEAD_TIME);
         PreemptionTimes { checkpointed_from, any_from: checkpointed_from.max(urgent_from) }
@@ -92,9 +92,9 @@
         for attempt in partition.active_attempts() {
             if attempt.wanted {
                 all.lowest_priority = all.lowest_priority.max(attempt.priority);
-                all.has_checkpointed |= attempt.yields;
+                all.has_checkpointed |= attempt.is_cheap_to_preempt;
             } else {
-                all.freeing_cpus += attempt.need.cpus;
+                all.freeing_cpus += attempt.required_resources.cpus;
             }
         }
         all
@@ -139,9 +139,9 @@
             && attempt.team != self.spec.team
             && !attempt.team.is_empty()
             && !self.teams_within_guarantee.contains(&attempt.team);
-        let is_eligible = self.victims == Victims::Any || attempt.yields;
+        let is_eligible = self.victims == Victims::Any || attempt.is_cheap_to_preempt;
         attempt.wanted
-            && !attempt.exited()
+            && !attempt.has_exited()
             && is_eligible
             && ((has_lower_priority && !is_protected) || exceeds_guarantee)
     }
@@ -199,7 +199,8 @@
         for id in partition.jobs_without_capacity.clone() {
             let Some(job) = partition.jobs.get(&id) else { continue };
             let times = PreemptionTimes::new(&self.config, &self.run_times, job, now);
-            let (spec, need, ready) = (job.spec().clone(), job.need(), job.ready.len());
+            let (spec, need, ready) =
+                (job.spec().clone(), job.required_resources(), job.ready.len());
             let victims = times.victims(now);
             if victims == Victims::CheckpointedBestEffort
                 && !partition.may_preempt_checkpointed(&times, state.has_checkpointed, now)
@@ -308,7 +309,7 @@
         let on_machine = self.machines.get(machine_name).map(|machine| &machine.attempts);
         let on_machine =
             attempts.iter().filter_map(|key| on_machine.and_then(|on_machine| on_machine.get(key)));
-        on_machine.into_iter().any(|attempt| attempt.yields)
+        on_machine.into_iter().any(|attempt| attempt.is_cheap_to_preempt)
     }
 
     /// Returns the cheapest eviction of each machine where a task of the job can be made to fit, in
@@ -344,12 +345,12 @@
             if free.fits(&request.need) {
                 break;
             }
-            free.add(&attempt.need);
+            free.add(&attempt.required_resources);
             lost_work += cost;
             attempts.push(key.clone());
         }
         lost_work += request.image_pull_cost(machine, machine_type);
-        let tasks_placed = free.count(&request.need);
+        let tasks_placed = free.count_fitting(&request.need);
         let fits = free.fits(&request.need) && !attempts.is_empty();
         fits.then(|| Eviction {
             lost_work,
@@ -389,7 +390,7 @@
         let was_preempted =
             self.jobs.get(&key.task.job).is_none_or(|j| j.preempted.contains(key.task.index));
         let ran = if was_preempted { ran + REPEATED_PREEMPTION_COST } else { ran };
-        ran as f64 * attempt.need.cpus.max(MIN_CPUS_IN_COST)
+        ran as f64 * attempt.required_resources.cpus.max(MIN_CPUS_IN_COST)
     }
 }
 
--- a/crates/quartzlever-core/src/scheduling/preemption/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption/tests.rs
@@ -13,7 +13,7 @@
         (Priority::Urgent, Priority::Standard, 0),
     ] {
         let mut core = core();
-        machines(&mut core, &[("n-1", "m", "a", false)]);
+        set_machines(&mut core, &[("n-1", "m", "a", false)]);
         let mut first = spec(2);
         (first.cpus, first.priority) = (4.0, running_priority);
         queue_job(&mut core, &first, 10);
@@ -54,7 +54,7 @@
         (Priority::Standard, 30.0, Priority::Urgent, 0),
     ] {
         let mut core = core();
-        machines(&mut core, &[("n-1", "m", "a", false)]);
+        set_machines(&mut core, &[("n-1", "m", "a", false)]);
         let running_job =
             JobSpec { cpus: 4.0, priority: running_priority, checkpoint_s, ..spec(2) };
         queue_job(&mut core, &running_job, 10);
@@ -83,12 +83,12 @@
         [(10, 2, false, 1), (160, 2, false, 0), (160, 2, true, 1), (160, 5, false, 1)]
     {
         let mut core = core();
-        machines(&mut core, &[("n-1", "m", "a", false)]);
+        set_machines(&mut core, &[("n-1", "m", "a", false)]);
         let mut first = spec(tasks + u32::from(done));
         (first.cpus, first.priority) = (8.0 / f64::from(tasks), Priority::Standard);
         queue_job(&mut core, &first, 10);
         if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
-            job.since = NOW - waited_s * SECOND;
+            job.submitted_at = NOW - waited_s * SECOND;
             if done {
                 job.ready = Ranges::default();
                 job.finished.insert(tasks);
--- a/crates/quartzlever-core/src/scheduling/queue_order.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order.rs
@@ -61,21 +61,23 @@
         let spec = job.spec();
         let expected_run_time = run_times.expect(spec);
         let latest_start_for = |end: Micros| end.saturating_sub(expected_run_time);
-        let due_after = job.due.map(|due| due.saturating_sub(job.since));
+        let due_after = job.due.map(|due| due.saturating_sub(job.submitted_at));
         let mut deadlines = StartDeadlines { now, next: None, any: false };
         if let Some(due_after) = due_after {
-            deadlines.add(latest_start_for(job.since + due_after));
+            deadlines.add(latest_start_for(job.submitted_at + due_after));
         }
         for objective in config.objectives.iter().filter(|o| o.class() == spec.class) {
             match objective {
-                ServiceLevelObjective::Wait { within, .. } => deadlines.add(job.since + within),
+                ServiceLevelObjective::Wait { within, .. } => {
+                    deadlines.add(job.submitted_at + within)
+                }
                 ServiceLevelObjective::Finished { within, .. } => {
-                    deadlines.add(latest_start_for(job.since + within));
+                    deadlines.add(latest_start_for(job.submitted_at + within));
                 }
                 ServiceLevelObjective::Deadline { times, .. } => {
                     if let Some(due_after) = due_after {
                         deadlines.add(latest_start_for(
-                            job.since + (due_after as f64 * times) as Micros,
+                            job.submitted_at + (due_after as f64 * times) as Micros,
                         ));
                     }
                 }
@@ -88,16 +90,16 @@
 /// Returns the urgency of a job, by the earliest of its deadline and objectives that can still be
 /// met.
 pub fn urgency(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Urgency {
-    if job.service() {
+    if job.is_service() {
         // Every moment without a replica is downtime, so the start is due at once.
-        return Urgency { missed: false, latest: job.since };
+        return Urgency { missed: false, latest: job.submitted_at };
     }
     match StartDeadlines::of(config, run_times, job, now) {
         StartDeadlines { any: false, .. } => {
-            Urgency { missed: false, latest: job.since + DEFAULT_START_WITHIN }
+            Urgency { missed: false, latest: job.submitted_at + DEFAULT_START_WITHIN }
         }
         StartDeadlines { next: Some(latest), .. } => Urgency { missed: false, latest },
-        StartDeadlines { next: None, .. } => Urgency { missed: true, latest: job.since },
+        StartDeadlines { next: None, .. } => Urgency { missed: true, latest: job.submitted_at },
     }
 }
 
@@ -119,16 +121,19 @@
 impl PartitionJob {
     /// Reports whether the job is so old that it is not preempted for higher priorities any more.
     fn is_aged(&self, now: Micros) -> bool {
-        let aged_after =
-            if self.yields() { CHECKPOINTED_BEST_EFFORT_AGED_AFTER } else { AGED_AFTER };
-        now.saturating_sub(self.since) > aged_after
+        let aged_after = if self.is_cheap_to_preempt() {
+            CHECKPOINTED_BEST_EFFORT_AGED_AFTER
+        } else {
+            AGED_AFTER
+        };
+        now.saturating_sub(self.submitted_at) > aged_after
     }
 
     /// Reports whether the job's tasks are not preempted for higher priorities: it is aged, or its
     /// first tasks begin late. Without the latter, these tasks, as the youngest, were preempted
     /// repeatedly while they pulled their image, and the job had not begun after 250 s.
     pub(super) fn is_protected(&self, now: Micros) -> bool {
-        let late = now.saturating_sub(self.since) > STARVED_AFTER;
+        let late = now.saturating_sub(self.submitted_at) > STARVED_AFTER;
         let only_first_tasks = self.assignments.len() <= MAX_PROTECTED_FIRST_TASKS
             && self.finished.is_empty()
             && self.record.finished.is_empty();
@@ -149,7 +154,7 @@
         let begun = !self.assignments.is_empty()
             || !self.finished.is_empty()
             || !self.record.finished.is_empty();
-        !begun && !self.fails_everywhere() && now.saturating_sub(self.since) > STARVED_AFTER
+        !begun && !self.fails_everywhere() && now.saturating_sub(self.submitted_at) > STARVED_AFTER
     }
 }
 
@@ -164,7 +169,7 @@
                 beyond_guarantee: !teams_within_guarantee.contains(job.spec().team.as_str()),
                 priority: job.queue_priority(now),
                 urgency: urgency(config, run_times, job, now),
-                since: job.since,
+                since: job.submitted_at,
                 id,
             })
             .collect();
--- a/crates/quartzlever-core/src/scheduling/reservations.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations.rs
@@ -105,11 +105,12 @@
             |j: &PartitionJob| !j.ready.is_empty() && j.no_start_before <= now && j.is_starved(now);
         if let Some(StarvedReservation { machine, job }) = &self.reservations.starved
             && self.jobs.get(job).is_some_and(|j| is_starved(j))
-            && self.machines.get(machine).is_some_and(|m| m.usable())
+            && self.machines.get(machine).is_some_and(|m| m.is_usable())
         {
             return;
         }
-        let longest_waiting = self.jobs.values().filter(|j| is_starved(j)).min_by_key(|j| j.since);
+        let longest_waiting =
+            self.jobs.values().filter(|j| is_starved(j)).min_by_key(|j| j.submitted_at);
         self.reservations.starved = longest_waiting.and_then(|job| {
             let machine = self.machine_with_most_free_cpus(job)?;
             Some(StarvedReservation { machine, job: job.spec().id.clone() })
@@ -119,11 +120,11 @@
     /// Returns the machine with the most free processors, of those that could run a task of the job
     /// if they were empty.
     fn machine_with_most_free_cpus(&self, job: &PartitionJob) -> Option<String> {
-        let (spec, need) = (job.spec(), job.need());
+        let (spec, need) = (job.spec(), job.required_resources());
         let candidates = self.machines.iter().filter(|(machine, m)| {
             let machine_type = self.types.as_ref().and_then(|t| t.get(&m.record.machine_type));
-            m.usable()
-                && !job.failures.includes(machine)
+            m.is_usable()
+                && !job.failures.has_failed_on(machine)
                 && machine_allowed(spec, m)
                 && machine_type.is_some_and(|t| Resources::capacity_of(t).fits(&need))
         });
--- a/crates/quartzlever-core/src/scheduling/reservations/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations/tests.rs
@@ -10,7 +10,7 @@
     // once the machine is free)
     for (waited_s, fresh_starts, old_starts) in [(10, 1, 0), (160, 0, 1)] {
         let mut core = core();
-        machines(&mut core, &[("n-1", "m", "a", false)]);
+        set_machines(&mut core, &[("n-1", "m", "a", false)]);
         let mut running = spec(1);
         (running.id, running.cpus, running.priority) = ("req-7".into(), 4.0, Priority::Prod);
         queue_job(&mut core, &running, 10);
@@ -18,25 +18,29 @@
         old.cpus = 8.0;
         queue_job(&mut core, &old, 11);
         if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
-            job.since = NOW - waited_s * SECOND;
+            job.submitted_at = NOW - waited_s * SECOND;
         }
         let mut fresh = spec(1);
         (fresh.id, fresh.cpus, fresh.priority) = ("req-2".into(), 4.0, Priority::Urgent);
         queue_job(&mut core, &fresh, 12);
         assert_eq!(
-            placed(&core, "req-2").len(),
+            task_counts_by_machine(&core, "req-2").len(),
             fresh_starts,
             "{waited_s}: starts of the later job"
         );
         // The first task ends.
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.drop_job("req-7", NOW);
-            partition.empty_machine("n-1");
+            partition.requeue_attempts_of("n-1");
             partition.placement_wanted = true;
         }
         core.now += SECOND;
         core.place("one");
-        assert_eq!(placed(&core, "req-1").len(), old_starts, "{waited_s}: starts of the old job");
+        assert_eq!(
+            task_counts_by_machine(&core, "req-1").len(),
+            old_starts,
+            "{waited_s}: starts of the old job"
+        );
     }
 }
 
@@ -47,7 +51,7 @@
 fn preempted_capacity_is_reserved_for_the_job_that_it_was_freed_for() {
     use quartzlever_wire::SECOND;
     let mut core = core();
-    machines(&mut core, &[("n-1", "m", "a", false)]);
+    set_machines(&mut core, &[("n-1", "m", "a", false)]);
     let small_job =
         JobSpec { priority: Priority::BestEffort, checkpoint_s: 30.0, save_s: 3.0, ..spec(20) };
     queue_job(&mut core, &small_job, 10);
@@ -66,14 +70,18 @@
     let keys = stopped(&core);
     assert_eq!(keys.len(), 4, "all tasks on the machine are preempted");
     for (n, key) in keys.iter().enumerate() {
-        assert_eq!(placed(&core, &large_job.id), [], "{n} preempted tasks have ended");
+        assert_eq!(
+            task_counts_by_machine(&core, &large_job.id),
+            [],
+            "{n} preempted tasks have ended"
+        );
         let partition = core.partitions.get_mut("one").expect("partition one exists");
         partition.machines["n-1"].attempts.remove(key);
         partition.requeue(&key.task, key.attempt);
-        partition.refresh("n-1");
+        partition.refresh_machine("n-1");
         core.fill("one", "n-1");
         place(&mut core, NOW + 2 * SECOND + n as u64 * SECOND / 5);
     }
-    assert_eq!(placed(&core, &large_job.id), [("n-1".to_owned(), 1)]);
-    assert_eq!(placed(&core, &small_job.id), [], "no small task started meanwhile");
+    assert_eq!(task_counts_by_machine(&core, &large_job.id), [("n-1".to_owned(), 1)]);
+    assert_eq!(task_counts_by_machine(&core, &small_job.id), [], "no small task started meanwhile");
 }
--- a/crates/quartzlever-core/src/scheduling/score.rs
+++ b/crates/quartzlever-core/src/scheduling/score.rs
@@ -53,19 +53,19 @@
     pub fn new(job: &'a PartitionJob) -> Self {
         // Replicas of a service are spread over machines, so that the loss of a machine stops one
         // of them.
-        let service = job.service();
+        let service = job.is_service();
         let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
         for assignment in job.assignments.values().filter(|_| service) {
             *replicas.entry(assignment.machine.as_str()).or_default() += 1;
         }
-        Scoring { spec: job.spec(), need: job.need(), replicas }
+        Scoring { spec: job.spec(), need: job.required_resources(), replicas }
     }
 
     /// Returns the score of a machine for the job.
     pub fn score(&self, machine: &Machine) -> Score {
         let image = if machine.images.contains(&self.spec.image) {
             ImageState::Present
-        } else if machine.pulls(&self.spec.image) {
+        } else if machine.is_pulling(&self.spec.image) {
             ImageState::Pulling
         } else {
             ImageState::Absent
--- a/crates/quartzlever-core/src/scheduling/zones.rs
+++ b/crates/quartzlever-core/src/scheduling/zones.rs
@@ -54,7 +54,7 @@
     for machine in partition.machines.values() {
         let attempts = machine.attempts.iter();
         let count = attempts
-            .filter(|(key, attempt)| key.task.job == *id && !attempt.exited())
+            .filter(|(key, attempt)| key.task.job == *id && !attempt.has_exited())
             .count() as u32;
         if count > 0 {
             *tasks.entry(machine.record.zone.as_str()).or_default() += count;
--- a/crates/quartzlever-core/src/stealing.rs
+++ b/crates/quartzlever-core/src/stealing.rs
@@ -7,12 +7,12 @@
 //! - `thief`: when a partition looks for work, which peers it asks, and from which it steals.
 //! - `victim`: the counts that a node reports, and the tasks that may be stolen.
 //! - `load`: the lengths of queues, and the free capacity of machines.
-//! - `cut`: the ranges of tasks that are removed from the victim's queue.
+//! - `selection`: the ranges of tasks that are removed from the victim's queue.
 //! - `commit`: the write of a move and the handling of its outcome, including the roll-back.
 
 mod commit;
-mod cut;
 mod load;
+mod selection;
 mod thief;
 mod victim;
 
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -2,13 +2,13 @@
 //!
 //! The paper's victim hands tasks over with its answer (algorithm 2). Here the store decides: a
 //! committed move is sent to the thief, and a failed one is rolled back, which returns its ranges
-//! to the queue. After an unknown outcome they stay cut, so that no task is ever in two queues.
+//! to the queue. After an unknown outcome they stay out of the queues, so that no task is ever in two queues.
 
 use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::{StoreCall, StoreReply};
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
-use super::cut::StealRequest;
+use super::selection::StealRequest;
 use crate::calls::{PendingStoreCall, TaskMove};
 use crate::events::LogEvent;
 use crate::messages::{CallPriority, LogLevel, RequestId};
@@ -21,23 +21,23 @@
 const SETTLE_DELAY: Micros = SECOND / 4;
 
 impl Core {
-    /// Cuts ready ranges off the victim's queue and writes the move. The thief is answered once the
+    /// Removes ready ranges from the victim's queue and writes the move. The thief is answered once the
     /// write is committed.
     pub(super) fn steal_tasks(&mut self, steal: StealRequest) {
         let request = steal.request;
-        let Some(cut) = self.cut_tasks(&steal) else { return self.answer_no_tasks(request) };
+        let Some(planned) = self.plan_move(&steal) else { return self.answer_no_tasks(request) };
         let StealRequest { victim, .. } = steal;
-        if !self.write_budget.try_spend(WriteKind::Move, cut.moved.len()) {
-            self.undo_move(&victim, cut.moved);
+        if !self.write_budget.try_spend(WriteKind::Move, planned.moved.len()) {
+            self.undo_move(&victim, planned.moved);
             return self.answer_no_tasks(request);
         }
         let pending = PendingStoreCall::StealWrite {
             partition: victim,
-            term: cut.term,
+            term: planned.term,
             request,
-            moved: cut.moved,
+            moved: planned.moved,
         };
-        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(cut.txn), pending);
+        self.outbox.call_store(CallPriority::Work, StoreCall::Txn(planned.txn), pending);
     }
 
     /// Handles the outcome of the write of a move.
@@ -77,10 +77,10 @@
         mod_revision: u64,
     ) {
         let mut jobs = Vec::new();
-        for TaskMove { job: id, cut, mut record } in moved {
+        for TaskMove { job: id, tasks, mut record } in moved {
             let text = Json::of(&self.pages.stored_form(&record)).text().to_owned();
             if let Some(job) = self.partitions.get_mut(name).and_then(|p| p.jobs.get_mut(&id)) {
-                job.move_committed(&cut, &mut record, mod_revision);
+                job.move_committed(&tasks, &mut record, mod_revision);
             }
             // The thief may be another partition of this process.
             self.reconcile_job(record, mod_revision);
@@ -104,9 +104,9 @@
     fn move_conflicted(&mut self, name: &str, term: u64, moved: Vec<TaskMove>, failed: &[String]) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let mut to_reread = Vec::new();
-        for TaskMove { job: id, cut, .. } in moved {
+        for TaskMove { job: id, tasks, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
-            job.move_conflicted(&cut, name);
+            job.move_conflicted(&tasks, name);
             if failed.contains(&active_job_key(&id)) {
                 job.begin_reread();
                 to_reread.push(id);
@@ -124,14 +124,14 @@
     /// Returns the tasks of a move that was not carried out to the queue.
     fn undo_move(&mut self, name: &str, moved: Vec<TaskMove>) {
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        for TaskMove { job: id, cut, .. } in moved {
+        for TaskMove { job: id, tasks, .. } in moved {
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
-            job.move_undone(&cut);
+            job.move_not_applied(&tasks);
         }
     }
 
     /// Handles a move of unknown outcome. The write may still be applied minutes later, so the
-    /// tasks stay cut until another write at the same modification revision, or a newer record,
+    /// tasks stay out of the queue until another write at the same modification revision, or a newer record,
     /// settles it.
     fn move_outcome_unknown(&mut self, name: &str, moved: Vec<TaskMove>) {
         let settle_at = self.now + SETTLE_DELAY;
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -33,7 +33,7 @@
             let cpu_seconds_per_task = self.run_times.expect(j.spec()) as f64 / 1e6 * j.spec().cpus;
             f64::from(j.ready.len()) * cpu_seconds_per_task
         });
-        let cpus = partition.machines.values().filter(|m| m.usable()).filter_map(|m| {
+        let cpus = partition.machines.values().filter(|m| m.is_usable()).filter_map(|m| {
             self.types.as_ref().and_then(|t| t.get(&m.record.machine_type)).map(|t| t.cpus)
         });
         Load { work: work.sum(), cpus: cpus.sum() }
@@ -43,7 +43,7 @@
     /// whose queue takes longest to drain.
     pub(super) fn longest_local_queue(&self, excluded: Option<&str>) -> Option<(Load, String)> {
         let partitions =
-            self.partitions.values().filter(|p| p.active() && Some(p.name.as_str()) != excluded);
+            self.partitions.values().filter(|p| p.is_loaded() && Some(p.name.as_str()) != excluded);
         let loads = partitions.map(|p| (self.queue_load(p), p.name.clone()));
         loads.max_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s()))
     }
@@ -51,7 +51,7 @@
     /// Returns the partition led by this node whose queue takes the shortest time to drain, of
     /// those that have machines and have completed recovery.
     pub(super) fn shortest_local_queue(&self) -> Option<String> {
-        let partitions = self.partitions.values().filter(|p| p.active() && p.recovery_complete);
+        let partitions = self.partitions.values().filter(|p| p.is_loaded() && p.recovery_complete);
         let loads =
             partitions.map(|p| (self.queue_load(p), p.name.clone())).filter(|l| l.0.cpus > 0.0);
         loads.min_by(|a, b| a.0.drain_s().total_cmp(&b.0.drain_s())).map(|(_, name)| name)
@@ -61,7 +61,7 @@
     /// that fit none of them are not moved to its queue.
     pub(super) fn empty_machine_capacity(&self, partition: &Partition) -> ThiefCapacity {
         let mut free: Vec<FreeCapacity> = Vec::new();
-        for record in partition.machines.values().filter(|m| m.usable()).map(|m| &m.record) {
+        for record in partition.machines.values().filter(|m| m.is_usable()).map(|m| &m.record) {
             let is_listed = |r: &FreeCapacity| {
                 r.machine_type == record.machine_type
                     && r.zone == record.zone
@@ -98,8 +98,8 @@
             partition.machines.values().filter(|m| m.accepts_tasks(self.now, max_silence));
         let free = available.filter_map(|m| {
             let mut free = m.free;
-            let preemptible = |s: &&Attempt| s.wanted && !s.exited() && s.priority > priority;
-            m.attempts.values().filter(preemptible).for_each(|s| free.add(&s.need));
+            let preemptible = |s: &&Attempt| s.wanted && !s.has_exited() && s.priority > priority;
+            m.attempts.values().filter(preemptible).for_each(|s| free.add(&s.required_resources));
             (free.cpus > 0.0).then(|| FreeCapacity {
                 machine_type: m.record.machine_type.clone(),
                 zone: m.record.zone.clone(),
--- a/crates/quartzlever-core/src/stealing/cut.rs
+++ b/crates/quartzlever-core/src/stealing/selection.rs
@@ -2,7 +2,7 @@
 //!
 //! The paper moves half of the victim's ready tasks (2.3.3 (b), figure 8). Here that is the
 //! maximum: no more tasks move than the thief has capacity for, or than balances the two queues
-//! (docs/design.md, exceptions). The tasks cut are `moving` until the outcome of the write is known
+//! (docs/design.md, exceptions). The selected tasks are `moving` until the outcome of the write is known
 //! (`commit`).
 
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
@@ -84,8 +84,8 @@
     }
 }
 
-/// The tasks that a move cuts off the victim's queue, and its transaction.
-pub(super) struct Cut {
+/// The tasks that a move removes from the victim's queue, and its transaction.
+pub(super) struct PlannedMove {
     /// The victim's term.
     pub term: u64,
     pub txn: Txn,
@@ -94,16 +94,16 @@
     bytes: usize,
 }
 
-impl Cut {
+impl PlannedMove {
     /// Creates an empty move, conditional on the terms of both partitions.
     fn new(victim: &Partition, steal: &StealRequest) -> Self {
         let txn =
             victim.txn().if_mod_revision(format!("{PARTITION_PREFIX}{}", steal.thief), steal.term);
-        Cut { term: victim.term, txn, moved: Vec::new(), bytes: 0 }
+        PlannedMove { term: victim.term, txn, moved: Vec::new(), bytes: 0 }
     }
 
-    /// Cuts up to `count` tasks off the end of a job's ready tasks, conditional on the modification
-    /// revision of its record. Returns the number of tasks cut: 0 if the record would exceed the
+    /// Removes up to `count` tasks from the end of a job's ready tasks, conditional on the modification
+    /// revision of its record. Returns the number of tasks selected: 0 if the record would exceed the
     /// store's limit or that of the move.
     fn add(
         &mut self,
@@ -114,29 +114,29 @@
         pages: &Pages,
         max_value_bytes: usize,
     ) -> u32 {
-        let cut: Ranges = job.ready.cut_last(count);
+        let tasks: Ranges = job.ready.cut_last(count);
         let mut record = job.record.clone();
-        record.move_tasks(&cut, &steal.victim, &steal.thief, steal.term);
+        record.move_tasks(&tasks, &steal.victim, &steal.thief, steal.term);
         let value = Json::of(&pages.stored_form(&record));
         let size = value.text().len();
         if size > max_value_bytes || self.bytes + size > MAX_RECORD_BYTES_PER_MOVE {
-            job.ready.add(&cut);
+            job.ready.add(&tasks);
             return 0;
         }
         self.bytes += size;
-        job.begin_move(&cut);
+        job.begin_move(&tasks);
         let key = active_job_key(&id);
         let txn = std::mem::take(&mut self.txn);
         self.txn = txn.if_mod_revision(key.clone(), job.mod_revision()).write(key, value);
-        let tasks = cut.len();
-        self.moved.push(TaskMove { job: id, cut, record });
-        tasks
+        let moved_count = tasks.len();
+        self.moved.push(TaskMove { job: id, tasks, record });
+        moved_count
     }
 }
 
 impl Core {
-    /// Cuts ready ranges off the victim's queue in queue order. Returns `None` if no task may move.
-    pub(super) fn cut_tasks(&mut self, steal: &StealRequest) -> Option<Cut> {
+    /// Removes ready ranges from the victim's queue in queue order. Returns `None` if no task may move.
+    pub(super) fn plan_move(&mut self, steal: &StealRequest) -> Option<PlannedMove> {
         let max_jobs = self.limits.txn_ops().clamp(1, MAX_JOBS_PER_MOVE);
         let max_value_bytes = self.limits.value_bytes();
         let partition = self.partitions.get(&steal.victim)?;
@@ -145,9 +145,9 @@
         let tasks = (movable * self.config.operator.steal_fraction).ceil() as u32;
         let mut allowance = StealAllowance::new(steal, tasks, || self.queue_load(partition));
         let partition = self.partitions.get_mut(&steal.victim)?;
-        let mut cut = Cut::new(partition, steal);
+        let mut planned = PlannedMove::new(partition, steal);
         for id in order {
-            if allowance.tasks == 0 || cut.moved.len() >= max_jobs {
+            if allowance.tasks == 0 || planned.moved.len() >= max_jobs {
                 break;
             }
             let Some(job) = partition.jobs.get_mut(&id) else { continue };
@@ -158,17 +158,17 @@
             }
             let count = allowance.allot(job, &self.run_times);
             if count > 0 {
-                allowance.tasks -= cut.add(steal, id, job, count, &self.pages, max_value_bytes);
+                allowance.tasks -= planned.add(steal, id, job, count, &self.pages, max_value_bytes);
             }
         }
-        (!cut.moved.is_empty()).then_some(cut)
+        (!planned.moved.is_empty()).then_some(planned)
     }
 }
 
 /// Returns how many of the job's ready tasks, at most `max_tasks`, fit in the thief's free
 /// capacity, and subtracts them from it.
 fn allot_free_capacity(free: &mut [FreeCapacity], job: &PartitionJob, max_tasks: u32) -> u32 {
-    let need = job.need();
+    let need = job.required_resources();
     let mut count = 0;
     let max_tasks = max_tasks.min(job.ready.len());
     for capacity in free {
@@ -177,7 +177,7 @@
         }
         let mut resources = resources_of(capacity);
         while count < max_tasks && resources.fits(&need) {
-            resources.take(&need);
+            resources.subtract(&need);
             count += 1;
         }
         (capacity.cpus, capacity.gpus, capacity.ram_gb) =
@@ -188,7 +188,7 @@
 
 /// Reports whether a task of the job could run on any of these machines.
 fn fits_somewhere(machines: &[FreeCapacity], job: &PartitionJob) -> bool {
-    let need = job.need();
+    let need = job.required_resources();
     machines.iter().any(|m| {
         offer_allowed(job.spec(), &m.machine_type, &m.zone, m.spot) && resources_of(m).fits(&need)
     })
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -28,13 +28,13 @@
         ("committed", committed, None, "0-1", "0-1"),
     ] {
         let mut core = core();
-        core.reconcile_job(record("0-3", ""), 10);
-        let cut: Ranges = "2-3".parse().unwrap_or_default();
+        core.reconcile_job(job_record("0-3", ""), 10);
+        let tasks: Ranges = "2-3".parse().unwrap_or_default();
         if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
-            job.ready.subtract(&cut);
-            job.begin_move(&cut);
+            job.ready.subtract(&tasks);
+            job.begin_move(&tasks);
         }
-        let task_move = TaskMove { job: "req-1".into(), cut, record: record("0-1", "2-3") };
+        let task_move = TaskMove { job: "req-1".into(), tasks, record: job_record("0-1", "2-3") };
         core.steal_written("one", 5, None, vec![task_move], move_result);
         let ready = |core: &Core| core.partitions["one"].jobs["req-1"].ready.to_string();
         assert_eq!(ready(&core), ready_after_move, "{name}");
@@ -66,8 +66,8 @@
         ("the peer has no machines", 20, 1, 6.0, 0.0, true),
         ("much longer, but nothing movable", 20, 0, 320.0, 8.0, false),
     ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
-        ready_machine(&mut core);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        make_machine_usable(&mut core);
         queue_tasks(&mut core, tasks, Priority::Standard, 2.0);
         let mut effects = core.step(NOW, Vec::new());
         effects.extend(core.step(NOW + SECOND, Vec::new()));
@@ -98,9 +98,9 @@
         ("urgent tasks of a victim without machines", Priority::Urgent, 2.0, false, 0.0, 10),
         ("too large for the thief's machines", Priority::Standard, 9.0, false, 0.0, 0),
     ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "two", 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "two", 6)]);
         if machine {
-            ready_machine(&mut core);
+            make_machine_usable(&mut core);
         }
         queue_tasks(&mut core, 20, priority, cpus);
         core.step(NOW, Vec::new());
@@ -121,8 +121,8 @@
             load: Some(Load { work, cpus: 8.0 }),
         };
         core.step(NOW + 2 * SECOND, vec![Command::PeerRequest { id: 1, request }]);
-        let cut = core.partitions["one"].jobs["req-1"].moving_count();
-        assert_eq!(cut, moves, "{name}");
+        let moving = core.partitions["one"].jobs["req-1"].moving_count();
+        assert_eq!(moving, moves, "{name}");
     }
 }
 
@@ -130,10 +130,10 @@
 fn a_saturated_partition_has_urgent_tasks_stolen_by_another_partition_of_its_node() {
     // (whether the partition is saturated, in which case the other one steals its urgent tasks)
     for saturated in [false, true] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", "one", 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", "one", 6)]);
         // Partition one needs a machine: the work of a partition without machines moves in any
         // case.
-        ready_machine(&mut core);
+        make_machine_usable(&mut core);
         queue_tasks(&mut core, 4, Priority::Urgent, 2.0);
         // Partition two has a machine that is full of work of lower priority, and more of it
         // queued.
@@ -166,12 +166,12 @@
             partition.saturated = saturated;
             // Undoes the moves that the steps have made.
             if let Some(job) = partition.jobs.get_mut("req-1") {
-                job.move_undone(&Ranges::first(4));
+                job.move_not_applied(&Ranges::first(4));
             }
         }
         core.poll_stealing();
-        let cut = core.partitions["one"].jobs["req-1"].moving_count();
-        assert_eq!(cut > 0, saturated, "saturated: {saturated}");
+        let moving = core.partitions["one"].jobs["req-1"].moving_count();
+        assert_eq!(moving > 0, saturated, "saturated: {saturated}");
     }
 }
 
--- a/crates/quartzlever-core/src/stealing/thief.rs
+++ b/crates/quartzlever-core/src/stealing/thief.rs
@@ -12,8 +12,8 @@
 use quartzlever_wire::{CallError, Micros, SECOND};
 use rand::seq::IndexedRandom;
 
-use super::cut::StealRequest;
 use super::load::is_much_longer;
+use super::selection::StealRequest;
 use crate::calls::PendingPeerCall;
 use crate::config::Config;
 use crate::partition::Partition;
@@ -176,7 +176,7 @@
     fn idle_partition(&self) -> Option<(String, Priority)> {
         let all = Priority::BestEffort;
         let can_steal = |p: &Partition, priority| {
-            p.active()
+            p.is_loaded()
                 && p.ready_count(priority) == 0
                 && !self.free_capacity_of(p, priority).free.is_empty()
         };
@@ -207,7 +207,7 @@
         let victim = self
             .partitions
             .values()
-            .filter(|p| p.name != thief.partition && p.active())
+            .filter(|p| p.name != thief.partition && p.is_loaded())
             .map(|p| (p.movable_count(&self.config, priority), p.name.clone()))
             .max()
             .filter(|(ready, _)| *ready > 0);
@@ -274,7 +274,7 @@
         let round = self.stealing.begin_round(thief, asked.len());
         for node in asked {
             let pending = PendingPeerCall::Count { round, node: node.clone() };
-            self.outbox.ask_peer(&node, PeerRequest::Counts { priority }, pending);
+            self.outbox.call_peer(&node, PeerRequest::Counts { priority }, pending);
         }
     }
 
@@ -342,7 +342,7 @@
         let pending = PendingPeerCall::Steal { partition: partition.clone() };
         let request = PeerRequest::Steal { partition, term, priority, thief, load };
         self.stealing.steal_in_flight = true;
-        self.outbox.ask_peer(node, request, pending);
+        self.outbox.call_peer(node, request, pending);
     }
 
     /// Handles a victim's reply, with the records of the jobs whose tasks this partition owns now,
--- a/crates/quartzlever-core/src/stealing/victim.rs
+++ b/crates/quartzlever-core/src/stealing/victim.rs
@@ -7,7 +7,7 @@
 use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, ThiefCapacity};
 use quartzlever_wire::users::Priority;
 
-use super::cut::StealRequest;
+use super::selection::StealRequest;
 use crate::calls::PendingPeerCall;
 use crate::config::Config;
 use crate::jobs::partition_job::PartitionJob;
@@ -20,13 +20,13 @@
     /// Returns the answer to a count request: the number of tasks that a thief could steal here
     /// with this priority or above, and the load of the longest queue.
     pub(crate) fn answer_counts(&self, priority: Priority) -> PeerAnswer {
-        let active = self.partitions.values().filter(|p| p.active());
+        let active = self.partitions.values().filter(|p| p.is_loaded());
         let ready = active.map(|p| p.movable_count(&self.config, priority)).sum();
         let load = self.longest_local_queue(None).map_or(Load::default(), |(load, _)| load);
         PeerAnswer::Counts { ready, load }
     }
 
-    /// Handles a thief's request for tasks. They are cut off the longest queue if the thief has a
+    /// Handles a thief's request for tasks. They are removed from the longest queue if the thief has a
     /// queue of its own, and otherwise off the queue with the most movable tasks.
     pub(crate) fn steal_requested(
         &mut self,
@@ -40,7 +40,7 @@
         let most_movable = self
             .partitions
             .values()
-            .filter(|p| p.active() && p.name != thief)
+            .filter(|p| p.is_loaded() && p.name != thief)
             .max_by_key(|p| p.movable_count(&self.config, priority))
             .map(|p| p.name.clone());
         let longest =
@@ -78,7 +78,7 @@
         }
         self.stealing.next_saturation_notice_at = self.now + SATURATION_LIFETIME;
         for node in self.config.nodes.iter().filter(|node| **node != self.config.node) {
-            self.outbox.ask_peer(node, PeerRequest::Saturated, PendingPeerCall::Notification);
+            self.outbox.call_peer(node, PeerRequest::Saturated, PendingPeerCall::Notification);
         }
     }
 }
--- a/crates/quartzlever-core/src/store/cache.rs
+++ b/crates/quartzlever-core/src/store/cache.rs
@@ -52,7 +52,7 @@
 /// Revision and age of the cache.
 impl Cache {
     /// Reports whether a listing has completed and no change has been missed since.
-    pub fn loaded(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.loaded
     }
 
@@ -73,7 +73,7 @@
     /// applying a reply that arrived after the deletion of the partition's key made a process act
     /// for a partition that another one led. During a listing, the listing or the watch after it
     /// delivers the write.
-    pub fn is_ahead_of_cache(&self, mod_revision: u64) -> bool {
+    pub fn has_not_reached(&self, mod_revision: u64) -> bool {
         self.loaded && self.revision < mod_revision
     }
 
@@ -83,20 +83,20 @@
     }
 
     /// Records a revision from a reply of the store.
-    pub fn saw_revision(&mut self, revision: u64) {
+    pub fn record_revision(&mut self, revision: u64) {
         self.newest_revision = self.newest_revision.max(revision);
     }
 
     /// Records that a read sent at `sent` returned `present_revision` as the store's current
     /// revision.
-    pub fn read_revision(&mut self, present_revision: u64, sent: Micros) {
-        self.saw_revision(present_revision);
+    pub fn record_revision_read(&mut self, present_revision: u64, sent: Micros) {
+        self.record_revision(present_revision);
         self.view.record_revision_read(present_revision, sent);
         self.catch_up();
     }
 
     /// Records that a watch has delivered all changes up to `revision`.
-    pub fn advance(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
@@ -112,12 +112,12 @@
     }
 
     /// Records the reply to a read of the revision that served only the view, or its failure.
-    pub fn view_read_answered(&mut self) {
+    pub fn record_view_read_reply(&mut self) {
         self.view.record_read_reply();
     }
 
     /// Marks the cache as not loaded because changes were missed: all records must be listed again.
-    pub fn outdated(&mut self) {
+    pub fn mark_outdated(&mut self) {
         self.loaded = false;
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Marks the cache as loaded by a listing whose first page was requested at `sent`.
-    pub fn listing_complete(&mut self, sent: Micros) {
+    pub fn complete_listing(&mut self, sent: Micros) {
         self.loaded = true;
         self.view.record_listing(sent);
         self.catch_up();
@@ -158,7 +158,7 @@
     }
 
     /// Returns the number of nodes that lead partitions.
-    pub fn leaders(&self) -> usize {
+    pub fn leader_count(&self) -> usize {
         let nodes: BTreeSet<&str> =
             self.partitions.values().map(|leader| leader.record.node.as_str()).collect();
         nodes.len()
@@ -179,7 +179,7 @@
     }
 
     /// Removes a partition whose key was deleted at `mod_revision`, unless its record is newer.
-    pub fn partition_deleted(&mut self, name: &str, mod_revision: u64) {
+    pub fn remove_deleted_partition(&mut self, name: &str, mod_revision: u64) {
         if self.partitions.get(name).is_some_and(|known| known.mod_revision <= mod_revision) {
             self.partitions.remove(name);
         }
@@ -187,7 +187,7 @@
 
     /// Removes a partition whose key no longer has the value written at `mod_revision`, unless the
     /// cached record has another modification revision.
-    pub fn partition_given_up(&mut self, name: &str, mod_revision: u64) {
+    pub fn partition_released(&mut self, name: &str, mod_revision: u64) {
         if self.partitions.get(name).is_some_and(|known| known.mod_revision == mod_revision) {
             self.partitions.remove(name);
         }
@@ -323,7 +323,7 @@
     }
 
     /// Removes a job whose record was deleted at `mod_revision`, unless the cached record is newer.
-    pub fn active_job_deleted(&mut self, job: &str, mod_revision: u64) {
+    pub fn remove_deleted_job(&mut self, job: &str, mod_revision: u64) {
         self.unreadable_jobs.remove(job);
         if self.active_jobs.get(job).is_some_and(|known| known.mod_revision <= mod_revision) {
             self.active_jobs.remove(job);
@@ -331,7 +331,7 @@
     }
 
     /// Removes a job that is done or cancelled.
-    pub fn active_job_ended(&mut self, job: &str) {
+    pub fn remove_active_job(&mut self, job: &str) {
         self.active_jobs.remove(job);
     }
 }
--- a/crates/quartzlever-core/src/store/cache/tests.rs
+++ b/crates/quartzlever-core/src/store/cache/tests.rs
@@ -1,7 +1,7 @@
 //! Which records the cache accepts, and the age of its view.
 
 use super::*;
-use crate::testing::{NOW, machine_record_of, record};
+use crate::testing::{NOW, job_record, machine_record_of};
 
 /// Setters for the initial states of tests.
 impl Cache {
@@ -34,13 +34,13 @@
     assert!(!cache.record_partition("one", leader("two"), 4));
     assert!(cache.record_partition("one", leader("one"), 5));
     assert!(cache.record_partition("two", leader("one"), 6));
-    assert_eq!(cache.leaders(), 1);
+    assert_eq!(cache.leader_count(), 1);
     // A deletion removes records up to its revision, a release only the record of that revision.
-    cache.partition_deleted("one", 4);
-    cache.partition_given_up("one", 6);
+    cache.remove_deleted_partition("one", 4);
+    cache.partition_released("one", 6);
     assert_eq!(cache.partition("one").map(|leader| leader.mod_revision), Some(5));
-    cache.partition_given_up("one", 5);
-    cache.partition_deleted("two", 7);
+    cache.partition_released("one", 5);
+    cache.remove_deleted_partition("two", 7);
     assert!(cache.partitions().is_empty());
 }
 
@@ -49,17 +49,17 @@
     let mut cache = Cache::default();
     cache.record_unreadable_job("req-1");
     assert!(cache.is_active_job("req-1") && cache.active_job("req-1").is_none());
-    cache.record_active_job(record("0-3", ""), 10);
-    cache.record_active_job(record("", "0-3"), 9);
+    cache.record_active_job(job_record("0-3", ""), 10);
+    cache.record_active_job(job_record("", "0-3"), 9);
     cache.add_finished("req-1", &"1".parse().unwrap_or_default());
     let known = cache.active_job("req-1").map(|known| (known.mod_revision, &known.record));
     assert!(known.is_some_and(|(mod_revision, record)| {
         mod_revision == 10 && record.shares[0].tasks.len() == 4 && record.finished.len() == 1
     }));
     assert!(cache.is_active_job_known("req-1", 10) && !cache.is_active_job_known("req-1", 11));
-    cache.active_job_deleted("req-1", 9);
+    cache.remove_deleted_job("req-1", 9);
     assert!(cache.is_active_job("req-1"));
-    cache.active_job_deleted("req-1", 11);
+    cache.remove_deleted_job("req-1", 11);
     assert!(!cache.is_active_job("req-1"));
 }
 
@@ -91,18 +91,18 @@
 fn the_view_dates_from_the_latest_read_that_a_loaded_cache_has_caught_up_with() {
     let mut cache = Cache::default();
     cache.reset(10);
-    cache.read_revision(10, NOW + 3);
+    cache.record_revision_read(10, NOW + 3);
     assert_eq!(cache.view_as_of(), 0, "not loaded yet");
-    cache.listing_complete(NOW);
+    cache.complete_listing(NOW);
     assert_eq!(cache.view_as_of(), NOW + 3);
-    cache.read_revision(12, NOW + 4);
+    cache.record_revision_read(12, NOW + 4);
     assert!(cache.is_behind() && cache.view_as_of() == NOW + 3);
-    assert!(cache.is_ahead_of_cache(12) && !cache.is_ahead_of_cache(10));
-    cache.advance(12);
-    cache.read_revision(11, NOW + 1);
+    assert!(cache.has_not_reached(12) && !cache.has_not_reached(10));
+    cache.advance_to(12);
+    cache.record_revision_read(11, NOW + 1);
     assert!(!cache.is_behind() && cache.view_as_of() == NOW + 4);
-    cache.advance(9);
+    cache.advance_to(9);
     assert_eq!(cache.revision(), 12);
-    cache.outdated();
-    assert!(!cache.is_ahead_of_cache(13), "the listing delivers the write");
+    cache.mark_outdated();
+    assert!(!cache.has_not_reached(13), "the listing delivers the write");
 }
--- a/crates/quartzlever-core/src/store/event.rs
+++ b/crates/quartzlever-core/src/store/event.rs
@@ -68,7 +68,7 @@
     /// after `known_revision`, the revision of the cache before the watch replied, its record has
     /// already been applied, its key is unknown, or it is an unreadable record of a partition or of
     /// a final state.
-    pub fn watched(
+    pub fn from_watch(
         event: Event,
         known_revision: u64,
         cache: &Cache,
@@ -93,7 +93,7 @@
     }
 
     /// Classifies a record of a listing; returns `None` for a partition whose record is unreadable.
-    pub fn listed(section: Section, entry: KeyValue) -> Option<Self> {
+    pub fn from_listing(section: Section, entry: KeyValue) -> Option<Self> {
         match section {
             Section::Partitions => Self::partition(&entry),
             Section::Machines => Some(StoreEvent::MachineGroup { entry, is_change: false }),
--- a/crates/quartzlever-core/src/store/event/tests.rs
+++ b/crates/quartzlever-core/src/store/event/tests.rs
@@ -1,22 +1,22 @@
 //! How records and deletions are classified.
 
 use super::*;
-use crate::testing::{JobPhase, MachineRecords, machine_record_of, record};
+use crate::testing::{JobPhase, MachineRecords, job_record, machine_record_of};
 use quartzlever_wire::Json;
 
 /// Returns the variant name of the event from a watch, or an empty string if it has no effect.
 fn kind(event: Event, cache: &Cache, terminal_jobs: &TerminalJobs) -> String {
-    let event = StoreEvent::watched(event, 8, cache, terminal_jobs);
+    let event = StoreEvent::from_watch(event, 8, cache, terminal_jobs);
     let text = event.map_or(String::new(), |event| format!("{event:?}"));
     text.chars().take_while(|c| c.is_alphabetic()).collect()
 }
 
 fn applied_records() -> (Cache, TerminalJobs) {
     let (mut cache, mut terminal_jobs) = (Cache::default(), TerminalJobs::default());
-    cache.record_active_job(record("0-3", ""), 10);
+    cache.record_active_job(job_record("0-3", ""), 10);
     let machines = MachineRecords::from([("a-1".to_owned(), machine_record_of("a-1", "one"))]);
     cache.record_group("hosts/a", machines, 10);
-    terminal_jobs.put("req-3", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
+    terminal_jobs.insert("req-3", TerminalJobRecord { phase: JobPhase::Done, done: 4 });
     (cache, terminal_jobs)
 }
 
@@ -86,10 +86,10 @@
         (Section::Pages, "pages/req-1/0", "Page"),
         (Section::Cluster, "cluster/version", "Cluster"),
     ] {
-        let event = StoreEvent::listed(section, entry(key));
+        let event = StoreEvent::from_listing(section, entry(key));
         let text = format!("{event:?}");
         assert!(text.starts_with(&format!("Some({expected}")), "{section:?}: {text}");
     }
-    let listed = StoreEvent::listed(Section::Machines, entry("hosts/a"));
+    let listed = StoreEvent::from_listing(Section::Machines, entry("hosts/a"));
     assert!(matches!(listed, Some(StoreEvent::MachineGroup { is_change: false, .. })));
 }
--- a/crates/quartzlever-core/src/store/limits.rs
+++ b/crates/quartzlever-core/src/store/limits.rs
@@ -58,7 +58,7 @@
     /// Adapts to the result of a transaction of this size. A rejection for size lowers the limits,
     /// and throttling by the store lowers the rate of `write_budget`: in both cases the store
     /// allows less than the settings.
-    pub fn learn(
+    pub fn adapt_to_result(
         &mut self,
         now: Micros,
         size: TransactionSize,
@@ -72,8 +72,8 @@
                 // An error only once for each lowered limit.
                 outbox.log(if is_lowered { LogLevel::Error } else { LogLevel::Debug }, || {
                     LogEvent::TransactionTooLarge {
-                        changes: size.ops,
-                        value_bytes: size.value,
+                        changes: size.changes,
+                        value_bytes: size.largest_value_bytes,
                         changes_limit: self.txn_ops,
                         value_bytes_limit: self.value_bytes,
                         lowered: is_lowered,
@@ -92,13 +92,13 @@
     fn lower(&mut self, size: TransactionSize) -> bool {
         let (previous_value_bytes, previous_txn_ops) = (self.value_bytes, self.txn_ops);
         // The reply does not say which of the two limits was exceeded.
-        if size.value > MIN_VALUE_BYTES {
-            let lowered = (size.value * 3 / 4).max(MIN_VALUE_BYTES);
+        if size.largest_value_bytes > MIN_VALUE_BYTES {
+            let lowered = (size.largest_value_bytes * 3 / 4).max(MIN_VALUE_BYTES);
             self.value_bytes = self.value_bytes.min(lowered);
             self.learned_value_bytes = self.learned_value_bytes.min(lowered);
         }
-        if size.ops > MIN_TXN_OPS {
-            self.txn_ops = self.txn_ops.min(size.ops - 1);
+        if size.changes > MIN_TXN_OPS {
+            self.txn_ops = self.txn_ops.min(size.changes - 1);
         }
         self.value_bytes < previous_value_bytes || self.txn_ops < previous_txn_ops
     }
--- a/crates/quartzlever-core/src/store/limits/tests.rs
+++ b/crates/quartzlever-core/src/store/limits/tests.rs
@@ -33,8 +33,14 @@
         let mut limits = limits(8_000, 40);
         let (mut write_budget, mut outbox) =
             (WriteBudget::new(NOW), Outbox::new(LogLevel::Error, NOW));
-        let size = TransactionSize { value, ops };
-        limits.learn(NOW, size, &Ok(StoreReply::TooLarge), &mut write_budget, &mut outbox);
+        let size = TransactionSize { largest_value_bytes: value, changes: ops };
+        limits.adapt_to_result(
+            NOW,
+            size,
+            &Ok(StoreReply::TooLarge),
+            &mut write_budget,
+            &mut outbox,
+        );
         assert_eq!(limits.value_bytes(), value_bytes, "{size:?}");
         assert_eq!(limits.learned_value_bytes(), learned, "{size:?}");
         assert_eq!(limits.txn_ops(), txn_ops, "{size:?}");
@@ -48,7 +54,13 @@
         };
         let expected = (value_bytes < 8_000 || txn_ops < 40).then_some(event);
         assert_eq!(events(outbox.take_effects()), Vec::from_iter(expected), "{size:?}");
-        limits.learn(NOW, size, &Ok(StoreReply::TooLarge), &mut write_budget, &mut outbox);
+        limits.adapt_to_result(
+            NOW,
+            size,
+            &Ok(StoreReply::TooLarge),
+            &mut write_budget,
+            &mut outbox,
+        );
         assert!(outbox.take_effects().is_empty(), "{size:?}");
     }
 }
@@ -66,8 +78,8 @@
         let mut limits = limits(8_000, 40);
         let (mut write_budget, mut outbox) =
             (WriteBudget::new(NOW), Outbox::new(LogLevel::Error, NOW));
-        let size = TransactionSize { value: 4_000, ops: 10 };
-        limits.learn(NOW, size, &result, &mut write_budget, &mut outbox);
+        let size = TransactionSize { largest_value_bytes: 4_000, changes: 10 };
+        limits.adapt_to_result(NOW, size, &result, &mut write_budget, &mut outbox);
         let actual = (limits.value_bytes(), limits.txn_ops(), limits.learned_value_bytes());
         assert_eq!(actual, (8_000, 40, usize::MAX), "{result:?}");
         // Throttling lowers the rate of changes instead.
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -40,9 +40,9 @@
 pub(crate) struct ListedPage {
     pub entries: Vec<KeyValue>,
     /// The revision at which the listing begins, if this is its first page.
-    pub begins_at: Option<u64>,
+    pub listing_revision: Option<u64>,
     /// Whether this is the first page of its section.
-    pub begins_section: bool,
+    pub is_first_of_section: bool,
     pub next: NextPage,
 }
 
@@ -70,7 +70,7 @@
 
     /// Handles the reply to the request for a page, or its failure, which ends the listing. Returns
     /// `None` if it failed or does not belong to the active listing.
-    pub fn page_listed(
+    pub fn handle_page(
         &mut self,
         now: Micros,
         number: u64,
@@ -90,8 +90,8 @@
             (None, None) => NextPage::Complete { sent: listing.sent },
         };
         Some(ListedPage {
-            begins_at: listing.section.is_none().then_some(page.revision),
-            begins_section: listing.section != Some(section),
+            listing_revision: listing.section.is_none().then_some(page.revision),
+            is_first_of_section: listing.section != Some(section),
             entries: page.entries,
             next,
         })
@@ -99,7 +99,7 @@
 
     /// Requests `next` after a page of `section`. If the listing is complete, returns when its
     /// first page was requested.
-    pub fn proceed(
+    pub fn request_next(
         &mut self,
         section: Section,
         next: NextPage,
--- a/crates/quartzlever-core/src/store/listing/tests.rs
+++ b/crates/quartzlever-core/src/store/listing/tests.rs
@@ -7,7 +7,7 @@
 /// Accessors for tests.
 impl Listing {
     /// Returns the number of the latest listing.
-    pub(crate) fn latest(&self) -> u64 {
+    pub(crate) fn latest_number(&self) -> u64 {
         self.latest_number
     }
 
@@ -41,18 +41,21 @@
         "only one listing is active at a time"
     );
     let entry = partition_entry("one", "one", 1, 5);
-    let number = listing.latest();
-    let first = listing.page_listed(NOW, number, Section::Partitions, page(vec![entry], true));
+    let number = listing.latest_number();
+    let first = listing.handle_page(NOW, number, Section::Partitions, page(vec![entry], true));
     let first = first.expect("the page belongs to the active listing");
-    assert_eq!((first.begins_at, first.begins_section, first.entries.len()), (Some(20), true, 1));
-    assert_eq!(listing.proceed(Section::Partitions, first.next, &mut outbox), None);
+    assert_eq!(
+        (first.listing_revision, first.is_first_of_section, first.entries.len()),
+        (Some(20), true, 1)
+    );
+    assert_eq!(listing.request_next(Section::Partitions, first.next, &mut outbox), None);
     assert_eq!(requested_pages(&mut outbox), [("parts/".to_owned(), Some("parts/one".to_owned()))]);
     for section in Section::ALL {
-        let listed = listing.page_listed(NOW, number, section, page(Vec::new(), false));
+        let listed = listing.handle_page(NOW, number, section, page(Vec::new(), false));
         let listed = listed.expect("the page belongs to the active listing");
-        assert_eq!(listed.begins_at, None, "{section:?}");
-        assert_eq!(listed.begins_section, section != Section::Partitions, "{section:?}");
-        let complete = listing.proceed(section, listed.next, &mut outbox);
+        assert_eq!(listed.listing_revision, None, "{section:?}");
+        assert_eq!(listed.is_first_of_section, section != Section::Partitions, "{section:?}");
+        let complete = listing.request_next(section, listed.next, &mut outbox);
         assert_eq!(complete, section.next().is_none().then_some(NOW), "{section:?}");
         let next = section.next().map(|next| (next.prefix().to_owned(), None));
         assert_eq!(
@@ -67,19 +70,19 @@
 fn a_failed_page_ends_the_listing_and_its_later_pages_are_ignored() {
     let (mut listing, mut outbox) = (Listing::default(), Outbox::new(LogLevel::Error, NOW));
     listing.begin(NOW, &mut outbox);
-    let number = listing.latest();
+    let number = listing.latest_number();
     let failed = Err(CallError::Unknown);
-    assert!(listing.page_listed(NOW, number, Section::Partitions, failed).is_none());
+    assert!(listing.handle_page(NOW, number, Section::Partitions, failed).is_none());
     requested_pages(&mut outbox);
     listing.begin(NOW + RETRY_DELAY - 1, &mut outbox);
     assert!(requested_pages(&mut outbox).is_empty(), "the retry delay has not passed");
     listing.begin(NOW + RETRY_DELAY, &mut outbox);
     assert_eq!(requested_pages(&mut outbox).len(), 1);
     assert!(
-        listing.page_listed(NOW, number, Section::Cluster, page(Vec::new(), false)).is_none(),
+        listing.handle_page(NOW, number, Section::Cluster, page(Vec::new(), false)).is_none(),
         "the page belongs to the earlier listing"
     );
-    let number = listing.latest();
-    let first = listing.page_listed(NOW, number, Section::Partitions, page(Vec::new(), false));
-    assert_eq!(first.and_then(|page| page.begins_at), Some(20));
+    let number = listing.latest_number();
+    let first = listing.handle_page(NOW, number, Section::Partitions, page(Vec::new(), false));
+    assert_eq!(first.and_then(|page| page.listing_revision), Some(20));
 }
--- a/crates/quartzlever-core/src/store/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -47,13 +47,13 @@
 
 impl Lookups {
     /// Queues a user's lookup of a job; returns `false` if too many lookups are waiting.
-    pub fn ask(&mut self, now: Micros, id: RequestId, job: String) -> bool {
+    pub fn enqueue(&mut self, now: Micros, id: RequestId, job: String) -> bool {
         let awaiting_cache: usize =
             self.awaiting_cache.iter().map(|batch| batch.lookups.len()).sum();
         if self.awaiting_read.len() + awaiting_cache >= MAX_WAITING_LOOKUPS {
             return false;
         }
-        self.awaiting_read.push(PendingLookup { id, job, since: now });
+        self.awaiting_read.push(PendingLookup { id, job, queued_at: now });
         true
     }
 
@@ -65,13 +65,13 @@
         }
         self.is_reading = true;
         self.next_read_at = now + min_interval;
-        let asked = std::mem::take(&mut self.awaiting_read);
-        let pending = PendingStoreCall::Revision { asked, sent: now };
+        let lookups = std::mem::take(&mut self.awaiting_read);
+        let pending = PendingStoreCall::Revision { lookups, sent: now };
         outbox.call_store(CallPriority::User, StoreCall::Revision, pending);
     }
 
     /// Records the reply to the read of the revision, or its failure.
-    pub fn read_answered(&mut self) {
+    pub fn record_read_reply(&mut self) {
         self.is_reading = false;
     }
 
@@ -83,7 +83,7 @@
     /// Removes and returns the oldest batch of lookups if the cache is recent enough for it.
     pub fn take_answerable(&mut self, cache: &Cache) -> Option<Vec<PendingLookup>> {
         let first = self.awaiting_cache.front()?;
-        if !cache.loaded() || first.revision > cache.revision() {
+        if !cache.is_loaded() || first.revision > cache.revision() {
             return None;
         }
         self.awaiting_cache.pop_front().map(|batch| batch.lookups)
@@ -93,7 +93,7 @@
     /// [`LOOKUP_TIMEOUT`], because the cache lags behind or is not loaded.
     pub fn take_overdue(&mut self, now: Micros) -> Option<Vec<PendingLookup>> {
         let first = self.awaiting_cache.front()?.lookups.first();
-        if first.is_some_and(|lookup| now.saturating_sub(lookup.since) <= LOOKUP_TIMEOUT) {
+        if first.is_some_and(|lookup| now.saturating_sub(lookup.queued_at) <= LOOKUP_TIMEOUT) {
             return None;
         }
         self.awaiting_cache.pop_front().map(|batch| batch.lookups)
--- a/crates/quartzlever-core/src/store/recent_jobs.rs
+++ b/crates/quartzlever-core/src/store/recent_jobs.rs
@@ -57,7 +57,7 @@
     }
 
     /// Inserts the final state of a job.
-    pub fn put(&mut self, id: &str, record: TerminalJobRecord) {
+    pub fn insert(&mut self, id: &str, record: TerminalJobRecord) {
         self.0.insert(id, record);
     }
 }
@@ -70,7 +70,7 @@
 
 impl LatestRevisions {
     /// Records a modification revision of a job; returns `false` if a later one is known.
-    pub fn saw(&mut self, id: &str, mod_revision: u64) -> bool {
+    pub fn record(&mut self, id: &str, mod_revision: u64) -> bool {
         let is_outdated = self.0.get(id).is_some_and(|latest| *latest > mod_revision);
         if !is_outdated {
             self.0.insert(id, mod_revision);
--- a/crates/quartzlever-core/src/store/view.rs
+++ b/crates/quartzlever-core/src/store/view.rs
@@ -83,7 +83,7 @@
         }
         self.is_reading = true;
         self.next_read_at = now + MIN_READ_INTERVAL;
-        let pending = PendingStoreCall::Revision { asked: Vec::new(), sent: now };
+        let pending = PendingStoreCall::Revision { lookups: Vec::new(), sent: now };
         outbox.call_store(CallPriority::Lease, StoreCall::Revision, pending);
     }
 
--- a/crates/quartzlever-core/src/store/watch.rs
+++ b/crates/quartzlever-core/src/store/watch.rs
@@ -16,7 +16,7 @@
 /// Share of the requests to the store that may open watches.
 pub(crate) const WATCH_SHARE: f64 = 0.15;
 /// Shortest time between two watches, so that changes in between are delivered together.
-pub(crate) const WATCH_PAUSE: Micros = SECOND / 4;
+pub(crate) const MIN_WATCH_INTERVAL: Micros = SECOND / 4;
 /// An open watch has a dead connection if it does not reply within this time although the store has
 /// later changes.
 const DEAD_WATCH_TIMEOUT: Micros = 3 * SECOND / 2;
@@ -51,7 +51,7 @@
         if (self.opened_at.is_none() || is_dead) && now >= self.next_at {
             self.opened_at = Some(now);
             self.number += 1;
-            self.next_at = now + min_interval.max(WATCH_PAUSE);
+            self.next_at = now + min_interval.max(MIN_WATCH_INTERVAL);
             let hold_ms = config.watch_hold() / 1000;
             let call = StoreCall::Watch { from: cache.revision(), hold_ms };
             let pending = PendingStoreCall::Watch { number: self.number, sent: now };
@@ -61,7 +61,7 @@
 
     /// Handles the reply to watch `number`, or its failure. Returns the answer if it is to be
     /// applied to the cache, which has to be loaded.
-    pub fn answered(
+    pub fn handle_reply(
         &mut self,
         now: Micros,
         number: u64,
@@ -73,11 +73,11 @@
             self.opened_at = None;
         }
         match result {
-            Ok(StoreReply::Watched(answer)) => cache.loaded().then_some(answer),
+            Ok(StoreReply::Watched(answer)) => cache.is_loaded().then_some(answer),
             // Changes that an earlier watch missed were delivered by a later one or by a listing.
             Ok(StoreReply::TooOld) => {
                 if is_latest {
-                    cache.outdated();
+                    cache.mark_outdated();
                 }
                 None
             }
--- a/crates/quartzlever-core/src/store/watch/tests.rs
+++ b/crates/quartzlever-core/src/store/watch/tests.rs
@@ -24,7 +24,7 @@
 fn cache(revision: u64) -> Cache {
     let mut cache = Cache::default();
     cache.reset(revision);
-    cache.listing_complete(NOW);
+    cache.complete_listing(NOW);
     cache
 }
 
@@ -38,7 +38,7 @@
         None,
         "the store has no later changes"
     );
-    cache.saw_revision(8);
+    cache.record_revision(8);
     assert_eq!(
         opened_from(&mut watch, after_timeout - 1, &cache),
         None,
@@ -47,16 +47,16 @@
     assert_eq!(opened_from(&mut watch, after_timeout, &cache), Some(7), "its connection is dead");
     // The reply of the dead watch does not close the watch that replaced it.
     let answer = |revision| Ok(StoreReply::Watched(WatchAnswer { revision, log: Vec::new() }));
-    assert!(watch.answered(after_timeout, 1, answer(8), &mut cache).is_some());
-    cache.advance(8);
+    assert!(watch.handle_reply(after_timeout, 1, answer(8), &mut cache).is_some());
+    cache.advance_to(8);
     assert_eq!(opened_from(&mut watch, after_timeout + SECOND, &cache), None);
-    assert!(watch.answered(after_timeout, 2, answer(8), &mut cache).is_some());
+    assert!(watch.handle_reply(after_timeout, 2, answer(8), &mut cache).is_some());
     assert_eq!(
-        opened_from(&mut watch, after_timeout + WATCH_PAUSE - 1, &cache),
+        opened_from(&mut watch, after_timeout + MIN_WATCH_INTERVAL - 1, &cache),
         None,
         "the minimum interval has not passed"
     );
-    assert_eq!(opened_from(&mut watch, after_timeout + WATCH_PAUSE, &cache), Some(8));
+    assert_eq!(opened_from(&mut watch, after_timeout + MIN_WATCH_INTERVAL, &cache), Some(8));
 }
 
 #[test]
@@ -65,18 +65,18 @@
     for (number, is_outdated) in [(2, false), (3, true)] {
         let (mut watch, mut cache) = (Watch::default(), cache(7));
         watch.set_number(3);
-        assert!(watch.answered(NOW, number, Ok(StoreReply::TooOld), &mut cache).is_none());
-        assert_eq!(cache.loaded(), !is_outdated, "{number}");
+        assert!(watch.handle_reply(NOW, number, Ok(StoreReply::TooOld), &mut cache).is_none());
+        assert_eq!(cache.is_loaded(), !is_outdated, "{number}");
     }
 }
 
 #[test]
 fn a_failed_watch_is_retried_after_a_delay_and_an_unloaded_cache_applies_nothing() {
     let (mut watch, mut cache) = (Watch::default(), cache(7));
-    assert!(watch.answered(NOW, 0, Err(CallError::Refused), &mut cache).is_none());
+    assert!(watch.handle_reply(NOW, 0, Err(CallError::Refused), &mut cache).is_none());
     assert_eq!(opened_from(&mut watch, NOW + RETRY_DELAY - 1, &cache), None);
     assert_eq!(opened_from(&mut watch, NOW + RETRY_DELAY, &cache), Some(7));
-    cache.outdated();
+    cache.mark_outdated();
     let answer = StoreReply::Watched(WatchAnswer { revision: 9, log: Vec::new() });
-    assert!(watch.answered(NOW + RETRY_DELAY, 1, Ok(answer), &mut cache).is_none());
+    assert!(watch.handle_reply(NOW + RETRY_DELAY, 1, Ok(answer), &mut cache).is_none());
 }
--- a/crates/quartzlever-core/src/store/write_budget.rs
+++ b/crates/quartzlever-core/src/store/write_budget.rs
@@ -133,7 +133,7 @@
     /// Spends `count` changes if [`has`](Self::has) allows them; reports whether it did. Otherwise
     /// the denial is recorded as by [`try_reserve`](Self::try_reserve).
     pub fn try_spend(&mut self, write_kind: WriteKind, count: usize) -> bool {
-        let is_available = self.try_reserve(write_kind, count);
+        let is_available = self.check_or_record_denial(write_kind, count);
         if is_available {
             self.spend(count);
         }
@@ -143,7 +143,7 @@
     /// Reports whether `count` changes are available in addition to the reserve for more urgent
     /// kinds. A full budget allows any number of changes, since a transaction may need more than it
     /// can hold.
-    pub fn has(&self, write_kind: WriteKind, count: usize) -> bool {
+    pub fn allows(&self, write_kind: WriteKind, count: usize) -> bool {
         let capacity = self.rate.max(2.0);
         let needed = (count as f64 + write_kind.reserved_share() * self.rate).min(capacity);
         self.balance + 1e-9 >= needed
@@ -152,8 +152,8 @@
     /// Reports whether `count` changes are available for a pending change, without spending them.
     /// Otherwise records the denial of a kind that has priority over submissions, so that these
     /// have to wait once the kind is starved.
-    pub fn try_reserve(&mut self, write_kind: WriteKind, count: usize) -> bool {
-        let is_available = self.has(write_kind, count);
+    pub fn check_or_record_denial(&mut self, write_kind: WriteKind, count: usize) -> bool {
+        let is_available = self.allows(write_kind, count);
         if is_available {
             self.denied.remove(&write_kind);
         } else if write_kind <= WriteKind::Claim {
@@ -179,7 +179,7 @@
     /// a kind with priority over submissions is starved. Without the second condition, a flood of
     /// submissions consumed each change as it became available, so that no machine was claimed and
     /// no task started.
-    pub fn exhausted(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         let is_starved = self.denied.values().any(|denial| denial.is_starved(self.now));
         is_starved || self.balance < -self.rate.max(2.0)
     }
--- a/crates/quartzlever-core/src/store/write_budget/tests.rs
+++ b/crates/quartzlever-core/src/store/write_budget/tests.rs
@@ -26,11 +26,11 @@
     }
     let mut write_budget = WriteBudget::new(0);
     write_budget.refill(SECOND, 30.0, 3);
-    assert!(!write_budget.exhausted());
+    assert!(!write_budget.is_exhausted());
     write_budget.spend(40);
-    assert!(write_budget.exhausted());
+    assert!(write_budget.is_exhausted());
     write_budget.refill(5 * SECOND, 30.0, 3);
-    assert!(!write_budget.exhausted());
+    assert!(!write_budget.is_exhausted());
 }
 
 /// Claims of machines are possible again within seconds, no matter how many changes were attempted.
@@ -75,10 +75,10 @@
             assert!(!write_budget.try_spend(write_kind, 1));
         }
         write_budget.refill(SECOND + (denied_for + after) * SECOND / 10, 30.0, 3);
-        assert_eq!(write_budget.exhausted(), wait, "{write_kind:?} {denied_for} {after}");
+        assert_eq!(write_budget.is_exhausted(), wait, "{write_kind:?} {denied_for} {after}");
         write_budget.balance = write_budget.rate;
         assert!(
-            write_budget.try_spend(write_kind, 1) && !write_budget.exhausted(),
+            write_budget.try_spend(write_kind, 1) && !write_budget.is_exhausted(),
             "{write_kind:?}: allowed, and no longer starved"
         );
     }
@@ -109,7 +109,7 @@
             write_budget.refill(now, 30.0, 1);
             // Uses up the available changes without causing debt.
             while write_budget.try_spend(WriteKind::Finish, 1) {}
-            let has_rest = write_budget.has(WriteKind::Finish, 1);
+            let has_rest = write_budget.allows(WriteKind::Finish, 1);
             write_budget.refill(now + SECOND / 2, 30.0, 1);
             now += SECOND / 2;
             let mut available = 0;
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -40,7 +40,7 @@
 
 /// Returns the record of job "req-1" with four tasks: `one` are those in partition "one", `two`
 /// those in partition "two".
-pub(crate) fn record(one: &str, two: &str) -> ActiveJobRecord {
+pub(crate) fn job_record(one: &str, two: &str) -> ActiveJobRecord {
     let share = |partition: &str, term, tasks: &str| Share {
         partition: partition.into(),
         term,
@@ -69,7 +69,7 @@
         store_rps: 300.0,
         store_write_rps: 300.0,
         value_bytes: 16 * 1024,
-        group_bytes: 16 * 1024,
+        present_value_bytes: 16 * 1024,
         txn_ops: 24,
         version: crate::upgrade::VERSION,
         machine_capacity: 10_000,
@@ -177,7 +177,7 @@
 }
 
 /// Returns the call ids of the transactions among the effects that have a condition on a key.
-pub(crate) fn changes(effects: &[Effect], key: &str) -> Vec<CallId> {
+pub(crate) fn transactions_on(effects: &[Effect], key: &str) -> Vec<CallId> {
     let matching_call_id = |e: &Effect| match e {
         Effect::Store { call_id, call: StoreCall::Txn(txn), .. } => {
             txn.conditions.iter().any(|c| c.path == key).then_some(*call_id)
@@ -213,7 +213,7 @@
 
 /// Returns a controller with a loaded cache in which these partitions are led: name, node and
 /// modification revision of the key.
-pub(crate) fn with_cache(partitions: &[(&str, &str, u64)]) -> Core {
+pub(crate) fn core_with_cache(partitions: &[(&str, &str, u64)]) -> Core {
     let mut core = core();
     core.cache.set_loaded(true);
     core.wall_offset = Some(0);
@@ -264,7 +264,7 @@
 }
 
 /// Returns the number of machines that the effects scale in.
-pub(crate) fn returned(effects: &[Effect]) -> usize {
+pub(crate) fn scaled_in_count(effects: &[Effect]) -> usize {
     let scaled_in = |e: &Effect| match e {
         Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } => machines.len(),
         _ => 0,
@@ -282,7 +282,7 @@
 }
 
 /// Makes machine "n-1" of partition "one" usable by its first heartbeat.
-pub(crate) fn ready_machine(core: &mut Core) {
+pub(crate) fn make_machine_usable(core: &mut Core) {
     let config = core.config.clone();
     if let Some(partition) = core.partitions.get_mut("one") {
         partition.apply_heartbeat(
@@ -304,7 +304,7 @@
 }
 
 /// Returns a heartbeat of machine "n-1", which runs an attempt of task 0 of job "req-1" or nothing.
-pub(crate) fn report_of_one(sequence: u64, attempt: Option<u64>) -> Heartbeat {
+pub(crate) fn heartbeat_of_one(sequence: u64, attempt: Option<u64>) -> Heartbeat {
     let running = |attempt| TaskStatus {
         task: TaskId { job: "req-1".into(), index: 0 },
         attempt,
@@ -328,7 +328,7 @@
 
 /// Returns a controller with a loaded cache in which each of the nodes "one" and "two" leads its
 /// own partition.
-pub(crate) fn with_leaders(machine_capacity: usize) -> Core {
+pub(crate) fn core_with_leaders(machine_capacity: usize) -> Core {
     let mut core = core();
     core.config.machine_capacity = machine_capacity;
     core.cache.set_loaded(true);
@@ -342,7 +342,7 @@
 
 /// Replaces machine "n-1" of partition "one" by usable machines of 8 processors: name, type ("m" or
 /// "x"), zone, spot.
-pub(crate) fn machines(core: &mut Core, list: &[(&str, &str, &str, bool)]) {
+pub(crate) fn set_machines(core: &mut Core, list: &[(&str, &str, &str, bool)]) {
     // With a single partition, the jobs of limited teams run in it too.
     core.config.nodes = vec!["one".into()];
     let config = core.config.clone();
@@ -397,7 +397,7 @@
 }
 
 /// Returns the number of a job's attempts on each machine that has any, with the machine's name.
-pub(crate) fn placed(core: &Core, id: &str) -> Vec<(String, usize)> {
+pub(crate) fn task_counts_by_machine(core: &Core, id: &str) -> Vec<(String, usize)> {
     let attempts_on = |m: &crate::machines::machine::Machine| {
         m.attempts.keys().filter(|key| key.task.job == id).count()
     };
@@ -418,9 +418,9 @@
 }
 
 /// Lists all records again, with these entries at this revision as the result.
-pub(crate) fn list_records(core: &mut Core, entries: &[KeyValue], revision: u64) {
+pub(crate) fn relist_records(core: &mut Core, entries: &[KeyValue], revision: u64) {
     core.listing.begin(core.now, &mut core.outbox);
-    let number = core.listing.latest();
+    let number = core.listing.latest_number();
     for section in Section::ALL {
         let in_section = |entry: &&KeyValue| entry.key.starts_with(section.prefix());
         let entries = entries.iter().filter(in_section).cloned().collect();
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -69,7 +69,7 @@
 impl Cluster {
     /// Reports whether every controller, now and in the future, supports services and small machine
     /// groups.
-    pub fn services(&self) -> bool {
+    pub fn supports_services(&self) -> bool {
         self.version >= SERVICES_MIN_VERSION
     }
 
@@ -98,24 +98,24 @@
         mut leaders: impl Iterator<Item = &'a PartitionRecord>,
     ) {
         let announced = |leader: &PartitionRecord| self.has_announced(&leader.node, leader.process);
-        self.upgrading = !self.services() && leaders.any(|leader| !announced(leader));
+        self.upgrading = !self.supports_services() && leaders.any(|leader| !announced(leader));
         if self.upgrading {
             self.services_expected_until = now + SERVICES_EXPECTED_FOR;
         }
     }
 
     /// Reports whether every controller supports pages of finished tasks.
-    pub fn pages(&self) -> bool {
+    pub fn supports_pages(&self) -> bool {
         self.version >= PAGES_MIN_VERSION
     }
 
     /// Forgets all announcements before they are read again.
-    pub fn forget_nodes(&mut self) {
+    pub fn clear_announcements(&mut self) {
         self.announcements.clear();
     }
 
     /// Forgets a node's announcement, which has ended with its lease.
-    pub fn forget_node(&mut self, node: &str) {
+    pub fn remove_announcement(&mut self, node: &str) {
         self.announcements.remove(node);
     }
 
@@ -134,7 +134,7 @@
     /// under a key on the same lease, so the announcement is older than the partition's key and
     /// exists as long.
     pub fn is_outdated_leader(&self, leader: &PartitionRecord, mod_revision: u64) -> bool {
-        self.services()
+        self.supports_services()
             && self.announcements.get(&leader.node).is_none_or(|(record, announced)| {
                 record.process != leader.process && *announced < mod_revision
             })
@@ -143,7 +143,7 @@
     /// Reports whether a node may request its partition. After the cluster version is raised, a
     /// node that runs version 1 may not.
     pub fn may_lead(&self, node: &str) -> bool {
-        !self.services() || self.announcements.contains_key(node)
+        !self.supports_services() || self.announcements.contains_key(node)
     }
 }
 
@@ -199,7 +199,7 @@
     /// no leader or one that has announced itself, so that no write of an earlier version can take
     /// effect any more.
     fn version_raise_txn(&self) -> Option<Txn> {
-        if self.cluster.version >= VERSION || !self.cache.loaded() {
+        if self.cluster.version >= VERSION || !self.cache.is_loaded() {
             return None;
         }
         let mut txn = Txn::default().if_mod_revision(CLUSTER_VERSION_KEY, 0);
@@ -228,7 +228,7 @@
     /// to accept smaller values than the settings say.
     fn group_size_reduction_txn(&self) -> Option<Txn> {
         let size = group_size(self.limits.value_bytes());
-        if !self.cluster.services() || size >= self.group_size() {
+        if !self.cluster.supports_services() || size >= self.group_size() {
             return None;
         }
         let txn =
@@ -238,7 +238,7 @@
 
     /// Handles the store's reply to a write of an announcement, the cluster version or the group
     /// size.
-    pub(crate) fn cluster_answered(
+    pub(crate) fn cluster_write_replied(
         &mut self,
         write: ClusterWrite,
         lease: u64,
@@ -261,7 +261,7 @@
     }
 
     /// Checks, after the records were read, whether an upgrade from version 1 is in progress.
-    pub(crate) fn look_for_upgrade(&mut self) {
+    pub(crate) fn detect_upgrade(&mut self) {
         let leaders = self.cache.partitions().values().map(|held| &held.record);
         self.cluster.detect_upgrade(self.now, leaders);
     }
@@ -289,7 +289,7 @@
     }
 
     /// Forgets a node's announcement whose key was deleted at this revision.
-    pub(crate) fn cluster_deleted(&mut self, path: &str, mod_revision: u64) {
+    pub(crate) fn apply_cluster_deletion(&mut self, path: &str, mod_revision: u64) {
         if let Some(node) = path.strip_prefix(NODE_VERSION_PREFIX)
             && self
                 .cluster
--- a/crates/quartzlever-core/src/upgrade/tests.rs
+++ b/crates/quartzlever-core/src/upgrade/tests.rs
@@ -56,7 +56,7 @@
         let first = cluster_transactions(&mut core, NOW);
         assert!(first.iter().all(|t| format!("{t:?}").contains("cluster/nodes/one")), "{n}");
         assert_eq!(first.len(), 1, "{n}");
-        core.cluster_answered(ClusterWrite::AnnounceVersion, 1, &Ok(StoreReply::Committed(8)));
+        core.cluster_write_replied(ClusterWrite::AnnounceVersion, 1, &Ok(StoreReply::Committed(8)));
         announce(&mut core, "one", VERSION, process.0, 8);
         if let Some(version) = version {
             announce(&mut core, "two", version, process.1, 9);
@@ -81,10 +81,10 @@
             }
         }
         // New features stay off until the key is seen, and after that it is not written again.
-        assert!(!core.cluster.services(), "{n}");
+        assert!(!core.cluster.supports_services(), "{n}");
         core.apply_cluster_record(&raised_version(10));
-        assert!(core.cluster.services(), "{n}");
-        core.cluster_answered(ClusterWrite::RaiseVersion, 1, &Ok(StoreReply::Committed(10)));
+        assert!(core.cluster.supports_services(), "{n}");
+        core.cluster_write_replied(ClusterWrite::RaiseVersion, 1, &Ok(StoreReply::Committed(10)));
         assert!(cluster_transactions(&mut core, NOW + 5 * SECOND).is_empty(), "{n}");
         // A lower version does not lower the cluster version.
         let v = Json::of(&ClusterRecord { version: 1 });
@@ -94,7 +94,7 @@
             mod_revision: 11,
             lease_id: None,
         });
-        assert!(core.cluster.services(), "{n}");
+        assert!(core.cluster.supports_services(), "{n}");
     }
 }
 
@@ -178,7 +178,7 @@
         };
         assert_eq!(takeovers(&mut core, NOW), usize::from(taken_over), "{n}");
         assert_eq!(takeovers(&mut core, NOW + SECOND / 10), 0, "{n}: once");
-        core.acquired("two", 1, &Ok(StoreReply::Committed(30)));
+        core.acquire_replied("two", 1, &Ok(StoreReply::Committed(30)));
         let sole_leader_from = core.partitions["two"].sole_leader_from;
         let later = if taken_over { core.config.operator.lease_life } else { 0 };
         assert_eq!(
--- a/crates/quartzlever-core/tests/simulation/sim/checks.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/checks.rs
@@ -91,7 +91,8 @@
         let now = self.now;
         let before = self.rules.broken.len();
         for partition in self.names.clone() {
-            let acting = self.cores.iter().flatten().filter(|c| c.acts_for(partition)).count();
+            let acting =
+                self.cores.iter().flatten().filter(|c| c.is_acting_leader_of(partition)).count();
             self.rules.partition_held(now, partition, acting);
         }
         let types = self.cloud.catalogue.types.clone();
@@ -125,7 +126,8 @@
     pub fn unmet_conditions(&self) -> String {
         let each = self.names.iter().zip(&self.cores).map(|(name, core)| match core {
             Some(core) => {
-                let unmet: Vec<String> = core.awaited().iter().map(ToString::to_string).collect();
+                let unmet: Vec<String> =
+                    core.unmet_conditions().iter().map(ToString::to_string).collect();
                 format!("; {name} waits for [{}]", unmet.join(", "))
             }
             None => format!("; {name} is down"),
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -113,7 +113,7 @@
         if now < self.tick_at {
             // A tick is processed along with any command that arrives. Waking up for a tick alone
             // costs more than the tick itself, so it is delayed unless a placement is due.
-            let delay = if self.core.awaits_time() { 0 } else { TICK_INTERVAL };
+            let delay = if self.core.has_pending_placement() { 0 } else { TICK_INTERVAL };
             self.incoming.sleep(Duration::from_micros(self.tick_at + delay - now));
         }
     }
@@ -140,12 +140,12 @@
     /// Publishes the state from which connections answer some requests without the core.
     fn publish(&mut self, now: Micros) {
         let ready_until = if self.core.is_ready() { now + READY_LIFETIME } else { 0 };
-        let rejected = self.incoming.publish(self.core.starting(), ready_until);
+        let rejected = self.incoming.publish(self.core.is_starting(), ready_until);
         self.core.count_rejected(rejected);
     }
 
     fn open_port(&mut self, now: Micros) -> io::Result<()> {
-        if (!self.core.starting() || now >= self.open_at)
+        if (!self.core.is_starting() || now >= self.open_at)
             && let Some(port) = self.port.take()
         {
             port.open()?;
--- a/crates/quartzlever/src/settings.rs
+++ b/crates/quartzlever/src/settings.rs
@@ -97,7 +97,7 @@
             store_rps,
             store_write_rps: platform.store_write_rps,
             value_bytes: platform.value_bytes,
-            group_bytes: platform.present_value_bytes,
+            present_value_bytes: platform.present_value_bytes,
             txn_ops: platform.txn_ops,
             version: quartzlever_core::VERSION,
             machine_capacity: platform.machine_capacity,
