--- a/crates/quartzlever-core/examples/cost.rs
+++ b/crates/quartzlever-core/examples/cost.rs
@@ -135,7 +135,7 @@
     for tick in 0..900_u32 {
         simulation.now += SECOND / 5;
         let wall = simulation.now;
-        simulation.process("tick", Command::Tick { wall, behind: false });
+        simulation.process("tick", Command::Tick { wall, was_stalled: false });
         let mut due = u32::from(tick.is_multiple_of(10)) * running / (10 * tasks) + 1;
         if tick == 1 {
             due = (running + ready) / tasks + 1;
--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -48,7 +48,7 @@
 
 impl Cloud {
     /// Records that a machine was launched for a partition, and removes expired hints.
-    pub fn note_launch(&mut self, machine: String, partition: &str, now: Micros) {
+    pub fn add_launch_hint(&mut self, machine: String, partition: &str, now: Micros) {
         if self.launch_hints.insert(machine.clone(), partition.to_owned()).is_none() {
             self.launch_hint_order.push_back((now, machine));
             while self
@@ -148,7 +148,7 @@
                     self.scale_in_replied(&partition, term, machines, result);
                 }
             }
-            PendingCloudCall::List { seen } => self.list_replied(seen, result),
+            PendingCloudCall::List { instances: seen } => self.list_replied(seen, result),
         }
     }
 
@@ -163,7 +163,7 @@
             if self.types.is_none() {
                 // Without machine types no task can be placed, not even on claimed machines.
                 let call = StoreCall::Get(CATALOGUE_KEY.into());
-                self.outbox.call_store(CallPriority::Work, call, PendingStoreCall::ReadCatalogue);
+                self.outbox.call_store(CallPriority::Work, call, PendingStoreCall::StoredCatalogue);
             }
         }
     }
@@ -179,7 +179,7 @@
         self.outbox.call_store(
             CallPriority::Work,
             StoreCall::Txn(txn),
-            PendingStoreCall::ReadCatalogue,
+            PendingStoreCall::StoredCatalogue,
         );
     }
 
@@ -194,7 +194,7 @@
 
     /// Handles the reply to a read of the stored catalogue, which is used only until the cloud has
     /// returned its own.
-    pub(crate) fn catalogue_read(&mut self, result: Result<StoreReply, CallError>) {
+    pub(crate) fn stored_catalogue_replied(&mut self, result: Result<StoreReply, CallError>) {
         if let Ok(StoreReply::Read(Some(entry))) = result
             && self.types.is_none()
             && let Some(catalogue) = parse::<Catalogue>(&entry)
@@ -206,7 +206,7 @@
     /// Requests the page of the list of machines that follows those in `seen`.
     fn list_instances(&mut self, from: Option<String>, seen: Vec<Instance>) {
         self.cloud.begin_list_call();
-        self.call_cloud(CloudCall::List { from }, PendingCloudCall::List { seen });
+        self.call_cloud(CloudCall::List { from }, PendingCloudCall::List { instances: seen });
     }
 
     fn list_replied(&mut self, mut seen: Vec<Instance>, result: Result<CloudReply, CallError>) {
@@ -248,8 +248,7 @@
         {
             return false;
         }
-        let pending =
-            self.partitions.values().any(|p| p.autoscaling.pending_instances.contains(name));
+        let pending = self.partitions.values().any(|p| p.fleet.pending_instances.contains(name));
         let machine_type = self.types.as_ref().and_then(|t| t.get(&instance.machine_type));
         let boot_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |t| t.ready_s);
         let too_old = instance.held_s > ORPHANED_AFTER_BOOTS * boot_s + ORPHAN_GRACE_S;
@@ -259,7 +258,7 @@
     fn terminate_orphaned(&mut self, orphaned: Vec<String>) {
         for partition in self.partitions.values_mut() {
             for machine in &orphaned {
-                partition.autoscaling.pending_instances.remove(machine);
+                partition.fleet.pending_instances.remove(machine);
             }
         }
         self.call_cloud(
--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -121,11 +121,11 @@
     /// Places as many of the tasks as possible on a pending or planned machine.
     fn place_in(&mut self, bin: &mut Bin, need: &Resources) {
         let zone = &bin.offer.zone;
-        let count = bin.free.count_fitting(need).min(self.tasks).min(self.zones.left(zone));
+        let count = bin.free.count_fitting(need).min(self.tasks).min(self.zones.remaining(zone));
         for _ in 0..count {
             bin.free.subtract(need);
         }
-        self.zones.take(zone, count);
+        self.zones.subtract(zone, count);
         self.tasks -= count;
     }
 }
@@ -199,13 +199,13 @@
         for bin in supply.bins.iter_mut().filter(|bin| bin.offer.is_allowed_for(spec)) {
             unplaced.place_in(bin, &need);
         }
-        let expected_run_time = run_times.expect(spec).max(SECOND);
+        let expected_run_time = run_times.expected_run_time(spec).max(SECOND);
         supply.outstanding_work +=
             f64::from(job.ready.len()) * need.cpus * expected_run_time as f64 / 1e6;
         if unplaced.tasks == 0 || self.may_preempt_for(job, now) {
             return;
         }
-        let latest_start = urgency(config, run_times, job, now).latest;
+        let latest_start = urgency(config, run_times, job, now).latest_start;
         let needs_machines = spec.is_service() || self.has_failed_on_all_machines(job);
         let constraint = StartConstraint { expected_run_time, latest_start, needs_machines };
         while unplaced.tasks > 0 && wanted.values().sum::<u32>() < MAX_MACHINES_PER_ROUND {
@@ -241,13 +241,8 @@
             return None;
         }
         let cheap_only = permitted == PermittedOffers::CheapOnly;
-        let offer = context.cheapest_offer(
-            &self.autoscaling,
-            job,
-            unplaced,
-            &supply.late_offers,
-            cheap_only,
-        )?;
+        let offer =
+            context.cheapest_offer(&self.fleet, job, unplaced, &supply.late_offers, cheap_only)?;
         let machine_type = context.types.get(&offer.machine_type)?;
         let has_placed_tasks = unplaced.tasks < job.ready.len();
         let exceeds_cap = !supply.is_within_price_cap(
@@ -288,7 +283,7 @@
         types: &BTreeMap<String, MachineType>,
         now: Micros,
     ) {
-        let pending = &self.autoscaling.pending_instances;
+        let pending = &self.fleet.pending_instances;
         for instance in pending.iter().filter(|i| !i.is_late(types, now)) {
             let Some(machine_type) = types.get(&instance.offer.machine_type) else { continue };
             supply.add_pending(machine_type, instance.offer.clone());
@@ -297,7 +292,7 @@
     }
 
     fn add_pending_scale_outs(&self, supply: &mut Supply, types: &BTreeMap<String, MachineType>) {
-        for request in self.autoscaling.pending_requests() {
+        for request in self.fleet.pending_requests() {
             let Some(machine_type) = types.get(&request.machine_type) else { continue };
             for _ in 0..request.count {
                 supply.add_pending(machine_type, MachineOffer::of_request(request));
--- a/crates/quartzlever-core/src/autoscaling/fleet.rs
+++ b/crates/quartzlever-core/src/autoscaling/fleet.rs
@@ -38,7 +38,7 @@
     }
 
     /// Records the termination of a machine, and removes expired entries.
-    pub(crate) fn put(&mut self, machine: &str, now: Micros) {
+    pub(crate) fn record(&mut self, machine: &str, now: Micros) {
         self.by_machine.insert(machine.to_owned(), now);
         self.by_age.push_back((now, machine.to_owned()));
         // Entries expire by age. When they were dropped by number or by name, a day with many
--- a/crates/quartzlever-core/src/autoscaling/offer.rs
+++ b/crates/quartzlever-core/src/autoscaling/offer.rs
@@ -9,7 +9,7 @@
 use quartzlever_wire::users::JobSpec;
 
 use crate::machines::resources::Resources;
-use crate::scheduling::offer_allowed;
+use crate::scheduling::constraints_allow;
 
 /// Maximum ratio of a cheap price to the lowest price, of a machine type or per task of a job.
 pub(super) const MAX_CHEAP_PRICE_RATIO: f64 = 1.5;
@@ -35,7 +35,7 @@
     /// Reports whether a job may run on such machines, provided that the cloud has them in the
     /// zone.
     pub(super) fn is_allowed_for(&self, spec: &JobSpec) -> bool {
-        offer_allowed(spec, &self.machine_type, &self.zone, self.spot)
+        constraints_allow(spec, &self.machine_type, &self.zone, self.spot)
     }
 
     /// Reports whether tasks of a job can run on such machines.
@@ -59,7 +59,7 @@
     types
         .get(&record.machine_type)
         .is_some_and(|t| !is_expensive(t, record.spot) && fits_empty_machine(t, spec))
-        && offer_allowed(spec, &record.machine_type, &record.zone, record.spot)
+        && constraints_allow(spec, &record.machine_type, &record.zone, record.spot)
 }
 
 /// Reports whether a task of the job fits an empty machine of the type.
--- a/crates/quartzlever-core/src/autoscaling/pending_instances.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances.rs
@@ -34,7 +34,7 @@
     /// The offer that was requested.
     pub offer: MachineOffer,
     /// When it was requested.
-    pub since: Micros,
+    pub requested_at: Micros,
 }
 
 impl PendingInstance {
@@ -67,7 +67,7 @@
         let boot = types
             .get(&self.offer.machine_type)
             .map_or(UNKNOWN_TYPE_BOOT_S, |machine_type| machine_type.ready_s);
-        now.saturating_sub(self.since) > micros_from_secs(boots * boot) + grace
+        now.saturating_sub(self.requested_at) > micros_from_secs(boots * boot) + grace
     }
 }
 
@@ -84,7 +84,7 @@
 
 impl PendingInstances {
     /// Adds a launched machine.
-    pub fn expect(&mut self, machine: &str, instance: PendingInstance) {
+    pub fn add(&mut self, machine: &str, instance: PendingInstance) {
         self.instances.insert(machine.to_owned(), instance);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Removes a machine that has come up, and notes its offer if the machine was on time.
-    pub fn arrived(
+    pub fn record_arrival(
         &mut self,
         machine: &str,
         types: Option<&BTreeMap<String, MachineType>>,
@@ -103,7 +103,7 @@
         let Some(instance) = self.remove(machine) else { return };
         if types.is_some_and(|types| !instance.is_late(types, now)) {
             let latest = self.latest_on_time.entry(instance.offer).or_default();
-            *latest = instance.since.max(*latest);
+            *latest = instance.requested_at.max(*latest);
         }
     }
 
@@ -132,7 +132,7 @@
         let mut late_counts: BTreeMap<&MachineOffer, usize> = BTreeMap::new();
         for instance in self.instances.values().filter(|i| i.is_late(types, now)) {
             let offer = &instance.offer;
-            if self.latest_on_time.get(offer).is_none_or(|latest| *latest < instance.since) {
+            if self.latest_on_time.get(offer).is_none_or(|latest| *latest < instance.requested_at) {
                 *late_counts.entry(offer).or_default() += 1;
             }
         }
--- a/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
@@ -24,7 +24,7 @@
 }
 
 fn requested_at(since: Micros) -> PendingInstance {
-    PendingInstance { offer: MachineOffer::new("m", "a", true), since }
+    PendingInstance { offer: MachineOffer::new("m", "a", true), requested_at: since }
 }
 
 /// (seconds since the request; services no longer wait, the machine is late, it is terminated)
@@ -66,12 +66,12 @@
         let types = types();
         let mut pending_instances = PendingInstances::default();
         for n in 0..late {
-            pending_instances.expect(&format!("late-{n}"), requested_at(NOW + 10 * SECOND));
+            pending_instances.add(&format!("late-{n}"), requested_at(NOW + 10 * SECOND));
         }
         for (n, (since, at)) in arrived.iter().enumerate() {
             let machine = format!("arrived-{n}");
-            pending_instances.expect(&machine, requested_at(NOW + since * SECOND));
-            pending_instances.arrived(&machine, Some(&types), NOW + at * SECOND);
+            pending_instances.add(&machine, requested_at(NOW + since * SECOND));
+            pending_instances.record_arrival(&machine, Some(&types), NOW + at * SECOND);
         }
         let offers = pending_instances.late_offers(&types, NOW + 40 * SECOND);
         assert_eq!(offers.is_empty(), is_requested, "{late} late, {arrived:?}");
@@ -84,7 +84,7 @@
 fn late_machines_are_logged_once() {
     let types = types();
     let mut pending_instances = PendingInstances::default();
-    pending_instances.expect("n-1", requested_at(NOW));
+    pending_instances.add("n-1", requested_at(NOW));
     for (after, logged) in [(5, None), (25, Some((1, 1))), (26, None)] {
         assert_eq!(
             pending_instances.late_count_change(&types, NOW + after * SECOND),
@@ -93,7 +93,7 @@
         );
     }
     for n in 2..5 {
-        pending_instances.expect(&format!("n-{n}"), requested_at(NOW));
+        pending_instances.add(&format!("n-{n}"), requested_at(NOW));
     }
     assert_eq!(pending_instances.late_count_change(&types, NOW + 27 * SECOND), Some((4, 4)));
     // At most as many as one call may name; the others follow with the next call.
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -121,7 +121,8 @@
                 continue;
             }
             // A job whose tasks must run in one zone cannot use machines in another zone.
-            for zone in machine_type.zones.iter().filter(|zone| unplaced.zones.left(zone) > 0) {
+            for zone in machine_type.zones.iter().filter(|zone| unplaced.zones.remaining(zone) > 0)
+            {
                 for spot in [true, false] {
                     let offer = MachineOffer::new(&machine_type.name, zone, spot);
                     if offer.is_allowed_for(spec) {
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -32,8 +32,8 @@
         let warm_capacity = self.warm_capacity();
         let Some(types) = &self.types else { return };
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        let mut requests = partition.autoscaling.take_due_retries(now);
-        partition.autoscaling.remove_expired_refusals(now);
+        let mut requests = partition.fleet.take_due_retries(now);
+        partition.fleet.remove_expired_refusals(now);
         let context = ScaleOutContext {
             config: &self.config,
             run_times: &self.run_times,
@@ -85,7 +85,7 @@
                 self.announce_launch(name, &machines);
             }
             Ok(CloudReply::NoCapacity) => {
-                partition.autoscaling.handle_refusal(&request, now);
+                partition.fleet.handle_refusal(&request, now);
                 self.outbox.log(LogLevel::Info, || LogEvent::NoCapacity {
                     partition: name.to_owned(),
                     machine_type: request.machine_type.clone(),
@@ -93,7 +93,7 @@
                     spot: request.spot,
                 });
             }
-            _ => partition.autoscaling.schedule_retry(&request.name, now + RETRY_DELAY),
+            _ => partition.fleet.schedule_retry(&request.name, now + RETRY_DELAY),
         }
     }
 
@@ -101,7 +101,7 @@
     /// heartbeat of a machine may go to any node.
     fn announce_launch(&mut self, name: &str, machines: &[String]) {
         for machine in machines {
-            self.cloud.note_launch(machine.clone(), name, self.now);
+            self.cloud.add_launch_hint(machine.clone(), name, self.now);
         }
         for node in self.config.nodes.iter().filter(|node| **node != self.config.node) {
             let request =
@@ -121,12 +121,10 @@
                 count -= count.min(MAX_MACHINES_PER_REQUEST);
             }
         }
-        counts.truncate(
-            MAX_PENDING_REQUESTS.saturating_sub(self.autoscaling.pending_requests().count()),
-        );
+        counts.truncate(MAX_PENDING_REQUESTS.saturating_sub(self.fleet.pending_requests().count()));
         let (name, term) = (&self.name, self.term);
         let issued = counts.into_iter().map(|(offer, count)| {
-            let number = self.autoscaling.next_request_number();
+            let number = self.fleet.next_request_number();
             let MachineOffer { machine_type, zone, spot } = offer;
             // Never used for another request: the term is unique, and its leader uses each number
             // only once.
@@ -137,7 +135,7 @@
                 spot,
                 count,
             };
-            self.autoscaling.add_request(request.clone(), now);
+            self.fleet.add_request(request.clone(), now);
             request
         });
         issued.collect()
@@ -152,7 +150,7 @@
         machines: &[String],
         now: Micros,
     ) {
-        let fleet = &mut self.autoscaling;
+        let fleet = &mut self.fleet;
         let since = fleet.remove_request(&request.name).unwrap_or(now);
         let offer = MachineOffer::of_request(request);
         if (machines.len() as u32) < request.count {
@@ -162,7 +160,7 @@
             if !cache.is_claimed(machine) && !fleet.terminated.contains(machine) {
                 fleet
                     .pending_instances
-                    .expect(machine, PendingInstance { offer: offer.clone(), since });
+                    .add(machine, PendingInstance { offer: offer.clone(), requested_at: since });
             }
         }
     }
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -14,7 +14,7 @@
 use super::{MAX_MACHINES_PER_SCALE_IN, RETRY_DELAY};
 use crate::calls::PendingCloudCall;
 use crate::config::Config;
-use crate::events::{LogEvent, ReturnedMachine};
+use crate::events::{LogEvent, TerminatedMachine};
 use crate::machines::machine::Machine;
 use crate::messages::LogLevel;
 use crate::partition::Partition;
@@ -34,7 +34,7 @@
         let warm_capacity = self.warm_capacity();
         let Some(types) = self.types.clone() else { return };
         let Some(partition) = self.partitions.get_mut(name) else { return };
-        if !partition.autoscaling.may_scale_in(now) {
+        if !partition.fleet.may_scale_in(now) {
             return;
         }
         partition.update_unreachable_zones(&self.config, now);
@@ -53,30 +53,29 @@
         // from them may still be unread.
         if now.saturating_sub(listening_since) > 2 * self.config.workers.heartbeat_interval {
             let remaining = MAX_MACHINES_PER_SCALE_IN - machine_names.len();
-            machine_names.extend(
-                partition.autoscaling.pending_instances.take_abandoned(&types, now, remaining),
-            );
+            machine_names
+                .extend(partition.fleet.pending_instances.take_abandoned(&types, now, remaining));
         }
-        let late = partition.autoscaling.pending_instances.late_count_change(&types, now);
+        let late = partition.fleet.pending_instances.late_count_change(&types, now);
         let reasons = partition.begin_scale_in(&machine_names);
         let partition = Some((name.to_owned(), partition.term));
         if let Some((late, awaited)) = late {
             self.outbox.log(LogLevel::Info, || LogEvent::MachinesLate {
                 partition: name.to_owned(),
                 late,
-                awaited,
+                pending: awaited,
             });
         }
         if machine_names.is_empty() {
             return;
         }
         self.outbox.log(LogLevel::Info, || {
-            let each = |(machine, reason): (&String, _)| ReturnedMachine {
+            let each = |(machine, reason): (&String, _)| TerminatedMachine {
                 machine: machine.clone(),
                 reason,
             };
             let machines = machine_names.iter().zip(reasons).map(each).collect();
-            LogEvent::MachinesReturned { partition: name.to_owned(), machines }
+            LogEvent::MachinesTerminated { partition: name.to_owned(), machines }
         });
         self.call_cloud(
             CloudCall::ScaleIn(machine_names.clone()),
@@ -96,7 +95,7 @@
         let now = self.now;
         let Some(partition) = self.partition_at_term(name, term) else { return };
         if !matches!(result, Ok(CloudReply::ScaledIn)) {
-            partition.autoscaling.delay_scale_in_until(now + 2 * RETRY_DELAY);
+            partition.fleet.delay_scale_in_until(now + 2 * RETRY_DELAY);
             for machine_name in machines {
                 if let Some(machine) = partition.machines.get_mut(&machine_name) {
                     machine.scaling_in = false;
@@ -109,7 +108,7 @@
         for machine_name in machines {
             // The cloud has confirmed that the machine is gone, with everything on it.
             let was_known = partition.remove_machine(&machine_name);
-            partition.autoscaling.terminated.put(&machine_name, now);
+            partition.fleet.terminated.record(&machine_name, now);
             if was_known {
                 removed.push(machine_name);
             }
@@ -125,9 +124,9 @@
     /// first heartbeat from it must not make all other machines there count as silent: they send
     /// theirs within the next interval.
     fn update_unreachable_zones(&mut self, config: &Config, now: Micros) {
-        let zones = self.find_unreachable_zones(now, config.operator.silent_return);
+        let zones = self.find_unreachable_zones(now, config.operator.silent_machine_timeout);
         let until = now + 2 * config.workers.heartbeat_interval;
-        self.autoscaling.record_unreachable_zones(zones, until, now);
+        self.fleet.record_unreachable_zones(zones, until, now);
     }
 
     /// Returns the zones that seem to be unreachable: all of several machines there are silent.
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -158,7 +158,7 @@
             now,
             acquired_at: partition.acquired_at,
             listening_since,
-            unreachable_zones: partition.autoscaling.unreachable_zones().cloned().collect(),
+            unreachable_zones: partition.fleet.unreachable_zones().cloned().collect(),
             terminates_ignoring_machines: ignoring <= MAX_IGNORING_MACHINES.max(tenth),
             few_late: late <= MAX_LATE_MACHINES.max(tenth),
             warm_machines: warm_capacity
@@ -190,7 +190,7 @@
             // whole partition waits for them.
             let lease = self.config.worker_lease_expired_after();
             let lease = if machine.verified { lease } else { lease / 2 };
-            return lease.max(operator.silent_return);
+            return lease.max(operator.silent_machine_timeout);
         }
         if !machine.verified {
             // An unverified machine delays the recovery of the whole partition.
@@ -199,14 +199,14 @@
             } else {
                 heartbeat_interval * 2
             };
-            return (operator.silent_return / 2).max(heartbeat_wait);
+            return (operator.silent_machine_timeout / 2).max(heartbeat_wait);
         }
         if machine.failed_calls > 0 && self.few_late && machine.has_service_replicas() {
             // Replicas on a dead machine wait for nothing else, so the machine is terminated once a
             // failed call has confirmed what a late heartbeat suggests.
             return self.config.late_heartbeat_after();
         }
-        operator.silent_return.max(heartbeat_interval * 5 / 2)
+        operator.silent_machine_timeout.max(heartbeat_interval * 5 / 2)
     }
 
     /// Returns how long a machine has been silent.
@@ -223,7 +223,8 @@
     }
 
     fn is_idle(&self, machine: &Machine) -> bool {
-        let lifetime = idle_lifetime(self.types, &machine.record, self.config.operator.idle_boots);
+        let lifetime =
+            idle_lifetime(self.types, &machine.record, self.config.operator.max_idle_boot_times);
         machine.idle_since.is_some_and(|since| self.now.saturating_sub(since) > lifetime)
             && machine.incarnation > 0
             && !self.warm_machines.contains(&machine.name)
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -58,7 +58,7 @@
         }
         let mut terminated = false;
         for step in 1..=after * 2 {
-            let mut commands = vec![Command::Tick { wall: NOW, behind: false }];
+            let mut commands = vec![Command::Tick { wall: NOW, was_stalled: false }];
             if copies {
                 let heartbeat = heartbeat_from("n-1", 1, step, 4, &[]);
                 commands.push(Command::Heartbeat { id: step, heartbeat });
@@ -183,7 +183,7 @@
         let mut core = core_with_cache(&[("one", "one", 5)]);
         with_ten_machines(&mut core, NOW);
         let now = NOW + silence_s * SECOND;
-        let mut commands = vec![Command::Tick { wall: NOW, behind }];
+        let mut commands = vec![Command::Tick { wall: NOW, was_stalled: behind }];
         for n in 1..=reporting {
             let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
             commands.push(Command::Heartbeat { id: n, heartbeat });
@@ -240,7 +240,7 @@
         let (late, silent) = (core.config.late_heartbeat_after(), 12 * SECOND);
         for step in 1..=30 {
             let now = NOW + step * SECOND / 2;
-            let mut batch = vec![Command::Tick { wall: now, behind: false }];
+            let mut batch = vec![Command::Tick { wall: now, was_stalled: false }];
             if fails && let Some(call_id) = probe.take() {
                 batch.push(Command::WorkerReply { call_id, result: Err(CallError::Unknown) });
             }
@@ -288,13 +288,13 @@
                 }],
             );
         }
-        core.config.operator.silent_return = 4 * SECOND;
-        core.config.operator.idle_boots = 1_000.0;
+        core.config.operator.silent_machine_timeout = 4 * SECOND;
+        core.config.operator.max_idle_boot_times = 1_000.0;
         let mut terminated = 0;
         let end = outage_s + after;
         for step in 1..=2 * end {
             let now = NOW + step * SECOND / 2;
-            let mut batch = vec![Command::Tick { wall: now, behind: false }];
+            let mut batch = vec![Command::Tick { wall: now, was_stalled: false }];
             let own = heartbeat_from("n-1", 1, step + 1, 5, &[]);
             batch.push(Command::Heartbeat { id: 100, heartbeat: own });
             if step >= 2 * outage_s {
@@ -359,7 +359,7 @@
         };
         queue_job(&mut core, &service, 10);
         let now = NOW + 5 * SECOND;
-        let batch = vec![Command::Tick { wall: now, behind: false }];
+        let batch = vec![Command::Tick { wall: now, was_stalled: false }];
         assert_eq!(&requested_machines(core.step(now, batch)), requested, "case {n}");
     }
 }
@@ -403,7 +403,7 @@
         core.lease.expire_at(NOW + 900 * SECOND);
         let now = NOW + after * SECOND;
         core.cache.set_view_as_of(now);
-        let batch = vec![Command::Tick { wall: now, behind: false }];
+        let batch = vec![Command::Tick { wall: now, was_stalled: false }];
         assert_eq!(requested_machines(core.step(now, batch)), requested, "case {n}");
     }
 }
@@ -421,8 +421,8 @@
         let boot = quartzlever_wire::micros_from_secs(types["m"].ready_s * boots);
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         let instance =
-            PendingInstance { offer: MachineOffer::new("m", "a", false), since: NOW - boot };
-        partition.autoscaling.pending_instances.expect("n-7", instance);
+            PendingInstance { offer: MachineOffer::new("m", "a", false), requested_at: NOW - boot };
+        partition.fleet.pending_instances.add("n-7", instance);
         let offer = MachineOffer::new("m", "a", false);
         assert_eq!(partition.has_warm_capacity(&types, &offer, NOW), counted, "{boots} boots");
     }
@@ -550,7 +550,7 @@
         }
         let now = NOW + case.age_s * SECOND + SECOND;
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
-        partition.autoscaling.record_spot_refusals(&["m", "x"], &["a", "b"], now + SECOND);
+        partition.fleet.record_spot_refusals(&["m", "x"], &["a", "b"], now + SECOND);
         let job = partition.jobs.get_mut("req-1").expect("req-1 is known");
         job.submitted_at = NOW;
         for n in 0..case.failed_on {
@@ -561,8 +561,9 @@
             machine.fenced = case.fenced;
         }
         core.cache.set_view_as_of(now);
-        let scale_outs =
-            requested_machines(core.step(now, vec![Command::Tick { wall: now, behind: false }]));
+        let scale_outs = requested_machines(
+            core.step(now, vec![Command::Tick { wall: now, was_stalled: false }]),
+        );
         let on_demand: u32 =
             scale_outs.iter().filter(|request| !request.1).map(|request| request.2).sum();
         assert_eq!(on_demand, case.requested, "{}: {scale_outs:?}", case.name);
--- a/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
+++ b/crates/quartzlever-core/src/autoscaling/warm_capacity.rs
@@ -53,7 +53,7 @@
     ) {
         for offer in warm_capacity {
             if !self.has_warm_capacity(types, &offer, now)
-                && !self.autoscaling.has_recorded_refusal(&offer)
+                && !self.fleet.has_recorded_refusal(&offer)
             {
                 wanted.entry(offer).or_insert(1);
             }
@@ -89,12 +89,12 @@
         now: Micros,
     ) -> bool {
         let matches_offer = |zone: &str, spot: bool| zone == offer.zone && !spot;
-        let pending = &self.autoscaling.pending_instances;
+        let pending = &self.fleet.pending_instances;
         self.warm_machine(types, offer).is_some()
             || pending.iter().any(|i| {
                 matches_offer(&i.offer.zone, i.offer.spot)
                     && !i.is_too_late_for_services(types, now)
             })
-            || self.autoscaling.pending_requests().any(|r| matches_offer(&r.zone, r.spot))
+            || self.fleet.pending_requests().any(|r| matches_offer(&r.zone, r.spot))
     }
 }
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -6,7 +6,7 @@
 use quartzlever_wire::cloud::{Instance, ScaleOutRequest};
 use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, ActiveJobRecord, CLUSTER_PREFIX, MACHINE_PREFIX, MachineRecords,
+    ACTIVE_JOB_PREFIX, ActiveJobRecord, CLUSTER_PREFIX, MACHINE_GROUP_PREFIX, MachineRecords,
     PARTITION_PREFIX,
 };
 use quartzlever_wire::workers::TaskId;
@@ -20,7 +20,7 @@
     /// Nothing depends on the reply: the call writes a hint for a peer or removes an unused key.
     Ignored,
     /// A read or a write of the stored catalogue.
-    ReadCatalogue,
+    StoredCatalogue,
     Grant {
         sent: Micros,
     },
@@ -138,7 +138,7 @@
     Catalogue,
     ScaleOut { partition: String, term: u64, request: ScaleOutRequest },
     ScaleIn { partition: Option<(String, u64)>, machines: Vec<String> },
-    List { seen: Vec<Instance> },
+    List { instances: Vec<Instance> },
 }
 
 /// The context of a call to a peer.
@@ -295,7 +295,7 @@
     pub(crate) fn prefix(self) -> &'static str {
         match self {
             Section::Partitions => PARTITION_PREFIX,
-            Section::Machines => MACHINE_PREFIX,
+            Section::Machines => MACHINE_GROUP_PREFIX,
             Section::Jobs => ACTIVE_JOB_PREFIX,
             Section::Pages => PAGE_PREFIX,
             Section::Cluster => CLUSTER_PREFIX,
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -69,19 +69,19 @@
     pub steal_cap: Micros,
     /// Lifetime of a controller's lease in the store, to which the keys of its partitions are
     /// attached.
-    pub lease_life: Micros,
+    pub lease_lifetime: Micros,
     /// How long a partition's key must be absent before a peer takes the partition over.
     pub takeover_after: Micros,
     /// How long a home node must have been up again before its partition is handed back.
     pub handback_after: Micros,
     /// How long a machine at the lowest price of its type may be idle before it is scaled in, as a
     /// multiple of the type's boot time. A more expensive machine is kept for proportionally less.
-    pub idle_boots: f64,
+    pub max_idle_boot_times: f64,
     /// Maximum total price of a partition's machines, as a multiple of the sum of the lowest prices
     /// of their types. Beyond it, only machines near the lowest price of their type are launched.
     pub price_cap: f64,
     /// How long a machine may send no heartbeat before it is scaled in.
-    pub silent_return: Micros,
+    pub silent_machine_timeout: Micros,
     /// Minimum time between two writes of one job's progress.
     pub progress_write: Micros,
 }
@@ -93,12 +93,12 @@
             steal_fraction: 0.5,
             steal_start: SECOND,
             steal_cap: 16 * SECOND,
-            lease_life: 15 * SECOND,
+            lease_lifetime: 15 * SECOND,
             takeover_after: 2 * SECOND,
             handback_after: 5 * SECOND,
-            idle_boots: 1.0,
+            max_idle_boot_times: 1.0,
             price_cap: 1.25,
-            silent_return: 10 * SECOND,
+            silent_machine_timeout: 10 * SECOND,
             progress_write: SECOND,
         }
     }
--- a/crates/quartzlever-core/src/events.rs
+++ b/crates/quartzlever-core/src/events.rs
@@ -91,10 +91,10 @@
         partition: String,
         late: usize,
         /// Number of pending machines, including the late ones.
-        awaited: usize,
+        pending: usize,
     },
     /// Machines are scaled in.
-    MachinesReturned { partition: String, machines: Vec<ReturnedMachine> },
+    MachinesTerminated { partition: String, machines: Vec<TerminatedMachine> },
     /// Tasks on a machine are preempted for tasks of a more urgent job.
     TasksPreempted {
         partition: String,
@@ -164,7 +164,7 @@
 
 /// A machine that is scaled in; displayed as `machine:reason`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReturnedMachine {
+pub struct TerminatedMachine {
     pub machine: String,
     /// `None` if the machine never came up.
     pub reason: Option<ScaleInReason>,
@@ -201,7 +201,7 @@
             | LogEvent::MachinesRequested { .. }
             | LogEvent::NoCapacity { .. }
             | LogEvent::MachinesLate { .. }
-            | LogEvent::MachinesReturned { .. }
+            | LogEvent::MachinesTerminated { .. }
             | LogEvent::TasksPreempted { .. }
             | LogEvent::TasksStolen { .. }
             | LogEvent::JobFailsEverywhere { .. }
@@ -228,7 +228,7 @@
             LogEvent::MachinesRequested { .. } => "machines_requested",
             LogEvent::NoCapacity { .. } => "no_capacity",
             LogEvent::MachinesLate { .. } => "machines_late",
-            LogEvent::MachinesReturned { .. } => "machines_returned",
+            LogEvent::MachinesTerminated { .. } => "machines_returned",
             LogEvent::TasksPreempted { .. } => "tasks_preempted",
             LogEvent::TasksStolen { .. } => "tasks_stolen",
             LogEvent::TaskRunning { .. } => "task_running",
@@ -279,10 +279,10 @@
                 .field("machine_type", machine_type)
                 .field("zone", zone)
                 .field("spot", spot),
-            LogEvent::MachinesLate { partition, late, awaited } => {
+            LogEvent::MachinesLate { partition, late, pending: awaited } => {
                 fields.field("partition", partition).field("late", late).field("awaited", awaited)
             }
-            LogEvent::MachinesReturned { partition, machines } => fields
+            LogEvent::MachinesTerminated { partition, machines } => fields
                 .field("partition", partition)
                 .field("count", machines.len())
                 .list("machines", machines),
@@ -340,7 +340,7 @@
     }
 }
 
-impl Display for ReturnedMachine {
+impl Display for TerminatedMachine {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.reason {
             Some(reason) => write!(f, "{}:{reason}", self.machine),
--- a/crates/quartzlever-core/src/events/tests.rs
+++ b/crates/quartzlever-core/src/events/tests.rs
@@ -81,16 +81,16 @@
             "no_capacity partition=one machine_type=large zone=z-1 spot=false",
         ),
         (
-            LogEvent::MachinesLate { partition: partition.clone(), late: 2, awaited: 5 },
+            LogEvent::MachinesLate { partition: partition.clone(), late: 2, pending: 5 },
             LogLevel::Info,
             "machines_late partition=one late=2 awaited=5",
         ),
         (
-            LogEvent::MachinesReturned {
+            LogEvent::MachinesTerminated {
                 partition: partition.clone(),
                 machines: vec![
-                    ReturnedMachine { machine: "n-1".into(), reason: None },
-                    ReturnedMachine { machine: "n-2".into(), reason: Some(ScaleInReason::Idle) },
+                    TerminatedMachine { machine: "n-1".into(), reason: None },
+                    TerminatedMachine { machine: "n-2".into(), reason: Some(ScaleInReason::Idle) },
                 ],
             },
             LogLevel::Info,
--- a/crates/quartzlever-core/src/jobs/lookups/tests.rs
+++ b/crates/quartzlever-core/src/jobs/lookups/tests.rs
@@ -14,7 +14,7 @@
         (false, 0, 2, JobPhase::Running),
     ] {
         let mut record = job_record("0-3", "");
-        (record.started, record.finished) = (started, Ranges::first(finished));
+        (record.started, record.finished) = (started, Ranges::up_to(finished));
         let view = view_active_job(&record, running);
         let found = (view.phase, view.done, view.running);
         assert_eq!(found, (phase, finished, running as u32), "{started} {finished} {running}");
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -114,7 +114,7 @@
     pub fn finished_of(&self, job: &str) -> Ranges {
         let mut finished = Ranges::default();
         for page in self.jobs.get(job).into_iter().flat_map(BTreeMap::values) {
-            finished.add(&page.finished);
+            finished.insert_all(&page.finished);
         }
         finished
     }
@@ -127,9 +127,9 @@
             return;
         }
         record.paged = true;
-        record.finished.add(&self.finished_of(job));
+        record.finished.insert_all(&self.finished_of(job));
         if let Some(known) = known {
-            record.finished.add(&known.finished);
+            record.finished.insert_all(&known.finished);
         }
     }
 
@@ -180,7 +180,7 @@
     pub fn stored_form(&self, record: &ActiveJobRecord) -> ActiveJobRecord {
         let mut stored = record.clone();
         if self.has(&record.job.id) {
-            stored.finished.subtract(&self.finished_of(&record.job.id));
+            stored.finished.remove_all(&self.finished_of(&record.job.id));
             stored.paged = true;
         }
         stored
@@ -211,7 +211,7 @@
         let (rest, recorded) = if text_bytes(&without(&all, &chosen)) <= max_bytes {
             (without(&all, &chosen), new.clone())
         } else {
-            (without(&unpaged, &chosen), new.minus(&without(new, &chosen)))
+            (without(&unpaged, &chosen), new.difference(&without(new, &chosen)))
         };
         if !chosen.is_empty() && text_bytes(&rest) <= max_bytes {
             let pages = self.page_writes(&bare.job.id, &chosen, &all);
@@ -236,7 +236,7 @@
         let content = |number: &u32| {
             let mut finished = tasks_of_page(added, *number);
             if let Some(page) = known.and_then(|pages| pages.get(number)) {
-                finished.add(&page.finished);
+                finished.insert_all(&page.finished);
             }
             PageWrite { number: *number, finished }
         };
@@ -272,7 +272,7 @@
 fn without(tasks: &Ranges, pages: &[u32]) -> Ranges {
     let mut rest = tasks.clone();
     for page in pages {
-        rest.subtract(&tasks_of_page(tasks, *page));
+        rest.remove_all(&tasks_of_page(tasks, *page));
     }
     rest
 }
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -50,7 +50,7 @@
         let (_, number) = page_of_key(&key).expect("the key of a page");
         let (value, _) = store.get(&key).expect("a page");
         let page = value.parse::<PageRecord>().and_then(|page| page.tasks(number));
-        finished.add(&page.expect("a page's tasks"));
+        finished.insert_all(&page.expect("a page's tasks"));
     }
     finished
 }
@@ -70,7 +70,7 @@
             let page = value.parse::<PageRecord>().and_then(|page| page.tasks(number));
             pages.insert(job, number, page.expect("a page's tasks"), mod_revision);
         }
-        record.finished.add(&pages.finished_of(ID));
+        record.finished.insert_all(&pages.finished_of(ID));
         Leader { pages, record, mod_revision, term }
     }
 
@@ -85,10 +85,10 @@
 
     fn committed(&mut self, write: PlannedWrite, mod_revision: u64) {
         for PageWrite { number, finished } in write.pages {
-            self.record.finished.add(&finished);
+            self.record.finished.insert_all(&finished);
             self.pages.insert(ID, number, finished, mod_revision);
         }
-        self.record.finished.add(&write.recorded);
+        self.record.finished.insert_all(&write.recorded);
         if write.action == JobWriteAction::Record {
             self.mod_revision = mod_revision;
         }
@@ -111,11 +111,11 @@
         let mut writes = 0;
         // Tasks finish in ten batches; each batch is written until nothing is left of it.
         for batch in 0..10 {
-            let mut new = all.within(batch * tasks / 10..(batch + 1) * tasks / 10);
+            let mut new = all.restricted_to(batch * tasks / 10..(batch + 1) * tasks / 10);
             while !new.is_empty() {
                 let planned = leader.plan(&new, limits(value_bytes, ops));
                 let (txn, write) = planned.expect("a write fits the limits");
-                new.subtract(&write.recorded);
+                new.remove_all(&write.recorded);
                 let mod_revision = commit(&mut store, txn).expect("committed");
                 leader.committed(write, mod_revision);
                 writes += 1;
@@ -150,7 +150,7 @@
     let (old, mut all) = (every_second(3 * PAGE_TASKS), every_second(TASKS));
     // More tasks of the pages that are being converted finish during the conversion.
     for page in 0..3 {
-        all.add(&Ranges::of(page * PAGE_TASKS..page * PAGE_TASKS + 40));
+        all.insert_all(&Ranges::from_range(page * PAGE_TASKS..page * PAGE_TASKS + 40));
     }
     for fault in [LimitsLowered, CrashBefore, CrashAfter, LateWrite] {
         for at in 0.. {
@@ -165,7 +165,7 @@
                     (value_bytes, ops) = (600, 2);
                 }
                 (store.value_limit, store.ops_limit) = (value_bytes, ops);
-                let new = all.minus(&leader.record.finished);
+                let new = all.difference(&leader.record.finished);
                 let planned = leader.plan(&new, limits(value_bytes, ops));
                 let (txn, write) = planned.expect("a write fits the limits");
                 if fault == LateWrite && step == at {
@@ -175,7 +175,7 @@
                 } else if fault == CrashBefore && step == at {
                     leader = Leader::take_over(&mut store);
                 } else {
-                    known.add(&write.recorded);
+                    known.insert_all(&write.recorded);
                     let before = recorded(&store);
                     let mod_revision =
                         commit(&mut store, txn).unwrap_or_else(|e| panic!("{name}: {e:?}"));
@@ -189,7 +189,7 @@
                     }
                 }
                 assert!(
-                    known.minus(&recorded(&store)).is_empty(),
+                    known.difference(&recorded(&store)).is_empty(),
                     "{name}: step {step} lost recorded tasks"
                 );
                 assert!(leader.record.finished == recorded(&store), "{name}: step {step}");
@@ -215,7 +215,7 @@
     let mod_revision = commit(&mut store, txn).expect("committed");
     first.committed(write, mod_revision);
     second.mod_revision = mod_revision;
-    let odds = Ranges::first(PAGE_TASKS).minus(&evens);
+    let odds = Ranges::up_to(PAGE_TASKS).difference(&evens);
     let (late, _) = second.plan(&odds, limits(1024, 4)).expect("a write is planned");
     assert!(matches!(commit(&mut store, late), Err(StoreReply::Conflict(_))));
     assert!(recorded(&store) == evens);
@@ -231,7 +231,7 @@
     let (txn, write) = leader.plan(&Ranges::default(), limits(1024, 4)).expect("a first step");
     let mod_revision = commit(&mut store, txn).expect("committed");
     leader.committed(write, mod_revision);
-    let (late, _) = leader.plan(&Ranges::of(1..2), limits(1024, 4)).expect("a second step");
+    let (late, _) = leader.plan(&Ranges::from_range(1..2), limits(1024, 4)).expect("a second step");
     let final_state = TerminalJobRecord { phase: JobPhase::Cancelled, done: 0 };
     let cancel =
         Txn::default().if_mod_revision(ACTIVE_JOB_KEY, leader.mod_revision).delete(ACTIVE_JOB_KEY);
@@ -258,8 +258,8 @@
         assert_eq!(plan.is_some(), written, "{value_bytes} {max_pages}: {plan:?}");
     }
     // A small job uses its record alone: no page is written without need.
-    record.finished = Ranges::of(0..4);
-    let small = Ranges::of(6..8);
+    record.finished = Ranges::from_range(0..4);
+    let small = Ranges::from_range(6..8);
     let limits = WriteLimits { value_bytes: 1024, pages: 9 };
     let Some(ProgressWrite { record: Some(stored), pages, recorded }) =
         pages.plan(&record, &small, limits)
@@ -288,9 +288,9 @@
         core.wall_offset = Some(0);
         let mut record = job_record("0-1", "2-3");
         record.paged = true;
-        record.finished = Ranges::of(own_tasks);
+        record.finished = Ranges::from_range(own_tasks);
         if taken_over {
-            core.apply_page_record(&page_event(0, &Ranges::of(2..4), 11));
+            core.apply_page_record(&page_event(0, &Ranges::from_range(2..4), 11));
             core.reconcile_job(record, 10);
         } else {
             core.reconcile_job(record, 10);
@@ -299,7 +299,7 @@
                 !format!("{before:?}").contains("over/req-1"),
                 "{name}: ended with unfinished tasks"
             );
-            core.apply_page_record(&page_event(0, &Ranges::of(2..4), 11));
+            core.apply_page_record(&page_event(0, &Ranges::from_range(2..4), 11));
         }
         let effects = core.step(NOW + 2 * SECOND, Vec::new());
         assert!(format!("{effects:?}").contains("over/req-1"), "{name}: {effects:?}");
@@ -312,14 +312,14 @@
 fn a_finished_task_stays_finished_in_every_view() {
     let mut core = core();
     let mut first = job_record("0-3", "");
-    first.finished = Ranges::of(0..2);
+    first.finished = Ranges::from_range(0..2);
     core.reconcile_job(first.clone(), 10);
     // The finished tasks have moved to a page whose watch event has not arrived yet.
     let moved = ActiveJobRecord { finished: Ranges::default(), paged: true, ..first };
     core.reconcile_job(moved, 11);
     let ready = |core: &Core| core.partitions["one"].jobs[ID].ready.to_string();
     assert_eq!(ready(&core), "2-3");
-    core.apply_page_record(&page_event(0, &Ranges::of(0..3), 11));
+    core.apply_page_record(&page_event(0, &Ranges::from_range(0..3), 11));
     assert_eq!(ready(&core), "3", "the page lists one more finished task");
 }
 
@@ -333,8 +333,8 @@
         if !first {
             core.cache.record_partition("a", PartitionRecord { node: "a".into(), process: 1 }, 4);
         }
-        core.apply_page_record(&page_event(0, &Ranges::of(0..3), 8));
-        core.apply_page_record(&page_event(1, &Ranges::of(PAGE_TASKS..PAGE_TASKS + 3), 9));
+        core.apply_page_record(&page_event(0, &Ranges::from_range(0..3), 8));
+        core.apply_page_record(&page_event(1, &Ranges::from_range(PAGE_TASKS..PAGE_TASKS + 3), 9));
         if active {
             core.reconcile_job(job_record("0-3", ""), 10);
         }
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -71,7 +71,7 @@
     /// After failures, the earliest time at which tasks may be started again.
     pub no_start_before: Micros,
     /// Tasks that were preempted once; they are not preempted again.
-    pub preempted: Ranges,
+    pub preempted_tasks: Ranges,
     /// Whether starting a task only with its machine's next heartbeat costs the job nothing.
     pub can_wait_for_heartbeat: bool,
 }
@@ -122,14 +122,14 @@
             failures: JobFailures::default(),
             succeeded: 0,
             no_start_before: 0,
-            preempted: Ranges::default(),
+            preempted_tasks: Ranges::default(),
             can_wait_for_heartbeat: false,
         }
     }
 
     /// Reports whether a record is relevant to a partition that does not know the job yet.
     pub fn is_relevant(record: &ActiveJobRecord, partition: &str) -> bool {
-        may_have_to_end(record, partition) || !record.owned_by(partition).is_empty()
+        may_have_to_end(record, partition) || !record.unfinished_tasks_of(partition).is_empty()
     }
 
     /// Applies a record read from the store if it is newer than the known one. `team_limited` tells
@@ -145,8 +145,8 @@
         if mod_revision <= self.mod_revision {
             return effects;
         }
-        let owned = record.owned_by(context.partition);
-        let fresh = record.entered_under(context.partition, context.term);
+        let owned = record.unfinished_tasks_of(context.partition);
+        let fresh = record.tasks_assigned_under(context.partition, context.term);
         self.record = record;
         self.mod_revision = mod_revision;
         if !self.writing {
@@ -154,21 +154,21 @@
             // commit.
             effects.placement_wanted = self.settle_unknown_outcome();
         }
-        let new = owned.minus(&self.tracked_tasks());
+        let new = owned.difference(&self.tracked_tasks());
         let startable = if context.recovery_complete {
             new.clone()
         } else if team_limited {
             // Tasks that an earlier leader may have started count towards the team's limit.
             Ranges::default()
         } else {
-            new.intersect(&fresh)
+            new.intersection(&fresh)
         };
-        self.awaiting_recovery.add(&new.minus(&startable));
-        self.ready.add(&startable);
-        self.ready = self.ready.intersect(&owned);
-        self.awaiting_recovery = self.awaiting_recovery.intersect(&owned);
-        self.moving = self.moving.intersect(&owned);
-        self.finished = self.finished.intersect(&owned);
+        self.awaiting_recovery.insert_all(&new.difference(&startable));
+        self.ready.insert_all(&startable);
+        self.ready = self.ready.intersection(&owned);
+        self.awaiting_recovery = self.awaiting_recovery.intersection(&owned);
+        self.moving = self.moving.intersection(&owned);
+        self.finished = self.finished.intersection(&owned);
         effects.placement_wanted |= !self.ready.is_empty() && !startable.is_empty();
         effects.may_forget_job =
             self.idle() && owned.is_empty() && !may_have_to_end(&self.record, context.partition);
@@ -180,12 +180,12 @@
         self.record.paged = true;
         // Most pages were written by this leader and add nothing; comparing only the tasks of this
         // page is cheap.
-        let new = finished.minus(&tasks_of_page(&self.record.finished, number));
-        self.record.finished.add(&new);
-        self.ready.subtract(&new);
-        self.awaiting_recovery.subtract(&new);
-        self.moving.subtract(&new);
-        self.finished.subtract(&new);
+        let new = finished.difference(&tasks_of_page(&self.record.finished, number));
+        self.record.finished.insert_all(&new);
+        self.ready.remove_all(&new);
+        self.awaiting_recovery.remove_all(&new);
+        self.moving.remove_all(&new);
+        self.finished.remove_all(&new);
     }
 
     /// Puts a task whose attempt is known to be on no machine back into the queue, if the partition
@@ -198,13 +198,14 @@
             return false;
         }
         self.assignments.remove(&index);
-        let owned = self.record.owned_by(context.partition);
+        let owned = self.record.unfinished_tasks_of(context.partition);
         if !owned.contains(index) || self.finished.contains(index) {
             return false;
         }
         // This attempt has ended, but until recovery completes another machine could still hold an
         // attempt of an earlier leader.
-        let fresh = self.record.entered_under(context.partition, context.term).contains(index);
+        let fresh =
+            self.record.tasks_assigned_under(context.partition, context.term).contains(index);
         if context.recovery_complete || fresh {
             self.ready.insert(index);
         } else {
@@ -217,7 +218,7 @@
     /// attempt of an earlier leader.
     pub fn complete_recovery(&mut self) {
         let recovered = std::mem::take(&mut self.awaiting_recovery);
-        self.ready.add(&recovered);
+        self.ready.insert_all(&recovered);
     }
 
     /// Assigns a ready task to a machine.
@@ -229,7 +230,7 @@
     /// Adopts an unknown attempt that a machine reports, if the partition owns its task and the
     /// task is neither finished nor on a machine nor moving. Returns whether it was adopted.
     pub fn adopt(&mut self, index: u32, machine: &str, attempt: u64, partition: &str) -> bool {
-        let adoptable = self.record.owned_by(partition).contains(index)
+        let adoptable = self.record.unfinished_tasks_of(partition).contains(index)
             && !self.assignments.contains_key(&index)
             && !self.finished.contains(index)
             && !self.moving.contains(index);
@@ -245,7 +246,7 @@
     pub fn finish(&mut self, index: u32, partition: &str, now: Micros) {
         self.ready.remove(index);
         self.awaiting_recovery.remove(index);
-        if !self.record.owned_by(partition).contains(index) {
+        if !self.record.unfinished_tasks_of(partition).contains(index) {
             return;
         }
         self.succeeded += 1;
@@ -278,9 +279,9 @@
     /// Returns all tasks that this partition tracks, in any state.
     fn tracked_tasks(&self) -> Ranges {
         let mut all = self.ready.union(&self.awaiting_recovery);
-        all.add(&self.moving);
-        all.add(&self.finished);
-        all.add(&self.assignments.keys().copied().collect());
+        all.insert_all(&self.moving);
+        all.insert_all(&self.finished);
+        all.insert_all(&self.assignments.keys().copied().collect());
         all
     }
 
@@ -318,7 +319,7 @@
 
     /// Returns how many ready tasks may be placed now. A job that fails everywhere gets at most
     /// `MAX_TRIAL_TASKS` tasks at a time, so that it uses few resources until it is cancelled.
-    pub fn placeable(&self) -> u32 {
+    pub fn placeable_count(&self) -> u32 {
         if self.fails_everywhere() && !self.is_service() {
             MAX_TRIAL_TASKS.saturating_sub(self.assignments.len() as u32).min(self.ready.len())
         } else {
@@ -356,7 +357,7 @@
 
 /// Reports whether a partition may have to end a job even if it owns no tasks of it.
 fn may_have_to_end(record: &ActiveJobRecord, partition: &str) -> bool {
-    record.paged && record.is_shared_by(partition)
+    record.paged && record.has_tasks_of(partition)
 }
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/jobs/partition_job/moves.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/moves.rs
@@ -23,7 +23,7 @@
 
     /// Starts the move of tasks that were removed from the ready ones.
     pub fn begin_move(&mut self, tasks: &Ranges) {
-        self.moving.add(tasks);
+        self.moving.insert_all(tasks);
         self.writing = true;
     }
 
@@ -36,10 +36,10 @@
         mod_revision: u64,
     ) {
         self.writing = false;
-        self.moving.subtract(tasks);
+        self.moving.remove_all(tasks);
         if mod_revision > self.mod_revision {
             // A page may have added finished tasks in the meantime.
-            record.finished.add(&self.record.finished);
+            record.finished.insert_all(&self.record.finished);
             self.mod_revision = mod_revision;
             self.record = record.clone();
         }
@@ -49,16 +49,16 @@
     /// still owns return to the queue.
     pub fn move_conflicted(&mut self, tasks: &Ranges, partition: &str) {
         self.writing = false;
-        self.moving.subtract(tasks);
-        let owned = self.record.owned_by(partition);
-        self.ready.add(&tasks.intersect(&owned));
+        self.moving.remove_all(tasks);
+        let owned = self.record.unfinished_tasks_of(partition);
+        self.ready.insert_all(&tasks.intersection(&owned));
     }
 
     /// Ends a move that was not carried out: its tasks return to the queue.
     pub fn move_not_applied(&mut self, tasks: &Ranges) {
         self.writing = false;
-        self.moving.subtract(tasks);
-        self.ready.add(tasks);
+        self.moving.remove_all(tasks);
+        self.ready.insert_all(tasks);
     }
 
     /// Notes that the outcome of the move is unknown. It may still be committed minutes later, so
@@ -77,7 +77,7 @@
             return false;
         }
         let tasks = std::mem::take(&mut self.moving);
-        self.ready.add(&tasks);
+        self.ready.insert_all(&tasks);
         true
     }
 }
--- a/crates/quartzlever-core/src/jobs/partition_job/record_writes.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/record_writes.rs
@@ -41,7 +41,7 @@
         }
         match self.may_have_to_end_job(partition) {
             true if self.all_finished() => RecordStep::WriteFinalState,
-            false if self.record.owned_by(partition).is_empty() => RecordStep::Forget,
+            false if self.record.unfinished_tasks_of(partition).is_empty() => RecordStep::Forget,
             _ => RecordStep::Wait,
         }
     }
@@ -88,10 +88,10 @@
     /// Applies a committed write of newly finished tasks. Returns whether tasks of a move of
     /// unknown outcome returned to the queue.
     pub fn progress_written(&mut self, recorded: &Ranges, mod_revision: u64) -> bool {
-        self.finished.subtract(recorded);
+        self.finished.remove_all(recorded);
         if mod_revision > self.mod_revision {
             self.mod_revision = mod_revision;
-            self.record.finished.add(recorded);
+            self.record.finished.insert_all(recorded);
             self.record.started = true;
         }
         // This write was committed at that modification revision, so the write of unknown outcome
--- a/crates/quartzlever-core/src/jobs/partition_job/tests.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job/tests.rs
@@ -12,7 +12,7 @@
 
 /// Returns a job of four tasks with a record at revision 10; `own` are those of partition "one".
 fn job(own: &str) -> PartitionJob {
-    let other = Ranges::first(4).minus(&ranges(own)).to_string();
+    let other = Ranges::up_to(4).difference(&ranges(own)).to_string();
     let record = job_record(own, &other);
     let mut job = PartitionJob::new(record.clone(), NOW, NOW);
     job.apply_record(record, 10, CONTEXT, false);
@@ -69,7 +69,7 @@
     ];
     for (name, end, ready, moving) in ends {
         let mut job = job("0-3");
-        let tasks = job.ready.cut_last(2);
+        let tasks = job.ready.split_off_last(2);
         job.begin_move(&tasks);
         assert!(job.is_moving(2) && !job.is_record_settled(), "{name}");
         assert_eq!(job.next_record_step("one", NOW), RecordStep::Wait, "{name}");
@@ -85,7 +85,7 @@
 fn tasks_of_a_move_of_unknown_outcome_stay_out_of_the_queue_until_it_is_settled() {
     let with_unknown_outcome = || {
         let mut job = job("0-3");
-        let tasks = job.ready.cut_last(2);
+        let tasks = job.ready.split_off_last(2);
         job.begin_move(&tasks);
         job.move_outcome_unknown(NOW);
         job
@@ -150,7 +150,7 @@
 #[test]
 fn a_page_removes_its_finished_tasks_from_every_other_state() {
     let mut job = job("0-3");
-    let tasks = job.ready.cut_last(1);
+    let tasks = job.ready.split_off_last(1);
     job.begin_move(&tasks);
     job.ready.remove(0);
     job.finish(0, "one", NOW);
@@ -201,7 +201,7 @@
 #[test]
 fn a_reported_attempt_is_adopted_only_if_its_task_has_no_other_state() {
     let mut job = job("0-3");
-    let tasks = job.ready.cut_last(1);
+    let tasks = job.ready.split_off_last(1);
     job.begin_move(&tasks);
     job.finish(0, "one", NOW);
     job.assign(1, "n-1", 7);
--- a/crates/quartzlever-core/src/jobs/records.rs
+++ b/crates/quartzlever-core/src/jobs/records.rs
@@ -172,7 +172,7 @@
 fn plan_progress_without_pages(job: &PartitionJob, value_bytes: usize) -> Option<ProgressWrite> {
     let mut record = job.record_with_start();
     let recorded = record.finished.clone();
-    record.finished.add(&job.finished);
+    record.finished.insert_all(&job.finished);
     let mut recorded_now = job.finished.clone();
     let mut length = Json::of(&record).text().len();
     if length > value_bytes {
@@ -198,14 +198,14 @@
     record.finished = recorded.clone();
     let ranges_limit =
         max_bytes.saturating_sub(Json::of(&*record).text().len() - recorded.to_string().len());
-    let mut ranges: Vec<Ranges> = finished.ranges().map(Ranges::of).collect();
+    let mut ranges: Vec<Ranges> = finished.ranges().map(Ranges::from_range).collect();
     ranges.sort_by_key(|r| std::cmp::Reverse(r.len()));
     let (mut kept, mut recorded_now) = (recorded.clone(), Ranges::default());
     for range in ranges.into_iter().take(MAX_RANGES_TRIED) {
         let with = kept.union(&range);
         if with.to_string().len() <= ranges_limit {
             kept = with;
-            recorded_now.add(&range);
+            recorded_now.insert_all(&range);
         }
     }
     record.finished = kept;
--- a/crates/quartzlever-core/src/jobs/records/tests.rs
+++ b/crates/quartzlever-core/src/jobs/records/tests.rs
@@ -27,7 +27,7 @@
         let mut record = record_of(1, 2_000, "one");
         record.finished = ranges(before);
         let (recorded, finished) = (record.finished.clone(), ranges(since));
-        record.finished.add(&finished);
+        record.finished.insert_all(&finished);
         let added = if Json::of(&record).text().len() > max_bytes {
             add_fitting_ranges(&mut record, &recorded, &finished, max_bytes)
         } else {
@@ -106,7 +106,7 @@
         let conditions: Vec<(&str, u64)> =
             txn.conditions.iter().map(|c| (c.path.as_str(), c.mod_revision)).collect();
         assert_eq!(conditions, [("parts/one", 5), ("live/req-1", 10)]);
-        assert_eq!((planned_action, recorded), (action, Ranges::first(finished)));
+        assert_eq!((planned_action, recorded), (action, Ranges::up_to(finished)));
         assert_eq!(txn.changes.len(), changes, "{finished} {paging}");
     }
 }
--- a/crates/quartzlever-core/src/jobs/submission.rs
+++ b/crates/quartzlever-core/src/jobs/submission.rs
@@ -144,7 +144,7 @@
 ) -> Option<Acceptance> {
     let EntryPartition { partition, term } = entry;
     let fence = (term > 0).then(|| format!("{PARTITION_PREFIX}{partition}"));
-    let share = Share { partition, term, tasks: Ranges::first(spec.tasks) };
+    let share = Share { partition, term, tasks: Ranges::up_to(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), wall, vec![share]);
     let value = Json::of(&record);
     if value.text().len() > value_bytes {
--- a/crates/quartzlever-core/src/jobs/submission/tests.rs
+++ b/crates/quartzlever-core/src/jobs/submission/tests.rs
@@ -98,7 +98,7 @@
         let found: Vec<(&str, u64)> =
             planned.txn.conditions.iter().map(|c| (c.path.as_str(), c.mod_revision)).collect();
         assert_eq!(found, conditions);
-        assert_eq!(planned.record.owned_by("one"), Ranges::first(4));
+        assert_eq!(planned.record.unfinished_tasks_of("one"), Ranges::up_to(4));
         let size = Json::of(&*planned.record).text().len();
         assert!(plan_acceptance(&spec(4), entry(), NOW, size).is_some());
         assert!(plan_acceptance(&spec(4), entry(), NOW, size - 1).is_none(), "too large");
--- a/crates/quartzlever-core/src/leadership/lease.rs
+++ b/crates/quartzlever-core/src/leadership/lease.rs
@@ -78,7 +78,7 @@
         self.call_pending = true;
         let (call, pending) = match self.id {
             None => (
-                StoreCall::Grant { life_ms: config.operator.lease_life / 1000 },
+                StoreCall::Grant { life_ms: config.operator.lease_lifetime / 1000 },
                 PendingStoreCall::Grant { sent: now },
             ),
             Some(lease) => {
@@ -144,9 +144,9 @@
         if !was_held {
             self.regained_at = sent;
         }
-        let life = lower_drift_bound(config.operator.lease_life);
+        let life = lower_drift_bound(config.operator.lease_lifetime);
         self.valid_until = self.valid_until.max(sent + life.saturating_sub(VALIDITY_MARGIN));
-        self.next_renewal_at = sent + config.operator.lease_life / RENEWALS_PER_LIFETIME;
+        self.next_renewal_at = sent + config.operator.lease_lifetime / RENEWALS_PER_LIFETIME;
         if was_held { LeaseOutcome::Extended } else { LeaseOutcome::Regained }
     }
 
--- a/crates/quartzlever-core/src/leadership/lease/tests.rs
+++ b/crates/quartzlever-core/src/leadership/lease/tests.rs
@@ -47,7 +47,7 @@
     let sent = NOW + SECOND / 2;
     let granted = lease.granted(NOW + SECOND, sent, &config, &Ok(StoreReply::Granted(7)));
     assert_eq!((granted, lease.id()), (LeaseOutcome::Regained, Some(7)));
-    let due = sent + config.operator.lease_life / 6;
+    let due = sent + config.operator.lease_lifetime / 6;
     assert!(poll(&mut lease, due - 1, &config).is_empty());
     assert_eq!(poll(&mut lease, due, &config), ["Renew { lease: 7 }"]);
     let failed = lease.renewed(due, due, 7, &config, &Err(CallError::Refused));
@@ -60,7 +60,7 @@
 fn lease_validity_is_computed_from_the_time_the_call_was_sent() {
     let config = core().config;
     // 15 s, less clock drift and a margin of one second.
-    let life = lower_drift_bound(config.operator.lease_life) - SECOND;
+    let life = lower_drift_bound(config.operator.lease_lifetime) - SECOND;
     assert!(life > 13 * SECOND && life < 14 * SECOND, "{life}");
     let mut lease = Lease::default();
     assert!(!lease.is_held(NOW));
--- a/crates/quartzlever-core/src/machines/attempt.rs
+++ b/crates/quartzlever-core/src/machines/attempt.rs
@@ -6,7 +6,7 @@
 //! [`super::attempt_outcomes`] processes the end.
 
 use quartzlever_wire::users::{JobSpec, Priority};
-use quartzlever_wire::workers::{Cause, TaskPhase};
+use quartzlever_wire::workers::{ExitCause, TaskPhase};
 use quartzlever_wire::{Micros, micros_from_secs};
 
 pub use crate::calls::AttemptKey;
@@ -42,7 +42,7 @@
     /// When a heartbeat first reported it as running.
     pub running_since: Option<Micros>,
     pub phase: Option<TaskPhase>,
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether it should run; an unwanted attempt is killed.
     pub wanted: bool,
     /// Seconds that it may take to save its progress when it is killed.
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -3,7 +3,7 @@
 //! Each end is processed once. A task is requeued only here, in reconciliation and when its machine
 //! is known to be empty. A machine is found faulty only from its failure record.
 
-use quartzlever_wire::workers::{Cause, TaskId, TaskStatus};
+use quartzlever_wire::workers::{AttemptStatus, ExitCause, TaskId};
 use quartzlever_wire::{Micros, SECOND};
 
 use crate::config::Config;
@@ -24,7 +24,7 @@
 /// An attempt that a heartbeat reports as exited for the first time.
 pub(super) struct EndedAttempt<'a> {
     pub machine: &'a str,
-    pub status: &'a TaskStatus,
+    pub status: &'a AttemptStatus,
     /// When it was placed.
     pub placed_at: Micros,
     /// How long it ran; `None` if it was never reported as running.
@@ -95,18 +95,18 @@
         let job = self.jobs.get_mut(&status.task.job);
         if let Some(job) = job.filter(|job| job.is_service())
             && (ended.run_time.is_some_and(|run_time| run_time > REPLICA_HEALTHY_AFTER)
-                || status.cause == Some(Cause::Done))
+                || status.cause == Some(ExitCause::Done))
         {
             record_replica_end(job, ended, now);
             return self.requeue(&status.task, status.attempt);
         }
         match status.cause {
-            Some(Cause::Done) => return self.handle_done_task(run_times, ended, now),
-            Some(Cause::Halted) => {}
-            Some(Cause::Error) | Some(Cause::Other) | None => {
+            Some(ExitCause::Done) => return self.handle_done_task(run_times, ended, now),
+            Some(ExitCause::Halted) => {}
+            Some(ExitCause::Error) | Some(ExitCause::Other) | None => {
                 self.handle_failed_attempt(config, ended, now)
             }
-            Some(Cause::NoCapacity | Cause::Busy | Cause::Unknown) => {
+            Some(ExitCause::NoCapacity | ExitCause::Busy | ExitCause::Unknown) => {
                 if let Some(job) = self.jobs.get_mut(&status.task.job) {
                     job.no_start_before = now + SECOND;
                 }
@@ -121,8 +121,8 @@
             machine.failures.reset();
             if let Some(run_time) = ended.run_time.filter(|_| ended.expect > 0) {
                 let pace = (run_time.saturating_mul(1000) / ended.expect).min(1_000_000) as u32;
-                machine.recent_paces.push(run_times.relative(&ended.class, pace));
-                run_times.learn(&ended.class, pace);
+                machine.recent_paces.push(run_times.relative_to_class(&ended.class, pace));
+                run_times.record(&ended.class, pace);
                 if machine.recent_paces.len() > MAX_RECENT_PACES {
                     machine.recent_paces.remove(0);
                 }
--- a/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
@@ -7,10 +7,10 @@
 fn core_with_attempt(shape: Shape) -> (Core, u64) {
     let mut core = core();
     let job = JobSpec { shape, ..spec(4) };
-    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(4) };
+    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::up_to(4) };
     core.reconcile_job(ActiveJobRecord::new(job, NOW, vec![share]), 10);
     let partition = core.partitions.get_mut("one").expect("partition one is led here");
-    partition.start("req-1", 0, "n-1", NOW);
+    partition.start_task("req-1", 0, "n-1", NOW);
     let attempt = partition.jobs["req-1"].assignments[&0].attempt;
     (core, attempt)
 }
@@ -21,26 +21,26 @@
     // (job shape, cause of the end, run time in seconds; whether the task is requeued, whether the
     // job waits before its next start, whether the machine is suspect)
     for (shape, cause, run_time, queued, waits, suspect) in [
-        (Batch, Some(Cause::Done), 5, false, false, false),
-        (Batch, Some(Cause::Halted), 5, true, false, false),
-        (Batch, Some(Cause::Error), 5, true, false, true),
-        (Batch, Some(Cause::Other), 5, true, false, true),
+        (Batch, Some(ExitCause::Done), 5, false, false, false),
+        (Batch, Some(ExitCause::Halted), 5, true, false, false),
+        (Batch, Some(ExitCause::Error), 5, true, false, true),
+        (Batch, Some(ExitCause::Other), 5, true, false, true),
         (Batch, None, 5, true, false, true),
-        (Batch, Some(Cause::NoCapacity), 0, true, true, false),
-        (Batch, Some(Cause::Busy), 0, true, true, false),
-        (Batch, Some(Cause::Unknown), 0, true, true, false),
+        (Batch, Some(ExitCause::NoCapacity), 0, true, true, false),
+        (Batch, Some(ExitCause::Busy), 0, true, true, false),
+        (Batch, Some(ExitCause::Unknown), 0, true, true, false),
         // A replica is never done: it restarts at once if it was healthy, after a delay otherwise.
-        (Service, Some(Cause::Done), 5, true, true, false),
-        (Service, Some(Cause::Done), 31, true, false, false),
-        (Service, Some(Cause::Error), 5, true, false, true),
-        (Service, Some(Cause::Error), 31, true, false, false),
-        (Service, Some(Cause::NoCapacity), 0, true, true, false),
+        (Service, Some(ExitCause::Done), 5, true, true, false),
+        (Service, Some(ExitCause::Done), 31, true, false, false),
+        (Service, Some(ExitCause::Error), 5, true, false, true),
+        (Service, Some(ExitCause::Error), 31, true, false, false),
+        (Service, Some(ExitCause::NoCapacity), 0, true, true, false),
     ] {
         let (mut core, attempt) = core_with_attempt(shape);
         let config = core.config.clone();
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         let now = NOW + 40 * SECOND;
-        let status = TaskStatus {
+        let status = AttemptStatus {
             task: TaskId { job: "req-1".into(), index: 0 },
             attempt,
             phase: TaskPhase::Exited,
@@ -70,11 +70,11 @@
 /// attempt keeps its assignment.
 #[test]
 fn a_late_end_of_an_earlier_attempt_does_not_free_the_current_one() {
-    for cause in [Some(Cause::Halted), Some(Cause::Error), Some(Cause::NoCapacity)] {
+    for cause in [Some(ExitCause::Halted), Some(ExitCause::Error), Some(ExitCause::NoCapacity)] {
         let (mut core, attempt) = core_with_attempt(Shape::Batch);
         let config = core.config.clone();
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
-        let status = TaskStatus {
+        let status = AttemptStatus {
             task: TaskId { job: "req-1".into(), index: 0 },
             attempt: attempt - 1,
             phase: TaskPhase::Exited,
--- a/crates/quartzlever-core/src/machines/call_queue/tests.rs
+++ b/crates/quartzlever-core/src/machines/call_queue/tests.rs
@@ -11,7 +11,7 @@
     core.reconcile_job(job_record("0-3", ""), 10);
     make_machine_usable(&mut core);
     let partition = core.partitions.get_mut("one").expect("partition one is led here");
-    partition.start("req-1", 0, "n-1", NOW);
+    partition.start_task("req-1", 0, "n-1", NOW);
     core
 }
 
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -7,7 +7,8 @@
 //! fencing token.
 
 use quartzlever_wire::workers::{
-    Cause, Heartbeat, TaskPhase, TaskStatus, WorkerCall, WorkerCommand, WorkerCommands, WorkerReply,
+    AttemptStatus, ExitCause, Heartbeat, TaskPhase, WorkerCall, WorkerCommand, WorkerCommands,
+    WorkerReply,
 };
 use quartzlever_wire::{CallError, Micros, SECOND};
 
@@ -306,7 +307,7 @@
         let mut commands = machine.commands(|key, attempt| {
             // The machine keeps a finished task until the job's record in the store lists it as
             // finished.
-            attempt.cause != Some(Cause::Done)
+            attempt.cause != Some(ExitCause::Done)
                 || jobs.get(&key.task.job).is_none_or(|job| {
                     job.is_service() || job.record.finished.contains(key.task.index)
                 })
@@ -336,16 +337,16 @@
         is_over: impl Fn(&str) -> bool,
     ) -> Vec<WorkerCommand> {
         let attempts = self.machines.get(&heartbeat.machine).map(|m| &m.attempts);
-        let is_unwanted = |t: &TaskStatus| {
+        let is_unwanted = |t: &AttemptStatus| {
             let key = AttemptKey { task: t.task.clone(), attempt: t.attempt };
             attempts.and_then(|s| s.get(&key)).is_some_and(|s| !s.wanted && s.leeway_s <= 0.0)
         };
-        let must_end = |t: &&TaskStatus| {
+        let must_end = |t: &&AttemptStatus| {
             t.phase != TaskPhase::Exited
                 && (is_unwanted(t)
                     || (!self.jobs.contains_key(&t.task.job) && is_over(&t.task.job)))
         };
-        let kill = |t: &TaskStatus| WorkerCommand::Kill {
+        let kill = |t: &AttemptStatus| WorkerCommand::Kill {
             task: t.task.clone(),
             attempt: t.attempt,
             leeway_s: 0.0,
--- a/crates/quartzlever-core/src/machines/commands/tests.rs
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -29,7 +29,7 @@
             StatusSource::Heartbeat,
             NOW,
         );
-        partition.start("req-1", 0, "n-1", NOW);
+        partition.start_task("req-1", 0, "n-1", NOW);
         let attempt = partition.jobs["req-1"].assignments[&0].attempt;
         assert_eq!(partition.commands_for("n-1", in_answer).len(), 1);
         if outcome_unknown {
@@ -39,7 +39,7 @@
                 .values_mut()
                 .for_each(|s| s.direct_command = DirectCommand::OutcomeUnknown);
         }
-        let ended = [(attempt, TaskPhase::Exited, Some(Cause::Halted))];
+        let ended = [(attempt, TaskPhase::Exited, Some(ExitCause::Halted))];
         partition.apply_heartbeat(
             &config,
             &mut run_times,
@@ -93,9 +93,9 @@
         );
         let mut list = Vec::new();
         for index in 0..ended {
-            partition.start("req-1", index, "n-1", NOW);
+            partition.start_task("req-1", index, "n-1", NOW);
             let attempt = partition.jobs["req-1"].assignments[&index].attempt;
-            list.push((attempt, TaskPhase::Exited, Some(Cause::Halted)));
+            list.push((attempt, TaskPhase::Exited, Some(ExitCause::Halted)));
         }
         let mut heartbeat = heartbeat_with(2, &list);
         for (index, task) in heartbeat.tasks.iter_mut().enumerate() {
@@ -109,7 +109,7 @@
             NOW,
         );
         if starts {
-            partition.start("req-1", 9, "n-1", NOW);
+            partition.start_task("req-1", 9, "n-1", NOW);
         }
         let found = partition.commands_for("n-1", in_answer);
         let cleared =
@@ -222,7 +222,7 @@
     let attempts: Vec<u64> = (1..=260).collect();
     let mut heartbeat = heartbeat_from("n-1", 1, 1, 5, &attempts);
     for task in &mut heartbeat.tasks[..250] {
-        (task.phase, task.cause) = (TaskPhase::Exited, Some(Cause::Halted));
+        (task.phase, task.cause) = (TaskPhase::Exited, Some(ExitCause::Halted));
     }
     let commands = commands_in_answer(&mut core, heartbeat);
     let kills =
@@ -282,11 +282,13 @@
         make_machine_usable(&mut core);
         let config = core.config.clone();
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
-        partition.start("req-1", 0, "n-1", NOW);
+        partition.start_task("req-1", 0, "n-1", NOW);
         let mut outbox = Outbox::new(LogLevel::Info, NOW);
         partition.call_workers(&config, NOW, NOW + 1, &mut outbox);
         let effects = outbox.take_effects();
-        let [Effect::Worker { call_id, until, .. }] = &effects[..] else { panic!("{effects:?}") };
+        let [Effect::Worker { call_id, deadline: until, .. }] = &effects[..] else {
+            panic!("{effects:?}")
+        };
         assert_eq!(*until, NOW + 1, "{name}: no call after the end of the leader's authority");
         let call = outbox.take_worker_call(*call_id).expect("the call is in flight");
         let direct_command = |partition: &Partition| {
--- a/crates/quartzlever-core/src/machines/heartbeats.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats.rs
@@ -96,11 +96,11 @@
             .or_else(|| self.partitions.get(self.node))
             .filter(|p| p.is_loaded());
         let Some(partition) = partition else { return Claimant::NotEntitled };
-        if !may_act || partition.autoscaling.terminated.contains(machine) {
+        if !may_act || partition.fleet.terminated.contains(machine) {
             return Claimant::NotEntitled;
         }
         let owner = PartitionTerm { partition: partition.name.clone(), term: partition.term };
-        if partition.autoscaling.pending_instances.contains(machine) {
+        if partition.fleet.pending_instances.contains(machine) {
             Claimant::Expected(owner)
         } else {
             Claimant::Unexpected(owner)
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -59,12 +59,12 @@
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.loaded = loaded;
             if terminated {
-                partition.autoscaling.terminated.put("n-9", NOW);
+                partition.fleet.terminated.record("n-9", NOW);
             }
             if pending {
                 let machine =
-                    PendingInstance { offer: MachineOffer::new("m", "a", true), since: NOW };
-                partition.autoscaling.pending_instances.expect("n-9", machine);
+                    PendingInstance { offer: MachineOffer::new("m", "a", true), requested_at: NOW };
+                partition.fleet.pending_instances.add("n-9", machine);
             }
         }
         let found = view(&core).claimant_of("n-9", launched_for, may_act);
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -4,7 +4,7 @@
 
 use quartzlever_wire::Micros;
 use quartzlever_wire::store::MachineRecord;
-use quartzlever_wire::workers::{Heartbeat, TaskPhase, TaskStatus};
+use quartzlever_wire::workers::{AttemptStatus, Heartbeat, TaskPhase};
 
 use crate::autoscaling::ScaleInReason;
 use crate::machines::attempt::{Attempt, AttemptKey, DirectCommand};
@@ -128,7 +128,7 @@
     /// Reports whether a newer heartbeat, not sent as the reply to a direct call, contains nothing
     /// new. Most heartbeats are of this kind, and need no further processing.
     pub fn confirms_known_state(&self, heartbeat: &Heartbeat) -> bool {
-        let is_known = |status: &TaskStatus| {
+        let is_known = |status: &AttemptStatus| {
             let entry = self
                 .attempts
                 .iter()
@@ -156,7 +156,7 @@
     /// has received the answer to the previous one, or never will.
     pub fn track_acknowledgement(&mut self, heartbeat: &Heartbeat, now: Micros) {
         let missing = self.attempts.iter().any(|(key, a)| {
-            a.run_in_answer && a.wanted && !heartbeat.lists(&key.task, key.attempt)
+            a.run_in_answer && a.wanted && !heartbeat.contains_attempt(&key.task, key.attempt)
         });
         // The lease of the earlier incarnation expired although its heartbeats were answered.
         let lease_expired = heartbeat.incarnation > self.incarnation
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -22,7 +22,7 @@
         is_new_claim: bool,
         now: Micros,
     ) {
-        self.autoscaling.pending_instances.arrived(name, self.types.as_deref(), now);
+        self.fleet.pending_instances.record_arrival(name, self.types.as_deref(), now);
         let machine = self
             .machines
             .entry(name.to_owned())
@@ -47,7 +47,7 @@
     ) {
         if self.is_loaded()
             && !self.machines.contains_key(name)
-            && !self.autoscaling.terminated.contains(name)
+            && !self.fleet.terminated.contains(name)
             && mod_revision > self.term
         {
             // A revision above the term's belongs to a claim of this term, whether or not its
@@ -92,7 +92,7 @@
         self.requeue_attempts_of(name);
         self.call_queue.remove(name);
         self.free_capacity_index.remove(name);
-        self.reservations.machine_removed(name);
+        self.reservations.remove_machine(name);
         self.machines.swap_remove(name).is_some()
     }
 
@@ -107,7 +107,7 @@
         match machine_type.filter(|_| machine.is_usable()) {
             Some(machine_type) => {
                 machine.free = machine.free_capacity(Resources::capacity_of(machine_type));
-                self.free_capacity_index.put(name, &machine.record, machine.free.cpus);
+                self.free_capacity_index.set_free_cpus(name, &machine.record, machine.free.cpus);
             }
             None => self.free_capacity_index.remove(name),
         }
--- a/crates/quartzlever-core/src/machines/membership/tests.rs
+++ b/crates/quartzlever-core/src/machines/membership/tests.rs
@@ -17,7 +17,7 @@
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.loaded = loaded;
         if terminated {
-            partition.autoscaling.terminated.put("n-9", NOW);
+            partition.fleet.terminated.record("n-9", NOW);
         }
         let record = machine_record_of("n-9", "one");
         partition.add_claimed_machine("n-9", &record, mod_revision, NOW);
@@ -71,7 +71,7 @@
         let mut core = core();
         core.reconcile_job(job_record("0-3", ""), 10);
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
-        partition.start("req-1", 0, "n-1", NOW);
+        partition.start_task("req-1", 0, "n-1", NOW);
         assert!(!partition.jobs["req-1"].ready.contains(0));
         if removed {
             assert!(partition.remove_machine("n-1"));
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use quartzlever_wire::store::{
-    GROUP_SIZE_KEY, MachineGroupRecord, MachineRecords, StoreCall, StoreReply, Txn, group_capacity,
-    group_key,
+    GROUP_SIZE_KEY, MachineGroupRecord, MachineRecords, StoreCall, StoreReply, Txn, group_key,
+    max_group_size,
 };
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
@@ -90,7 +90,7 @@
             first.is_some_and(|record| context.partitions.contains_key(&record.partition))
         };
         let is_oversized = |key: &str, records: &MachineRecords| {
-            let larger = group_capacity(key).filter(|capacity| *capacity > size);
+            let larger = max_group_size(key).filter(|capacity| *capacity > size);
             larger.is_some() && records.keys().next().is_some_and(|m| group_key(m, size) != key)
         };
         let is_being_written =
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -6,7 +6,7 @@
 //! term's fencing token or after a full lease without an answer. A task is requeued only when no
 //! command in flight can still start the attempt.
 
-use quartzlever_wire::workers::{Heartbeat, TaskPhase, TaskStatus};
+use quartzlever_wire::workers::{AttemptStatus, Heartbeat, TaskPhase};
 use quartzlever_wire::{Micros, micros_from_secs};
 
 use crate::config::Config;
@@ -150,7 +150,7 @@
             .attempts
             .iter()
             .filter(|(key, attempt)| {
-                if heartbeat.lists(&key.task, key.attempt) {
+                if heartbeat.contains_attempt(&key.task, key.attempt) {
                     return false;
                 }
                 // It was listed before, so its `run` has been executed; the attempt was cleared or
@@ -179,7 +179,7 @@
         config: &Config,
         run_times: &mut RunTimes,
         machine: &str,
-        status: &TaskStatus,
+        status: &AttemptStatus,
         now: Micros,
     ) {
         let key = AttemptKey { task: status.task.clone(), attempt: status.attempt };
@@ -220,7 +220,7 @@
         &mut self,
         config: &Config,
         machine_name: &str,
-        status: &TaskStatus,
+        status: &AttemptStatus,
         now: Micros,
     ) {
         let exited = status.phase == TaskPhase::Exited;
@@ -230,7 +230,7 @@
         if !self.jobs.contains_key(&status.task.job) {
             // The job may have ended while the partition had no active leader, so the duration of a
             // takeover counts as elapsed since its end.
-            let leaderless = config.operator.lease_life + config.operator.takeover_after;
+            let leaderless = config.operator.lease_lifetime + config.operator.takeover_after;
             attempt.job_terminal_since = Some(now.saturating_sub(leaderless));
         }
         if let Some(job) = self.jobs.get_mut(&status.task.job) {
--- a/crates/quartzlever-core/src/machines/reconciliation/tests.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation/tests.rs
@@ -10,7 +10,7 @@
     // (phases of two tasks in the previous and in the last heartbeat; whether the last takes the
     // short path)
     let running = (TaskPhase::Running, None);
-    let ended = (TaskPhase::Exited, Some(Cause::Halted));
+    let ended = (TaskPhase::Exited, Some(ExitCause::Halted));
     let pulling = (TaskPhase::Pulling, None);
     for (before, after, short) in [
         ([running, running], [running, running], true),
@@ -33,11 +33,11 @@
                 NOW,
             );
             for index in 0..2 {
-                partition.start("req-1", index, "n-1", NOW);
+                partition.start_task("req-1", index, "n-1", NOW);
             }
             let attempts: Vec<u64> =
                 (0..2).map(|i| partition.jobs["req-1"].assignments[&i].attempt).collect();
-            let heartbeat = |sequence, phases: [(TaskPhase, Option<Cause>); 2]| {
+            let heartbeat = |sequence, phases: [(TaskPhase, Option<ExitCause>); 2]| {
                 let list: Vec<_> =
                     attempts.iter().zip(phases).map(|(a, (p, c))| (*a, p, c)).collect();
                 let mut heartbeat = heartbeat_with(sequence, &list);
@@ -106,7 +106,7 @@
         core.reconcile_job(job_record("0", "1-3"), 10);
         assert_eq!(core.config.worker_lease_expired_after(), lease_expired_after);
         if let Some(partition) = core.partitions.get_mut("one") {
-            partition.start("req-1", 0, "n-1", NOW);
+            partition.start_task("req-1", 0, "n-1", NOW);
             partition.acquired_at = NOW - acquired * SECOND;
             partition.sole_leader_from = NOW - sole_leader * SECOND;
             if let Some(machine) = partition.machines.get_mut("n-1") {
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -65,7 +65,7 @@
         wall: Micros,
         /// Whether the process has stalled since the last tick, or received more commands than it
         /// has processed.
-        behind: bool,
+        was_stalled: bool,
     },
 }
 
@@ -131,7 +131,7 @@
         status: u16,
         body: Answer,
         retry_after_s: Option<u32>,
-        until: Option<Micros>,
+        deadline: Option<Micros>,
     },
     /// Logs an event.
     Log(LogEvent),
@@ -148,14 +148,14 @@
     Cloud {
         call_id: CallId,
         call: CloudCall,
-        until: Micros,
+        deadline: Micros,
     },
     /// Calls a worker, but not after `until`.
     Worker {
         call_id: CallId,
         address: String,
         call: WorkerCall,
-        until: Micros,
+        deadline: Micros,
     },
     Peer {
         call_id: CallId,
@@ -167,5 +167,5 @@
         reason: String,
     },
     /// Sets the share of the rate limits of the store and the cloud that this node may use.
-    RateShare(f64),
+    SetRateShare(f64),
 }
--- a/crates/quartzlever-core/src/outbox.rs
+++ b/crates/quartzlever-core/src/outbox.rs
@@ -86,7 +86,7 @@
     pub fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall, until: Micros) {
         let call_id = self.next_call_id();
         self.cloud_calls.insert(call_id, pending);
-        self.effects.push(Effect::Cloud { call_id, call, until });
+        self.effects.push(Effect::Cloud { call_id, call, deadline: until });
     }
 
     /// Calls a worker, but not after `until`. Returns the id of the call.
@@ -99,7 +99,7 @@
     ) -> CallId {
         let call_id = self.next_call_id();
         self.worker_calls.insert(call_id, pending);
-        self.effects.push(Effect::Worker { call_id, address, call, until });
+        self.effects.push(Effect::Worker { call_id, address, call, deadline: until });
         call_id
     }
 
@@ -117,7 +117,7 @@
 
     /// Answers an HTTP request.
     pub fn answer(&mut self, id: RequestId, status: u16, body: Answer) {
-        self.effects.push(Effect::Answer { id, status, body, retry_after_s: None, until: None });
+        self.effects.push(Effect::Answer { id, status, body, retry_after_s: None, deadline: None });
     }
 
     /// Answers an HTTP request with 200. From `until` on, a 503 is sent instead.
@@ -127,7 +127,7 @@
             status: 200,
             body,
             retry_after_s: None,
-            until: Some(until),
+            deadline: Some(until),
         });
     }
 
@@ -136,7 +136,7 @@
         let body = Answer::Error { error: reason };
         self.count_rejected(status, reason, 1);
         let retry_after_s = Some(RETRY_AFTER_S);
-        self.effects.push(Effect::Answer { id, status, body, retry_after_s, until: None });
+        self.effects.push(Effect::Answer { id, status, body, retry_after_s, deadline: None });
     }
 
     /// Counts rejected requests for the log.
@@ -180,7 +180,7 @@
 
     /// Sets the share of the rate limits of the store and the cloud that this node may use.
     pub fn set_rate_share(&mut self, share: f64) {
-        self.effects.push(Effect::RateShare(share));
+        self.effects.push(Effect::SetRateShare(share));
     }
 
     /// Ends the process.
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -48,7 +48,7 @@
     pub recovery_complete: bool,
     /// Number of attempts created in this term.
     last_attempt: u64,
-    pub autoscaling: Fleet,
+    pub fleet: Fleet,
     /// Events to be logged after the next decisions.
     pub log_events: Vec<LogEvent>,
     /// Machine types by name; `None` until the catalogue is known.
@@ -89,7 +89,7 @@
             machines: Table::default(),
             recovery_complete: false,
             last_attempt: 0,
-            autoscaling: Fleet::default(),
+            fleet: Fleet::default(),
             log_events: Vec::new(),
             types,
             machines_by_job: HashMap::new(),
--- a/crates/quartzlever-core/src/partition/tests.rs
+++ b/crates/quartzlever-core/src/partition/tests.rs
@@ -28,7 +28,7 @@
     for (name, records, ready) in cases {
         let mut core = core();
         for (mod_revision, tasks) in *records {
-            let other = Ranges::first(4).minus(&tasks.parse().unwrap_or_default());
+            let other = Ranges::up_to(4).difference(&tasks.parse().unwrap_or_default());
             core.reconcile_job(job_record(tasks, &other.to_string()), *mod_revision);
         }
         let job = core.partitions["one"].jobs.get("req-1");
--- a/crates/quartzlever-core/src/peers.rs
+++ b/crates/quartzlever-core/src/peers.rs
@@ -14,8 +14,8 @@
     pub(crate) fn handle_peer_request(&mut self, id: RequestId, request: PeerRequest) {
         let answer = match request {
             PeerRequest::Saturated => {
-                self.stealing.peer_saturated(&self.config, self.now);
-                PeerAnswer::Nothing
+                self.stealing.record_peer_saturation(&self.config, self.now);
+                PeerAnswer::Empty
             }
             PeerRequest::StoreConnectivity => PeerAnswer::StoreConnectivity {
                 reached: self.store_connectivity.is_reachable(self.now),
@@ -23,26 +23,26 @@
             PeerRequest::Counts { priority } => self.answer_counts(priority),
             PeerRequest::HandBack { partition } => {
                 self.handback_requested(&partition);
-                PeerAnswer::Nothing
+                PeerAnswer::Empty
             }
             PeerRequest::MachinesSeen { partition, machines } => {
                 self.reachability.note_machines_seen(self.now, partition, machines);
-                PeerAnswer::Nothing
+                PeerAnswer::Empty
             }
             // Handled outside the core: the program appends the changes to its recovery log.
-            PeerRequest::Logged(_) => PeerAnswer::Nothing,
+            PeerRequest::LogChanges(_) => PeerAnswer::Empty,
             PeerRequest::Cancelled { job, done } => {
                 self.job_terminated(&job, TerminalJobRecord { phase: JobPhase::Cancelled, done });
-                PeerAnswer::Nothing
+                PeerAnswer::Empty
             }
             PeerRequest::ScaledOut { partition, machines: launched } => {
                 for machine in launched {
-                    self.cloud.note_launch(machine, &partition, self.now);
+                    self.cloud.add_launch_hint(machine, &partition, self.now);
                 }
-                PeerAnswer::Nothing
+                PeerAnswer::Empty
             }
             // Answered once the move has committed or failed.
-            PeerRequest::Steal { partition, term, priority, thief, load } => {
+            PeerRequest::Steal { partition, term, priority, capacity: thief, load } => {
                 return self.steal_requested(id, partition, term, priority, thief, load);
             }
         };
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -44,7 +44,7 @@
 use crate::store::recent_jobs::{LatestRevisions, TerminalJobs};
 use crate::store::watch::Watch;
 use crate::store::write_budget::WriteBudget;
-use crate::upgrade::Cluster;
+use crate::upgrade::ClusterVersions;
 
 /// Holds all state of a controller process; [`Core::step`] advances it.
 pub struct Core {
@@ -63,7 +63,7 @@
     pub(crate) watch: Watch,
     pub(crate) partitions: BTreeMap<String, Partition>,
     pub(crate) store_connectivity: StoreConnectivity,
-    pub(crate) cluster: Cluster,
+    pub(crate) cluster: ClusterVersions,
     pub(crate) pages: Pages,
     /// Known limits of the store on values and transactions.
     pub(crate) limits: StoreLimits,
@@ -113,7 +113,7 @@
             watch: Watch::default(),
             partitions: BTreeMap::new(),
             store_connectivity: StoreConnectivity::new(now),
-            cluster: Cluster::default(),
+            cluster: ClusterVersions::default(),
             pages: Pages::default(),
             limits: StoreLimits::new(&config),
             reachability: Reachability::new(now),
@@ -218,7 +218,7 @@
                     self.dispatch_peer_reply(pending, result);
                 }
             }
-            Command::Tick { wall, behind } => {
+            Command::Tick { wall, was_stalled: behind } => {
                 if behind {
                     self.reachability.restart_listening(self.now);
                 }
@@ -301,7 +301,7 @@
             PendingStoreCall::Revision { lookups, sent } => {
                 self.revision_read(lookups, sent, result)
             }
-            PendingStoreCall::ReadCatalogue => self.catalogue_read(result),
+            PendingStoreCall::StoredCatalogue => self.stored_catalogue_replied(result),
             PendingStoreCall::ReadActiveJob { purpose } => self.active_job_read(purpose, result),
             PendingStoreCall::ReadTerminalJob { purpose } => {
                 self.terminal_job_read(purpose, result)
@@ -381,7 +381,7 @@
                 self.outbox.log(event.level(), || event);
             }
             if self.may_act() {
-                self.place(name);
+                self.place_queue(name);
                 self.call_workers(name);
             }
         }
--- a/crates/quartzlever-core/src/router/heartbeats.rs
+++ b/crates/quartzlever-core/src/router/heartbeats.rs
@@ -116,8 +116,8 @@
         let (run_times, source) = (&mut self.run_times, StatusSource::Heartbeat);
         let is_newer = partition.apply_heartbeat(&self.config, run_times, heartbeat, source, now);
         self.complete_recovery(name);
-        self.place(name);
-        self.fill(name, &heartbeat.machine);
+        self.place_queue(name);
+        self.place_on_machine(name, &heartbeat.machine);
         let cache = &self.cache;
         let Some(partition) = self.partitions.get_mut(name) else { return };
         let is_terminal = |job: &str| !cache.is_active_job(job);
@@ -170,7 +170,7 @@
         let outcome =
             partition.handle_worker_reply(config, run_times, call_id, &call, result, self.now);
         if outcome == DirectCallOutcome::StatusReceived {
-            self.fill(&call.partition, &call.machine);
+            self.place_on_machine(&call.partition, &call.machine);
         }
     }
 }
--- a/crates/quartzlever-core/src/router/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -24,8 +24,9 @@
         core.cache.set_loaded(true);
         core.lease.renew_at(NOW + 900 * SECOND);
         if let Some(partition) = core.partitions.get_mut("one").filter(|_| expected) {
-            let machine = PendingInstance { offer: MachineOffer::new("m", "a", true), since: NOW };
-            partition.autoscaling.pending_instances.expect("n-9", machine);
+            let machine =
+                PendingInstance { offer: MachineOffer::new("m", "a", true), requested_at: NOW };
+            partition.fleet.pending_instances.add("n-9", machine);
         }
         let first = Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-9", 1, 1, 0, &[]) };
         let mut effects = core.step(NOW, vec![first]);
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -194,7 +194,7 @@
         });
         let mut partition = Partition::new(name, term, self.types.clone(), self.now);
         if self.partition_keys.take_eviction(name) {
-            partition.sole_leader_from = self.now + self.config.operator.lease_life;
+            partition.sole_leader_from = self.now + self.config.operator.lease_lifetime;
         }
         self.partitions.insert(name.to_owned(), partition);
     }
--- a/crates/quartzlever-core/src/router/ownership.rs
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -146,7 +146,7 @@
                     partition.add_claimed_machine(&machine, &record, mod_revision, now);
                 } else {
                     let types = partition.types.as_deref();
-                    partition.autoscaling.pending_instances.arrived(&machine, types, now);
+                    partition.fleet.pending_instances.record_arrival(&machine, types, now);
                 }
             }
             self.complete_claim(key, &machine);
--- a/crates/quartzlever-core/src/router/reachability/tests.rs
+++ b/crates/quartzlever-core/src/router/reachability/tests.rs
@@ -21,7 +21,7 @@
         with_ten_machines(&mut core, NOW);
         let now = NOW + silent * SECOND;
         let mut commands = vec![
-            Command::Tick { wall: NOW, behind },
+            Command::Tick { wall: NOW, was_stalled: behind },
             Command::PeerRequest {
                 id: 1,
                 request: PeerRequest::MachinesSeen { partition: "one".into(), machines: peer },
@@ -87,7 +87,7 @@
             _ => None,
         });
         let Some(call_id) = notice else { panic!("the leader is not notified") };
-        let result = if reached { Ok(PeerAnswer::Nothing) } else { Err(CallError::Refused) };
+        let result = if reached { Ok(PeerAnswer::Empty) } else { Err(CallError::Refused) };
         let effects = peer.step(NOW, vec![Command::PeerReply { call_id, result }]);
         let event = effects.iter().find_map(|e| match e {
             Effect::Store { call: StoreCall::Txn(txn), .. } => match txn.changes.first() {
--- a/crates/quartzlever-core/src/router/store_changes.rs
+++ b/crates/quartzlever-core/src/router/store_changes.rs
@@ -194,7 +194,7 @@
             let name = partition.name.clone();
             for (machine, record) in self.cache.machines_of(&name) {
                 if !partition.machines.contains_key(machine)
-                    && !partition.autoscaling.terminated.contains(machine)
+                    && !partition.fleet.terminated.contains(machine)
                 {
                     partition.add_machine(machine, record.clone(), false, now);
                 }
--- a/crates/quartzlever-core/src/router/tests.rs
+++ b/crates/quartzlever-core/src/router/tests.rs
@@ -119,7 +119,7 @@
         while now < NOW + 30 * SECOND {
             now += step_ms * 1_000;
             let mut batch = std::mem::take(&mut replies);
-            batch.push(Command::Tick { wall: now, behind: step_ms > 1_000 });
+            batch.push(Command::Tick { wall: now, was_stalled: step_ms > 1_000 });
             if now - last_heartbeat_at >= core.config.workers.heartbeat_interval {
                 last_heartbeat_at = now;
                 heartbeats += 1;
--- a/crates/quartzlever-core/src/router/unmet_conditions.rs
+++ b/crates/quartzlever-core/src/router/unmet_conditions.rs
@@ -52,7 +52,7 @@
                 Some(UnmetCondition::Recovery { partition: name, machines: unverified })
             } else if ready > 0
                 && partition.machines.is_empty()
-                && partition.autoscaling.has_no_pending_machines()
+                && partition.fleet.has_no_pending_machines()
             {
                 Some(UnmetCondition::Machines { partition: name, ready })
             } else {
--- a/crates/quartzlever-core/src/scheduling.rs
+++ b/crates/quartzlever-core/src/scheduling.rs
@@ -24,7 +24,7 @@
 
 use crate::config::Config;
 
-pub use feasibility::offer_allowed;
+pub use feasibility::constraints_allow;
 pub use queue_order::{Urgency, urgency};
 pub use reservations::Reservations;
 pub use run_times::RunTimes;
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -38,7 +38,7 @@
 impl Core {
     /// Places the ready tasks of a partition if a placement is due, and preempts work of lower
     /// priority for those without capacity.
-    pub(crate) fn place(&mut self, name: &str) {
+    pub(crate) fn place_queue(&mut self, name: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.placement_is_due(now))
         else {
@@ -54,7 +54,8 @@
         for id in partition.queue_order(&self.config, &self.run_times, now) {
             if let Some(job) = partition.jobs.get_mut(&id) {
                 job.can_wait_for_heartbeat = many_machines
-                    && urgency(&self.config, &self.run_times, job, now).latest > next_heartbeat_by;
+                    && urgency(&self.config, &self.run_times, job, now).latest_start
+                        > next_heartbeat_by;
             }
             if partition.place_tasks(&self.config, &id, None, now) {
                 partition.add_job_without_capacity(id);
@@ -65,7 +66,7 @@
     }
 
     /// Starts tasks that found no capacity in the last placement on one machine.
-    pub(crate) fn fill(&mut self, name: &str, machine: &str) {
+    pub(crate) fn place_on_machine(&mut self, name: &str, machine: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.is_loaded()) else {
             return;
@@ -137,7 +138,7 @@
         let zone_constrained = spec.one_zone || spec.spread;
         let allowance = self.team_allowance(config, spec, &need);
         let on_trial = job.fails_everywhere() && !service;
-        let mut left = allowance.min(job.placeable());
+        let mut left = allowance.min(job.placeable_count());
         // Replicas are spread, one per machine in each round; other tasks fill one machine after
         // the other.
         let (rounds, per_round) = if service { (left, 1) } else { (1, u32::MAX) };
@@ -214,7 +215,7 @@
                 break;
             }
             let Some(index) = self.jobs.get(*id).and_then(|j| j.ready.lowest()) else { break };
-            self.start(id, index, machine, *now);
+            self.start_task(id, index, machine, *now);
             started += 1;
         }
         self.refresh_machine(machine);
@@ -246,7 +247,7 @@
 
     /// Assigns a ready task to a machine as a new attempt, and queues a call to the machine. The
     /// caller refreshes the machine afterwards.
-    pub fn start(&mut self, id: &str, index: u32, machine_name: &str, now: Micros) {
+    pub fn start_task(&mut self, id: &str, index: u32, machine_name: &str, now: Micros) {
         let attempt = self.next_attempt();
         let (Some(job), Some(machine)) =
             (self.jobs.get_mut(id), self.machines.get_mut(machine_name))
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -18,7 +18,7 @@
 
 /// Reports whether a job's constraints allow machines of this type and zone, spot or not. Capacity
 /// is not checked.
-pub fn offer_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+pub fn constraints_allow(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type))
         && spec.zone.as_ref().is_none_or(|z| z == zone)
         && (spec.spot || !spot)
@@ -27,7 +27,7 @@
 /// Reports whether a job's constraints allow a machine. Capacity is not checked.
 pub(super) fn machine_allowed(spec: &JobSpec, machine: &Machine) -> bool {
     let record = &machine.record;
-    offer_allowed(spec, &record.machine_type, &record.zone, record.spot)
+    constraints_allow(spec, &record.machine_type, &record.zone, record.spot)
 }
 
 /// Selects, of the machines that a job's constraints allow, those on which a task may start now.
--- a/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
+++ b/crates/quartzlever-core/src/scheduling/free_capacity_index.rs
@@ -6,7 +6,7 @@
 use quartzlever_wire::store::MachineRecord;
 use quartzlever_wire::users::JobSpec;
 
-use super::offer_allowed;
+use super::constraints_allow;
 
 /// Machines of one type and zone, all spot instances or none, ordered by their free processors.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 
 impl FreeCapacityIndex {
     /// Sets the free processors of a machine, and adds it if it is not in the index.
-    pub fn put(&mut self, machine: &str, record: &MachineRecord, cpus: f64) {
+    pub fn set_free_cpus(&mut self, machine: &str, record: &MachineRecord, cpus: f64) {
         let free = to_thousandths(cpus);
         if let Some((group, current)) = self.positions.get_mut(machine) {
             if *current != free {
@@ -77,7 +77,7 @@
         let lower_bound = (to_thousandths(spec.cpus).saturating_sub(1), String::new());
         self.groups
             .iter()
-            .filter(|g| offer_allowed(spec, &g.machine_type, &g.zone, g.spot))
+            .filter(|g| constraints_allow(spec, &g.machine_type, &g.zone, g.spot))
             .flat_map(move |g| g.by_free_cpus.range(lower_bound.clone()..))
             .map(|(_, machine)| machine.as_str())
     }
--- a/crates/quartzlever-core/src/scheduling/preemption.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption.rs
@@ -62,7 +62,7 @@
 impl PreemptionTimes {
     fn new(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Self {
         let checkpointed_from = job.submitted_at + MIN_WAIT_BEFORE_PREEMPTION;
-        let latest = urgency(config, run_times, job, now).latest;
+        let latest = urgency(config, run_times, job, now).latest_start;
         let urgent_from = (latest + 1).saturating_sub(PREEMPTION_LEAD_TIME);
         PreemptionTimes { checkpointed_from, any_from: checkpointed_from.max(urgent_from) }
     }
@@ -295,7 +295,7 @@
         }
         for key in attempts {
             if let Some(job) = self.jobs.get_mut(&key.task.job) {
-                job.preempted.insert(key.task.index);
+                job.preempted_tasks.insert(key.task.index);
                 let leeway = job.record.job.save_s;
                 self.stop_attempt(&machine, &key, leeway);
             }
@@ -388,7 +388,7 @@
         // A higher cost, but no exemption: exempting tasks that were preempted before shifted the
         // preemptions to older tasks, and more work was lost.
         let was_preempted =
-            self.jobs.get(&key.task.job).is_none_or(|j| j.preempted.contains(key.task.index));
+            self.jobs.get(&key.task.job).is_none_or(|j| j.preempted_tasks.contains(key.task.index));
         let ran = if was_preempted { ran + REPEATED_PREEMPTION_COST } else { ran };
         ran as f64 * attempt.required_resources.cpus.max(MIN_CPUS_IN_COST)
     }
--- a/crates/quartzlever-core/src/scheduling/queue_order.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order.rs
@@ -36,7 +36,7 @@
     pub missed: bool,
     /// The latest start that meets the next of them; the time of the submission if all are missed,
     /// and for a service.
-    pub latest: Micros,
+    pub latest_start: Micros,
 }
 
 /// The latest starts of a job's tasks that meet its deadline and its objectives.
@@ -59,7 +59,7 @@
     /// Collects the latest starts for a job's deadline and for the objectives of its class.
     fn of(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Self {
         let spec = job.spec();
-        let expected_run_time = run_times.expect(spec);
+        let expected_run_time = run_times.expected_run_time(spec);
         let latest_start_for = |end: Micros| end.saturating_sub(expected_run_time);
         let due_after = job.due.map(|due| due.saturating_sub(job.submitted_at));
         let mut deadlines = StartDeadlines { now, next: None, any: false };
@@ -92,14 +92,18 @@
 pub fn urgency(config: &Config, run_times: &RunTimes, job: &PartitionJob, now: Micros) -> Urgency {
     if job.is_service() {
         // Every moment without a replica is downtime, so the start is due at once.
-        return Urgency { missed: false, latest: job.submitted_at };
+        return Urgency { missed: false, latest_start: job.submitted_at };
     }
     match StartDeadlines::of(config, run_times, job, now) {
         StartDeadlines { any: false, .. } => {
-            Urgency { missed: false, latest: job.submitted_at + DEFAULT_START_WITHIN }
+            Urgency { missed: false, latest_start: job.submitted_at + DEFAULT_START_WITHIN }
+        }
+        StartDeadlines { next: Some(latest), .. } => {
+            Urgency { missed: false, latest_start: latest }
+        }
+        StartDeadlines { next: None, .. } => {
+            Urgency { missed: true, latest_start: job.submitted_at }
         }
-        StartDeadlines { next: Some(latest), .. } => Urgency { missed: false, latest },
-        StartDeadlines { next: None, .. } => Urgency { missed: true, latest: job.submitted_at },
     }
 }
 
--- a/crates/quartzlever-core/src/scheduling/reservations.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations.rs
@@ -92,7 +92,7 @@
 
     /// Removes the reservation of preempted capacity on a machine that was removed, so that it does
     /// not apply to a later machine of the same name.
-    pub(crate) fn machine_removed(&mut self, machine: &str) {
+    pub(crate) fn remove_machine(&mut self, machine: &str) {
         self.preempted.remove(machine);
     }
 }
--- a/crates/quartzlever-core/src/scheduling/reservations/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations/tests.rs
@@ -35,7 +35,7 @@
             partition.placement_wanted = true;
         }
         core.now += SECOND;
-        core.place("one");
+        core.place_queue("one");
         assert_eq!(
             task_counts_by_machine(&core, "req-1").len(),
             old_starts,
@@ -60,7 +60,7 @@
     let place = |core: &mut Core, now| {
         core.now = now;
         core.partitions.get_mut("one").expect("partition one exists").placement_wanted = true;
-        core.place("one");
+        core.place_queue("one");
     };
     place(&mut core, NOW + SECOND);
     let stopped = |core: &Core| -> Vec<crate::machines::attempt::AttemptKey> {
@@ -79,7 +79,7 @@
         partition.machines["n-1"].attempts.remove(key);
         partition.requeue(&key.task, key.attempt);
         partition.refresh_machine("n-1");
-        core.fill("one", "n-1");
+        core.place_on_machine("one", "n-1");
         place(&mut core, NOW + 2 * SECOND + n as u64 * SECOND / 5);
     }
     assert_eq!(task_counts_by_machine(&core, &large_job.id), [("n-1".to_owned(), 1)]);
--- a/crates/quartzlever-core/src/scheduling/run_times.rs
+++ b/crates/quartzlever-core/src/scheduling/run_times.rs
@@ -30,7 +30,7 @@
 
 impl RunTimes {
     /// Adds the ratio of a finished task to the mean of its class.
-    pub fn learn(&mut self, class: &str, ratio: u32) {
+    pub fn record(&mut self, class: &str, ratio: u32) {
         let statistics = self
             .classes
             .entry(class.to_owned())
@@ -46,13 +46,13 @@
     }
 
     /// Returns a ratio relative to the mean of its class, in thousandths.
-    pub fn relative(&self, class: &str, ratio: u32) -> u32 {
+    pub fn relative_to_class(&self, class: &str, ratio: u32) -> u32 {
         let mean_ratio = self.mean_ratio(class).max(1.0);
         (f64::from(ratio) / mean_ratio * RATIO_AS_ESTIMATED) as u32
     }
 
     /// Returns the expected run time of a task of the job.
-    pub fn expect(&self, spec: &JobSpec) -> Micros {
+    pub fn expected_run_time(&self, spec: &JobSpec) -> Micros {
         let mean_ratio = self.mean_ratio(&spec.class);
         (micros_from_secs(spec.expect_s) as f64 * mean_ratio / RATIO_AS_ESTIMATED) as Micros
     }
--- a/crates/quartzlever-core/src/scheduling/zones.rs
+++ b/crates/quartzlever-core/src/scheduling/zones.rs
@@ -15,12 +15,12 @@
 
 impl ZoneCapacity {
     /// Returns the number of tasks that may still start in a zone.
-    pub fn left(&self, zone: &str) -> u32 {
+    pub fn remaining(&self, zone: &str) -> u32 {
         self.0.as_ref().map_or(u32::MAX, |left| left.get(zone).copied().unwrap_or(0))
     }
 
     /// Subtracts `count` tasks that are going to start in a zone.
-    pub fn take(&mut self, zone: &str, count: u32) {
+    pub fn subtract(&mut self, zone: &str, count: u32) {
         if let Some(left) = self.0.as_mut().and_then(|left| left.get_mut(zone)) {
             *left = left.saturating_sub(count);
         }
@@ -71,6 +71,6 @@
         else {
             return false;
         };
-        zone_capacity(self, job, zones).left(&machine.record.zone) > 0
+        zone_capacity(self, job, zones).remaining(&machine.record.zone) > 0
     }
 }
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -30,7 +30,8 @@
     pub(super) fn queue_load(&self, partition: &Partition) -> Load {
         let jobs = partition.jobs.values().filter(|j| !j.ready.is_empty() && !j.fails_everywhere());
         let work = jobs.map(|j| {
-            let cpu_seconds_per_task = self.run_times.expect(j.spec()) as f64 / 1e6 * j.spec().cpus;
+            let cpu_seconds_per_task =
+                self.run_times.expected_run_time(j.spec()) as f64 / 1e6 * j.spec().cpus;
             f64::from(j.ready.len()) * cpu_seconds_per_task
         });
         let cpus = partition.machines.values().filter(|m| m.is_usable()).filter_map(|m| {
--- a/crates/quartzlever-core/src/stealing/selection.rs
+++ b/crates/quartzlever-core/src/stealing/selection.rs
@@ -18,7 +18,7 @@
 use crate::messages::RequestId;
 use crate::partition::Partition;
 use crate::router::Core;
-use crate::scheduling::{RunTimes, offer_allowed};
+use crate::scheduling::{RunTimes, constraints_allow};
 use crate::store::active_job_key;
 
 /// Maximum number of jobs in one move. The store may allow fewer changes in a transaction.
@@ -64,7 +64,12 @@
         };
         let load = victim_load();
         let highest_priority = if load.cpus > 0.0 { Priority::Standard } else { Priority::Prod };
-        StealAllowance { tasks, free, excess: Some(load.excess_over(thief_load)), highest_priority }
+        StealAllowance {
+            tasks,
+            free,
+            excess: Some(load.work_to_balance(thief_load)),
+            highest_priority,
+        }
     }
 
     /// Returns how many tasks of a job may move, and subtracts them from the excess of the victim's
@@ -74,7 +79,7 @@
             return allot_free_capacity(&mut self.free, job, self.tasks);
         };
         let cpu_seconds_per_task =
-            run_times.expect(job.spec()).max(1) as f64 / 1e6 * job.spec().cpus;
+            run_times.expected_run_time(job.spec()).max(1) as f64 / 1e6 * job.spec().cpus;
         let max_tasks =
             (*excess / cpu_seconds_per_task.max(1e-6)).min(f64::from(self.tasks)) as u32;
         let count =
@@ -114,13 +119,13 @@
         pages: &Pages,
         max_value_bytes: usize,
     ) -> u32 {
-        let tasks: Ranges = job.ready.cut_last(count);
+        let tasks: Ranges = job.ready.split_off_last(count);
         let mut record = job.record.clone();
         record.move_tasks(&tasks, &steal.victim, &steal.thief, steal.term);
         let value = Json::of(&pages.stored_form(&record));
         let size = value.text().len();
         if size > max_value_bytes || self.bytes + size > MAX_RECORD_BYTES_PER_MOVE {
-            job.ready.add(&tasks);
+            job.ready.insert_all(&tasks);
             return 0;
         }
         self.bytes += size;
@@ -172,7 +177,7 @@
     let mut count = 0;
     let max_tasks = max_tasks.min(job.ready.len());
     for capacity in free {
-        if !offer_allowed(job.spec(), &capacity.machine_type, &capacity.zone, capacity.spot) {
+        if !constraints_allow(job.spec(), &capacity.machine_type, &capacity.zone, capacity.spot) {
             continue;
         }
         let mut resources = resources_of(capacity);
@@ -190,7 +195,8 @@
 fn fits_somewhere(machines: &[FreeCapacity], job: &PartitionJob) -> bool {
     let need = job.required_resources();
     machines.iter().any(|m| {
-        offer_allowed(job.spec(), &m.machine_type, &m.zone, m.spot) && resources_of(m).fits(&need)
+        constraints_allow(job.spec(), &m.machine_type, &m.zone, m.spot)
+            && resources_of(m).fits(&need)
     })
 }
 
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -31,7 +31,7 @@
         core.reconcile_job(job_record("0-3", ""), 10);
         let tasks: Ranges = "2-3".parse().unwrap_or_default();
         if let Some(job) = core.partitions.get_mut("one").and_then(|p| p.jobs.get_mut("req-1")) {
-            job.ready.subtract(&tasks);
+            job.ready.remove_all(&tasks);
             job.begin_move(&tasks);
         }
         let task_move = TaskMove { job: "req-1".into(), tasks, record: job_record("0-1", "2-3") };
@@ -117,7 +117,7 @@
             partition: "two".into(),
             term: 6,
             priority: Priority::BestEffort,
-            thief: ThiefCapacity { free: vec![capacity] },
+            capacity: ThiefCapacity { free: vec![capacity] },
             load: Some(Load { work, cpus: 8.0 }),
         };
         core.step(NOW + 2 * SECOND, vec![Command::PeerRequest { id: 1, request }]);
@@ -152,7 +152,7 @@
             );
         }
         let job = JobSpec { id: "req-2".into(), priority: Priority::Standard, ..spec(8) };
-        let share = Share { partition: "two".into(), term: 6, tasks: Ranges::first(8) };
+        let share = Share { partition: "two".into(), term: 6, tasks: Ranges::up_to(8) };
         let finished = Ranges::default();
         let shares = vec![share];
         core.reconcile_job(
@@ -166,7 +166,7 @@
             partition.saturated = saturated;
             // Undoes the moves that the steps have made.
             if let Some(job) = partition.jobs.get_mut("req-1") {
-                job.move_not_applied(&Ranges::first(4));
+                job.move_not_applied(&Ranges::up_to(4));
             }
         }
         core.poll_stealing();
--- a/crates/quartzlever-core/src/stealing/thief.rs
+++ b/crates/quartzlever-core/src/stealing/thief.rs
@@ -105,7 +105,7 @@
 
     /// Records a peer's notice that it is saturated, and ends the wait after failures, since there
     /// are tasks to steal.
-    pub fn peer_saturated(&mut self, config: &Config, now: Micros) {
+    pub fn record_peer_saturation(&mut self, config: &Config, now: Micros) {
         self.peer_saturated_at = Some(now);
         self.interval = config.operator.steal_start;
         self.next_at = now;
@@ -340,7 +340,7 @@
         load: Option<Load>,
     ) {
         let pending = PendingPeerCall::Steal { partition: partition.clone() };
-        let request = PeerRequest::Steal { partition, term, priority, thief, load };
+        let request = PeerRequest::Steal { partition, term, priority, capacity: thief, load };
         self.stealing.steal_in_flight = true;
         self.outbox.call_peer(node, request, pending);
     }
--- a/crates/quartzlever-core/src/stealing/victim.rs
+++ b/crates/quartzlever-core/src/stealing/victim.rs
@@ -65,7 +65,7 @@
     /// Answers a peer's request, if there is one, with no tasks.
     pub(super) fn answer_no_tasks(&mut self, request: Option<RequestId>) {
         if let Some(id) = request {
-            self.outbox.answer_peer(id, PeerAnswer::Nothing);
+            self.outbox.answer_peer(id, PeerAnswer::Empty);
         }
     }
 
--- a/crates/quartzlever-core/src/store/cache.rs
+++ b/crates/quartzlever-core/src/store/cache.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use quartzlever_wire::store::{
-    ActiveJobRecord, MachineRecord, MachineRecords, PartitionRecord, group_capacity,
+    ActiveJobRecord, MachineRecord, MachineRecords, PartitionRecord, max_group_size,
 };
 use quartzlever_wire::{Micros, Ranges};
 
@@ -263,7 +263,7 @@
             // conditional on the revision of this group or on the agreed group size, so the record
             // here is from a late write.
             let mapped = self.group_of_machine.get(machine);
-            if mapped.is_some_and(|mapped| group_capacity(mapped) < group_capacity(key)) {
+            if mapped.is_some_and(|mapped| max_group_size(mapped) < max_group_size(key)) {
                 continue;
             }
             if previous.get(machine) != Some(record) || mapped.is_none() {
@@ -318,7 +318,7 @@
     /// Adds finished tasks to a job's record, if it is cached.
     pub fn add_finished(&mut self, job: &str, finished: &Ranges) {
         if let Some(known) = self.active_jobs.get_mut(job) {
-            known.record.finished.add(finished);
+            known.record.finished.insert_all(finished);
         }
     }
 
--- a/crates/quartzlever-core/src/store/event.rs
+++ b/crates/quartzlever-core/src/store/event.rs
@@ -5,7 +5,7 @@
 
 use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, CLUSTER_PREFIX, Event, KeyValue, MACHINE_PREFIX, MACHINES_SEEN_PREFIX,
+    ACTIVE_JOB_PREFIX, CLUSTER_PREFIX, Event, KeyValue, MACHINE_GROUP_PREFIX, MACHINES_SEEN_PREFIX,
     PARTITION_PREFIX, PartitionRecord, TERMINAL_JOB_PREFIX, TerminalJobRecord,
 };
 
@@ -106,7 +106,7 @@
     fn written(entry: KeyValue) -> Option<Self> {
         if entry.key.starts_with(PARTITION_PREFIX) {
             Self::partition(&entry)
-        } else if entry.key.starts_with(MACHINE_PREFIX) {
+        } else if entry.key.starts_with(MACHINE_GROUP_PREFIX) {
             Some(StoreEvent::MachineGroup { entry, is_change: true })
         } else if entry.key.starts_with(ACTIVE_JOB_PREFIX) {
             Some(StoreEvent::Job(entry))
@@ -130,7 +130,7 @@
             Some(StoreEvent::PageDeleted { key, mod_revision })
         } else if key.starts_with(CLUSTER_PREFIX) {
             Some(StoreEvent::ClusterDeleted { key, mod_revision })
-        } else if key.starts_with(MACHINE_PREFIX) {
+        } else if key.starts_with(MACHINE_GROUP_PREFIX) {
             Some(StoreEvent::MachineGroupDeleted { key, mod_revision })
         } else {
             let id = key.strip_prefix(ACTIVE_JOB_PREFIX)?.to_owned();
@@ -159,7 +159,7 @@
     } else if let Some(id) = key.strip_prefix(TERMINAL_JOB_PREFIX) {
         terminal_jobs.get(id).is_some()
     } else {
-        key.starts_with(MACHINE_PREFIX) && cache.is_group_known(key, mod_revision)
+        key.starts_with(MACHINE_GROUP_PREFIX) && cache.is_group_known(key, mod_revision)
     }
 }
 
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -18,13 +18,13 @@
     FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity,
 };
 pub(crate) use quartzlever_wire::store::{
-    ActiveJobRecord, CLUSTER_VERSION_KEY, Change, ClusterRecord, Event, KeyValue, ListPage,
+    ActiveJobRecord, CLUSTER_VERSION_KEY, Change, ClusterVersionRecord, Event, KeyValue, ListPage,
     MachineRecord, MachineRecords, NodeRecord, PartitionRecord, Share, StoreCall, StoreReply,
     TerminalJobRecord, WatchAnswer, large_group_key,
 };
 pub(crate) use quartzlever_wire::users::{JobPhase, JobSpec, Priority, Shape};
 pub(crate) use quartzlever_wire::workers::{
-    Cause, Heartbeat, TaskId, TaskPhase, TaskStatus, WorkerCall, WorkerCommand, WorkerReply,
+    AttemptStatus, ExitCause, Heartbeat, TaskId, TaskPhase, WorkerCall, WorkerCommand, WorkerReply,
 };
 pub(crate) use quartzlever_wire::{CallError, Json, Micros, Ranges, SECOND};
 pub(crate) use std::collections::BTreeMap;
@@ -114,11 +114,11 @@
 /// phase and cause.
 pub(crate) fn heartbeat_with(
     sequence: u64,
-    tasks: &[(u64, TaskPhase, Option<Cause>)],
+    tasks: &[(u64, TaskPhase, Option<ExitCause>)],
 ) -> Heartbeat {
     let tasks = tasks
         .iter()
-        .map(|(attempt, phase, cause)| TaskStatus {
+        .map(|(attempt, phase, cause)| AttemptStatus {
             task: TaskId { job: "req-1".into(), index: 0 },
             attempt: *attempt,
             phase: *phase,
@@ -148,7 +148,7 @@
     fencing_token: u64,
     attempts: &[u64],
 ) -> Heartbeat {
-    let tasks = attempts.iter().map(|attempt| TaskStatus {
+    let tasks = attempts.iter().map(|attempt| AttemptStatus {
         task: TaskId { job: "req-1".into(), index: 0 },
         attempt: *attempt,
         phase: TaskPhase::Running,
@@ -171,7 +171,7 @@
 
 /// Applies the record of a job submitted at `since`, with all its tasks in partition "one".
 pub(crate) fn reconcile_test_job(core: &mut Core, spec: &JobSpec, mod_revision: u64, since: u64) {
-    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(spec.tasks) };
+    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::up_to(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), since, vec![share]);
     core.reconcile_job(record, mod_revision);
 }
@@ -195,7 +195,7 @@
 
 /// Returns the record of a cluster version raised to the current one.
 pub(crate) fn raised_version(mod_revision: u64) -> KeyValue {
-    let value = Json::of(&ClusterRecord { version: crate::upgrade::VERSION });
+    let value = Json::of(&ClusterVersionRecord { version: crate::upgrade::VERSION });
     KeyValue { key: CLUSTER_VERSION_KEY.into(), value, mod_revision, lease_id: None }
 }
 
@@ -275,7 +275,7 @@
 /// Queues job "req-1" in partition "one", with tasks of 3 s on `cpus` processors each.
 pub(crate) fn queue_tasks(core: &mut Core, tasks: u32, priority: Priority, cpus: f64) {
     let job = JobSpec { priority, cpus, ..spec(tasks) };
-    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(tasks) };
+    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::up_to(tasks) };
     let shares = vec![share];
     let finished = Ranges::default();
     core.reconcile_job(ActiveJobRecord { finished, ..ActiveJobRecord::new(job, NOW, shares) }, 10);
@@ -299,13 +299,13 @@
 pub(crate) fn record_of(number: u32, tasks: u32, partition: &str) -> ActiveJobRecord {
     let mut job = spec(tasks);
     job.id = format!("req-{number}");
-    let shares = vec![Share { partition: partition.into(), term: 5, tasks: Ranges::first(tasks) }];
+    let shares = vec![Share { partition: partition.into(), term: 5, tasks: Ranges::up_to(tasks) }];
     ActiveJobRecord::new(job, NOW, shares)
 }
 
 /// Returns a heartbeat of machine "n-1", which runs an attempt of task 0 of job "req-1" or nothing.
 pub(crate) fn heartbeat_of_one(sequence: u64, attempt: Option<u64>) -> Heartbeat {
-    let running = |attempt| TaskStatus {
+    let running = |attempt| AttemptStatus {
         task: TaskId { job: "req-1".into(), index: 0 },
         attempt,
         phase: TaskPhase::Running,
@@ -389,11 +389,11 @@
 
 /// Queues a job in partition "one" and places the queue 50 ms later.
 pub(crate) fn queue_job(core: &mut Core, spec: &JobSpec, mod_revision: u64) {
-    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(spec.tasks) };
+    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::up_to(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), NOW, vec![share]);
     core.reconcile_job(record, mod_revision);
     core.now += quartzlever_wire::SECOND / 20;
-    core.place("one");
+    core.place_queue("one");
 }
 
 /// Returns the number of a job's attempts on each machine that has any, with the machine's name.
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 
 use quartzlever_wire::store::{
-    CLUSTER_VERSION_KEY, ClusterRecord, GROUP_SIZE_KEY, GroupSizeRecord, KeyValue,
-    NODE_VERSION_PREFIX, NodeRecord, PARTITION_PREFIX, PartitionRecord, StoreCall, StoreReply, Txn,
+    CLUSTER_VERSION_KEY, ClusterVersionRecord, GROUP_SIZE_KEY, GroupSizeRecord, KeyValue,
+    NODE_PREFIX, NodeRecord, PARTITION_PREFIX, PartitionRecord, StoreCall, StoreReply, Txn,
     group_size,
 };
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
@@ -39,7 +39,7 @@
 
 /// The cluster version, the announced versions of all controllers, and the agreed group size.
 #[derive(Debug)]
-pub(crate) struct Cluster {
+pub(crate) struct ClusterVersions {
     version: u32,
     /// The announcements with their modification revisions, by node.
     announcements: BTreeMap<String, (NodeRecord, u64)>,
@@ -52,9 +52,9 @@
     services_expected_until: Micros,
 }
 
-impl Default for Cluster {
+impl Default for ClusterVersions {
     fn default() -> Self {
-        Cluster {
+        ClusterVersions {
             version: 1,
             announcements: BTreeMap::new(),
             group_size: None,
@@ -66,7 +66,7 @@
     }
 }
 
-impl Cluster {
+impl ClusterVersions {
     /// Reports whether every controller, now and in the future, supports services and small machine
     /// groups.
     pub fn supports_services(&self) -> bool {
@@ -169,7 +169,7 @@
         } else {
             // Immediately, also while the records are still being read: no partition is acquired
             // before the announcement.
-            let key = format!("{NODE_VERSION_PREFIX}{}", self.config.node);
+            let key = format!("{NODE_PREFIX}{}", self.config.node);
             let txn =
                 Txn::default().write_with_lease(key, Json::of(&self.own_announcement()), lease);
             (txn, ClusterWrite::AnnounceVersion)
@@ -208,7 +208,7 @@
             if record.version < VERSION {
                 return None;
             }
-            txn = txn.if_mod_revision(format!("{NODE_VERSION_PREFIX}{node}"), *mod_revision);
+            txn = txn.if_mod_revision(format!("{NODE_PREFIX}{node}"), *mod_revision);
             let partition = self.cache.partition(node);
             if let Some(Versioned { record: leader, .. }) = partition {
                 let (announced, _) = self.cluster.announcements.get(&leader.node)?;
@@ -221,7 +221,7 @@
                 partition.map_or(0, |held| held.mod_revision),
             );
         }
-        Some(txn.write(CLUSTER_VERSION_KEY, Json::of(&ClusterRecord { version: VERSION })))
+        Some(txn.write(CLUSTER_VERSION_KEY, Json::of(&ClusterVersionRecord { version: VERSION })))
     }
 
     /// Returns the transaction that reduces the size of machine groups, if the store has turned out
@@ -269,7 +269,7 @@
     /// Applies a record of the cluster version, the group size or an announcement from the store.
     pub(crate) fn apply_cluster_record(&mut self, entry: &KeyValue) {
         if entry.key == CLUSTER_VERSION_KEY {
-            match parse::<ClusterRecord>(entry) {
+            match parse::<ClusterVersionRecord>(entry) {
                 Some(record) => self.apply_cluster_version(record.version),
                 None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
             }
@@ -280,7 +280,7 @@
                 }
                 _ => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
             }
-        } else if let Some(node) = entry.key.strip_prefix(NODE_VERSION_PREFIX) {
+        } else if let Some(node) = entry.key.strip_prefix(NODE_PREFIX) {
             match parse::<NodeRecord>(entry) {
                 Some(record) => self.cluster.insert_announcement(node, record, entry.mod_revision),
                 None => self.outbox.log(LogLevel::Error, || LogEvent::unreadable(&entry.key)),
@@ -290,7 +290,7 @@
 
     /// Forgets a node's announcement whose key was deleted at this revision.
     pub(crate) fn apply_cluster_deletion(&mut self, path: &str, mod_revision: u64) {
-        if let Some(node) = path.strip_prefix(NODE_VERSION_PREFIX)
+        if let Some(node) = path.strip_prefix(NODE_PREFIX)
             && self
                 .cluster
                 .announcements
--- a/crates/quartzlever-core/src/upgrade/tests.rs
+++ b/crates/quartzlever-core/src/upgrade/tests.rs
@@ -87,7 +87,7 @@
         core.cluster_write_replied(ClusterWrite::RaiseVersion, 1, &Ok(StoreReply::Committed(10)));
         assert!(cluster_transactions(&mut core, NOW + 5 * SECOND).is_empty(), "{n}");
         // A lower version does not lower the cluster version.
-        let v = Json::of(&ClusterRecord { version: 1 });
+        let v = Json::of(&ClusterVersionRecord { version: 1 });
         core.apply_cluster_record(&KeyValue {
             key: CLUSTER_VERSION_KEY.into(),
             value: v,
@@ -106,7 +106,7 @@
     core.cache.set_loaded(true);
     core.config.version = 1;
     assert!(cluster_transactions(&mut core, NOW).is_empty());
-    let v = Json::of(&ClusterRecord { version: VERSION + 1 });
+    let v = Json::of(&ClusterVersionRecord { version: VERSION + 1 });
     core.apply_cluster_record(&KeyValue {
         key: CLUSTER_VERSION_KEY.into(),
         value: v,
@@ -180,7 +180,7 @@
         assert_eq!(takeovers(&mut core, NOW + SECOND / 10), 0, "{n}: once");
         core.acquire_replied("two", 1, &Ok(StoreReply::Committed(30)));
         let sole_leader_from = core.partitions["two"].sole_leader_from;
-        let later = if taken_over { core.config.operator.lease_life } else { 0 };
+        let later = if taken_over { core.config.operator.lease_lifetime } else { 0 };
         assert_eq!(
             sole_leader_from,
             core.now + later,
--- a/crates/quartzlever-core/tests/simulation/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -30,7 +30,7 @@
 
 /// Sets leases of controllers that live longer than a cancelled task may.
 pub fn long_leases(config: &mut Config) {
-    config.operator.lease_life = 15 * SECOND;
+    config.operator.lease_lifetime = 15 * SECOND;
 }
 
 /// Submits `count` jobs of four tasks, numbered from `from` and changed by `change`, and returns their
--- a/crates/quartzlever-core/tests/simulation/fault_combinations.rs
+++ b/crates/quartzlever-core/tests/simulation/fault_combinations.rs
@@ -59,7 +59,7 @@
         adjust_config: |config| {
             // When the store is back, the leader's view is still within its allowed age, but its lease
             // has expired.
-            config.operator.lease_life = 20 * SECOND;
+            config.operator.lease_lifetime = 20 * SECOND;
             config.workers.cancel = 60 * SECOND;
         },
         inject: |w| {
--- a/crates/quartzlever-core/tests/simulation/large_fleet.rs
+++ b/crates/quartzlever-core/tests/simulation/large_fleet.rs
@@ -12,7 +12,7 @@
 
 fn large_fleet_config(config: &mut Config) {
     config.workers.heartbeat_interval = 4 * SECOND;
-    config.operator.silent_return = 9 * SECOND;
+    config.operator.silent_machine_timeout = 9 * SECOND;
 }
 
 /// Returns a job whose tasks fill a machine each, with 100 tasks more than its share of the machines.
--- a/crates/quartzlever-core/tests/simulation/large_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/large_jobs.rs
@@ -68,7 +68,9 @@
     for key in w.store.keys(PAGE_PREFIX) {
         let (_, number) = page_of_key(&key).expect("the key of a page is malformed");
         let page = w.store.get(&key).and_then(|(v, _)| v.parse::<PageRecord>());
-        finished.add(&page.and_then(|page| page.tasks(number)).expect("the page cannot be read"));
+        finished.insert_all(
+            &page.and_then(|page| page.tasks(number)).expect("the page cannot be read"),
+        );
     }
     finished
 }
@@ -99,7 +101,7 @@
             "{fault:?}: the record still fits one value, no page was written"
         );
         let (before, started) = (recorded(&w, &id), starts(&w));
-        assert!(before.count_ranges() > 200, "{fault:?}: only {} ranges", before.count_ranges());
+        assert!(before.range_count() > 200, "{fault:?}: only {} ranges", before.range_count());
         inject(&mut w, fault);
         w.run(30 * SECOND);
         for (name, worker) in &w.workers {
@@ -112,7 +114,7 @@
             assert_eq!(w.cancel_until_confirmed(1, &id).as_deref(), Some("aborted"));
         } else {
             assert!(
-                before.minus(&recorded(&w, &id)).is_empty(),
+                before.difference(&recorded(&w, &id)).is_empty(),
                 "{fault:?}: finished tasks are no longer recorded"
             );
             w.odd_tasks_wait = false;
--- a/crates/quartzlever-core/tests/simulation/liveness.rs
+++ b/crates/quartzlever-core/tests/simulation/liveness.rs
@@ -70,7 +70,7 @@
 fn unchanged(_: &mut Config) {}
 
 fn short_leases(config: &mut Config) {
-    config.operator.lease_life = 3 * SECOND;
+    config.operator.lease_lifetime = 3 * SECOND;
     config.store_write_rps = 12.0;
 }
 
--- a/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
@@ -10,7 +10,8 @@
 
 /// Returns a simulation with running machines, which are never terminated for being idle.
 fn with_machines(seed: u64) -> Simulation {
-    let mut w = Simulation::with(seed, NODES, |config| config.operator.idle_boots = 1_000.0);
+    let mut w =
+        Simulation::with(seed, NODES, |config| config.operator.max_idle_boot_times = 1_000.0);
     w.cloud.max_machines = 12;
     w.run(3 * SECOND);
     for k in 0..6 {
--- a/crates/quartzlever-core/tests/simulation/services.rs
+++ b/crates/quartzlever-core/tests/simulation/services.rs
@@ -239,8 +239,9 @@
 fn a_service_that_fails_everywhere_terminates_no_machine() {
     for seed in 0..4 {
         // Idle machines stay, so that a machine is only terminated if it is considered faulty.
-        let mut w =
-            Simulation::with(60 + seed, NODES, |config| config.operator.idle_boots = 1_000.0);
+        let mut w = Simulation::with(60 + seed, NODES, |config| {
+            config.operator.max_idle_boot_times = 1_000.0
+        });
         w.run(6 * SECOND);
         w.run_time = 10_000 * SECOND;
         let spec = service(1, 4);
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -55,10 +55,10 @@
         version: quartzlever_core::VERSION,
         machine_capacity: 10_000,
         operator: Operator {
-            lease_life: 5 * SECOND,
+            lease_lifetime: 5 * SECOND,
             takeover_after: SECOND,
             handback_after: 2 * SECOND,
-            silent_return: 4 * SECOND,
+            silent_machine_timeout: 4 * SECOND,
             ..Operator::default()
         },
         log_level: LogLevel::Error,
@@ -502,7 +502,7 @@
             let mut batch = batches.remove(&n).unwrap_or_default();
             let behind = self.stalled.remove(&n);
             if behind || now.is_multiple_of(4 * STEP) {
-                batch.push(Command::Tick { wall: now, behind });
+                batch.push(Command::Tick { wall: now, was_stalled: behind });
             }
             let Some(core) = self.cores[n].as_mut() else { continue };
             let effects = core.step(now, batch);
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -356,7 +356,7 @@
                 let command = Command::CloudReply { call_id, result };
                 self.schedule(200_000, Message::ToNode(n, epoch, Box::new(command)));
             }
-            Effect::Worker { call_id, address, call, until } => {
+            Effect::Worker { call_id, address, call, deadline: until } => {
                 assert!(until > self.now, "a command was sent after its deadline");
                 let (lost, late) = self.draw_faults();
                 let delay = self.draw_latency();
@@ -403,7 +403,7 @@
                     self.schedule(delay, Message::ToNode(caller, epoch, Box::new(command)));
                 }
             }
-            Effect::Answer { id, status, body, until, .. } => {
+            Effect::Answer { id, status, body, deadline: until, .. } => {
                 assert!(
                     until.is_none_or(|u| u > self.now),
                     "an answer was sent after its deadline"
@@ -418,7 +418,7 @@
                 self.answers.insert(id, (status, body));
             }
             Effect::Terminate { reason } => self.exit_reason = Some(reason),
-            Effect::Log(_) | Effect::RateShare(_) => {}
+            Effect::Log(_) | Effect::SetRateShare(_) => {}
         }
     }
 }
--- a/crates/quartzlever-core/tests/simulation/sim/digest.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/digest.rs
@@ -137,7 +137,7 @@
 
     fn effect(&mut self, effect: &Effect) {
         match effect {
-            Effect::Answer { id, status, body, retry_after_s, until } => {
+            Effect::Answer { id, status, body, retry_after_s, deadline: until } => {
                 self.number(1);
                 self.number(*id);
                 self.number(u64::from(*status));
@@ -157,13 +157,13 @@
                 self.number(priority_number(*call_priority));
                 self.store_call(call);
             }
-            Effect::Cloud { call_id, call, until } => {
+            Effect::Cloud { call_id, call, deadline: until } => {
                 self.number(4);
                 self.number(*call_id);
                 self.cloud_call(call);
                 self.number(*until);
             }
-            Effect::Worker { call_id, address, call, until } => {
+            Effect::Worker { call_id, address, call, deadline: until } => {
                 self.number(5);
                 self.number(*call_id);
                 self.text(address);
@@ -180,7 +180,7 @@
                 self.number(7);
                 self.text(reason);
             }
-            Effect::RateShare(share) => {
+            Effect::SetRateShare(share) => {
                 self.number(8);
                 self.number(share.to_bits());
             }
@@ -259,7 +259,7 @@
 
 #[test]
 fn a_digest_depends_on_order_content_node_and_time_but_not_on_log_events() {
-    let share = |share: f64| Effect::RateShare(share);
+    let share = |share: f64| Effect::SetRateShare(share);
     let terminate = |reason: &str| Effect::Terminate { reason: reason.to_owned() };
     let log_event = || Effect::Log(quartzlever_core::LogEvent::WorkersReachable);
     let digest = |node: usize, now: Micros, effects: &[Effect]| {
--- a/crates/quartzlever-core/tests/simulation/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -5,7 +5,7 @@
 use quartzlever_wire::Json;
 use quartzlever_wire::SECOND;
 use quartzlever_wire::store::StoreCall;
-use quartzlever_wire::store::{CLUSTER_VERSION_KEY, ClusterRecord, Txn};
+use quartzlever_wire::store::{CLUSTER_VERSION_KEY, ClusterVersionRecord, Txn};
 use quartzlever_wire::users::JobPhase;
 
 use crate::services::service;
@@ -228,7 +228,8 @@
 fn a_controller_that_is_too_old_for_the_cluster_exits_with_the_version() {
     let mut w = Simulation::new(6, NODES);
     w.run(4 * SECOND);
-    let txn = Txn::default().write(CLUSTER_VERSION_KEY, Json::of(&ClusterRecord { version: 99 }));
+    let txn =
+        Txn::default().write(CLUSTER_VERSION_KEY, Json::of(&ClusterVersionRecord { version: 99 }));
     let now = w.now;
     w.store.call(now, &StoreCall::Txn(txn)).expect("the store is up");
     w.restart(0, SECOND);
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -10,7 +10,7 @@
 use quartzlever_wire::fields::Fields;
 use quartzlever_wire::pages::{PAGE_PREFIX, page_of_key};
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, Change, MACHINE_PREFIX, MACHINES_SEEN_PREFIX, NODE_VERSION_PREFIX,
+    ACTIVE_JOB_PREFIX, Change, MACHINE_GROUP_PREFIX, MACHINES_SEEN_PREFIX, NODE_PREFIX,
     PARTITION_PREFIX, TERMINAL_JOB_PREFIX, machine_records_in,
 };
 
@@ -57,7 +57,7 @@
 /// Reports whether records at this key are bound to the lease of a process. A rebuild leaves them out,
 /// since processes write them again.
 fn is_bound_to_lease(key: &str) -> bool {
-    [PARTITION_PREFIX, MACHINES_SEEN_PREFIX, NODE_VERSION_PREFIX]
+    [PARTITION_PREFIX, MACHINES_SEEN_PREFIX, NODE_PREFIX]
         .iter()
         .any(|prefix| key.starts_with(prefix))
 }
@@ -122,11 +122,12 @@
     survivors: &SurvivingRecords,
 ) -> Summary {
     let count = |prefix: &str| records.keys().filter(|key| key.starts_with(prefix)).count();
-    let machines =
-        records.iter().filter(|(key, _)| key.starts_with(MACHINE_PREFIX)).map(|(key, value)| {
+    let machines = records.iter().filter(|(key, _)| key.starts_with(MACHINE_GROUP_PREFIX)).map(
+        |(key, value)| {
             let records = Json::from_text(value).and_then(|json| machine_records_in(key, &json));
             records.map_or(0, |records| records.len())
-        });
+        },
+    );
     let store = survivors.rows.iter().filter(|(key, _)| !is_bound_to_lease(key));
     Summary {
         active_jobs: count(ACTIVE_JOB_PREFIX),
--- a/crates/quartzlever-recovery/src/records.rs
+++ b/crates/quartzlever-recovery/src/records.rs
@@ -10,7 +10,7 @@
 use std::ops::Bound;
 
 use quartzlever_wire::Json;
-use quartzlever_wire::store::{NODE_VERSION_PREFIX, NodeRecord};
+use quartzlever_wire::store::{NODE_PREFIX, NodeRecord};
 use serde::{Deserialize, Serialize};
 
 pub use update::{KeyChange, Update};
@@ -139,9 +139,9 @@
 
     /// Returns the names of the nodes that have announced their version, whose processes were up.
     pub(crate) fn nodes_up(&self) -> impl Iterator<Item = &str> {
-        let announced = self.rows.iter().filter(|(key, _)| key.starts_with(NODE_VERSION_PREFIX));
+        let announced = self.rows.iter().filter(|(key, _)| key.starts_with(NODE_PREFIX));
         let readable = announced.filter(|(_, record)| is_node_record(&record.value));
-        readable.filter_map(|(key, _)| key.strip_prefix(NODE_VERSION_PREFIX))
+        readable.filter_map(|(key, _)| key.strip_prefix(NODE_PREFIX))
     }
 }
 
--- a/crates/quartzlever-testkit/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -4,8 +4,8 @@
 
 use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, CLUSTER_VERSION_KEY, Change, Event, KeyValue, ListPage, MACHINE_PREFIX,
-    StoreCall, StoreReply, TerminalJobRecord, Txn, TxnAnswer, WatchAnswer,
+    ACTIVE_JOB_PREFIX, CLUSTER_VERSION_KEY, Change, Event, KeyValue, ListPage,
+    MACHINE_GROUP_PREFIX, StoreCall, StoreReply, TerminalJobRecord, Txn, TxnAnswer, WatchAnswer,
 };
 use quartzlever_wire::users::JobPhase;
 use quartzlever_wire::{CallError, Json, Micros};
@@ -94,7 +94,7 @@
         let has_word = |value: &Json, word: &str| value.text().contains(word);
         let is_unknown = |(key, stored): &(&String, &StoredValue)| {
             key.as_str() == CLUSTER_VERSION_KEY
-                || (key.starts_with(MACHINE_PREFIX) && key.matches('~').count() > 1)
+                || (key.starts_with(MACHINE_GROUP_PREFIX) && key.matches('~').count() > 1)
                 || key.starts_with(PAGE_PREFIX)
                 || (key.starts_with(ACTIVE_JOB_PREFIX)
                     && ["daemon", "paged"].iter().any(|word| has_word(&stored.value, word)))
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -4,7 +4,8 @@
 
 use quartzlever_wire::cloud::Instance;
 use quartzlever_wire::workers::{
-    Cause, Heartbeat, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerCommands, WorkerReply,
+    AttemptStatus, ExitCause, Heartbeat, TaskId, TaskPhase, WorkerCommand, WorkerCommands,
+    WorkerReply,
 };
 use quartzlever_wire::{Micros, SECOND};
 
@@ -12,7 +13,7 @@
 #[derive(Clone, Debug)]
 struct Attempt {
     started: Micros,
-    exited: Option<Cause>,
+    exited: Option<ExitCause>,
 }
 
 /// A fake worker on one machine.
@@ -107,9 +108,9 @@
         for ((task, _), attempt) in self.attempts.iter_mut().filter(|(_, a)| a.exited.is_none()) {
             let fails = faulty || fails_everywhere.contains(&task.job);
             if fails && now >= attempt.started + SECOND / 2 {
-                attempt.exited = Some(Cause::Error);
+                attempt.exited = Some(ExitCause::Error);
             } else if now >= attempt.started + self.run_time && !keeps_running(task) {
-                attempt.exited = Some(Cause::Done);
+                attempt.exited = Some(ExitCause::Done);
                 self.completed.push(task.clone());
             }
         }
@@ -131,7 +132,7 @@
             tasks: self
                 .attempts
                 .iter()
-                .map(|((task, attempt), a)| TaskStatus {
+                .map(|((task, attempt), a)| AttemptStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: if a.exited.is_some() { TaskPhase::Exited } else { TaskPhase::Running },
@@ -144,7 +145,7 @@
 
     /// Reports whether a heartbeat contains the current state of all attempts on the machine.
     pub fn is_reported_by(&self, heartbeat: &Heartbeat) -> bool {
-        let exited = |t: &TaskStatus| t.phase == TaskPhase::Exited;
+        let exited = |t: &AttemptStatus| t.phase == TaskPhase::Exited;
         self.incarnation == heartbeat.incarnation
             && self.fencing_token == heartbeat.fencing_token
             && self.attempts.len() == heartbeat.tasks.len()
@@ -201,7 +202,7 @@
             return;
         }
         let busy = self.attempts.iter().any(|((t, _), a)| t == task && a.exited.is_none());
-        let exited = busy.then_some(Cause::Busy);
+        let exited = busy.then_some(ExitCause::Busy);
         if exited.is_none() {
             self.started.push((task.clone(), now));
         }
@@ -214,7 +215,7 @@
                 WorkerCommand::Run { task, attempt } => self.start_attempt(task, *attempt, now),
                 WorkerCommand::Kill { task, attempt, .. } => {
                     if let Some(a) = self.attempts.get_mut(&(task.clone(), *attempt)) {
-                        a.exited = a.exited.or(Some(Cause::Halted));
+                        a.exited = a.exited.or(Some(ExitCause::Halted));
                     }
                 }
                 WorkerCommand::Clear { task, attempt } => {
--- a/crates/quartzlever-wire/src/pages.rs
+++ b/crates/quartzlever-wire/src/pages.rs
@@ -38,7 +38,7 @@
 /// Returns the tasks of a set that belong to a page.
 pub fn tasks_of_page(tasks: &Ranges, page: u32) -> Ranges {
     let first = page.saturating_mul(PAGE_TASKS);
-    tasks.within(first..first.saturating_add(PAGE_TASKS))
+    tasks.restricted_to(first..first.saturating_add(PAGE_TASKS))
 }
 
 impl PageRecord {
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -33,7 +33,7 @@
         /// Lowest priority of the tasks to move.
         priority: Priority,
         /// Capacity of the sender's partition for the tasks.
-        thief: ThiefCapacity,
+        capacity: ThiefCapacity,
         /// Load of the sender's partition if it is not idle: it takes no more tasks than balance
         /// the two queues. `None` for an idle partition.
         load: Option<Load>,
@@ -74,7 +74,7 @@
     /// Sends changes that the sender has just committed, for the receiver's log. Answered by
     /// [`PeerAnswer::Logged`]. Only controllers with recovery enabled send this, and recovery is
     /// enabled on all controllers or none.
-    Logged(LoggedChanges),
+    LogChanges(LoggedChanges),
 }
 
 /// Changes to the records of one generation, as a controller logs them.
@@ -127,7 +127,7 @@
 
     /// Returns the work that has to move from this queue to the other so that both take equally
     /// long to drain, in processor-seconds. It is 0 if the other queue takes longer.
-    pub fn excess_over(&self, other: &Load) -> f64 {
+    pub fn work_to_balance(&self, other: &Load) -> f64 {
         let cpus = self.cpus + other.cpus;
         if cpus <= 0.0 {
             return 0.0;
@@ -174,8 +174,8 @@
         reached: bool,
     },
     /// Acknowledges a request that has no other answer, or reports that nothing could be moved.
-    Nothing,
-    /// Answer to [`PeerRequest::Logged`]: the changes are on the receiver's disk.
+    Empty,
+    /// Answer to [`PeerRequest::LogChanges`]: the changes are on the receiver's disk.
     Logged,
 }
 
--- a/crates/quartzlever-wire/src/ranges.rs
+++ b/crates/quartzlever-wire/src/ranges.rs
@@ -14,12 +14,12 @@
 
 impl Ranges {
     /// Creates the set `0..count`.
-    pub fn first(count: u32) -> Self {
-        Self::of(0..count)
+    pub fn up_to(count: u32) -> Self {
+        Self::from_range(0..count)
     }
 
     /// Creates the set of one range.
-    pub fn of(range: Range<u32>) -> Self {
+    pub fn from_range(range: Range<u32>) -> Self {
         let mut set = RangeSet::new();
         if range.start < range.end {
             set.insert(range);
@@ -53,14 +53,14 @@
     }
 
     /// Adds all tasks of another set.
-    pub fn add(&mut self, other: &Ranges) {
+    pub fn insert_all(&mut self, other: &Ranges) {
         for range in other.0.iter() {
             self.0.insert(range.clone());
         }
     }
 
     /// Removes all tasks of another set.
-    pub fn subtract(&mut self, other: &Ranges) {
+    pub fn remove_all(&mut self, other: &Ranges) {
         for range in other.0.iter() {
             self.0.remove(range.clone());
         }
@@ -69,24 +69,24 @@
     /// Returns the tasks that are in either set.
     pub fn union(&self, other: &Ranges) -> Ranges {
         let mut out = self.clone();
-        out.add(other);
+        out.insert_all(other);
         out
     }
 
     /// Returns the tasks of this set that are not in the other.
-    pub fn minus(&self, other: &Ranges) -> Ranges {
+    pub fn difference(&self, other: &Ranges) -> Ranges {
         let mut out = self.clone();
-        out.subtract(other);
+        out.remove_all(other);
         out
     }
 
     /// Returns the tasks that are in both sets.
-    pub fn intersect(&self, other: &Ranges) -> Ranges {
-        self.minus(&self.minus(other))
+    pub fn intersection(&self, other: &Ranges) -> Ranges {
+        self.difference(&self.difference(other))
     }
 
     /// Returns the tasks of the set that lie within a range.
-    pub fn within(&self, range: Range<u32>) -> Ranges {
+    pub fn restricted_to(&self, range: Range<u32>) -> Ranges {
         let mut out = RangeSet::new();
         for found in self.0.overlapping(&range) {
             out.insert(found.start.max(range.start)..found.end.min(range.end));
@@ -95,7 +95,7 @@
     }
 
     /// Returns the number of separate ranges in the set.
-    pub fn count_ranges(&self) -> usize {
+    pub fn range_count(&self) -> usize {
         self.0.len()
     }
 
@@ -120,7 +120,7 @@
     }
 
     /// Removes the `count` highest tasks from the set, or all if it has fewer, and returns them.
-    pub fn cut_last(&mut self, count: u32) -> Ranges {
+    pub fn split_off_last(&mut self, count: u32) -> Ranges {
         let mut cut = Ranges::default();
         let mut remaining = count;
         while remaining > 0 {
--- a/crates/quartzlever-wire/src/store.rs
+++ b/crates/quartzlever-wire/src/store.rs
@@ -12,7 +12,7 @@
 //! | `over/{job}` | [`TerminalJobRecord`] | |
 //! | `pages/{job}/{number}` | [`PageRecord`](crate::pages::PageRecord) | |
 //! | `hosts/{group}` | [`MachineGroupRecord`] | |
-//! | `cluster/version` | [`ClusterRecord`] | |
+//! | `cluster/version` | [`ClusterVersionRecord`] | |
 //! | `cluster/blocks` | [`GroupSizeRecord`] | |
 //! | `cluster/nodes/{node}` | [`NodeRecord`] | the node's |
 //! | `catalogue` | [`Catalogue`](crate::cloud::Catalogue) | |
@@ -35,17 +35,17 @@
 /// Prefix of the keys of [`TerminalJobRecord`].
 pub const TERMINAL_JOB_PREFIX: &str = "over/";
 /// Prefix of the keys of [`MachineGroupRecord`].
-pub const MACHINE_PREFIX: &str = "hosts/";
+pub const MACHINE_GROUP_PREFIX: &str = "hosts/";
 /// Prefix of the keys that concern the whole cluster: the versions of its controllers and the size
 /// of machine groups.
 pub const CLUSTER_PREFIX: &str = "cluster/";
-/// Key of the [`ClusterRecord`], which is permanent.
+/// Key of the [`ClusterVersionRecord`], which is permanent.
 pub const CLUSTER_VERSION_KEY: &str = "cluster/version";
 /// Key of the [`GroupSizeRecord`]; written once the store's limit on values is found to be lower
 /// than the settings state.
 pub const GROUP_SIZE_KEY: &str = "cluster/blocks";
 /// Prefix of the keys of [`NodeRecord`], one for each running process, attached to its lease.
-pub const NODE_VERSION_PREFIX: &str = "cluster/nodes/";
+pub const NODE_PREFIX: &str = "cluster/nodes/";
 /// A key that is never written. The answer to reading it is short and contains the present
 /// revision.
 pub const REVISION_PROBE_KEY: &str = "nobody";
@@ -275,7 +275,7 @@
 
 /// Value of `cluster/version`: the version that every controller supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClusterRecord {
+pub struct ClusterVersionRecord {
     /// The version; controllers write records only in formats of this version.
     pub version: u32,
 }
@@ -334,26 +334,26 @@
     }
 
     /// Reports whether tasks of the job belong to the partition, including finished ones.
-    pub fn is_shared_by(&self, partition: &str) -> bool {
+    pub fn has_tasks_of(&self, partition: &str) -> bool {
         self.shares.iter().any(|share| share.partition == partition)
     }
 
     /// Returns the tasks of `partition` that this record does not list as finished.
-    pub fn owned_by(&self, partition: &str) -> Ranges {
+    pub fn unfinished_tasks_of(&self, partition: &str) -> Ranges {
         let mut owned = Ranges::default();
         for share in self.shares.iter().filter(|s| s.partition == partition) {
-            owned.add(&share.tasks);
+            owned.insert_all(&share.tasks);
         }
-        owned.subtract(&self.finished);
+        owned.remove_all(&self.finished);
         owned
     }
 
     /// Returns the tasks that were assigned to the partition under `term`, so that no earlier
     /// leader of it has run them.
-    pub fn entered_under(&self, partition: &str, term: u64) -> Ranges {
+    pub fn tasks_assigned_under(&self, partition: &str, term: u64) -> Ranges {
         let mut out = Ranges::default();
         for share in self.shares.iter().filter(|s| s.partition == partition && s.term == term) {
-            out.add(&share.tasks);
+            out.insert_all(&share.tasks);
         }
         out
     }
@@ -361,10 +361,10 @@
     /// Moves tasks from partition `from` to partition `to`, under `term` of the latter.
     pub fn move_tasks(&mut self, tasks: &Ranges, from: &str, to: &str, term: u64) {
         for share in self.shares.iter_mut().filter(|s| s.partition == from) {
-            share.tasks.subtract(tasks);
+            share.tasks.remove_all(tasks);
         }
         match self.shares.iter_mut().find(|s| s.partition == to && s.term == term) {
-            Some(share) => share.tasks.add(tasks),
+            Some(share) => share.tasks.insert_all(tasks),
             None => self.shares.push(Share { partition: to.into(), term, tasks: tasks.clone() }),
         }
         self.shares.retain(|s| !s.tasks.is_empty());
@@ -415,23 +415,25 @@
 /// Returns the key of the large group that a machine belongs to.
 pub fn large_group_key(machine: &str) -> String {
     match split_number(machine) {
-        Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{}", number / LARGE_GROUP_SIZE),
-        None => format!("{MACHINE_PREFIX}{machine}~"),
+        Some((stem, number)) => {
+            format!("{MACHINE_GROUP_PREFIX}{stem}~{}", number / LARGE_GROUP_SIZE)
+        }
+        None => format!("{MACHINE_GROUP_PREFIX}{machine}~"),
     }
 }
 
 /// Returns the key of the group of `size` machines that a machine belongs to.
 pub fn group_key(machine: &str, size: u64) -> String {
     match split_number(machine).filter(|_| size < LARGE_GROUP_SIZE) {
-        Some((stem, number)) => format!("{MACHINE_PREFIX}{stem}~{size}~{}", number / size),
+        Some((stem, number)) => format!("{MACHINE_GROUP_PREFIX}{stem}~{size}~{}", number / size),
         None => large_group_key(machine),
     }
 }
 
 /// Returns the maximum number of machines in the group under a key, or `None` if the key is that of
 /// a single machine.
-pub fn group_capacity(key: &str) -> Option<u64> {
-    let mut segments = key.strip_prefix(MACHINE_PREFIX)?.rsplit('~');
+pub fn max_group_size(key: &str) -> Option<u64> {
+    let mut segments = key.strip_prefix(MACHINE_GROUP_PREFIX)?.rsplit('~');
     let (_number, size_or_stem) = (segments.next()?, segments.next()?);
     match segments.next() {
         Some(_stem) => size_or_stem.parse().ok(),
@@ -456,7 +458,7 @@
         return Some(group.machines);
     }
     let SingleMachineRecord { partition, address, machine_type, zone, spot } = value.parse()?;
-    let name = path.strip_prefix(MACHINE_PREFIX)?.to_owned();
+    let name = path.strip_prefix(MACHINE_GROUP_PREFIX)?.to_owned();
     Some(BTreeMap::from([(name, MachineRecord { partition, address, machine_type, zone, spot })]))
 }
 
--- a/crates/quartzlever-wire/src/users.rs
+++ b/crates/quartzlever-wire/src/users.rs
@@ -40,7 +40,7 @@
 /// A submission, as users send it and as the store holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id of the job, chosen by the user: `req-` and a number, see [`valid_id`].
+    /// Id of the job, chosen by the user: `req-` and a number, see [`is_valid_id`].
     #[serde(rename = "ref")]
     pub id: String,
     /// Class of the job; jobs of one class are expected to have similar run times.
@@ -106,7 +106,7 @@
     /// The body is not JSON, or a field is missing or of the wrong type; with the parser's message.
     #[error("not a valid submission: {0}")]
     Json(String),
-    /// The id is invalid, see [`valid_id`].
+    /// The id is invalid, see [`is_valid_id`].
     #[error("invalid ref")]
     Id,
     /// The job has no task or more than [`MAX_TASKS`].
@@ -118,7 +118,7 @@
 }
 
 /// Reports whether a text is a job id: `req-` and 1 to 20 decimal digits.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_id(id: &str) -> bool {
     id.strip_prefix("req-").is_some_and(|n| {
         !n.is_empty() && n.len() <= MAX_ID_DIGITS && n.bytes().all(|b| b.is_ascii_digit())
     })
@@ -139,7 +139,7 @@
         }
         let mut spec: JobSpec =
             serde_json::from_slice(body).map_err(|e| SubmissionError::Json(e.to_string()))?;
-        if !valid_id(&spec.id) {
+        if !is_valid_id(&spec.id) {
             return Err(SubmissionError::Id);
         }
         if spec.tasks == 0 || spec.tasks > MAX_TASKS {
--- a/crates/quartzlever-wire/src/workers.rs
+++ b/crates/quartzlever-wire/src/workers.rs
@@ -83,7 +83,7 @@
 /// The reason why an attempt exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// The attempt ran to completion.
     Done,
     /// A command killed the attempt.
@@ -104,7 +104,7 @@
 
 /// One attempt of a task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TaskStatus {
+pub struct AttemptStatus {
     /// The task.
     #[serde(rename = "shard")]
     pub task: TaskId,
@@ -115,7 +115,7 @@
     pub phase: TaskPhase,
     /// Why the attempt exited; present if and only if it has exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether a stopped attempt has saved its work. Controllers accept it but do not use it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kept: Option<bool>,
@@ -154,7 +154,7 @@
     pub warning_s: Option<f64>,
     /// All attempts on the machine, exited ones until they are cleared.
     #[serde(rename = "shards")]
-    pub tasks: Vec<TaskStatus>,
+    pub tasks: Vec<AttemptStatus>,
 }
 
 impl Heartbeat {
@@ -170,7 +170,7 @@
     }
 
     /// Reports whether the heartbeat lists an attempt of a task.
-    pub fn lists(&self, task: &TaskId, attempt: u64) -> bool {
+    pub fn contains_attempt(&self, task: &TaskId, attempt: u64) -> bool {
         self.tasks.iter().any(|t| t.attempt == attempt && t.task == *task)
     }
 }
--- a/crates/quartzlever-wire/tests/formats.rs
+++ b/crates/quartzlever-wire/tests/formats.rs
@@ -184,7 +184,7 @@
         assert!(text.parse::<Ranges>().is_err(), "{text}");
     }
     let mut ranges: Ranges = "0-4,7,9-20".parse().expect("ranges");
-    assert_eq!(ranges.cut_last(14).to_string(), "4,7,9-20");
+    assert_eq!(ranges.split_off_last(14).to_string(), "4,7,9-20");
     assert_eq!(ranges.to_string(), "0-3");
 }
 
@@ -214,8 +214,8 @@
         record.move_tasks(&tasks.parse().expect("ranges"), from, to, term);
         assert_eq!(record.shares, after);
     }
-    assert_eq!(record.owned_by("one").to_string(), "2-15");
-    assert_eq!(record.entered_under("one", 9).to_string(), "8-15");
+    assert_eq!(record.unfinished_tasks_of("one").to_string(), "2-15");
+    assert_eq!(record.tasks_assigned_under("one", 9).to_string(), "8-15");
 }
 
 #[test]
@@ -269,11 +269,16 @@
     let every_second = |first: u32| (0..PAGE_TASKS).filter(|n| n % 2 == first).collect::<Ranges>();
     for (name, page, finished, max_bytes) in [
         ("no task", 0, Ranges::default(), 20),
-        ("the first task", 0, Ranges::of(0..1), 20),
-        ("all tasks", 0, Ranges::of(0..PAGE_TASKS), 280),
+        ("the first task", 0, Ranges::from_range(0..1), 20),
+        ("all tasks", 0, Ranges::from_range(0..PAGE_TASKS), 280),
         ("every even task", 0, every_second(0), 280),
         ("every odd task", 0, every_second(1), 280),
-        ("most tasks of a later page", 3, Ranges::of(3 * PAGE_TASKS + 5..4 * PAGE_TASKS), 280),
+        (
+            "most tasks of a later page",
+            3,
+            Ranges::from_range(3 * PAGE_TASKS + 5..4 * PAGE_TASKS),
+            280,
+        ),
     ] {
         let record = PageRecord::new(page, &finished);
         let text = serde_json::to_string(&record).expect("JSON");
@@ -282,8 +287,8 @@
         assert_eq!(read.tasks(page), Some(finished), "{name}");
     }
     // Tasks of other pages are ignored.
-    let tasks = PageRecord::new(1, &Ranges::of(0..5 * PAGE_TASKS)).tasks(1);
-    assert_eq!(tasks, Some(Ranges::of(PAGE_TASKS..2 * PAGE_TASKS)));
+    let tasks = PageRecord::new(1, &Ranges::from_range(0..5 * PAGE_TASKS)).tasks(1);
+    assert_eq!(tasks, Some(Ranges::from_range(PAGE_TASKS..2 * PAGE_TASKS)));
     for text in
         [r#"{"finished":"xyz"}"#.to_owned(), format!("{{\"finished\":\"{}\"}}", "f".repeat(257))]
     {
--- a/crates/quartzlever-wire/tests/production.rs
+++ b/crates/quartzlever-wire/tests/production.rs
@@ -39,7 +39,7 @@
                 partition: "one".into(),
                 term: 7,
                 priority: Priority::BestEffort,
-                thief: ThiefCapacity { free: vec![free] },
+                capacity: ThiefCapacity { free: vec![free] },
                 load: Some(Load { work: 2.5, cpus: 8.0 }),
             },
             "0000005f0100000003000000000000006f6e65070000000000000003000000010000000000000001000000000000006d010000000000000061010000000000001040000000000000000000000000000020400100000000000004400000000000002040",
@@ -78,7 +78,7 @@
             "0000002b01000000010000000000000005000000000000007265712d31090000000000000002000000000000007b7d",
         ),
         (PeerAnswer::StoreConnectivity { reached: true }, "000000050200000001"),
-        (PeerAnswer::Nothing, "0000000403000000"),
+        (PeerAnswer::Empty, "0000000403000000"),
     ];
     for (message, hex) in answers {
         assert_eq!(frame_hex(&message), hex);
@@ -92,7 +92,7 @@
     let active = r#"{"job":{"ref":"req-000412","jobclass":"train","owner":"vision","shape":"batch","rank":"urgent","shards":16,"cpus":8.0,"gpus":1.0,"ram_gb":64.0,"bundle":"img-07","size_gb":6.2,"chassis":["g8"],"together":true,"apart":false,"loaners":true,"expect_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0},"since":1000000,"started":true,"shares":[{"part":"one","term":5,"tasks":"0-11"},{"part":"two","term":8,"tasks":"12-15"}],"finished":"0-3,7"}"#;
     let record: ActiveJobRecord = serde_json::from_str(active).expect("a record of an active job");
     assert_eq!((record.job.shape, record.job.tasks, record.started), (Shape::Batch, 16, true));
-    assert_eq!(record.owned_by("one").to_string(), "4-6,8-11");
+    assert_eq!(record.unfinished_tasks_of("one").to_string(), "4-6,8-11");
     assert_eq!(Json::of(&record).text(), active);
     let partition = r#"{"node":"one","process":77}"#;
     let record: PartitionRecord = serde_json::from_str(partition).expect("a record of a partition");
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -94,7 +94,7 @@
             if now >= self.tick_at {
                 self.tick_at = now + TICK_INTERVAL;
                 let behind = std::mem::take(&mut self.behind);
-                batch.push(Command::Tick { wall: wall(), behind });
+                batch.push(Command::Tick { wall: wall(), was_stalled: behind });
             }
             if batch.is_empty() {
                 continue;
@@ -156,7 +156,7 @@
     fn execute(&mut self, effect: Effect) {
         let CoreThread { executors, pending, clock, .. } = self;
         match effect {
-            Effect::Answer { id, status, body, retry_after_s, until } => {
+            Effect::Answer { id, status, body, retry_after_s, deadline: until } => {
                 if until.is_some_and(|until| clock.now() >= until) {
                     // This node's authority to act has expired meanwhile.
                     pending.refuse_busy(id);
@@ -172,14 +172,16 @@
             Effect::Store { call_id, call_priority, call } => {
                 executors.store.submit(call_id, call_priority, call)
             }
-            Effect::Cloud { call_id, call, until } => executors.cloud.submit(call_id, call, until),
-            Effect::Worker { call_id, address, call, until } => {
+            Effect::Cloud { call_id, call, deadline: until } => {
+                executors.cloud.submit(call_id, call, until)
+            }
+            Effect::Worker { call_id, address, call, deadline: until } => {
                 executors.workers.submit(call_id, address, call, until);
             }
             Effect::Peer { call_id, node, request } => {
                 executors.peers.submit(call_id, node, request)
             }
-            Effect::RateShare(share) => executors.set_share(share),
+            Effect::SetRateShare(share) => executors.set_share(share),
             Effect::Log(event) => log_event(event.level(), event.name(), &event),
         }
     }
--- a/crates/quartzlever/src/node/peer_server.rs
+++ b/crates/quartzlever/src/node/peer_server.rs
@@ -44,9 +44,9 @@
 
 fn answer(request: PeerRequest, inbox: &Inbox, log: &OwnLog) -> PeerAnswer {
     match request {
-        PeerRequest::Logged(changes) => recovery::take_changes(log, changes),
+        PeerRequest::LogChanges(changes) => recovery::take_changes(log, changes),
         request => inbox
             .request_for_peer(ANSWER_TIMEOUT, |id| Command::PeerRequest { id, request })
-            .unwrap_or(PeerAnswer::Nothing),
+            .unwrap_or(PeerAnswer::Empty),
     }
 }
--- a/crates/quartzlever/src/node/startup.rs
+++ b/crates/quartzlever/src/node/startup.rs
@@ -46,7 +46,7 @@
 fn reject_all(incoming: &InboxReceiver, message: &mut Vec<u8>) {
     let all = incoming.priority.try_iter().chain(incoming.lookups.try_iter());
     for QueuedCommand { requester, .. } in all.chain(incoming.submissions.try_iter()) {
-        // Dropping the sender of a peer's request makes its thread answer `PeerAnswer::Nothing`.
+        // Dropping the sender of a peer's request makes its thread answer `PeerAnswer::Empty`.
         if let Some(Requester { reply: ReplyChannel::Http { responder, .. }, .. }) = requester {
             responder.mark_taken();
             responder.send(&BUSY, BUSY_BODY, message);
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -62,7 +62,7 @@
         nodes: core.nodes.clone(),
         process: random_number(),
         gather_timeout: recovery.gather_timeout,
-        lease_lifetime: core.operator.lease_life,
+        lease_lifetime: core.operator.lease_lifetime,
         worker_lease_lifetime: core.workers.lease,
         max_txn_changes: core.txn_ops,
         max_changes_per_second: core.store_write_rps,
--- a/crates/quartzlever/src/recovery/peer_log.rs
+++ b/crates/quartzlever/src/recovery/peer_log.rs
@@ -16,11 +16,11 @@
 
 /// Logs another controller's changes, if they belong to the same generation.
 pub fn take_changes(log: &OwnLog, logged: LoggedChanges) -> PeerAnswer {
-    let Some(state) = log.get() else { return PeerAnswer::Nothing };
+    let Some(state) = log.get() else { return PeerAnswer::Empty };
     let LoggedChanges { cluster, generation, mod_revision, changes } = logged;
     let own = &state.guard.generation.identity;
     if own.cluster != cluster || own.generation != generation {
-        return PeerAnswer::Nothing;
+        return PeerAnswer::Empty;
     }
     let changes = changes.into_iter().map(|(key, value)| KeyChange { key, mod_revision, value });
     state.journal.record(Update { changes: changes.collect(), complete_up_to: None });
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -92,7 +92,7 @@
         if Instant::now() < paused_until {
             continue;
         }
-        match client.call(address, &PeerRequest::Logged((*changes).clone())) {
+        match client.call(address, &PeerRequest::LogChanges((*changes).clone())) {
             Ok(PeerAnswer::Logged) => {
                 let _ = acknowledged.send(());
             }
--- a/crates/quartzlever/src/server/routing.rs
+++ b/crates/quartzlever/src/server/routing.rs
@@ -1,6 +1,6 @@
 //! Routes the requests of users, workers and health checks by method and path.
 
-use quartzlever_wire::users::valid_id;
+use quartzlever_wire::users::is_valid_id;
 
 /// The operation that a request asks for.
 #[derive(Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
         }
         match route {
             // No job can have been accepted under an invalid reference.
-            Route::Lookup(job) | Route::Cancel(job) if !valid_id(&job) => UNKNOWN_JOB,
+            Route::Lookup(job) | Route::Cancel(job) if !is_valid_id(&job) => UNKNOWN_JOB,
             route => route,
         }
     }
--- a/crates/quartzlever/src/settings/operator.rs
+++ b/crates/quartzlever/src/settings/operator.rs
@@ -100,7 +100,7 @@
         let field = Field { name: "peers_asked", value: count as f64, range: PEERS_ASKED_RANGE };
         core.peers_asked = check.amount(field)? as usize;
     }
-    let Operator { steal_fraction, idle_boots, price_cap, .. } = core;
+    let Operator { steal_fraction, max_idle_boot_times: idle_boots, price_cap, .. } = core;
     let amounts: [Override<f64>; 3] = [
         Override::new(
             "steal_fraction",
@@ -128,7 +128,12 @@
             Range::new(0.01, 60.0),
         ),
         duration("steal_cap_s", entry.steal_cap_s, &mut core.steal_cap, Range::new(0.01, 600.0)),
-        duration("lease_life_s", entry.lease_life_s, &mut core.lease_life, Range::new(3.0, 300.0)),
+        duration(
+            "lease_life_s",
+            entry.lease_life_s,
+            &mut core.lease_lifetime,
+            Range::new(3.0, 300.0),
+        ),
         duration(
             "takeover_after_s",
             entry.takeover_after_s,
@@ -144,7 +149,7 @@
         duration(
             "silent_return_s",
             entry.silent_return_s,
-            &mut core.silent_return,
+            &mut core.silent_machine_timeout,
             Range::new(3.0, 86_400.0),
         ),
         duration(
