--- a/crates/quartzlever-core/examples/cost.rs
+++ b/crates/quartzlever-core/examples/cost.rs
@@ -75,7 +75,7 @@
                 let worker = self.workers.get_mut(address.trim_end_matches(":9000"));
                 let result = worker.ok_or(CallError::Refused).map(|w| match &call {
                     WorkerCall::Status => WorkerReply::Status(w.heartbeat()),
-                    WorkerCall::Command(commands) => w.command(commands, self.now),
+                    WorkerCall::Command(commands) => w.receive_commands(commands, self.now),
                 });
                 Some(Command::WorkerReply { call_id, result })
             }
@@ -158,11 +158,11 @@
             id += 1;
             let commands = simulation.process("heartbeat", Command::Heartbeat { id, heartbeat });
             if let (Some(commands), Some(worker)) = (commands, simulation.workers.get_mut(name)) {
-                worker.answered(&commands, now, incarnation, now);
+                worker.receive_reply(&commands, now, incarnation, now);
             }
         }
         let cloud = &simulation.cloud;
-        simulation.workers.retain(|name, _| !cloud.gone.contains(name));
+        simulation.workers.retain(|name, _| !cloud.terminated.contains(name));
     }
     for (kind, (spent, count)) in &simulation.spent {
         let mean = spent.as_secs_f64() * 1e6 / f64::from(*count);
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -125,7 +125,10 @@
         assert!(recorded(&store) == all, "{value_bytes} {ops}");
         let next = Leader::take_over(&mut store);
         assert!(next.record.finished == all, "{value_bytes} {ops}");
-        assert_eq!(store.too_large, 0, "{value_bytes} {ops}: too large a transaction was sent");
+        assert_eq!(
+            store.rejected_too_large, 0,
+            "{value_bytes} {ops}: too large a transaction was sent"
+        );
     }
 }
 
--- a/crates/quartzlever-core/tests/simulation/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -176,24 +176,24 @@
     w.run_with_lookups(90 * SECOND);
     if w.has_free_capacity() {
         assert!(
-            w.rules.waiting().is_empty(),
+            w.rules.jobs_without_start().is_empty(),
             "{name}: no task of {:?} has started",
-            w.rules.waiting()
+            w.rules.jobs_without_start()
         );
     }
     w.run_with_lookups(60 * SECOND);
     let now = w.now;
-    w.rules.unanswered(now, since + 75 * SECOND);
+    w.rules.check_answered_since(now, since + 75 * SECOND);
     w.check_liveness(since);
-    assert!(w.rules.broken.is_empty(), "{name}: {:?}", &w.rules.broken[..1]);
-    for id in w.rules.accepted() {
-        let cancelled = w.rules.cancelled(&id).is_some();
+    assert!(w.rules.violations.is_empty(), "{name}: {:?}", &w.rules.violations[..1]);
+    for id in w.rules.accepted_jobs() {
+        let cancelled = w.rules.cancellation_reported_at(&id).is_some();
         let expected = if cancelled { JobPhase::Cancelled } else { JobPhase::Done };
         let phase = w.final_phase(&id);
         // A requested cancellation may have been committed although its answer was lost.
         assert!(
             phase == Some(expected)
-                || (phase == Some(JobPhase::Cancelled) && w.rules.asked_to_cancel(&id)),
+                || (phase == Some(JobPhase::Cancelled) && w.rules.is_cancel_requested(&id)),
             "{name}: the final phase of {id} is {phase:?}, not {expected:?}"
         );
     }
--- a/crates/quartzlever-core/tests/simulation/fault_combinations.rs
+++ b/crates/quartzlever-core/tests/simulation/fault_combinations.rs
@@ -777,7 +777,7 @@
             for _ in 0..2 + w.random_below(4) {
                 inject_random_fault(&mut w);
                 w.run(2 * SECOND);
-                let accepted = w.rules.accepted();
+                let accepted = w.rules.accepted_jobs();
                 if !accepted.is_empty() && w.chance(60) {
                     let job = accepted[w.random_below(accepted.len())].clone();
                     for n in 0..NODES.len() {
--- a/crates/quartzlever-core/tests/simulation/large_fleet.rs
+++ b/crates/quartzlever-core/tests/simulation/large_fleet.rs
@@ -46,7 +46,7 @@
     for partition in NODES {
         assert_eq!(simulation.leader(partition), Some(0), "{partition}");
     }
-    assert_eq!(simulation.rules.broken, Vec::<String>::new());
+    assert_eq!(simulation.rules.violations, Vec::<String>::new());
     for number in 0..JOBS {
         let spec = machine_filling_job(number);
         let request = simulation.lookup(0, &spec.id);
--- a/crates/quartzlever-core/tests/simulation/large_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/large_jobs.rs
@@ -128,11 +128,11 @@
             "{fault:?}: pages remain after the end of the job"
         );
         assert!(
-            w.store.too_large < 8,
+            w.store.rejected_too_large < 8,
             "{fault:?}: {} transactions were refused as too large",
-            w.store.too_large
+            w.store.rejected_too_large
         );
         w.settle_and_check();
-        assert!(w.rules.broken.is_empty(), "{fault:?}: {:?}", &w.rules.broken[..1]);
+        assert!(w.rules.violations.is_empty(), "{fault:?}: {:?}", &w.rules.violations[..1]);
     }
 }
--- a/crates/quartzlever-core/tests/simulation/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -116,11 +116,11 @@
             assert!(unclaimed < 4, "{name}: {unclaimed} of {up} machines are unclaimed");
             w.run_with_lookups(200 * SECOND);
             w.settle_and_check();
-            assert!(w.rules.broken.is_empty(), "{name}: {:?}", &w.rules.broken[..1]);
-            for id in w.rules.accepted() {
+            assert!(w.rules.violations.is_empty(), "{name}: {:?}", &w.rules.violations[..1]);
+            for id in w.rules.accepted_jobs() {
                 assert_eq!(w.final_phase(&id), Some(JobPhase::Done), "{name}: {id}");
             }
-            let refused = w.store.too_large;
+            let refused = w.store.rejected_too_large;
             assert!(refused < MAX_REFUSED, "{name}: {refused} transactions refused for their size");
             let exceeds_limit = |key: &&String| {
                 w.store.get(key).is_some_and(|(v, _)| v.text().len() > limits.value_bytes)
--- a/crates/quartzlever-core/tests/simulation/liveness.rs
+++ b/crates/quartzlever-core/tests/simulation/liveness.rs
@@ -34,11 +34,11 @@
         simulation.run_with_lookups(240 * SECOND);
         simulation.check_liveness(since);
         assert_eq!(
-            simulation.rules.broken,
+            simulation.rules.violations,
             Vec::<String>::new(),
             "{max_spot_machines} spot, {tasks} tasks"
         );
-        let waiting = simulation.rules.waiting();
+        let waiting = simulation.rules.jobs_without_start();
         assert!(waiting.is_empty(), "{max_spot_machines} spot, {tasks} tasks: {waiting:?} wait");
     }
 }
@@ -164,11 +164,11 @@
         simulation.submit_until_accepted(0, &job(9, 2));
         simulation.run_with_lookups(50 * SECOND);
         simulation.check_liveness(since);
-        let waiting = simulation.rules.waiting();
-        if simulation.rules.broken.is_empty() && waiting.is_empty() {
+        let waiting = simulation.rules.jobs_without_start();
+        if simulation.rules.violations.is_empty() && waiting.is_empty() {
             return Ok(());
         }
-        let (broken, unmet) = (&simulation.rules.broken, simulation.unmet_conditions());
+        let (broken, unmet) = (&simulation.rules.violations, simulation.unmet_conditions());
         Err(format!(
             "seed {}, {} nodes, {:?}: {broken:?}; {waiting:?} wait{unmet}",
             self.seed, self.nodes, self.faults
@@ -231,9 +231,9 @@
             }
         }
         let now = simulation.now;
-        simulation.rules.day_over(now);
+        simulation.rules.check_any_task_started(now);
         assert_eq!(
-            simulation.rules.broken,
+            simulation.rules.violations,
             Vec::<String>::new(),
             "{jobs_per_second} jobs per second"
         );
--- a/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
@@ -59,7 +59,7 @@
             for spec in &sound_jobs {
                 assert_eq!(w.final_phase(&spec.id), Some(JobPhase::Done), "{name}: {}", spec.id);
             }
-            assert!(w.cloud.gone.is_empty(), "{name}: {:?} terminated", w.cloud.gone);
+            assert!(w.cloud.terminated.is_empty(), "{name}: {:?} terminated", w.cloud.terminated);
             if round == 0 {
                 // The restart discards what the leaders remember of the failures.
                 (0..3).for_each(|node| w.restart(node, SECOND / 5));
@@ -85,7 +85,7 @@
             "{name}: tasks still run after the cancellation"
         );
         w.settle_and_check();
-        assert_eq!(w.rules.broken, Vec::<String>::new(), "{name}");
+        assert_eq!(w.rules.violations, Vec::<String>::new(), "{name}");
     }
 }
 
@@ -103,7 +103,7 @@
         w.set_fails_everywhere(&spec.id, false);
         w.run_with_lookups(60 * SECOND);
         assert_eq!(w.final_phase(&spec.id), Some(JobPhase::Done), "{span} s");
-        assert_eq!(w.rules.broken, Vec::<String>::new(), "{span} s");
+        assert_eq!(w.rules.violations, Vec::<String>::new(), "{span} s");
     }
 }
 
@@ -113,7 +113,7 @@
     for seed in 0..4 {
         let mut w = with_machines(500 + seed);
         let faulty = w.workers.keys().next().cloned().expect("no machine is running");
-        w.workers.get_mut(&faulty).expect("the machine exists").faulty = true;
+        w.workers.get_mut(&faulty).expect("the machine exists").fails_all_tasks = true;
         for k in 0..3 {
             let fails_everywhere = job(k, 6);
             w.set_fails_everywhere(&fails_everywhere.id, true);
@@ -124,8 +124,8 @@
             w.run_with_lookups(3 * SECOND);
         }
         w.run_with_lookups(30 * SECOND);
-        let gone: Vec<String> = w.cloud.gone.iter().cloned().collect();
+        let gone: Vec<String> = w.cloud.terminated.iter().cloned().collect();
         assert_eq!(gone, [faulty], "seed {seed}");
-        assert_eq!(w.rules.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(w.rules.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/crates/quartzlever-core/tests/simulation/safety.rs
+++ b/crates/quartzlever-core/tests/simulation/safety.rs
@@ -130,7 +130,7 @@
         }
         Fault::FaultyMachine => {
             if let Some(worker) = simulation.workers.values_mut().next() {
-                worker.faulty = true;
+                worker.fails_all_tasks = true;
             }
             simulation.run(SECOND);
         }
@@ -253,9 +253,9 @@
             simulation.run(150 * SECOND);
             simulation.settle_and_check();
             assert!(
-                simulation.rules.broken.is_empty(),
+                simulation.rules.violations.is_empty(),
                 "{name} {seed}: {:?}",
-                &simulation.rules.broken[..1]
+                &simulation.rules.violations[..1]
             );
             for id in &jobs[..5] {
                 assert_eq!(simulation.final_phase(id), Some(JobPhase::Done), "{name} {seed}: {id}");
@@ -279,7 +279,11 @@
         }
         simulation.run(240 * SECOND);
         simulation.settle_and_check();
-        assert!(simulation.rules.broken.is_empty(), "{seed}: {:?}", &simulation.rules.broken[..1]);
+        assert!(
+            simulation.rules.violations.is_empty(),
+            "{seed}: {:?}",
+            &simulation.rules.violations[..1]
+        );
         for k in 0..5 {
             assert_eq!(
                 simulation.final_phase(&format!("req-{k:06}")),
@@ -311,7 +315,11 @@
         }
         simulation.run(120 * SECOND);
         simulation.settle_and_check();
-        assert!(simulation.rules.broken.is_empty(), "{seed}: {:?}", &simulation.rules.broken[..1]);
+        assert!(
+            simulation.rules.violations.is_empty(),
+            "{seed}: {:?}",
+            &simulation.rules.violations[..1]
+        );
         for k in (0..4).chain(10..22) {
             assert_eq!(
                 simulation.final_phase(&format!("req-{k:06}")),
@@ -344,9 +352,9 @@
             simulation.run(30 * SECOND);
             simulation.settle_and_check();
             assert!(
-                simulation.rules.broken.is_empty(),
+                simulation.rules.violations.is_empty(),
                 "{tenths} {seed}: {:?}",
-                &simulation.rules.broken[..1]
+                &simulation.rules.violations[..1]
             );
             // Every node reports the same phase as the answer to the cancellation.
             for n in 0..3 {
@@ -426,5 +434,5 @@
         assert!(size > 0 && size <= 16 * 1024, "the record has {size} bytes");
     }
     simulation.settle_and_check();
-    assert!(simulation.rules.broken.is_empty(), "{:?}", &simulation.rules.broken[..1]);
+    assert!(simulation.rules.violations.is_empty(), "{:?}", &simulation.rules.violations[..1]);
 }
--- a/crates/quartzlever-core/tests/simulation/services.rs
+++ b/crates/quartzlever-core/tests/simulation/services.rs
@@ -64,7 +64,7 @@
             }
         }
         Fault::FaultyMachine => {
-            w.workers.get_mut(&first).expect("the machine exists").faulty = true
+            w.workers.get_mut(&first).expect("the machine exists").fails_all_tasks = true
         }
         Fault::Restart(tenths) => {
             let (_, leader) = w.busiest_partition();
@@ -90,10 +90,10 @@
         }
         Fault::FailsEverywhere(secs) => {
             for _ in 0..secs {
-                w.workers.values_mut().for_each(|m| m.faulty = true);
+                w.workers.values_mut().for_each(|m| m.fails_all_tasks = true);
                 w.run(SECOND);
             }
-            w.workers.values_mut().for_each(|m| m.faulty = false);
+            w.workers.values_mut().for_each(|m| m.fails_all_tasks = false);
         }
     }
 }
@@ -165,7 +165,7 @@
             w.run_with_lookups(25 * SECOND);
             assert_eq!(replicas(&w, &spec.id), 0, "{name} {seed}: replicas after the cancellation");
             w.settle_and_check();
-            assert!(w.rules.broken.is_empty(), "{name} {seed}: {:?}", &w.rules.broken[..1]);
+            assert!(w.rules.violations.is_empty(), "{name} {seed}: {:?}", &w.rules.violations[..1]);
         }
     }
 }
@@ -190,7 +190,7 @@
         w.run_with_lookups(10 * SECOND);
         for k in 10..14 {
             assert!(
-                !w.rules.waiting().contains(&job(k, 1).id.as_str()),
+                !w.rules.jobs_without_start().contains(&job(k, 1).id.as_str()),
                 "{seed}: service {k} has not started"
             );
         }
@@ -200,7 +200,7 @@
             assert!(w.final_phase(&id).is_some(), "{seed}: array {k} has not finished");
         }
         w.settle_and_check();
-        assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
+        assert!(w.rules.violations.is_empty(), "{seed}: {:?}", &w.rules.violations[..1]);
     }
 }
 
@@ -260,12 +260,12 @@
             second < first && second <= 16,
             "{seed}: {starts:?} starts: the delays do not grow"
         );
-        assert!(w.cloud.gone.is_empty(), "{seed}: {:?} terminated", w.cloud.gone);
+        assert!(w.cloud.terminated.is_empty(), "{seed}: {:?} terminated", w.cloud.terminated);
         // Once the tasks no longer fail, all replicas run again.
         w.run_with_lookups(60 * SECOND);
         assert_eq!(replicas(&w, &spec.id), 4, "{seed}");
         w.settle_and_check();
-        assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
+        assert!(w.rules.violations.is_empty(), "{seed}: {:?}", &w.rules.violations[..1]);
     }
 }
 
@@ -313,7 +313,11 @@
                 );
             }
             w.settle_and_check();
-            assert!(w.rules.broken.is_empty(), "{fault:?} {seed}: {:?}", &w.rules.broken[..1]);
+            assert!(
+                w.rules.violations.is_empty(),
+                "{fault:?} {seed}: {:?}",
+                &w.rules.violations[..1]
+            );
         }
     }
 }
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -414,7 +414,7 @@
     pub fn run_with_lookups(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
-            for job in self.rules.accepted() {
+            for job in self.rules.accepted_jobs() {
                 let n = self.rng.random_range(0..self.names.len());
                 if self.cores[n].is_some() {
                     self.lookup(n, &job);
@@ -481,7 +481,7 @@
             self.counts.expired_leases += usize::from(busy && worker.incarnation() > incarnation);
         }
         self.check_completions();
-        self.workers.retain(|name, _| !self.cloud.gone.contains(name));
+        self.workers.retain(|name, _| !self.cloud.terminated.contains(name));
         let due: Vec<(Micros, u64, Message)> = {
             let (mut due, rest): (Vec<_>, Vec<_>) =
                 std::mem::take(&mut self.in_flight).into_iter().partition(|m| m.0 <= now);
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -89,7 +89,7 @@
                 let result = match self.workers.get_mut(&name) {
                     Some(worker) if !worker.hung && !severed => Ok(match &call {
                         WorkerCall::Status => WorkerReply::Status(worker.heartbeat()),
-                        WorkerCall::Command(commands) => worker.command(commands, now),
+                        WorkerCall::Command(commands) => worker.receive_commands(commands, now),
                     }),
                     Some(_) => {
                         // The call is delivered later, when the machine or the network may be back.
@@ -112,7 +112,7 @@
                     return;
                 }
                 if let Some(worker) = self.workers.get_mut(&name) {
-                    worker.answered(&commands, sent, incarnation, now);
+                    worker.receive_reply(&commands, sent, incarnation, now);
                 }
             }
             Message::LateStoreCall(call) => match self.store.call(now, &call) {
@@ -146,7 +146,7 @@
                 if let (Some(worker), WorkerCall::Command(commands)) =
                     (self.workers.get_mut(&name), &call)
                 {
-                    match worker.command(commands, now) {
+                    match worker.receive_commands(commands, now) {
                         WorkerReply::Refused(_) => self.counts.delayed_refused += 1,
                         WorkerReply::Status(_) => self.counts.delayed_executed += 1,
                     }
@@ -413,7 +413,7 @@
                 if let Some((request, job, sent)) = self.user_requests.remove(&id) {
                     let phase = body["phase"].as_str().unwrap_or("");
                     self.counts.answers += usize::from(matches!(status, 200 | 201));
-                    self.rules.answered(self.now, sent, request, &job, status, phase);
+                    self.rules.record_answer(self.now, sent, request, &job, status, phase);
                 }
                 self.answers.insert(id, (status, body));
             }
--- a/crates/quartzlever-core/tests/simulation/sim/checks.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/checks.rs
@@ -11,7 +11,7 @@
         for (name, worker) in &self.workers {
             let checked = self.checked_completions.entry(name.clone()).or_default();
             for task in &worker.completed[*checked..] {
-                self.rules.task_completed(task);
+                self.rules.record_task_completion(task);
             }
             *checked = worker.completed.len();
         }
@@ -31,17 +31,17 @@
                 tasks: w.running(),
             })
             .collect();
-        self.rules.machines(now, &machines);
+        self.rules.check_machines(now, &machines);
         for key in self.store.keys("over/") {
             let id = &key["over/".len()..];
             if self.final_phase(id) == Some(JobPhase::Done) {
-                self.rules.job_done(now, id);
+                self.rules.record_job_done(now, id);
             }
         }
         for (name, worker) in &self.workers {
             let checked = self.checked_starts.entry(name.clone()).or_default();
             for (task, at) in &worker.started[*checked..] {
-                self.rules.task_started(*at, task, name, &machines);
+                self.rules.record_task_start(*at, task, name, &machines);
             }
             *checked = worker.started.len();
         }
@@ -56,7 +56,7 @@
     pub(super) fn check_first_version_formats(&mut self) {
         let now = self.now;
         if let Some(key) = self.store.key_unknown_to_first_version() {
-            self.rules.broken.push(format!("new_form at {} ms: {key}", now / 1000));
+            self.rules.violations.push(format!("new_form at {} ms: {key}", now / 1000));
         }
     }
 
@@ -89,16 +89,16 @@
     /// broken rule is recorded with the conditions that the controllers wait for.
     pub fn check_liveness(&mut self, since: Micros) {
         let now = self.now;
-        let before = self.rules.broken.len();
+        let before = self.rules.violations.len();
         for partition in self.names.clone() {
             let acting =
                 self.cores.iter().flatten().filter(|c| c.is_acting_leader_of(partition)).count();
-            self.rules.partition_held(now, partition, acting);
+            self.rules.check_partition_leader(now, partition, acting);
         }
         let types = self.cloud.catalogue.types.clone();
         let can_scale_out = self.cloud.machines.len() < self.cloud.max_machines;
         let limits = team_limits(config(self.names[0], &self.names).teams);
-        self.rules.classes_start(now, since, |spec| {
+        self.rules.check_class_starts(now, since, |spec| {
             let limit = limits.iter().find(|l| l.team == spec.team).map_or(0.0, |l| l.cpus);
             let fits = types.iter().any(|t| {
                 t.cpus >= spec.cpus
@@ -107,10 +107,10 @@
             });
             fits && can_scale_out && limit <= 0.0
         });
-        self.rules.day_over(now);
-        if self.rules.broken.len() > before {
+        self.rules.check_any_task_started(now);
+        if self.rules.violations.len() > before {
             let unmet = self.unmet_conditions();
-            self.rules.broken[before..].iter_mut().for_each(|broken| broken.push_str(&unmet));
+            self.rules.violations[before..].iter_mut().for_each(|broken| broken.push_str(&unmet));
         }
     }
 
--- a/crates/quartzlever-core/tests/simulation/sim/users.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/users.rs
@@ -31,7 +31,7 @@
     /// Submits a job at a node, and returns the number of the request.
     pub fn submit(&mut self, n: usize, spec: JobSpec) -> u64 {
         let job = spec.id.clone();
-        self.rules.asked(UserRequest::Submit, &job, Some(&spec));
+        self.rules.record_request(UserRequest::Submit, &job, Some(&spec));
         self.send_checked_request(n, UserRequest::Submit, &job, |id| Command::Submit {
             id,
             spec: Box::new(spec),
@@ -49,7 +49,7 @@
 
     /// Cancels a job at a node, and returns the number of the request.
     pub fn cancel(&mut self, n: usize, job: &str) -> u64 {
-        self.rules.asked(UserRequest::Cancel, job, None);
+        self.rules.record_request(UserRequest::Cancel, job, None);
         let name = job.to_owned();
         self.send_checked_request(n, UserRequest::Cancel, job, |id| Command::Cancel {
             id,
--- a/crates/quartzlever-core/tests/simulation/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -138,17 +138,17 @@
                 .filter(|k| w.store.get(k).is_some_and(|(v, _)| v.text().len() > VALUE_BYTES));
             assert_eq!(too_long.count(), 0, "{name}: groups above the limit, {before} keys before");
             assert!(
-                w.store.too_large < 5,
+                w.store.rejected_too_large < 5,
                 "{name}: {} transactions refused for their size",
-                w.store.too_large
+                w.store.rejected_too_large
             );
             w.settle_and_check();
-            assert!(w.rules.broken.is_empty(), "{name}: {:?}", &w.rules.broken[..1]);
+            assert!(w.rules.violations.is_empty(), "{name}: {:?}", &w.rules.violations[..1]);
             for k in (0..10).chain(20..26).filter(|k| *k != 21) {
                 assert_eq!(w.final_phase(&job(k, 1).id), Some(JobPhase::Done), "{name}: {k}");
             }
             assert!(
-                !w.rules.waiting().contains(&"req-000050"),
+                !w.rules.jobs_without_start().contains(&"req-000050"),
                 "{name}: the service has not started"
             );
         }
@@ -193,7 +193,7 @@
             longest_group(&w)
         );
         w.settle_and_check();
-        assert!(w.rules.broken.is_empty(), "{seed}: {:?}", &w.rules.broken[..1]);
+        assert!(w.rules.violations.is_empty(), "{seed}: {:?}", &w.rules.violations[..1]);
         for k in 0..20 {
             assert_eq!(w.final_phase(&job(k, 1).id), Some(JobPhase::Done), "{seed}: {k}");
         }
@@ -213,11 +213,11 @@
     }
     w.run_with_lookups(200 * SECOND);
     w.settle_and_check();
-    assert!(w.rules.broken.is_empty(), "{:?}", &w.rules.broken[..1]);
+    assert!(w.rules.violations.is_empty(), "{:?}", &w.rules.violations[..1]);
     for k in 0..8 {
         assert_eq!(w.final_phase(&job(k, 1).id), Some(JobPhase::Done), "{k}");
     }
-    let (too_large, too_often) = (w.store.too_large, w.store.too_often);
+    let (too_large, too_often) = (w.store.rejected_too_large, w.store.rejected_throttled);
     assert!(
         too_large < 60 && too_often < 400,
         "{too_large} transactions refused for their size, {too_often} for their rate: a retry loop"
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -351,13 +351,21 @@
     let cases: &[Case] = &[
         ("no fault", |_| {}, 0),
         ("outage", |w| w.store.outage = true, 0),
-        ("missing identity", |w| w.store.lose(|key| key == IDENTITY_KEY), 1),
-        ("missing final state", |w| w.store.lose(|key| key == "over/req-3"), 1),
-        ("missing active job", |w| w.store.lose(|key| key == "live/req-1"), 1),
-        ("missing cluster version", |w| w.store.lose(|k| k == "cluster/version"), 1),
-        ("machines that were terminated", |w| w.store.lose(|key| key.starts_with("hosts/")), 0),
+        ("missing identity", |w| w.store.lose_keys(|key| key == IDENTITY_KEY), 1),
+        ("missing final state", |w| w.store.lose_keys(|key| key == "over/req-3"), 1),
+        ("missing active job", |w| w.store.lose_keys(|key| key == "live/req-1"), 1),
+        ("missing cluster version", |w| w.store.lose_keys(|k| k == "cluster/version"), 1),
+        (
+            "machines that were terminated",
+            |w| w.store.lose_keys(|key| key.starts_with("hosts/")),
+            0,
+        ),
         ("all data missing", |w| w.store.wipe(), 1),
-        ("missing witness counter", |w| w.store.lose(|key| key.starts_with(WITNESS_PREFIX)), 1),
+        (
+            "missing witness counter",
+            |w| w.store.lose_keys(|key| key.starts_with(WITNESS_PREFIX)),
+            1,
+        ),
     ];
     for (name, inject, generation) in cases {
         let world = world();
@@ -429,7 +437,7 @@
         (StoreCall::Get("over/req-3".into()), wipe, Some(gone())),
         (
             StoreCall::Get("over/req-3".into()),
-            |w| w.store.lose(|key| key == "over/req-3"),
+            |w| w.store.lose_keys(|key| key == "over/req-3"),
             Some(Err(GuardError::KnownRecordAbsent)),
         ),
         (StoreCall::Revision, wipe, Some(gone())),
--- a/crates/quartzlever-testkit/src/cloud.rs
+++ b/crates/quartzlever-testkit/src/cloud.rs
@@ -19,7 +19,7 @@
     /// Running machines by name.
     pub machines: BTreeMap<String, Instance>,
     /// Names of terminated machines.
-    pub gone: BTreeSet<String>,
+    pub terminated: BTreeSet<String>,
     launched_count: u32,
     /// Maximum number of running machines.
     pub max_machines: usize,
@@ -48,7 +48,7 @@
             catalogue: Catalogue { types: vec![machine_type] },
             scale_outs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            terminated: BTreeSet::new(),
             launched_count: 0,
             max_machines,
             max_spot_machines: usize::MAX,
@@ -63,7 +63,7 @@
             CloudCall::ScaleIn(machines) => {
                 for machine in machines {
                     self.machines.remove(machine);
-                    self.gone.insert(machine.clone());
+                    self.terminated.insert(machine.clone());
                 }
                 CloudReply::ScaledIn
             }
--- a/crates/quartzlever-testkit/src/fleet.rs
+++ b/crates/quartzlever-testkit/src/fleet.rs
@@ -123,7 +123,7 @@
     }
 
     /// Makes the tasks of this job run until they are stopped, on all workers current and future.
-    pub fn never_ends(&self, spec: &JobSpec) {
+    pub fn run_tasks_until_stopped(&self, spec: &JobSpec) {
         self.update(|state, _| {
             state.endless_jobs.insert(spec.id.clone());
             for worker in state.workers.values_mut() {
@@ -195,7 +195,7 @@
             }
             Some(
                 serde_json::from_slice::<WorkerCommands>(&body)
-                    .map(|commands| worker.command(&commands, now)),
+                    .map(|commands| worker.receive_commands(&commands, now)),
             )
         });
         match reply {
@@ -246,7 +246,7 @@
                 let Ok(commands) = serde_json::from_str::<WorkerCommands>(&text) else { return };
                 self.update(|state, now| {
                     if let Some(worker) = state.workers.get_mut(&heartbeat.machine) {
-                        worker.answered(&commands, sent, heartbeat.incarnation, now);
+                        worker.receive_reply(&commands, sent, heartbeat.incarnation, now);
                     }
                 });
             }
@@ -267,7 +267,7 @@
         for (machine, worker) in &self.workers {
             let observed = self.observed_completions.entry(machine.clone()).or_default();
             for task in &worker.completed[*observed..] {
-                self.rules.task_completed(task);
+                self.rules.record_task_completion(task);
             }
             *observed = worker.completed.len();
         }
@@ -276,11 +276,11 @@
     /// Passes the state of all machines and newly started tasks to the checker.
     fn observe_machines_and_starts(&mut self, now: Micros) {
         let machines: Vec<MachineTasks> = self.workers.values().map(machine_tasks).collect();
-        self.rules.machines(now, &machines);
+        self.rules.check_machines(now, &machines);
         for (machine, worker) in &self.workers {
             let observed = self.observed_starts.entry(machine.clone()).or_default();
             for (task, at) in &worker.started[*observed..] {
-                self.rules.task_started(*at, task, machine, &machines);
+                self.rules.record_task_start(*at, task, machine, &machines);
             }
             *observed = worker.started.len();
         }
--- a/crates/quartzlever-testkit/src/http.rs
+++ b/crates/quartzlever-testkit/src/http.rs
@@ -135,7 +135,7 @@
         let mut guard = store.lock().ok()?;
         let result = guard.call(test_time(start), call);
         if let Ok(StoreReply::Watched(answer)) = &result
-            && (guard.watches_held || (answer.log.is_empty() && Instant::now() < end))
+            && (guard.hold_watches || (answer.log.is_empty() && Instant::now() < end))
         {
             drop(guard);
             thread::sleep(Duration::from_millis(10));
--- a/crates/quartzlever-testkit/src/rules.rs
+++ b/crates/quartzlever-testkit/src/rules.rs
@@ -78,7 +78,7 @@
     /// When a task of each job class last started.
     last_class_starts: BTreeMap<String, Micros>,
     /// Violations, each with the name of the rule first, then the time and the details.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of task starts after the cancellation of their job was reported. They violate a rule
     /// only after the time within which the tasks must stop.
     pub starts_after_cancel: usize,
@@ -99,7 +99,7 @@
             done_jobs: BTreeMap::new(),
             started_jobs: BTreeSet::new(),
             last_class_starts: BTreeMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts_after_cancel: 0,
             cancellations: 0,
         }
@@ -107,11 +107,11 @@
 
     /// Records a violation.
     fn record_violation(&mut self, rule: &str, now: Micros, what: &str) {
-        self.broken.push(format!("{rule} at {} ms: {what}", now / 1000));
+        self.violations.push(format!("{rule} at {} ms: {what}", now / 1000));
     }
 
     /// Records that a user sends a request; `spec` is the job of a submission.
-    pub fn asked(&mut self, request: UserRequest, job: &str, spec: Option<&JobSpec>) {
+    pub fn record_request(&mut self, request: UserRequest, job: &str, spec: Option<&JobSpec>) {
         let state = self.job_states.entry(job.to_owned()).or_default();
         state.cancel_requested |= request == UserRequest::Cancel;
         if let Some(spec) = spec {
@@ -120,7 +120,7 @@
     }
 
     /// Records and checks the response to a request that was sent at `sent`.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Micros,
         sent: Micros,
@@ -198,7 +198,7 @@
 
     /// Checks the running tasks of all machines: no task runs twice, no cancelled job still runs,
     /// and no team exceeds its quota.
-    pub fn machines(&mut self, now: Micros, machines: &[MachineTasks]) {
+    pub fn check_machines(&mut self, now: Micros, machines: &[MachineTasks]) {
         let mut machine_of: BTreeMap<&TaskId, &str> = BTreeMap::new();
         let mut used: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         let mut broken = Vec::new();
@@ -212,7 +212,10 @@
                     let sum = used.entry(spec.team.clone()).or_default();
                     *sum = (sum.0 + spec.cpus, sum.1 + spec.gpus);
                 }
-                if self.cancelled(&task.job).is_some_and(|at| now > at + self.cancel_limit) {
+                if self
+                    .cancellation_reported_at(&task.job)
+                    .is_some_and(|at| now > at + self.cancel_limit)
+                {
                     broken.push(("ran_cancelled", format!("{task} on {}", machine.machine)));
                 }
             }
@@ -234,14 +237,14 @@
     }
 
     /// Returns when a job was first reported as cancelled.
-    pub fn cancelled(&self, job: &str) -> Option<Micros> {
+    pub fn cancellation_reported_at(&self, job: &str) -> Option<Micros> {
         let (phase, at) = self.job_states.get(job)?.final_phase.as_ref()?;
         (phase == "aborted").then_some(*at)
     }
 
     /// Records and checks the start of a task on a machine. `machines` is the state of all machines
     /// with the task on its machine.
-    pub fn task_started(
+    pub fn record_task_start(
         &mut self,
         now: Micros,
         task: &TaskId,
@@ -249,7 +252,7 @@
         machines: &[MachineTasks],
     ) {
         self.started_jobs.insert(task.job.clone());
-        if let Some(at) = self.cancelled(&task.job).filter(|at| now > *at) {
+        if let Some(at) = self.cancellation_reported_at(&task.job).filter(|at| now > *at) {
             self.starts_after_cancel += 1;
             if now > at + self.cancel_limit {
                 self.record_violation("ran_cancelled", now, &format!("{task} starts on {machine}"));
@@ -286,17 +289,17 @@
     }
 
     /// Records that a task has completed.
-    pub fn task_completed(&mut self, task: &TaskId) {
+    pub fn record_task_completion(&mut self, task: &TaskId) {
         self.completed_tasks.entry(task.job.clone()).or_default().insert(task.index);
     }
 
     /// Records that a job is done in the store.
-    pub fn job_done(&mut self, now: Micros, job: &str) {
+    pub fn record_job_done(&mut self, now: Micros, job: &str) {
         self.done_jobs.entry(job.to_owned()).or_insert(now);
     }
 
     /// Returns the accepted jobs without a reported final phase of which no task has started.
-    pub fn waiting(&self) -> Vec<&str> {
+    pub fn jobs_without_start(&self) -> Vec<&str> {
         let open = |(job, state): &(&String, &ReportedState)| {
             state.accepted_at.is_some()
                 && state.final_phase.is_none()
@@ -306,7 +309,7 @@
     }
 
     /// Checks at the end of a test that some task has started if any job was to run.
-    pub fn day_over(&mut self, now: Micros) {
+    pub fn check_any_task_started(&mut self, now: Micros) {
         let to_run = self.unfinished().count();
         if self.started_jobs.is_empty() && to_run > 0 {
             self.record_violation(
@@ -319,7 +322,7 @@
 
     /// Checks, while no fault is active, that exactly one controller acts for a partition. `acting`
     /// is the number of controllers that do.
-    pub fn partition_held(&mut self, now: Micros, partition: &str, acting: usize) {
+    pub fn check_partition_leader(&mut self, now: Micros, partition: &str, acting: usize) {
         if acting != 1 {
             self.record_violation(
                 "not_held",
@@ -335,7 +338,7 @@
     /// Each class with a job that could run but has not started must have had a task start since
     /// then. `could_run` reports whether some machine type fits the job and the quota of its team
     /// has enough left for one of its tasks.
-    pub fn classes_start(
+    pub fn check_class_starts(
         &mut self,
         now: Micros,
         since: Micros,
@@ -366,19 +369,19 @@
     }
 
     /// Reports whether any user has sent a request to cancel a job.
-    pub fn asked_to_cancel(&self, job: &str) -> bool {
+    pub fn is_cancel_requested(&self, job: &str) -> bool {
         self.job_states.get(job).is_some_and(|t| t.cancel_requested)
     }
 
     /// Returns the ids of all accepted jobs.
-    pub fn accepted(&self) -> Vec<String> {
+    pub fn accepted_jobs(&self) -> Vec<String> {
         let accepted = self.job_states.iter().filter(|(_, t)| t.accepted_at.is_some());
         accepted.map(|(job, _)| job.clone()).collect()
     }
 
     /// Checks that some request about each accepted job was answered since `since`.
-    pub fn unanswered(&mut self, now: Micros, since: Micros) {
-        for job in self.accepted() {
+    pub fn check_answered_since(&mut self, now: Micros, since: Micros) {
+        for job in self.accepted_jobs() {
             if self.job_states[&job].last_answered < since {
                 self.record_violation("forgotten", now, &format!("{job}: no answer"));
             }
--- a/crates/quartzlever-testkit/src/store.rs
+++ b/crates/quartzlever-testkit/src/store.rs
@@ -51,9 +51,9 @@
     change_budget: f64,
     budget_updated_at: Micros,
     /// Number of transactions refused as too large.
-    pub too_large: usize,
+    pub rejected_too_large: usize,
     /// Number of transactions refused by the rate limit.
-    pub too_often: usize,
+    pub rejected_throttled: usize,
     /// Maximum number of keys in one page of a listing; 0 means unlimited.
     pub page_limit: usize,
     /// Number of latest changes that a watch can still read; 0 means all.
@@ -63,7 +63,7 @@
     /// Whether there is an outage: every call is refused and no lease expires.
     pub outage: bool,
     /// Whether watches served by [`crate::http`] are held back without an answer.
-    pub watches_held: bool,
+    pub hold_watches: bool,
 }
 
 impl Store {
@@ -112,7 +112,7 @@
 
     /// Loses the keys for which `is_lost` returns `true`, without a change in the log that a watch
     /// would deliver.
-    pub fn lose(&mut self, mut is_lost: impl FnMut(&str) -> bool) {
+    pub fn lose_keys(&mut self, mut is_lost: impl FnMut(&str) -> bool) {
         self.keys.retain(|key, _| !is_lost(key));
     }
 
@@ -215,11 +215,11 @@
     /// Commits a transaction: applies all its changes, or none.
     fn commit(&mut self, now: Micros, txn: &Txn) -> Result<StoreReply, CallError> {
         if self.is_too_large(txn) {
-            self.too_large += 1;
+            self.rejected_too_large += 1;
             return Ok(StoreReply::TooLarge);
         }
         if !self.take_from_budget(now, txn.changes.len()) {
-            self.too_often += 1;
+            self.rejected_throttled += 1;
             return Err(CallError::Throttled);
         }
         if !self.has_all_leases(txn) {
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -68,7 +68,7 @@
         body: Option<&str>,
     ) -> UserReply {
         let sent = self.fleet.rules(|rules, now| {
-            rules.asked(request_kind, job, spec);
+            rules.record_request(request_kind, job, spec);
             now
         });
         let base = format!("http://{controller}/v2/runs");
@@ -79,7 +79,7 @@
         };
         let reply = send(request, body);
         self.fleet.rules(|rules, now| {
-            rules.answered(now, sent, request_kind, job, reply.status, &reply.phase);
+            rules.record_answer(now, sent, request_kind, job, reply.status, &reply.phase);
         });
         reply
     }
@@ -107,7 +107,7 @@
 /// # Panics
 ///
 /// Panics after two minutes, with `what` and the last outcome.
-pub fn until<T: std::fmt::Debug>(
+pub fn retry_until<T: std::fmt::Debug>(
     what: &str,
     mut attempt: impl FnMut() -> T,
     wanted: impl Fn(&T) -> bool,
--- a/crates/quartzlever-testkit/src/watchers.rs
+++ b/crates/quartzlever-testkit/src/watchers.rs
@@ -19,22 +19,22 @@
 /// Maximum time without an answered request about an accepted job.
 const MAX_TIME_WITHOUT_ANSWER: Micros = 75 * SECOND;
 
-/// Background threads that observe a test. They run until [`Watchers::finish`].
-pub struct Watchers {
+/// Background threads that observe a test. They run until [`BackgroundChecks::finish`].
+pub struct BackgroundChecks {
     fleet: Arc<Fleet>,
     stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Watchers {
+impl BackgroundChecks {
     /// Creates a set without threads.
-    pub fn new(fleet: Arc<Fleet>) -> Watchers {
-        Watchers { fleet, stopped: Arc::default(), threads: Vec::new() }
+    pub fn new(fleet: Arc<Fleet>) -> BackgroundChecks {
+        BackgroundChecks { fleet, stopped: Arc::default(), threads: Vec::new() }
     }
 
     /// Starts a thread that calls `look` repeatedly, with a pause of 25 ms. Calls to the fleet such
     /// as [`Fleet::observe`] also advance its workers to the current time.
-    pub fn look(&mut self, mut look: impl FnMut(&Fleet) + Send + 'static) {
+    pub fn check_repeatedly(&mut self, mut look: impl FnMut(&Fleet) + Send + 'static) {
         let (fleet, stopped) = (self.fleet.clone(), self.stopped.clone());
         self.threads.push(thread::spawn(move || {
             while !stopped.load(Ordering::Relaxed) {
@@ -50,14 +50,14 @@
         let (fleet, stopped) = (self.fleet.clone(), self.stopped.clone());
         self.threads.push(thread::spawn(move || {
             for round in 0.. {
-                for job in fleet.rules(|rules, _| rules.accepted()) {
+                for job in fleet.rules(|rules, _| rules.accepted_jobs()) {
                     if stopped.load(Ordering::Relaxed) {
                         return;
                     }
                     users.look_up(addresses[round % addresses.len()], &job);
                 }
                 fleet.rules(|rules, now| {
-                    rules.unanswered(now, now.saturating_sub(MAX_TIME_WITHOUT_ANSWER))
+                    rules.check_answered_since(now, now.saturating_sub(MAX_TIME_WITHOUT_ANSWER))
                 });
                 thread::sleep(POLL_INTERVAL);
                 if stopped.load(Ordering::Relaxed) {
@@ -77,7 +77,7 @@
         for thread in self.threads {
             thread.join().expect("a background thread of the test panicked");
         }
-        let broken = self.fleet.rules(|rules, _| rules.broken.clone());
+        let broken = self.fleet.rules(|rules, _| rules.violations.clone());
         assert!(broken.is_empty(), "{test}: {broken:#?}");
     }
 }
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -40,7 +40,7 @@
     /// Whether tasks with an odd index keep running until this is unset.
     pub odd_tasks_wait: bool,
     /// Whether every task on this machine fails.
-    pub faulty: bool,
+    pub fails_all_tasks: bool,
     /// Jobs whose tasks fail wherever they run.
     pub fails_everywhere: BTreeSet<String>,
     /// Whether the worker hangs: its tasks make no progress and answers to its heartbeats are
@@ -68,7 +68,7 @@
             endless_jobs: BTreeSet::new(),
             warning_s: None,
             odd_tasks_wait: false,
-            faulty: false,
+            fails_all_tasks: false,
             fails_everywhere: BTreeSet::new(),
             hung: false,
             started: Vec::new(),
@@ -101,7 +101,7 @@
             return;
         }
         let (endless_jobs, odd_tasks_wait) = (&self.endless_jobs, self.odd_tasks_wait);
-        let (faulty, fails_everywhere) = (self.faulty, &self.fails_everywhere);
+        let (faulty, fails_everywhere) = (self.fails_all_tasks, &self.fails_everywhere);
         let keeps_running = |task: &TaskId| {
             endless_jobs.contains(&task.job) || (odd_tasks_wait && task.index % 2 == 1)
         };
@@ -160,7 +160,7 @@
     ///
     /// Ignores the response if it comes more than 4 s after the heartbeat, belongs to another
     /// incarnation or has a lower fencing token.
-    pub fn answered(
+    pub fn receive_reply(
         &mut self,
         commands: &WorkerCommands,
         sent: Micros,
@@ -183,7 +183,7 @@
     /// Receives commands sent to its own address.
     ///
     /// Refuses them if they have a lower fencing token or do not name the current incarnation.
-    pub fn command(&mut self, commands: &WorkerCommands, now: Micros) -> WorkerReply {
+    pub fn receive_commands(&mut self, commands: &WorkerCommands, now: Micros) -> WorkerReply {
         if commands.fencing_token < self.fencing_token
             || commands.incarnation != Some(self.incarnation)
         {
--- a/crates/quartzlever-testkit/src/worker_fleet.rs
+++ b/crates/quartzlever-testkit/src/worker_fleet.rs
@@ -221,7 +221,7 @@
         self.answered.fetch_add(1, Ordering::Relaxed);
         let commands: WorkerCommands = serde_json::from_slice(&body)?;
         let mut worker = shared_worker.lock().map_err(|_| heartbeat_failed())?;
-        worker.answered(&commands, sent, heartbeat.incarnation, self.now());
+        worker.receive_reply(&commands, sent, heartbeat.incarnation, self.now());
         drop(worker);
         Ok((heartbeat, sent, close))
     }
@@ -285,7 +285,7 @@
             return Some(WorkerReply::Status(worker.heartbeat()));
         }
         let commands = serde_json::from_slice::<WorkerCommands>(body).ok()?;
-        Some(worker.command(&commands, now))
+        Some(worker.receive_commands(&commands, now))
     }
 }
 
--- a/crates/quartzlever-testkit/tests/rules.rs
+++ b/crates/quartzlever-testkit/tests/rules.rs
@@ -33,8 +33,8 @@
     let mut checker = RuleChecker::new(20 * SECOND, vec![tight_quota]);
     let mut spec = job(1, 2);
     change(&mut spec);
-    checker.asked(UserRequest::Submit, &spec.id, Some(&spec));
-    checker.answered(START, START - 1, UserRequest::Submit, &spec.id, 201, "queued");
+    checker.record_request(UserRequest::Submit, &spec.id, Some(&spec));
+    checker.record_answer(START, START - 1, UserRequest::Submit, &spec.id, 201, "queued");
     checker
 }
 
@@ -50,105 +50,148 @@
         ("", |c| {
             // Both tasks complete, then the job is reported as done.
             let both = [machine("n1", "a", &[task(1, 0)]), machine("n2", "b", &[task(1, 1)])];
-            c.task_started(START + 1, &task(1, 0), "n1", &both);
-            c.machines(START + 1, &both);
-            c.task_completed(&task(1, 0));
-            c.task_completed(&task(1, 1));
-            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
+            c.record_task_start(START + 1, &task(1, 0), "n1", &both);
+            c.check_machines(START + 1, &both);
+            c.record_task_completion(&task(1, 0));
+            c.record_task_completion(&task(1, 1));
+            c.record_answer(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
         }),
         ("", |c| {
             // A request sent before the cancellation was reported may get an earlier phase.
-            c.asked(UserRequest::Cancel, "req-000001", None);
-            c.answered(START + 9, START + 5, UserRequest::Cancel, "req-000001", 200, "aborted");
-            c.answered(START + 10, START + 8, UserRequest::Lookup, "req-000001", 200, "running");
+            c.record_request(UserRequest::Cancel, "req-000001", None);
+            c.record_answer(
+                START + 9,
+                START + 5,
+                UserRequest::Cancel,
+                "req-000001",
+                200,
+                "aborted",
+            );
+            c.record_answer(
+                START + 10,
+                START + 8,
+                UserRequest::Lookup,
+                "req-000001",
+                200,
+                "running",
+            );
             let still_running = [machine("n1", "a", &[task(1, 0)])];
-            c.machines(START + 9 + 20 * SECOND, &still_running);
+            c.check_machines(START + 9 + 20 * SECOND, &still_running);
         }),
         ("ran_twice", |c| {
-            c.machines(
+            c.check_machines(
                 START,
                 &[machine("n1", "a", &[task(1, 0)]), machine("n2", "a", &[task(1, 0)])],
             );
         }),
         ("ran_cancelled", |c| {
-            c.asked(UserRequest::Cancel, "req-000001", None);
-            c.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
-            c.machines(START + 20 * SECOND + 1, &[machine("n1", "a", &[task(1, 0)])]);
+            c.record_request(UserRequest::Cancel, "req-000001", None);
+            c.record_answer(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
+            c.check_machines(START + 20 * SECOND + 1, &[machine("n1", "a", &[task(1, 0)])]);
         }),
         ("ran_cancelled", |c| {
-            c.asked(UserRequest::Cancel, "req-000001", None);
-            c.answered(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
-            c.task_started(START + 20 * SECOND + 1, &task(1, 0), "n1", &[]);
+            c.record_request(UserRequest::Cancel, "req-000001", None);
+            c.record_answer(START, START - 1, UserRequest::Cancel, "req-000001", 200, "aborted");
+            c.record_task_start(START + 20 * SECOND + 1, &task(1, 0), "n1", &[]);
         }),
         ("forgotten", |c| {
-            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 404, "")
+            c.record_answer(START + 9, START + 8, UserRequest::Lookup, "req-000001", 404, "")
         }),
         ("forgotten", |c| {
-            c.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 422, "")
+            c.record_answer(START + 9, START + 8, UserRequest::Submit, "req-000001", 422, "")
         }),
         ("forgotten", |c| {
-            c.answered(START + 9, START + 8, UserRequest::Submit, "req-000001", 400, "")
+            c.record_answer(START + 9, START + 8, UserRequest::Submit, "req-000001", 400, "")
         }),
-        ("forgotten", |c| c.unanswered(START + 90 * SECOND, START + SECOND)),
+        ("forgotten", |c| c.check_answered_since(START + 90 * SECOND, START + SECOND)),
         ("invented", |c| {
-            c.answered(START, START - 1, UserRequest::Lookup, "req-000002", 200, "queued")
+            c.record_answer(START, START - 1, UserRequest::Lookup, "req-000002", 200, "queued")
         }),
-        ("invented", |c| c.task_started(START, &task(2, 0), "n1", &[])),
+        ("invented", |c| c.record_task_start(START, &task(2, 0), "n1", &[])),
         ("not_done", |c| {
-            c.task_completed(&task(1, 0));
-            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
+            c.record_task_completion(&task(1, 0));
+            c.record_answer(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
         }),
         ("went_back", |c| {
-            c.asked(UserRequest::Cancel, "req-000001", None);
-            c.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
-            c.answered(START + 12, START + 10, UserRequest::Submit, "req-000001", 200, "queued");
+            c.record_request(UserRequest::Cancel, "req-000001", None);
+            c.record_answer(
+                START + 9,
+                START + 8,
+                UserRequest::Cancel,
+                "req-000001",
+                200,
+                "aborted",
+            );
+            c.record_answer(
+                START + 12,
+                START + 10,
+                UserRequest::Submit,
+                "req-000001",
+                200,
+                "queued",
+            );
         }),
         ("went_back", |c| {
-            c.asked(UserRequest::Cancel, "req-000001", None);
-            c.task_completed(&task(1, 0));
-            c.task_completed(&task(1, 1));
-            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
-            c.answered(START + 9, START + 8, UserRequest::Cancel, "req-000001", 200, "aborted");
+            c.record_request(UserRequest::Cancel, "req-000001", None);
+            c.record_task_completion(&task(1, 0));
+            c.record_task_completion(&task(1, 1));
+            c.record_answer(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "done");
+            c.record_answer(
+                START + 9,
+                START + 8,
+                UserRequest::Cancel,
+                "req-000001",
+                200,
+                "aborted",
+            );
         }),
         ("went_back", |c| {
-            c.answered(START + 9, START + 8, UserRequest::Lookup, "req-000001", 200, "aborted");
+            c.record_answer(
+                START + 9,
+                START + 8,
+                UserRequest::Lookup,
+                "req-000001",
+                200,
+                "aborted",
+            );
         }),
         ("ran_after_end", |c| {
-            c.job_done(START, "req-000001");
-            c.task_started(START + 1, &task(1, 0), "n1", &[]);
+            c.record_job_done(START, "req-000001");
+            c.record_task_start(START + 1, &task(1, 0), "n1", &[]);
         }),
-        ("nothing_ran", |c| c.day_over(START + 9)),
+        ("nothing_ran", |c| c.check_any_task_started(START + 9)),
         ("", |c| {
-            c.task_started(START + 1, &task(1, 0), "n1", &[]);
-            c.day_over(START + 9);
+            c.record_task_start(START + 1, &task(1, 0), "n1", &[]);
+            c.check_any_task_started(START + 9);
         }),
         ("", |c| {
             // The only job was cancelled, so no task needs to start.
-            c.asked(UserRequest::Cancel, "req-000001", None);
-            c.day_over(START + 9);
-        }),
-        ("not_held", |c| c.partition_held(START + 9, "one", 0)),
-        ("not_held", |c| c.partition_held(START + 9, "one", 2)),
-        ("", |c| c.partition_held(START + 9, "one", 1)),
-        ("class_waits", |c| c.classes_start(START + 90 * SECOND, START, |_| true)),
-        ("", |c| c.classes_start(START + 90 * SECOND, START, |_| false)),
+            c.record_request(UserRequest::Cancel, "req-000001", None);
+            c.check_any_task_started(START + 9);
+        }),
+        ("not_held", |c| c.check_partition_leader(START + 9, "one", 0)),
+        ("not_held", |c| c.check_partition_leader(START + 9, "one", 2)),
+        ("", |c| c.check_partition_leader(START + 9, "one", 1)),
+        ("class_waits", |c| c.check_class_starts(START + 90 * SECOND, START, |_| true)),
+        ("", |c| c.check_class_starts(START + 90 * SECOND, START, |_| false)),
         ("", |c| {
             // A task of another job of the class starts after the last fault.
-            c.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
-            c.task_started(START + 2 * SECOND, &task(2, 0), "n1", &[]);
-            c.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
+            c.record_request(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
+            c.record_task_start(START + 2 * SECOND, &task(2, 0), "n1", &[]);
+            c.check_class_starts(START + 90 * SECOND, START + SECOND, |_| true);
         }),
         ("class_waits", |c| {
             // A task of another job of the class starts before the last fault.
-            c.asked(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
-            c.task_started(START + 1, &task(2, 0), "n1", &[]);
-            c.classes_start(START + 90 * SECOND, START + SECOND, |_| true);
+            c.record_request(UserRequest::Submit, &job(2, 1).id, Some(&job(2, 1)));
+            c.record_task_start(START + 1, &task(2, 0), "n1", &[]);
+            c.check_class_starts(START + 90 * SECOND, START + SECOND, |_| true);
         }),
     ];
     for (n, (rule, script)) in cases.iter().enumerate() {
         let mut checker = checker(|_| {});
         script(&mut checker);
-        let found: Vec<&str> = checker.broken.iter().filter_map(|b| b.split(' ').next()).collect();
+        let found: Vec<&str> =
+            checker.violations.iter().filter_map(|b| b.split(' ').next()).collect();
         let expected: Vec<&str> = if rule.is_empty() { vec![] } else { vec![rule] };
         assert_eq!(found, expected, "case {n}");
     }
@@ -174,9 +217,9 @@
     ];
     for (n, (rule, change, machines)) in cases.iter().enumerate() {
         let mut checker = checker(*change);
-        checker.task_started(START + 1, &task(1, 1), "n2", machines);
-        checker.machines(START + 1, machines);
-        let found = checker.broken.first().and_then(|b| b.split(' ').next()).unwrap_or("");
+        checker.record_task_start(START + 1, &task(1, 1), "n2", machines);
+        checker.check_machines(START + 1, machines);
+        let found = checker.violations.first().and_then(|b| b.split(' ').next()).unwrap_or("");
         assert_eq!(found, *rule, "case {n}");
     }
 }
--- a/crates/quartzlever/src/node.rs
+++ b/crates/quartzlever/src/node.rs
@@ -18,7 +18,7 @@
 use crate::clock::Clock;
 use crate::inbox::Inbox;
 use crate::log::ProgramEvent;
-use crate::recovery::{OwnLog, Recovery, StoreService};
+use crate::recovery::{GuardedStoreCell, Recovery, StoreService};
 use crate::server::{ConnectionLimits, Port};
 use crate::settings::Settings;
 use core_thread::CoreThread;
@@ -28,7 +28,7 @@
 pub fn run(settings: Settings, recovery: Option<Recovery>, seed: u64) -> io::Result<()> {
     let clock = Clock::new();
     let (inbox, incoming) = Inbox::new();
-    let log = OwnLog::default();
+    let log = GuardedStoreCell::default();
     peer_server::serve(settings.internal, inbox.clone(), log.clone())?;
     let limits = ConnectionLimits::for_machine(settings.limits);
     let port = Port::bind(settings.api, limits, inbox.clone(), clock)?;
--- a/crates/quartzlever/src/node/peer_server.rs
+++ b/crates/quartzlever/src/node/peer_server.rs
@@ -10,7 +10,7 @@
 use quartzlever_wire::peers::{self, PeerAnswer, PeerRequest};
 
 use crate::inbox::Inbox;
-use crate::recovery::{self, OwnLog};
+use crate::recovery::{self, GuardedStoreCell};
 use crate::thread_pool::{self, AcceptedConnection};
 
 const MAX_CONNECTIONS: usize = 32;
@@ -19,7 +19,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1800);
 
 /// Binds `address` and serves peers on threads of its own, for as long as the process lives.
-pub fn serve(address: SocketAddr, inbox: Inbox, log: OwnLog) -> io::Result<()> {
+pub fn serve(address: SocketAddr, inbox: Inbox, log: GuardedStoreCell) -> io::Result<()> {
     let listener = TcpListener::bind(address)?;
     thread_pool::accept_loop("peers", listener, MAX_CONNECTIONS, move |accepted| {
         let AcceptedConnection { mut stream, new_connection } = accepted;
@@ -42,9 +42,9 @@
     stream.set_nodelay(true)
 }
 
-fn answer(request: PeerRequest, inbox: &Inbox, log: &OwnLog) -> PeerAnswer {
+fn answer(request: PeerRequest, inbox: &Inbox, log: &GuardedStoreCell) -> PeerAnswer {
     match request {
-        PeerRequest::LogChanges(changes) => recovery::take_changes(log, changes),
+        PeerRequest::LogChanges(changes) => recovery::log_peer_changes(log, changes),
         request => inbox
             .request_for_peer(ANSWER_TIMEOUT, |id| Command::PeerRequest { id, request })
             .unwrap_or(PeerAnswer::Empty),
--- a/crates/quartzlever/src/node/startup.rs
+++ b/crates/quartzlever/src/node/startup.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::inbox::{InboxReceiver, QueuedCommand, ReplyChannel, Requester};
-use crate::recovery::{self, OwnLog, Recovery, StoreService};
+use crate::recovery::{self, GuardedStoreCell, Recovery, StoreService};
 use crate::responder::{BUSY, BUSY_BODY};
 use crate::settings::Settings;
 
@@ -22,13 +22,13 @@
 pub fn open_store(
     settings: &Settings,
     recovery: Recovery,
-    log: &OwnLog,
+    log: &GuardedStoreCell,
     incoming: &InboxReceiver,
 ) -> io::Result<StoreService> {
     let core = thread::current();
     thread::scope(|scope| {
         let opening = thread::Builder::new().name("recovery".into()).spawn_scoped(scope, || {
-            let opened = recovery::open(settings, recovery, log);
+            let opened = recovery::open_store(settings, recovery, log);
             core.unpark();
             opened
         })?;
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -35,7 +35,7 @@
 use state::{ClientAccess, GuardedStore};
 
 pub use directory::{Directory, LockedDirectory};
-pub use peer_log::{OwnLog, take_changes};
+pub use peer_log::{GuardedStoreCell, log_peer_changes};
 pub use state::StoreService;
 
 /// Share of the store's write limit that all controllers together may use to write carried-over
@@ -76,7 +76,11 @@
 /// # Errors
 /// Fails if the directory cannot be read, the store cannot be opened, or a thread cannot be
 /// started.
-pub fn open(settings: &Settings, recovery: Recovery, log: &OwnLog) -> io::Result<StoreService> {
+pub fn open_store(
+    settings: &Settings,
+    recovery: Recovery,
+    log: &GuardedStoreCell,
+) -> io::Result<StoreService> {
     let Recovery { settings: recovery_settings, directory } = recovery;
     let (loaded, is_marked) = load_history(&directory.directory)?;
     for error in &loaded.file_errors {
--- a/crates/quartzlever/src/recovery/peer_log.rs
+++ b/crates/quartzlever/src/recovery/peer_log.rs
@@ -12,10 +12,10 @@
 
 /// The guarded store whose journal logs the changes of other controllers; empty until this
 /// controller has an intact store.
-pub type OwnLog = Arc<OnceLock<Arc<GuardedStore>>>;
+pub type GuardedStoreCell = Arc<OnceLock<Arc<GuardedStore>>>;
 
 /// Logs another controller's changes, if they belong to the same generation.
-pub fn take_changes(log: &OwnLog, logged: LoggedChanges) -> PeerAnswer {
+pub fn log_peer_changes(log: &GuardedStoreCell, logged: LoggedChanges) -> PeerAnswer {
     let Some(state) = log.get() else { return PeerAnswer::Empty };
     let LoggedChanges { cluster, generation, mod_revision, changes } = logged;
     let own = &state.guard.generation.identity;
--- a/crates/quartzlever/tests/recovery/commands.rs
+++ b/crates/quartzlever/tests/recovery/commands.rs
@@ -58,7 +58,7 @@
     assert!(text.contains("in use"), "{text}");
 
     bed.kill(&[0, 1, 2]);
-    bed.store().lose(|key| key.starts_with("over/"));
+    bed.store().lose_keys(|key| key.starts_with("over/"));
     let (status, text, _) = run_command(&dry_run);
     assert_eq!(status, Some(0), "{text}");
     assert!(text.contains("would rebuild: 1 lasting records are missing"), "{text}");
--- a/crates/quartzlever/tests/recovery/main.rs
+++ b/crates/quartzlever/tests/recovery/main.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use quartzlever_testkit::Store;
-use quartzlever_testkit::users::until;
+use quartzlever_testkit::users::retry_until;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -56,16 +56,16 @@
     match lost {
         DataLoss::Everything => store.wipe(),
         DataLoss::Backup => *store = backup.clone(),
-        DataLoss::Identity => store.lose(|key| key == "recovery/identity"),
-        DataLoss::TerminalJobs => store.lose(|key| key.starts_with("over/")),
+        DataLoss::Identity => store.lose_keys(|key| key == "recovery/identity"),
+        DataLoss::TerminalJobs => store.lose_keys(|key| key.starts_with("over/")),
         DataLoss::OneJob => {
             let live_jobs = store.keys("live/");
             let lost = live_jobs.first().cloned().unwrap_or_else(|| store.keys("over/")[0].clone());
-            store.lose(|key| key == lost);
+            store.lose_keys(|key| key == lost);
         }
         DataLoss::Half => {
             let first_terminal = store.keys("over/").first().cloned();
-            store.lose(|key| Some(key) == first_terminal.as_deref() || rng.random_bool(0.5));
+            store.lose_keys(|key| Some(key) == first_terminal.as_deref() || rng.random_bool(0.5));
         }
     }
 }
@@ -156,10 +156,10 @@
     let mut bed = Testbed::start("second-log", 60.0);
     let first = bed.submit(4);
     bed.await_done(&first);
-    bed.store().watches_held = true;
+    bed.store().hold_watches = true;
     let cancelled = bed.submit_and_cancel();
     let others = bed.count_other_logs_with_final_state(&cancelled);
-    bed.store().watches_held = false;
+    bed.store().hold_watches = false;
     assert!(others > 0, "no other controller has the cancellation of {cancelled} in its log");
     bed.finish();
 }
@@ -205,10 +205,12 @@
     let markers: Vec<_> = (0..3).map(|n| bed.directory(n).join("written-first")).collect();
     let partial = bed.directory(0).join("partial");
     let marker_states = || markers.iter().map(|marker| marker.exists()).collect::<Vec<_>>();
-    until("all marker files exist", marker_states, |all| *all == [true; 3]);
+    retry_until("all marker files exist", marker_states, |all| *all == [true; 3]);
 
     symlink("/dev/full", &partial).expect("cannot create the symbolic link");
-    until("the first marker file is removed", marker_states, |all| *all == [false, true, true]);
+    retry_until("the first marker file is removed", marker_states, |all| {
+        *all == [false, true, true]
+    });
     bed.submit(8);
     bed.submit_and_cancel();
     bed.await_done(&done);
@@ -218,7 +220,7 @@
     bed.submit(8);
 
     std::fs::remove_file(&partial).expect("cannot remove the symbolic link");
-    until("all marker files exist again", marker_states, |all| *all == [true; 3]);
+    retry_until("all marker files exist again", marker_states, |all| *all == [true; 3]);
     let before = bed.generation();
     bed.store().wipe();
     bed.await_generation_after(before);
--- a/crates/quartzlever/tests/recovery/testbed.rs
+++ b/crates/quartzlever/tests/recovery/testbed.rs
@@ -11,8 +11,8 @@
 use quartzlever_testkit::program::Node;
 use quartzlever_testkit::rules::RuleChecker;
 use quartzlever_testkit::site::Site;
-use quartzlever_testkit::users::{Users, until};
-use quartzlever_testkit::watchers::Watchers;
+use quartzlever_testkit::users::{Users, retry_until};
+use quartzlever_testkit::watchers::BackgroundChecks;
 use quartzlever_testkit::{Cloud, Store, http};
 use quartzlever_wire::SECOND;
 
@@ -39,7 +39,7 @@
     pub fleet: Arc<Fleet>,
     users: Users,
     controllers: Vec<Controller>,
-    watchers: Watchers,
+    watchers: BackgroundChecks,
     /// Ids of the accepted jobs that must complete.
     expected_done: Vec<String>,
     /// Ids of the jobs whose cancellation was confirmed.
@@ -104,7 +104,7 @@
             name: name.to_owned(),
             store,
             users: Users::new(fleet.clone()),
-            watchers: Watchers::new(fleet.clone()),
+            watchers: BackgroundChecks::new(fleet.clone()),
             fleet,
             controllers: site.addresses().into_iter().enumerate().map(controller).collect(),
             expected_done: Vec::new(),
@@ -121,9 +121,9 @@
     /// accepted jobs.
     fn start_checks(&mut self) {
         let store = self.store.clone();
-        self.watchers.look(move |fleet| {
+        self.watchers.check_repeatedly(move |fleet| {
             let done = done_jobs(&store.lock().unwrap_or_else(PoisonError::into_inner));
-            fleet.rules(|rules, now| done.iter().for_each(|job| rules.job_done(now, job)));
+            fleet.rules(|rules, now| done.iter().for_each(|job| rules.record_job_done(now, job)));
         });
         let addresses = self.controllers.iter().map(|c| c.address).collect();
         self.watchers.poll_jobs(self.users.clone(), addresses);
@@ -159,7 +159,7 @@
     ) -> T {
         let what = format!("{}: {what}", self.name);
         let check_rules = || {
-            let broken = self.fleet.rules(|rules, _| rules.broken.clone());
+            let broken = self.fleet.rules(|rules, _| rules.violations.clone());
             assert!(broken.is_empty(), "{what}: {broken:#?}");
         };
         let attempt = || {
@@ -167,7 +167,7 @@
             check_rules();
             outcome
         };
-        until(&what, attempt, wanted)
+        retry_until(&what, attempt, wanted)
     }
 
     /// Waits until every running controller is ready.
--- a/crates/quartzlever/tests/rolling_upgrade/testbed.rs
+++ b/crates/quartzlever/tests/rolling_upgrade/testbed.rs
@@ -12,8 +12,8 @@
 use quartzlever_testkit::program::Node;
 use quartzlever_testkit::rules::RuleChecker;
 use quartzlever_testkit::site::Site;
-use quartzlever_testkit::users::{Users, until};
-use quartzlever_testkit::watchers::Watchers;
+use quartzlever_testkit::users::{Users, retry_until};
+use quartzlever_testkit::watchers::BackgroundChecks;
 use quartzlever_testkit::{Cloud, Store, http, production};
 use quartzlever_wire::SECOND;
 use quartzlever_wire::store::{
@@ -86,7 +86,7 @@
     /// Set until all controllers run the present version for the first time. Until then, the store
     /// may hold only forms that the version in production knows.
     upgrading: Arc<AtomicBool>,
-    watchers: Watchers,
+    watchers: BackgroundChecks,
     /// Ids of the accepted batch jobs that must complete.
     batch_jobs: Vec<String>,
     /// Number of the job that was created last; job numbers start at 1.
@@ -129,7 +129,7 @@
             name,
             store,
             users: Users::new(fleet.clone()),
-            watchers: Watchers::new(fleet.clone()),
+            watchers: BackgroundChecks::new(fleet.clone()),
             fleet,
             controllers: controllers.collect(),
             operator: site
@@ -151,11 +151,11 @@
     /// look up all accepted jobs.
     fn start_checks(&mut self) {
         let (store, upgrading) = (self.store.clone(), self.upgrading.clone());
-        self.watchers.look(move |fleet| {
+        self.watchers.check_repeatedly(move |fleet| {
             let (unknown, done) = read_store(&store, upgrading.load(Ordering::Relaxed));
             fleet.rules(|rules, now| {
-                done.iter().for_each(|job| rules.job_done(now, job));
-                rules.broken.extend(unknown.map(|key| format!("new_form: {key}")));
+                done.iter().for_each(|job| rules.record_job_done(now, job));
+                rules.violations.extend(unknown.map(|key| format!("new_form: {key}")));
             });
         });
         let addresses = self.controllers.iter().map(|c| c.address).collect();
@@ -183,7 +183,7 @@
         for n in nodes {
             let address = self.controllers[*n].address;
             let what = format!("{}: node {n} is ready", self.name);
-            until(&what, || Node::is_ready(address), |ready| *ready);
+            retry_until(&what, || Node::is_ready(address), |ready| *ready);
         }
     }
 
@@ -221,7 +221,7 @@
     pub fn expect_taken_over(&self, partition: usize, nodes: &[usize]) -> usize {
         let what = format!("{}: partition {partition} at one of {nodes:?}", self.name);
         let wanted = |leader: &Option<usize>| leader.is_some_and(|node| nodes.contains(&node));
-        until(&what, || self.leader(partition), wanted).unwrap_or_default()
+        retry_until(&what, || self.leader(partition), wanted).unwrap_or_default()
     }
 
     /// Waits until this node leads a partition.
@@ -254,7 +254,7 @@
     fn submit(&self, node: usize, spec: &JobSpec) {
         let address = self.controllers[node].address;
         let what = format!("{}: {} accepted by node {node}", self.name, spec.id);
-        until(
+        retry_until(
             &what,
             || self.users.submit(address, spec),
             |reply| matches!(reply.status, 200 | 201),
@@ -273,7 +273,7 @@
             self.batch_jobs.push(kept.id.clone());
             let next_node = nodes[(turn + 1) % nodes.len()];
             let address = self.controllers[next_node].address;
-            let reply = until(
+            let reply = retry_until(
                 &format!("{}: {} cancelled by node {next_node}", self.name, cancelled.id),
                 || self.users.cancel(address, &cancelled.id),
                 |reply| reply.status == 200,
@@ -281,10 +281,17 @@
             for queried_node in &nodes {
                 let address = self.controllers[*queried_node].address;
                 let what = format!("{}: node {queried_node} knows {}", self.name, kept.id);
-                until(&what, || self.users.look_up(address, &kept.id), |reply| reply.status == 200);
+                retry_until(
+                    &what,
+                    || self.users.look_up(address, &kept.id),
+                    |reply| reply.status == 200,
+                );
                 let what = format!("{}: node {queried_node} knows {}", self.name, cancelled.id);
-                let repeated =
-                    until(&what, || self.users.submit(address, &cancelled), |t| t.status == 200);
+                let repeated = retry_until(
+                    &what,
+                    || self.users.submit(address, &cancelled),
+                    |t| t.status == 200,
+                );
                 assert_eq!(repeated.phase, reply.phase, "{what}");
             }
         }
@@ -305,7 +312,7 @@
             };
             assert_eq!(reply.status, status, "{}: {reply:?} by node {node}", self.name);
             let what = format!("{}: node {node} does not know {}", self.name, refused_service.id);
-            until(
+            retry_until(
                 &what,
                 || self.users.look_up(address, &refused_service.id),
                 |reply| reply.status == 404,
@@ -324,7 +331,7 @@
 
     /// Waits until the cluster version is raised.
     pub fn expect_version_raised(&self) {
-        until(
+        retry_until(
             &format!("{}: cluster version raised", self.name),
             || self.is_version_raised(),
             |raised| *raised,
@@ -334,7 +341,7 @@
     /// Submits the service to the first node and waits until all its replicas run.
     pub fn start_service(&mut self) {
         let spec = service(SERVICE, REPLICAS);
-        self.fleet.never_ends(&spec);
+        self.fleet.run_tasks_until_stopped(&spec);
         self.submit(0, &spec);
         self.service_runs = true;
         self.expect_replicas(REPLICAS as usize);
@@ -344,7 +351,7 @@
     fn expect_replicas(&self, replicas: usize) {
         let id = service(SERVICE, REPLICAS).id;
         let what = format!("{}: {replicas} replicas", self.name);
-        until(&what, || self.fleet.running(&id), |running| *running == replicas);
+        retry_until(&what, || self.fleet.running(&id), |running| *running == replicas);
     }
 
     /// Checks the end of a test, with all nodes at the present version: the cluster version is
@@ -365,11 +372,11 @@
         let first = self.controllers[0].address;
         for id in &self.batch_jobs {
             let what = format!("{}: {id} done", self.name);
-            until(&what, || self.users.look_up(first, id), |reply| reply.phase == "done");
+            retry_until(&what, || self.users.look_up(first, id), |reply| reply.phase == "done");
         }
         let id = service(SERVICE, REPLICAS).id;
         let what = format!("{}: the service is cancelled", self.name);
-        until(&what, || self.users.cancel(first, &id), |reply| reply.phase == "aborted");
+        retry_until(&what, || self.users.cancel(first, &id), |reply| reply.phase == "aborted");
         self.expect_replicas(0);
         self.watchers.finish(self.name);
     }
