--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -97,7 +97,7 @@
 }
 
 impl PartitionJob {
-    /// Creates a job without any tasks; [`take_record`](Self::take_record) adds those of the
+    /// Creates a job without any tasks; [`apply_record`](Self::apply_record) adds those of the
     /// partition.
     ///
     /// `now` is on the monotonic clock, `wall` is the time of day in microseconds since 1970.
