--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -154,8 +154,8 @@
     span - span * DRIFT_PER_10K / 10_000
 }
 
-/// Part of [`WorkerTimes::cancel`] reserved for answers in flight and for the granularity of timers,
-/// which fire a few milliseconds late.
+/// Part of [`WorkerTimes::cancel`] reserved for answers in flight and for the granularity of
+/// timers, which fire a few milliseconds late.
 const CANCEL_MARGIN: Micros = 3 * SECOND;
 /// The lowest bound on the age of the view that a controller can keep.
 const MIN_VIEW_AGE_BOUND: Micros = 4 * SECOND;
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -271,7 +271,8 @@
         self.record.job.is_service()
     }
 
-    /// Reports whether the job is best-effort work that writes checkpoints; see [`is_cheap_to_preempt`].
+    /// Reports whether the job is best-effort work that writes checkpoints; see
+    /// [`is_cheap_to_preempt`].
     pub fn is_cheap_to_preempt(&self) -> bool {
         is_cheap_to_preempt(&self.record.job)
     }
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -1,4 +1,5 @@
-//! The state of a machine in its partition: incarnation, heartbeats, and the attempts that may be on it.
+//! The state of a machine in its partition: incarnation, heartbeats, and the attempts that may be
+//! on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -61,7 +62,8 @@
 }
 
 impl Machine {
-    /// Creates a machine that was just claimed or read from its record: neither fenced nor verified.
+    /// Creates a machine that was just claimed or read from its record: neither fenced nor
+    /// verified.
     pub fn new(name: &str, record: MachineRecord, now: Micros) -> Self {
         Machine {
             name: name.to_owned(),
--- a/crates/quartzlever-core/src/machines/membership.rs
+++ b/crates/quartzlever-core/src/machines/membership.rs
@@ -1,7 +1,8 @@
-//! The machines that belong to a partition: adding, emptying and removing them, and the recovery barrier that
-//! opens once each of them is verified.
+//! The machines that belong to a partition: adding, emptying and removing them, and the recovery
+//! barrier that opens once each of them is verified.
 //!
-//! A machine's tasks are requeued only when no attempt can still run on it, which the caller has established.
+//! A machine's tasks are requeued only when no attempt can still run on it, which the caller has
+//! established.
 
 use quartzlever_wire::Micros;
 use quartzlever_wire::store::MachineRecord;
@@ -37,7 +38,8 @@
         self.refresh_machine(name);
     }
 
-    /// Adds a machine whose claim for this partition is committed, if the claim was made under the present term.
+    /// Adds a machine whose claim for this partition is committed, if the claim was made under the
+    /// present term.
     pub(crate) fn add_claimed_machine(
         &mut self,
         name: &str,
@@ -56,7 +58,8 @@
         }
     }
 
-    /// Opens the recovery barrier once every machine is verified. Returns whether this call opened it.
+    /// Opens the recovery barrier once every machine is verified. Returns whether this call opened
+    /// it.
     pub fn try_complete_recovery(&mut self) -> bool {
         if self.recovery_complete
             || !self.is_loaded()
@@ -86,8 +89,8 @@
         self.refresh_machine(name);
     }
 
-    /// Removes a machine on which no attempt can still run, and requeues its tasks. Returns whether the
-    /// machine belonged to the partition.
+    /// Removes a machine on which no attempt can still run, and requeues its tasks. Returns whether
+    /// the machine belonged to the partition.
     pub fn remove_machine(&mut self, name: &str) -> bool {
         self.requeue_attempts_of(name);
         self.call_queue.remove(name);
--- a/crates/quartzlever-core/src/machines/membership/tests.rs
+++ b/crates/quartzlever-core/src/machines/membership/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn only_a_claim_of_the_present_term_adds_a_machine() {
-    // (whether the partition's records are loaded, whether the machine was terminated, the modification revision of
-    // the claim, where the term is 5; whether the machine is added)
+    // (whether the partition's records are loaded, whether the machine was terminated, the
+    // modification revision of the claim, where the term is 5; whether the machine is added)
     for (loaded, terminated, mod_revision, added) in [
         (true, false, 6, true),
         (true, false, 5, false),
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -1,17 +1,18 @@
 //! The machines' records in the store: claims and their removal, with many machines under one key.
 //!
-//! This component owns the pending changes of each group of machines, and the splitting of groups. A group is
-//! rewritten on condition of its modification revision and of the terms of all partitions whose machines the change
-//! concerns. Each group has at most one write in flight; changes that arrive meanwhile go into the next one. The
-//! component never changes the cache: its caller does so when it handles an outcome.
+//! This component owns the pending changes of each group of machines, and the splitting of groups.
+//! A group is rewritten on condition of its modification revision and of the terms of all
+//! partitions whose machines the change concerns. Each group has at most one write in flight;
+//! changes that arrive meanwhile go into the next one. The component never changes the cache: its
+//! caller does so when it handles an outcome.
 //!
-//! Large groups, the original form, hold 64 machines. Where the limit on a value, or an announced lower
-//! limit, is too low for that, machines go into smaller groups as soon as the cluster version guarantees
-//! that every controller reads them; each controller then splits the large groups of its partitions, one
-//! at a time. Each machine still has one key that decides its ownership: a claim in a small group is
-//! conditional on the modification revision of the large group. Where the store accepts even less than the
-//! settings say, the controllers agree on smaller groups under one key, and each claim is conditional on
-//! that key's modification revision.
+//! Large groups, the original form, hold 64 machines. Where the limit on a value, or an announced
+//! lower limit, is too low for that, machines go into smaller groups as soon as the cluster version
+//! guarantees that every controller reads them; each controller then splits the large groups of its
+//! partitions, one at a time. Each machine still has one key that decides its ownership: a claim in
+//! a small group is conditional on the modification revision of the large group. Where the store
+//! accepts even less than the settings say, the controllers agree on smaller groups under one key,
+//! and each claim is conditional on that key's modification revision.
 
 mod group_update;
 mod layout;
@@ -35,7 +36,8 @@
 
 /// Delay before a failed read, write or split is retried.
 const RETRY_DELAY: Micros = SECOND / 2;
-/// Minimum time between two writes of a group with claims, so that a burst of heartbeats makes one write.
+/// Minimum time between two writes of a group with claims, so that a burst of heartbeats makes one
+/// write.
 const CLAIM_INTERVAL: Micros = SECOND / 2;
 /// Minimum time after a write that only removes machines, which no request waits for.
 const REMOVAL_INTERVAL: Micros = 2 * SECOND;
@@ -60,7 +62,8 @@
     next_split_at: Micros,
 }
 
-/// A pending claim of a machine: the latest of its heartbeats, and the requests that wait for an answer.
+/// A pending claim of a machine: the latest of its heartbeats, and the requests that wait for an
+/// answer.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnershipClaim {
     pub requests: Vec<RequestId>,
@@ -104,7 +107,8 @@
     Committed {
         mod_revision: u64,
     },
-    /// A condition failed or the outcome is unknown. The caller gives up the lost partitions, then rereads the group.
+    /// A condition failed or the outcome is unknown. The caller gives up the lost partitions, then
+    /// rereads the group.
     RereadNeeded {
         lost_partitions: Vec<PartitionTerm>,
     },
@@ -113,8 +117,8 @@
 }
 
 impl Ownership {
-    /// Records that an unclaimed machine, which sent this heartbeat, is to be claimed for a partition led by this
-    /// node. The heartbeat's request waits until the claim is settled.
+    /// Records that an unclaimed machine, which sent this heartbeat, is to be claimed for a
+    /// partition led by this node. The heartbeat's request waits until the claim is settled.
     pub fn request_claim(
         &mut self,
         id: RequestId,
@@ -241,7 +245,8 @@
         }
     }
 
-    /// Handles the result of the write of a group, and returns the outcome for the caller to act on.
+    /// Handles the result of the write of a group, and returns the outcome for the caller to act
+    /// on.
     pub fn write_answered(
         &mut self,
         write: &GroupWrite,
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -1,8 +1,8 @@
 //! Splitting of groups that are larger than the present group size, one at a time.
 //!
-//! One transaction writes the small groups and deletes the oversized one if the limit on changes allows it.
-//! Otherwise the small groups are written first, in several steps, and the last step deletes the oversized one. Each
-//! step may be repeated.
+//! One transaction writes the small groups and deletes the oversized one if the limit on changes
+//! allows it. Otherwise the small groups are written first, in several steps, and the last step
+//! deletes the oversized one. Each step may be repeated.
 
 use std::collections::BTreeMap;
 
@@ -63,7 +63,8 @@
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
     }
 
-    /// Handles the result of a step of a split. Returns its modification revision if it was committed.
+    /// Handles the result of a step of a split. Returns its modification revision if it was
+    /// committed.
     pub fn split_answered(
         &mut self,
         result: &Result<StoreReply, CallError>,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Returns the first group, by key, that is larger than the present size, whose first machine belongs to a
-    /// partition led by this node, and that is not being written.
+    /// Returns the first group, by key, that is larger than the present size, whose first machine
+    /// belongs to a partition led by this node, and that is not being written.
     fn group_to_split(&self, context: &GroupContext) -> Option<String> {
         let size = context.layout.size;
         let is_led_here = |records: &MachineRecords| {
--- a/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
@@ -60,7 +60,8 @@
 #[test]
 fn a_large_group_is_split_in_one_transaction_or_in_several() {
     let small = ["hosts/n-~16~0", "hosts/n-~16~1", "hosts/n-~16~2"];
-    // (maximum changes of a transaction; the keys that the first one writes, whether it deletes the large group)
+    // (maximum changes of a transaction; the keys that the first one writes, whether it deletes the
+    // large group)
     for (max_changes, written, deletes_large) in [
         (4, &small[..], true),
         (3, &small[..], false),
@@ -85,7 +86,8 @@
     }
 }
 
-/// Machines that an earlier step has copied are not written again; the last step deletes the large group.
+/// Machines that an earlier step has copied are not written again; the last step deletes the large
+/// group.
 #[test]
 fn a_split_resumes_after_the_last_committed_step() {
     let (mut core, mut ownership) = (core_with_large_group("one"), Ownership::default());
@@ -115,8 +117,9 @@
 #[test]
 fn a_group_is_split_only_by_its_leader_and_under_a_known_layout() {
     let large = quartzlever_wire::store::LARGE_GROUP_SIZE;
-    // (the partition of its machines, whether this leader may act, the size of groups, whether all claims in larger
-    // groups are known, whether a write or read of it is in flight; whether it is split)
+    // (the partition of its machines, whether this leader may act, the size of groups, whether all
+    // claims in larger groups are known, whether a write or read of it is in flight; whether it is
+    // split)
     for (partition, may_act, size, larger_groups_known, writing, splits) in [
         ("one", true, 16, true, false, true),
         ("two", true, 16, true, false, false),
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// (whether this leader may act, the term of the claim, whether all claims in larger groups are known, the maximum
-/// length of a value; whether the claim is written or else its request rejected)
+/// (whether this leader may act, the term of the claim, whether all claims in larger groups are
+/// known, the maximum length of a value; whether the claim is written or else its request rejected)
 #[test]
 fn a_claim_is_written_only_if_its_partition_is_led_and_it_fits_a_known_layout() {
     for (may_act, term, larger_groups_known, value_limit, written) in [
@@ -120,7 +120,8 @@
     assert!(ownership.take_claim(&large_group_key("n-9"), "n-9").is_none());
 }
 
-/// A group has one write in flight at a time. (the result; the outcome; the delay before the next write)
+/// A group has one write in flight at a time. (the result; the outcome; the delay before the next
+/// write)
 #[test]
 fn the_delay_before_a_group_is_written_again_depends_on_the_result() {
     let reread =
@@ -170,8 +171,8 @@
     }
 }
 
-/// The removal of a terminated machine's record is conditional on the partition's term, and happens only while the
-/// record still names that partition.
+/// The removal of a terminated machine's record is conditional on the partition's term, and happens
+/// only while the record still names that partition.
 #[test]
 fn only_the_partition_that_terminated_a_machine_removes_its_record() {
     for (recorded_for, removed) in [("one", true), ("two", false)] {
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -2,7 +2,8 @@
 //!
 //! The paper's victim hands tasks over with its answer (algorithm 2). Here the store decides: a
 //! committed move is sent to the thief, and a failed one is rolled back, which returns its ranges
-//! to the queue. After an unknown outcome they stay out of the queues, so that no task is ever in two queues.
+//! to the queue. After an unknown outcome they stay out of the queues, so that no task is ever in
+//! two queues.
 
 use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::{StoreCall, StoreReply};
@@ -21,8 +22,8 @@
 const SETTLE_DELAY: Micros = SECOND / 4;
 
 impl Core {
-    /// Removes ready ranges from the victim's queue and writes the move. The thief is answered once the
-    /// write is committed.
+    /// Removes ready ranges from the victim's queue and writes the move. The thief is answered once
+    /// the write is committed.
     pub(super) fn steal_tasks(&mut self, steal: StealRequest) {
         let request = steal.request;
         let Some(planned) = self.plan_move(&steal) else { return self.answer_no_tasks(request) };
@@ -131,8 +132,8 @@
     }
 
     /// Handles a move of unknown outcome. The write may still be applied minutes later, so the
-    /// tasks stay out of the queue until another write at the same modification revision, or a newer record,
-    /// settles it.
+    /// tasks stay out of the queue until another write at the same modification revision, or a
+    /// newer record, settles it.
     fn move_outcome_unknown(&mut self, name: &str, moved: Vec<TaskMove>) {
         let settle_at = self.now + SETTLE_DELAY;
         let Some(partition) = self.partitions.get_mut(name) else { return };
--- a/crates/quartzlever-core/src/stealing/selection.rs
+++ b/crates/quartzlever-core/src/stealing/selection.rs
@@ -2,8 +2,8 @@
 //!
 //! The paper moves half of the victim's ready tasks (2.3.3 (b), figure 8). Here that is the
 //! maximum: no more tasks move than the thief has capacity for, or than balances the two queues
-//! (docs/design.md, exceptions). The selected tasks are `moving` until the outcome of the write is known
-//! (`commit`).
+//! (docs/design.md, exceptions). The selected tasks are `moving` until the outcome of the write is
+//! known (`commit`).
 
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
 use quartzlever_wire::store::{PARTITION_PREFIX, Txn};
@@ -107,9 +107,9 @@
         PlannedMove { term: victim.term, txn, moved: Vec::new(), bytes: 0 }
     }
 
-    /// Removes up to `count` tasks from the end of a job's ready tasks, conditional on the modification
-    /// revision of its record. Returns the number of tasks selected: 0 if the record would exceed the
-    /// store's limit or that of the move.
+    /// Removes up to `count` tasks from the end of a job's ready tasks, conditional on the
+    /// modification revision of its record. Returns the number of tasks selected: 0 if the record
+    /// would exceed the store's limit or that of the move.
     fn add(
         &mut self,
         steal: &StealRequest,
@@ -140,7 +140,8 @@
 }
 
 impl Core {
-    /// Removes ready ranges from the victim's queue in queue order. Returns `None` if no task may move.
+    /// Removes ready ranges from the victim's queue in queue order. Returns `None` if no task may
+    /// move.
     pub(super) fn plan_move(&mut self, steal: &StealRequest) -> Option<PlannedMove> {
         let max_jobs = self.limits.txn_ops().clamp(1, MAX_JOBS_PER_MOVE);
         let max_value_bytes = self.limits.value_bytes();
--- a/crates/quartzlever-core/src/stealing/victim.rs
+++ b/crates/quartzlever-core/src/stealing/victim.rs
@@ -26,8 +26,8 @@
         PeerAnswer::Counts { ready, load }
     }
 
-    /// Handles a thief's request for tasks. They are removed from the longest queue if the thief has a
-    /// queue of its own, and otherwise off the queue with the most movable tasks.
+    /// Handles a thief's request for tasks. They are removed from the longest queue if the thief
+    /// has a queue of its own, and otherwise off the queue with the most movable tasks.
     pub(crate) fn steal_requested(
         &mut self,
         id: RequestId,
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -1,6 +1,6 @@
 //! Users of a test, who submit, look up and cancel jobs at a given controller. Each request and its
-//! reply is passed to the rule checker of the fleet. Tests repeat requests with [`retry_until`], as the
-//! protocol asks of users.
+//! reply is passed to the rule checker of the fleet. Tests repeat requests with [`retry_until`], as
+//! the protocol asks of users.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
