--- a/crates/quartzlever-core/examples/cost.rs
+++ b/crates/quartzlever-core/examples/cost.rs
@@ -75,7 +75,7 @@
                 let worker = self.workers.get_mut(address.trim_end_matches(":9000"));
                 let result = worker.ok_or(CallError::Refused).map(|w| match &call {
                     WorkerCall::Status => WorkerReply::Status(w.heartbeat()),
-                    WorkerCall::Command(commands) => w.command(commands, self.now),
+                    WorkerCall::Command(commands) => w.receive_commands(commands, self.now),
                 });
                 Some(Command::WorkerReply { call_id, result })
             }
@@ -110,7 +110,7 @@
         store_rps: 300.0,
         store_write_rps: 300.0,
         value_bytes: 16 * 1024,
-        group_bytes: 16 * 1024,
+        present_value_bytes: 16 * 1024,
         txn_ops: 24,
         version: quartzlever_core::VERSION,
         machine_capacity: 10_000,
@@ -135,7 +135,7 @@
     for tick in 0..900_u32 {
         simulation.now += SECOND / 5;
         let wall = simulation.now;
-        simulation.process("tick", Command::Tick { wall, behind: false });
+        simulation.process("tick", Command::Tick { wall, was_stalled: false });
         let mut due = u32::from(tick.is_multiple_of(10)) * running / (10 * tasks) + 1;
         if tick == 1 {
             due = (running + ready) / tasks + 1;
@@ -158,11 +158,11 @@
             id += 1;
             let commands = simulation.process("heartbeat", Command::Heartbeat { id, heartbeat });
             if let (Some(commands), Some(worker)) = (commands, simulation.workers.get_mut(name)) {
-                worker.answered(&commands, now, incarnation, now);
+                worker.receive_reply(&commands, now, incarnation, now);
             }
         }
         let cloud = &simulation.cloud;
-        simulation.workers.retain(|name, _| !cloud.gone.contains(name));
+        simulation.workers.retain(|name, _| !cloud.terminated.contains(name));
     }
     for (kind, (spent, count)) in &simulation.spent {
         let mean = spent.as_secs_f64() * 1e6 / f64::from(*count);
--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -121,11 +121,11 @@
     /// Places as many of the tasks as possible on a pending or planned machine.
     fn place_in(&mut self, bin: &mut Bin, need: &Resources) {
         let zone = &bin.offer.zone;
-        let count = bin.free.count(need).min(self.tasks).min(self.zones.left(zone));
+        let count = bin.free.count_fitting(need).min(self.tasks).min(self.zones.remaining(zone));
         for _ in 0..count {
-            bin.free.take(need);
+            bin.free.subtract(need);
         }
-        self.zones.take(zone, count);
+        self.zones.subtract(zone, count);
         self.tasks -= count;
     }
 }
@@ -194,18 +194,18 @@
         wanted: &mut Wanted,
     ) {
         let ScaleOutContext { config, run_times, types, now, .. } = *context;
-        let (spec, need) = (job.spec(), job.need());
+        let (spec, need) = (job.spec(), job.required_resources());
         let mut unplaced = Unplaced::of_job(self, job, config);
         for bin in supply.bins.iter_mut().filter(|bin| bin.offer.is_allowed_for(spec)) {
             unplaced.place_in(bin, &need);
         }
-        let expected_run_time = run_times.expect(spec).max(SECOND);
+        let expected_run_time = run_times.expected_run_time(spec).max(SECOND);
         supply.outstanding_work +=
             f64::from(job.ready.len()) * need.cpus * expected_run_time as f64 / 1e6;
         if unplaced.tasks == 0 || self.may_preempt_for(job, now) {
             return;
         }
-        let latest_start = urgency(config, run_times, job, now).latest;
+        let latest_start = urgency(config, run_times, job, now).latest_start;
         let needs_machines = spec.is_service() || self.has_failed_on_all_machines(job);
         let constraint = StartConstraint { expected_run_time, latest_start, needs_machines };
         while unplaced.tasks > 0 && wanted.values().sum::<u32>() < MAX_MACHINES_PER_ROUND {
@@ -241,13 +241,8 @@
             return None;
         }
         let cheap_only = permitted == PermittedOffers::CheapOnly;
-        let offer = context.cheapest_offer(
-            &self.autoscaling,
-            job,
-            unplaced,
-            &supply.late_offers,
-            cheap_only,
-        )?;
+        let offer =
+            context.cheapest_offer(&self.fleet, job, unplaced, &supply.late_offers, cheap_only)?;
         let machine_type = context.types.get(&offer.machine_type)?;
         let has_placed_tasks = unplaced.tasks < job.ready.len();
         let exceeds_cap = !supply.is_within_price_cap(
@@ -288,7 +283,7 @@
         types: &BTreeMap<String, MachineType>,
         now: Micros,
     ) {
-        let pending = &self.autoscaling.pending_instances;
+        let pending = &self.fleet.pending_instances;
         for instance in pending.iter().filter(|i| !i.is_late(types, now)) {
             let Some(machine_type) = types.get(&instance.offer.machine_type) else { continue };
             supply.add_pending(machine_type, instance.offer.clone());
@@ -297,7 +292,7 @@
     }
 
     fn add_pending_scale_outs(&self, supply: &mut Supply, types: &BTreeMap<String, MachineType>) {
-        for request in self.autoscaling.pending_requests() {
+        for request in self.fleet.pending_requests() {
             let Some(machine_type) = types.get(&request.machine_type) else { continue };
             for _ in 0..request.count {
                 supply.add_pending(machine_type, MachineOffer::of_request(request));
@@ -310,7 +305,8 @@
         let mut work = 0.0;
         for attempt in self.active_attempts() {
             let ran = attempt.running_since.map_or(0, |since| now.saturating_sub(since));
-            work += attempt.expect.saturating_sub(ran) as f64 / 1e6 * attempt.need.cpus;
+            work += attempt.expected_run_time.saturating_sub(ran) as f64 / 1e6
+                * attempt.required_resources.cpus;
         }
         work
     }
@@ -318,14 +314,16 @@
     /// Reports whether lower-priority work may still be preempted for a service, which is faster
     /// than launching a machine.
     fn may_preempt_for(&self, job: &PartitionJob, now: Micros) -> bool {
-        job.service() && !self.saturated && now.saturating_sub(job.since) < PREEMPTION_GRACE
+        job.is_service()
+            && !self.saturated
+            && now.saturating_sub(job.submitted_at) < PREEMPTION_GRACE
     }
 
     /// Reports whether a job has failed before and has failed on every machine that is not marked
     /// for termination.
     fn has_failed_on_all_machines(&self, job: &PartitionJob) -> bool {
         let is_untried = |machine: &Machine| {
-            !job.failures.includes(&machine.name) && machine.scale_in_reason.is_none()
+            !job.failures.has_failed_on(&machine.name) && machine.scale_in_reason.is_none()
         };
         !job.failures.is_empty() && !self.machines.values().any(|machine| is_untried(machine))
     }
--- a/crates/quartzlever-core/src/autoscaling/policy.rs
+++ b/crates/quartzlever-core/src/autoscaling/policy.rs
@@ -70,7 +70,7 @@
     ) -> bool {
         let spec = job.spec();
         let boot = micros_from_secs(USUAL_BOOT_FACTOR * machine_type.ready_s);
-        let wait_until_up = self.now.saturating_sub(job.since) + boot;
+        let wait_until_up = self.now.saturating_sub(job.submitted_at) + boot;
         let must_start =
             job.is_starved(self.now) && wait_until_up >= MACHINE_UP_WITHIN && !has_placed_tasks;
         spec.spot
@@ -112,15 +112,17 @@
 
     /// Returns all offers that unplaced tasks of a job could run on, by type and zone, spot first.
     fn candidates(&self, job: &PartitionJob, unplaced: &Unplaced) -> Vec<Candidate<'_>> {
-        let (spec, need) = (job.spec(), job.need());
+        let (spec, need) = (job.spec(), job.required_resources());
         let mut all = Vec::new();
         for machine_type in self.types.values() {
-            let count = Resources::capacity_of(machine_type).count(&need).min(unplaced.tasks);
+            let count =
+                Resources::capacity_of(machine_type).count_fitting(&need).min(unplaced.tasks);
             if count == 0 {
                 continue;
             }
             // A job whose tasks must run in one zone cannot use machines in another zone.
-            for zone in machine_type.zones.iter().filter(|zone| unplaced.zones.left(zone) > 0) {
+            for zone in machine_type.zones.iter().filter(|zone| unplaced.zones.remaining(zone) > 0)
+            {
                 for spot in [true, false] {
                     let offer = MachineOffer::new(&machine_type.name, zone, spot);
                     if offer.is_allowed_for(spec) {
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -64,7 +64,7 @@
 
     /// Reports whether the machine has turned out not to be at fault for what it is marked for.
     pub(super) fn is_disproven(self, machine: &Machine, now: Micros) -> bool {
-        self == ScaleInReason::FailsTasks && !machine.failures.blame_machine(now)
+        self == ScaleInReason::FailsTasks && !machine.failures.is_machine_at_fault(now)
     }
 
     /// Reports whether a recent heartbeat shows that the reason no longer holds.
@@ -109,10 +109,10 @@
     }),
     // A spot notice may be late or wrong: a machine that sends heartbeats still exists.
     (ScaleInReason::Reclaimed, |rules, machine| {
-        machine.spot_notice_until.is_some_and(|until| rules.now > until)
+        machine.spot_reclaim_at.is_some_and(|until| rules.now > until)
             && rules.silence(machine) > 2 * rules.config.workers.heartbeat_interval
     }),
-    (ScaleInReason::FailsTasks, |rules, machine| machine.failures.blame_machine(rules.now)),
+    (ScaleInReason::FailsTasks, |rules, machine| machine.failures.is_machine_at_fault(rules.now)),
     (ScaleInReason::Slow, |_, machine| is_slow(machine)),
     (ScaleInReason::Idle, |rules, machine| rules.is_idle(machine)),
 ];
@@ -156,9 +156,9 @@
             config,
             types,
             now,
-            acquired_at: partition.acquired,
+            acquired_at: partition.acquired_at,
             listening_since,
-            unreachable_zones: partition.autoscaling.unreachable_zones().cloned().collect(),
+            unreachable_zones: partition.fleet.unreachable_zones().cloned().collect(),
             terminates_ignoring_machines: ignoring <= MAX_IGNORING_MACHINES.max(tenth),
             few_late: late <= MAX_LATE_MACHINES.max(tenth),
             warm_machines: warm_capacity
@@ -190,7 +190,7 @@
             // whole partition waits for them.
             let lease = self.config.worker_lease_expired_after();
             let lease = if machine.verified { lease } else { lease / 2 };
-            return lease.max(operator.silent_return);
+            return lease.max(operator.silent_machine_timeout);
         }
         if !machine.verified {
             // An unverified machine delays the recovery of the whole partition.
@@ -199,14 +199,14 @@
             } else {
                 heartbeat_interval * 2
             };
-            return (operator.silent_return / 2).max(heartbeat_wait);
+            return (operator.silent_machine_timeout / 2).max(heartbeat_wait);
         }
-        if machine.failed_calls > 0 && self.few_late && machine.serves() {
+        if machine.failed_calls > 0 && self.few_late && machine.has_service_replicas() {
             // Replicas on a dead machine wait for nothing else, so the machine is terminated once a
             // failed call has confirmed what a late heartbeat suggests.
             return self.config.late_heartbeat_after();
         }
-        operator.silent_return.max(heartbeat_interval * 5 / 2)
+        operator.silent_machine_timeout.max(heartbeat_interval * 5 / 2)
     }
 
     /// Returns how long a machine has been silent.
@@ -223,7 +223,8 @@
     }
 
     fn is_idle(&self, machine: &Machine) -> bool {
-        let lifetime = idle_lifetime(self.types, &machine.record, self.config.operator.idle_boots);
+        let lifetime =
+            idle_lifetime(self.types, &machine.record, self.config.operator.max_idle_boot_times);
         machine.idle_since.is_some_and(|since| self.now.saturating_sub(since) > lifetime)
             && machine.incarnation > 0
             && !self.warm_machines.contains(&machine.name)
@@ -246,6 +247,7 @@
 }
 
 fn is_slow(machine: &Machine) -> bool {
-    machine.pace.len() >= MIN_TASKS_FOR_SLOW
-        && machine.pace.iter().sum::<u32>() / machine.pace.len() as u32 > SLOW_RUN_TIME_PERMILLE
+    machine.recent_paces.len() >= MIN_TASKS_FOR_SLOW
+        && machine.recent_paces.iter().sum::<u32>() / machine.recent_paces.len() as u32
+            > SLOW_RUN_TIME_PERMILLE
 }
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -6,7 +6,7 @@
 use quartzlever_wire::cloud::{Instance, ScaleOutRequest};
 use quartzlever_wire::pages::PAGE_PREFIX;
 use quartzlever_wire::store::{
-    ACTIVE_JOB_PREFIX, ActiveJobRecord, CLUSTER_PREFIX, MACHINE_PREFIX, MachineRecords,
+    ACTIVE_JOB_PREFIX, ActiveJobRecord, CLUSTER_PREFIX, MACHINE_GROUP_PREFIX, MachineRecords,
     PARTITION_PREFIX,
 };
 use quartzlever_wire::workers::TaskId;
@@ -20,7 +20,7 @@
     /// Nothing depends on the reply: the call writes a hint for a peer or removes an unused key.
     Ignored,
     /// A read or a write of the stored catalogue.
-    ReadCatalogue,
+    StoredCatalogue,
     Grant {
         sent: Micros,
     },
@@ -52,7 +52,7 @@
         /// Key of the oversized group.
         key: String,
         /// The small groups that the step writes, by key.
-        small: Vec<(String, MachineRecords)>,
+        small_groups: Vec<(String, MachineRecords)>,
         /// Whether the step deletes the oversized group.
         is_complete: bool,
     },
@@ -63,7 +63,7 @@
     /// A read of the store's current revision, for the lookups that wait for it and for the age of
     /// the view.
     Revision {
-        asked: Vec<PendingLookup>,
+        lookups: Vec<PendingLookup>,
         sent: Micros,
     },
     ReadActiveJob {
@@ -80,11 +80,11 @@
         id: RequestId,
         job: String,
         done: u32,
-        tries: u32,
+        attempts: u32,
     },
     JobWrite(Box<JobWrite>),
     /// A read of an active job after a write found that its record had changed.
-    Reread {
+    RereadActiveJob {
         partition: String,
         term: u64,
         job: String,
@@ -136,9 +136,9 @@
 #[derive(Debug)]
 pub(crate) enum PendingCloudCall {
     Catalogue,
-    ScaleOutRequest { partition: String, term: u64, request: ScaleOutRequest },
+    ScaleOut { partition: String, term: u64, request: ScaleOutRequest },
     ScaleIn { partition: Option<(String, u64)>, machines: Vec<String> },
-    List { seen: Vec<Instance> },
+    List { instances: Vec<Instance> },
 }
 
 /// The context of a call to a peer.
@@ -166,9 +166,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TransactionSize {
     /// Size of the largest value, in bytes.
-    pub value: usize,
+    pub largest_value_bytes: usize,
     /// Number of changes.
-    pub ops: usize,
+    pub changes: usize,
 }
 
 /// A transaction that writes a group of machines.
@@ -178,9 +178,9 @@
     /// Contents of the group after the write.
     pub records: MachineRecords,
     pub added: BTreeSet<String>,
-    pub dropped: BTreeSet<String>,
+    pub removed: BTreeSet<String>,
     /// The partitions whose machines are added or removed, with their terms.
-    pub partitions: BTreeMap<String, u64>,
+    pub partition_terms: BTreeMap<String, u64>,
 }
 
 /// A transaction that changes the record of a job.
@@ -223,7 +223,7 @@
     Submit {
         id: RequestId,
         job: String,
-        refuse: bool,
+        reject_if_unknown: bool,
     },
     Lookup {
         id: RequestId,
@@ -232,7 +232,7 @@
     Cancel {
         id: RequestId,
         job: String,
-        tries: u32,
+        attempts: u32,
     },
 }
 
@@ -261,7 +261,7 @@
 pub(crate) struct TaskMove {
     pub job: String,
     /// The moved tasks.
-    pub cut: Ranges,
+    pub tasks: Ranges,
     /// The job's record after the move.
     pub record: ActiveJobRecord,
 }
@@ -271,7 +271,7 @@
 pub(crate) struct PendingLookup {
     pub id: RequestId,
     pub job: String,
-    pub since: Micros,
+    pub queued_at: Micros,
 }
 
 /// A kind of records in the store, listed separately.
@@ -295,7 +295,7 @@
     pub(crate) fn prefix(self) -> &'static str {
         match self {
             Section::Partitions => PARTITION_PREFIX,
-            Section::Machines => MACHINE_PREFIX,
+            Section::Machines => MACHINE_GROUP_PREFIX,
             Section::Jobs => ACTIVE_JOB_PREFIX,
             Section::Pages => PAGE_PREFIX,
             Section::Cluster => CLUSTER_PREFIX,
--- a/crates/quartzlever-core/src/jobs/lookups/tests.rs
+++ b/crates/quartzlever-core/src/jobs/lookups/tests.rs
@@ -3,7 +3,7 @@
 use quartzlever_wire::Ranges;
 
 use super::*;
-use crate::testing::record;
+use crate::testing::job_record;
 
 #[test]
 fn a_job_is_running_once_any_of_its_tasks_has_started() {
@@ -13,8 +13,8 @@
         (false, 1, 0, JobPhase::Running),
         (false, 0, 2, JobPhase::Running),
     ] {
-        let mut record = record("0-3", "");
-        (record.started, record.finished) = (started, Ranges::first(finished));
+        let mut record = job_record("0-3", "");
+        (record.started, record.finished) = (started, Ranges::up_to(finished));
         let view = view_active_job(&record, running);
         let found = (view.phase, view.done, view.running);
         assert_eq!(found, (phase, finished, running as u32), "{started} {finished} {running}");
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub(crate) enum PageEntry<'a> {
     /// The key is not the key of a page.
-    NoPage,
+    NotAPage,
     /// The value is not the record of that page.
     Unreadable,
     /// The finished tasks of a page.
@@ -75,7 +75,7 @@
 impl<'a> PageEntry<'a> {
     /// Parses the key and the value of an entry.
     pub fn read(entry: &'a KeyValue) -> Self {
-        let Some((job, number)) = page_of_key(&entry.key) else { return PageEntry::NoPage };
+        let Some((job, number)) = page_of_key(&entry.key) else { return PageEntry::NotAPage };
         match parse::<PageRecord>(entry).and_then(|record| record.tasks(number)) {
             Some(finished) => PageEntry::Page { job, number, finished },
             None => PageEntry::Unreadable,
@@ -114,7 +114,7 @@
     pub fn finished_of(&self, job: &str) -> Ranges {
         let mut finished = Ranges::default();
         for page in self.jobs.get(job).into_iter().flat_map(BTreeMap::values) {
-            finished.add(&page.finished);
+            finished.insert_all(&page.finished);
         }
         finished
     }
@@ -127,9 +127,9 @@
             return;
         }
         record.paged = true;
-        record.finished.add(&self.finished_of(job));
+        record.finished.insert_all(&self.finished_of(job));
         if let Some(known) = known {
-            record.finished.add(&known.finished);
+            record.finished.insert_all(&known.finished);
         }
     }
 
@@ -180,7 +180,7 @@
     pub fn stored_form(&self, record: &ActiveJobRecord) -> ActiveJobRecord {
         let mut stored = record.clone();
         if self.has(&record.job.id) {
-            stored.finished.subtract(&self.finished_of(&record.job.id));
+            stored.finished.remove_all(&self.finished_of(&record.job.id));
             stored.paged = true;
         }
         stored
@@ -211,7 +211,7 @@
         let (rest, recorded) = if text_bytes(&without(&all, &chosen)) <= max_bytes {
             (without(&all, &chosen), new.clone())
         } else {
-            (without(&unpaged, &chosen), new.minus(&without(new, &chosen)))
+            (without(&unpaged, &chosen), new.difference(&without(new, &chosen)))
         };
         if !chosen.is_empty() && text_bytes(&rest) <= max_bytes {
             let pages = self.page_writes(&bare.job.id, &chosen, &all);
@@ -236,7 +236,7 @@
         let content = |number: &u32| {
             let mut finished = tasks_of_page(added, *number);
             if let Some(page) = known.and_then(|pages| pages.get(number)) {
-                finished.add(&page.finished);
+                finished.insert_all(&page.finished);
             }
             PageWrite { number: *number, finished }
         };
@@ -259,7 +259,7 @@
 /// Returns how many pages the write budget and the limit of changes per transaction allow in
 /// addition to a record.
 pub(crate) fn affordable_pages(budget: &WriteBudget, txn_ops: usize) -> usize {
-    let affordable = |pages: &usize| budget.has(WriteKind::Progress, *pages);
+    let affordable = |pages: &usize| budget.allows(WriteKind::Progress, *pages);
     (1..txn_ops).rev().find(affordable).unwrap_or(0)
 }
 
@@ -272,7 +272,7 @@
 fn without(tasks: &Ranges, pages: &[u32]) -> Ranges {
     let mut rest = tasks.clone();
     for page in pages {
-        rest.subtract(&tasks_of_page(tasks, *page));
+        rest.remove_all(&tasks_of_page(tasks, *page));
     }
     rest
 }
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -61,7 +61,7 @@
     /// Whether the record is to be written even without newly finished tasks.
     needs_write: bool,
     /// Time of the submission, on the monotonic clock.
-    pub since: Micros,
+    pub submitted_at: Micros,
     /// When the job should be done, on the monotonic clock.
     pub due: Option<Micros>,
     /// Failed attempts in this partition.
@@ -71,7 +71,7 @@
     /// After failures, the earliest time at which tasks may be started again.
     pub no_start_before: Micros,
     /// Tasks that were preempted once; they are not preempted again.
-    pub preempted: Ranges,
+    pub preempted_tasks: Ranges,
     /// Whether starting a task only with its machine's next heartbeat costs the job nothing.
     pub can_wait_for_heartbeat: bool,
 }
@@ -93,11 +93,11 @@
     /// Tasks were added to the queue.
     pub placement_wanted: bool,
     /// The partition may forget the job.
-    pub nothing_left_here: bool,
+    pub may_forget_job: bool,
 }
 
 impl PartitionJob {
-    /// Creates a job without any tasks; [`take_record`](Self::take_record) adds those of the
+    /// Creates a job without any tasks; [`apply_record`](Self::apply_record) adds those of the
     /// partition.
     ///
     /// `now` is on the monotonic clock, `wall` is the time of day in microseconds since 1970.
@@ -117,24 +117,24 @@
             write_outcome_unknown: false,
             write_not_before: 0,
             needs_write: false,
-            since,
+            submitted_at: since,
             due,
             failures: JobFailures::default(),
             succeeded: 0,
             no_start_before: 0,
-            preempted: Ranges::default(),
+            preempted_tasks: Ranges::default(),
             can_wait_for_heartbeat: false,
         }
     }
 
     /// Reports whether a record is relevant to a partition that does not know the job yet.
-    pub fn concerns(record: &ActiveJobRecord, partition: &str) -> bool {
-        may_have_to_end(record, partition) || !record.owned_by(partition).is_empty()
+    pub fn is_relevant(record: &ActiveJobRecord, partition: &str) -> bool {
+        may_have_to_end(record, partition) || !record.unfinished_tasks_of(partition).is_empty()
     }
 
     /// Applies a record read from the store if it is newer than the known one. `team_limited` tells
     /// whether the job's team has resource limits.
-    pub fn take_record(
+    pub fn apply_record(
         &mut self,
         record: ActiveJobRecord,
         mod_revision: u64,
@@ -145,8 +145,8 @@
         if mod_revision <= self.mod_revision {
             return effects;
         }
-        let owned = record.owned_by(context.partition);
-        let fresh = record.entered_under(context.partition, context.term);
+        let owned = record.unfinished_tasks_of(context.partition);
+        let fresh = record.tasks_assigned_under(context.partition, context.term);
         self.record = record;
         self.mod_revision = mod_revision;
         if !self.writing {
@@ -154,38 +154,38 @@
             // commit.
             effects.placement_wanted = self.settle_unknown_outcome();
         }
-        let new = owned.minus(&self.tracked_tasks());
+        let new = owned.difference(&self.tracked_tasks());
         let startable = if context.recovery_complete {
             new.clone()
         } else if team_limited {
             // Tasks that an earlier leader may have started count towards the team's limit.
             Ranges::default()
         } else {
-            new.intersect(&fresh)
+            new.intersection(&fresh)
         };
-        self.awaiting_recovery.add(&new.minus(&startable));
-        self.ready.add(&startable);
-        self.ready = self.ready.intersect(&owned);
-        self.awaiting_recovery = self.awaiting_recovery.intersect(&owned);
-        self.moving = self.moving.intersect(&owned);
-        self.finished = self.finished.intersect(&owned);
+        self.awaiting_recovery.insert_all(&new.difference(&startable));
+        self.ready.insert_all(&startable);
+        self.ready = self.ready.intersection(&owned);
+        self.awaiting_recovery = self.awaiting_recovery.intersection(&owned);
+        self.moving = self.moving.intersection(&owned);
+        self.finished = self.finished.intersection(&owned);
         effects.placement_wanted |= !self.ready.is_empty() && !startable.is_empty();
-        effects.nothing_left_here =
+        effects.may_forget_job =
             self.idle() && owned.is_empty() && !may_have_to_end(&self.record, context.partition);
         effects
     }
 
     /// Applies a page of the job, possibly written by another leader: its tasks have finished.
-    pub fn take_page(&mut self, number: u32, finished: &Ranges) {
+    pub fn apply_page(&mut self, number: u32, finished: &Ranges) {
         self.record.paged = true;
         // Most pages were written by this leader and add nothing; comparing only the tasks of this
         // page is cheap.
-        let new = finished.minus(&tasks_of_page(&self.record.finished, number));
-        self.record.finished.add(&new);
-        self.ready.subtract(&new);
-        self.awaiting_recovery.subtract(&new);
-        self.moving.subtract(&new);
-        self.finished.subtract(&new);
+        let new = finished.difference(&tasks_of_page(&self.record.finished, number));
+        self.record.finished.insert_all(&new);
+        self.ready.remove_all(&new);
+        self.awaiting_recovery.remove_all(&new);
+        self.moving.remove_all(&new);
+        self.finished.remove_all(&new);
     }
 
     /// Puts a task whose attempt is known to be on no machine back into the queue, if the partition
@@ -198,13 +198,14 @@
             return false;
         }
         self.assignments.remove(&index);
-        let owned = self.record.owned_by(context.partition);
+        let owned = self.record.unfinished_tasks_of(context.partition);
         if !owned.contains(index) || self.finished.contains(index) {
             return false;
         }
         // This attempt has ended, but until recovery completes another machine could still hold an
         // attempt of an earlier leader.
-        let fresh = self.record.entered_under(context.partition, context.term).contains(index);
+        let fresh =
+            self.record.tasks_assigned_under(context.partition, context.term).contains(index);
         if context.recovery_complete || fresh {
             self.ready.insert(index);
         } else {
@@ -217,7 +218,7 @@
     /// attempt of an earlier leader.
     pub fn complete_recovery(&mut self) {
         let recovered = std::mem::take(&mut self.awaiting_recovery);
-        self.ready.add(&recovered);
+        self.ready.insert_all(&recovered);
     }
 
     /// Assigns a ready task to a machine.
@@ -229,7 +230,7 @@
     /// Adopts an unknown attempt that a machine reports, if the partition owns its task and the
     /// task is neither finished nor on a machine nor moving. Returns whether it was adopted.
     pub fn adopt(&mut self, index: u32, machine: &str, attempt: u64, partition: &str) -> bool {
-        let adoptable = self.record.owned_by(partition).contains(index)
+        let adoptable = self.record.unfinished_tasks_of(partition).contains(index)
             && !self.assignments.contains_key(&index)
             && !self.finished.contains(index)
             && !self.moving.contains(index);
@@ -245,7 +246,7 @@
     pub fn finish(&mut self, index: u32, partition: &str, now: Micros) {
         self.ready.remove(index);
         self.awaiting_recovery.remove(index);
-        if !self.record.owned_by(partition).contains(index) {
+        if !self.record.unfinished_tasks_of(partition).contains(index) {
             return;
         }
         self.succeeded += 1;
@@ -261,26 +262,27 @@
     }
 
     /// Returns the resources that one task requires.
-    pub fn need(&self) -> Resources {
+    pub fn required_resources(&self) -> Resources {
         Resources::required_by(&self.record.job)
     }
 
     /// Reports whether the job is a service, whose replicas run until it is cancelled.
-    pub fn service(&self) -> bool {
+    pub fn is_service(&self) -> bool {
         self.record.job.is_service()
     }
 
-    /// Reports whether the job is best-effort work that writes checkpoints; see [`yields`].
-    pub fn yields(&self) -> bool {
-        yields(&self.record.job)
+    /// Reports whether the job is best-effort work that writes checkpoints; see
+    /// [`is_cheap_to_preempt`].
+    pub fn is_cheap_to_preempt(&self) -> bool {
+        is_cheap_to_preempt(&self.record.job)
     }
 
     /// Returns all tasks that this partition tracks, in any state.
     fn tracked_tasks(&self) -> Ranges {
         let mut all = self.ready.union(&self.awaiting_recovery);
-        all.add(&self.moving);
-        all.add(&self.finished);
-        all.add(&self.assignments.keys().copied().collect());
+        all.insert_all(&self.moving);
+        all.insert_all(&self.finished);
+        all.insert_all(&self.assignments.keys().copied().collect());
         all
     }
 
@@ -307,19 +309,19 @@
     /// earlier failures.
     pub fn mark_healthy(&mut self) {
         self.succeeded = self.succeeded.max(1);
-        self.failures.forget();
+        self.failures.reset();
     }
 
     /// Reports whether the job fails on every machine that it is tried on. A service may do so even
     /// after it has run well, since its failures before that were forgotten.
     pub fn fails_everywhere(&self) -> bool {
-        (self.succeeded == 0 || self.service()) && self.failures.blame_job()
+        (self.succeeded == 0 || self.is_service()) && self.failures.is_job_at_fault()
     }
 
     /// Returns how many ready tasks may be placed now. A job that fails everywhere gets at most
     /// `MAX_TRIAL_TASKS` tasks at a time, so that it uses few resources until it is cancelled.
-    pub fn placeable(&self) -> u32 {
-        if self.fails_everywhere() && !self.service() {
+    pub fn placeable_count(&self) -> u32 {
+        if self.fails_everywhere() && !self.is_service() {
             MAX_TRIAL_TASKS.saturating_sub(self.assignments.len() as u32).min(self.ready.len())
         } else {
             self.ready.len()
@@ -330,10 +332,10 @@
     /// fail everywhere: no task of it is running, and there may be no other machines. Without this,
     /// a service whose attempts had failed on all machines was never placed again after the
     /// machines recovered.
-    pub fn forgives_at(&self) -> Option<Micros> {
+    pub fn retry_failed_machines_at(&self) -> Option<Micros> {
         let waits =
             !self.failures.is_empty() && self.assignments.is_empty() && !self.fails_everywhere();
-        waits.then(|| self.failures.last() + FAILED_MACHINE_RETRY_DELAY)
+        waits.then(|| self.failures.last_failure_at() + FAILED_MACHINE_RETRY_DELAY)
     }
 
     /// Reports whether this partition has no unfinished or unrecorded work on the job.
@@ -350,13 +352,13 @@
 
 /// Reports whether tasks of a job can be preempted by any other work at almost no loss: best-effort
 /// work that writes checkpoints.
-pub fn yields(job: &JobSpec) -> bool {
+pub fn is_cheap_to_preempt(job: &JobSpec) -> bool {
     job.priority == Priority::BestEffort && job.checkpoint_s > 0.0
 }
 
 /// Reports whether a partition may have to end a job even if it owns no tasks of it.
 fn may_have_to_end(record: &ActiveJobRecord, partition: &str) -> bool {
-    record.paged && record.is_shared_by(partition)
+    record.paged && record.has_tasks_of(partition)
 }
 
 #[cfg(test)]
--- a/crates/quartzlever-core/src/machines/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/machines/heartbeats/tests.rs
@@ -29,7 +29,7 @@
         ("n-9", Some("two"), true, "one", unclaimed(Some("two"))),
         ("n-9", Some("three"), true, "two", unclaimed(Some("three"))),
     ] {
-        let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", leader, 6)]);
         let records = [("n-7".into(), machine_record_of("n-7", "two"))].into();
         core.apply_group_change(&large_group_key("n-7"), records, 9);
         core.cache.set_loaded(loaded);
@@ -59,12 +59,12 @@
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.loaded = loaded;
             if terminated {
-                partition.autoscaling.terminated.put("n-9", NOW);
+                partition.fleet.terminated.record("n-9", NOW);
             }
             if pending {
                 let machine =
-                    PendingInstance { offer: MachineOffer::new("m", "a", true), since: NOW };
-                partition.autoscaling.pending_instances.expect("n-9", machine);
+                    PendingInstance { offer: MachineOffer::new("m", "a", true), requested_at: NOW };
+                partition.fleet.pending_instances.add("n-9", machine);
             }
         }
         let found = view(&core).claimant_of("n-9", launched_for, may_act);
--- a/crates/quartzlever-core/src/machines/membership/tests.rs
+++ b/crates/quartzlever-core/src/machines/membership/tests.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn only_a_claim_of_the_present_term_adds_a_machine() {
-    // (whether the partition's records are loaded, whether the machine was terminated, the modification revision of
-    // the claim, where the term is 5; whether the machine is added)
+    // (whether the partition's records are loaded, whether the machine was terminated, the
+    // modification revision of the claim, where the term is 5; whether the machine is added)
     for (loaded, terminated, mod_revision, added) in [
         (true, false, 6, true),
         (true, false, 5, false),
@@ -17,7 +17,7 @@
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
         partition.loaded = loaded;
         if terminated {
-            partition.autoscaling.terminated.put("n-9", NOW);
+            partition.fleet.terminated.record("n-9", NOW);
         }
         let record = machine_record_of("n-9", "one");
         partition.add_claimed_machine("n-9", &record, mod_revision, NOW);
@@ -69,15 +69,15 @@
 fn tasks_of_an_emptied_or_removed_machine_are_requeued() {
     for removed in [true, false] {
         let mut core = core();
-        core.reconcile_job(record("0-3", ""), 10);
+        core.reconcile_job(job_record("0-3", ""), 10);
         let partition = core.partitions.get_mut("one").expect("partition one is led here");
-        partition.start("req-1", 0, "n-1", NOW);
+        partition.start_task("req-1", 0, "n-1", NOW);
         assert!(!partition.jobs["req-1"].ready.contains(0));
         if removed {
             assert!(partition.remove_machine("n-1"));
             assert!(!partition.remove_machine("n-1"), "n-1 was removed before");
         } else {
-            partition.empty_machine("n-1");
+            partition.requeue_attempts_of("n-1");
             assert!(partition.machines["n-1"].attempts.is_empty());
         }
         assert!(partition.jobs["req-1"].ready.contains(0), "removed {removed}");
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -1,17 +1,18 @@
 //! The machines' records in the store: claims and their removal, with many machines under one key.
 //!
-//! This component owns the pending changes of each group of machines, and the splitting of groups. A group is
-//! rewritten on condition of its modification revision and of the terms of all partitions whose machines the change
-//! concerns. Each group has at most one write in flight; changes that arrive meanwhile go into the next one. The
-//! component never changes the cache: its caller does so when it handles an outcome.
+//! This component owns the pending changes of each group of machines, and the splitting of groups.
+//! A group is rewritten on condition of its modification revision and of the terms of all
+//! partitions whose machines the change concerns. Each group has at most one write in flight;
+//! changes that arrive meanwhile go into the next one. The component never changes the cache: its
+//! caller does so when it handles an outcome.
 //!
-//! Large groups, the original form, hold 64 machines. Where the limit on a value, or an announced lower
-//! limit, is too low for that, machines go into smaller groups as soon as the cluster version guarantees
-//! that every controller reads them; each controller then splits the large groups of its partitions, one
-//! at a time. Each machine still has one key that decides its ownership: a claim in a small group is
-//! conditional on the modification revision of the large group. Where the store accepts even less than the
-//! settings say, the controllers agree on smaller groups under one key, and each claim is conditional on
-//! that key's modification revision.
+//! Large groups, the original form, hold 64 machines. Where the limit on a value, or an announced
+//! lower limit, is too low for that, machines go into smaller groups as soon as the cluster version
+//! guarantees that every controller reads them; each controller then splits the large groups of its
+//! partitions, one at a time. Each machine still has one key that decides its ownership: a claim in
+//! a small group is conditional on the modification revision of the large group. Where the store
+//! accepts even less than the settings say, the controllers agree on smaller groups under one key,
+//! and each claim is conditional on that key's modification revision.
 
 mod group_update;
 mod layout;
@@ -35,7 +36,8 @@
 
 /// Delay before a failed read, write or split is retried.
 const RETRY_DELAY: Micros = SECOND / 2;
-/// Minimum time between two writes of a group with claims, so that a burst of heartbeats makes one write.
+/// Minimum time between two writes of a group with claims, so that a burst of heartbeats makes one
+/// write.
 const CLAIM_INTERVAL: Micros = SECOND / 2;
 /// Minimum time after a write that only removes machines, which no request waits for.
 const REMOVAL_INTERVAL: Micros = 2 * SECOND;
@@ -60,10 +62,11 @@
     next_split_at: Micros,
 }
 
-/// A pending claim of a machine: the latest of its heartbeats, and the requests that wait for an answer.
+/// A pending claim of a machine: the latest of its heartbeats, and the requests that wait for an
+/// answer.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnershipClaim {
-    pub ids: Vec<RequestId>,
+    pub requests: Vec<RequestId>,
     pub heartbeat: Heartbeat,
     owner: PartitionTerm,
 }
@@ -94,7 +97,7 @@
     /// loaded, and may act for it.
     fn leads(&self, owner: &PartitionTerm) -> bool {
         let partition = self.partitions.get(&owner.partition);
-        self.may_act && partition.is_some_and(|p| p.term == owner.term && p.active())
+        self.may_act && partition.is_some_and(|p| p.term == owner.term && p.is_loaded())
     }
 }
 
@@ -104,18 +107,19 @@
     Committed {
         mod_revision: u64,
     },
-    /// A condition failed or the outcome is unknown. The caller gives up the lost partitions, then rereads the group.
-    ToBeReread {
-        lost: Vec<PartitionTerm>,
+    /// A condition failed or the outcome is unknown. The caller gives up the lost partitions, then
+    /// rereads the group.
+    RereadNeeded {
+        lost_partitions: Vec<PartitionTerm>,
     },
     /// The write did not take effect, and is retried.
     Failed,
 }
 
 impl Ownership {
-    /// Records that an unclaimed machine, which sent this heartbeat, is to be claimed for a partition led by this
-    /// node. The heartbeat's request waits until the claim is settled.
-    pub fn request(
+    /// Records that an unclaimed machine, which sent this heartbeat, is to be claimed for a
+    /// partition led by this node. The heartbeat's request waits until the claim is settled.
+    pub fn request_claim(
         &mut self,
         id: RequestId,
         heartbeat: Heartbeat,
@@ -128,7 +132,7 @@
         change.not_before = change.not_before.min(claim_due);
         match change.claims.get_mut(&heartbeat.machine) {
             Some(claim) => {
-                claim.ids.push(id);
+                claim.requests.push(id);
                 if (heartbeat.incarnation, heartbeat.sequence)
                     > (claim.heartbeat.incarnation, claim.heartbeat.sequence)
                 {
@@ -136,14 +140,14 @@
                 }
             }
             None => {
-                let claim = OwnershipClaim { ids: vec![id], heartbeat, owner };
+                let claim = OwnershipClaim { requests: vec![id], heartbeat, owner };
                 change.claims.insert(claim.heartbeat.machine.clone(), claim);
             }
         }
     }
 
     /// Records that a terminated machine is to be removed from its group.
-    pub fn release(
+    pub fn request_removal(
         &mut self,
         machine: &str,
         owner: PartitionTerm,
@@ -211,7 +215,9 @@
         outbox: &mut Outbox,
     ) {
         let Some(change) = self.changes.get_mut(key) else { return };
-        if context.may_act && !write_budget.try_reserve(write_kind(!change.claims.is_empty()), 1) {
+        if context.may_act
+            && !write_budget.check_or_record_denial(write_kind(!change.claims.is_empty()), 1)
+        {
             return;
         }
         reject_all(change.discard_lost_partitions(context), outbox);
@@ -220,7 +226,10 @@
             // Nothing to change, or no claim that fits: the waiting requests are rejected as
             // retryable, so that the workers try elsewhere.
             let claims = self.changes.remove(key).map(|change| change.claims).unwrap_or_default();
-            return reject_all(claims.into_values().flat_map(|claim| claim.ids).collect(), outbox);
+            return reject_all(
+                claims.into_values().flat_map(|claim| claim.requests).collect(),
+                outbox,
+            );
         }
         let has_claims = !update.added.is_empty();
         if update.exceeds(context.layout.value_limit) {
@@ -236,7 +245,8 @@
         }
     }
 
-    /// Handles the result of the write of a group, and returns the outcome for the caller to act on.
+    /// Handles the result of the write of a group, and returns the outcome for the caller to act
+    /// on.
     pub fn write_answered(
         &mut self,
         write: &GroupWrite,
@@ -250,7 +260,7 @@
         let delay = match result {
             Ok(StoreReply::Committed(mod_revision)) => {
                 if let Some(change) = change {
-                    change.removals.retain(|machine, _| !write.dropped.contains(machine));
+                    change.removals.retain(|machine, _| !write.removed.contains(machine));
                 }
                 return GroupWriteOutcome::Committed { mod_revision: *mod_revision };
             }
@@ -260,16 +270,18 @@
                         path.strip_prefix(PARTITION_PREFIX).is_some_and(|name| name == partition)
                     })
                 };
-                let lost = write.partitions.iter().filter(|(partition, _)| is_lost(partition));
+                let lost = write.partition_terms.iter().filter(|(partition, _)| is_lost(partition));
                 let lost = lost.map(|(partition, term)| PartitionTerm {
                     partition: partition.clone(),
                     term: *term,
                 });
-                return GroupWriteOutcome::ToBeReread { lost: lost.collect() };
+                return GroupWriteOutcome::RereadNeeded { lost_partitions: lost.collect() };
             }
             // The write may still take effect. A later write conditional on the same modification
             // revision fails in that case.
-            Err(CallError::Unknown) => return GroupWriteOutcome::ToBeReread { lost: Vec::new() },
+            Err(CallError::Unknown) => {
+                return GroupWriteOutcome::RereadNeeded { lost_partitions: Vec::new() };
+            }
             // The write is known not to have taken effect.
             Ok(StoreReply::TooLarge) => TOO_LARGE_RETRY_DELAY,
             Ok(_) | Err(CallError::Refused | CallError::Throttled) => RETRY_DELAY,
@@ -314,7 +326,7 @@
         self.claims.retain(|_, claim| {
             let is_led = context.leads(&claim.owner);
             if !is_led {
-                rejected.append(&mut claim.ids);
+                rejected.append(&mut claim.requests);
             }
             is_led
         });
@@ -335,13 +347,7 @@
 fn send_write(key: &str, update: GroupUpdate, context: &GroupContext, outbox: &mut Outbox) {
     let txn = update.transaction(key, context);
     let GroupUpdate { records, added, removed, partition_terms, .. } = update;
-    let write = GroupWrite {
-        key: key.to_owned(),
-        records,
-        added,
-        dropped: removed,
-        partitions: partition_terms,
-    };
+    let write = GroupWrite { key: key.to_owned(), records, added, removed, partition_terms };
     let pending = PendingStoreCall::WriteGroup(write);
     outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
 }
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -1,14 +1,14 @@
 //! Splitting of groups that are larger than the present group size, one at a time.
 //!
-//! One transaction writes the small groups and deletes the oversized one if the limit on changes allows it.
-//! Otherwise the small groups are written first, in several steps, and the last step deletes the oversized one. Each
-//! step may be repeated.
+//! One transaction writes the small groups and deletes the oversized one if the limit on changes
+//! allows it. Otherwise the small groups are written first, in several steps, and the last step
+//! deletes the oversized one. Each step may be repeated.
 
 use std::collections::BTreeMap;
 
 use quartzlever_wire::store::{
-    GROUP_SIZE_KEY, MachineGroupRecord, MachineRecords, StoreCall, StoreReply, Txn, group_capacity,
-    group_key,
+    GROUP_SIZE_KEY, MachineGroupRecord, MachineRecords, StoreCall, StoreReply, Txn, group_key,
+    max_group_size,
 };
 use quartzlever_wire::{CallError, Json, Micros, SECOND};
 
@@ -54,16 +54,17 @@
         };
         // The split may overdraw the write budget: under load the budget never holds that many
         // changes at once, and a lower limit of the store may take effect at any moment.
-        if !write_budget.has(WriteKind::Claim, 1) {
+        if !write_budget.allows(WriteKind::Claim, 1) {
             return;
         }
         write_budget.spend(txn.changes.len());
         self.splitting = true;
-        let pending = PendingStoreCall::SplitGroup { key, small: small_groups, is_complete };
+        let pending = PendingStoreCall::SplitGroup { key, small_groups, is_complete };
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), pending);
     }
 
-    /// Handles the result of a step of a split. Returns its modification revision if it was committed.
+    /// Handles the result of a step of a split. Returns its modification revision if it was
+    /// committed.
     pub fn split_answered(
         &mut self,
         result: &Result<StoreReply, CallError>,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Returns the first group, by key, that is larger than the present size, whose first machine belongs to a
-    /// partition led by this node, and that is not being written.
+    /// Returns the first group, by key, that is larger than the present size, whose first machine
+    /// belongs to a partition led by this node, and that is not being written.
     fn group_to_split(&self, context: &GroupContext) -> Option<String> {
         let size = context.layout.size;
         let is_led_here = |records: &MachineRecords| {
@@ -90,7 +91,7 @@
             first.is_some_and(|record| context.partitions.contains_key(&record.partition))
         };
         let is_oversized = |key: &str, records: &MachineRecords| {
-            let larger = group_capacity(key).filter(|capacity| *capacity > size);
+            let larger = max_group_size(key).filter(|capacity| *capacity > size);
             larger.is_some() && records.keys().next().is_some_and(|m| group_key(m, size) != key)
         };
         let is_being_written =
--- a/crates/quartzlever-core/src/router/heartbeats/tests.rs
+++ b/crates/quartzlever-core/src/router/heartbeats/tests.rs
@@ -24,8 +24,9 @@
         core.cache.set_loaded(true);
         core.lease.renew_at(NOW + 900 * SECOND);
         if let Some(partition) = core.partitions.get_mut("one").filter(|_| expected) {
-            let machine = PendingInstance { offer: MachineOffer::new("m", "a", true), since: NOW };
-            partition.autoscaling.pending_instances.expect("n-9", machine);
+            let machine =
+                PendingInstance { offer: MachineOffer::new("m", "a", true), requested_at: NOW };
+            partition.fleet.pending_instances.add("n-9", machine);
         }
         let first = Command::Heartbeat { id: 1, heartbeat: heartbeat_from("n-9", 1, 1, 0, &[]) };
         let mut effects = core.step(NOW, vec![first]);
@@ -63,7 +64,7 @@
     for (silent, leader, status) in
         [(1, "two", 421), (3, "two", 421), (5, "two", 503), (1, "one", 503)]
     {
-        let mut core = with_cache(&[("one", "one", 5), ("two", leader, 6)]);
+        let mut core = core_with_cache(&[("one", "one", 5), ("two", leader, 6)]);
         core.apply_group_change(
             &large_group_key("n-7"),
             [("n-7".into(), machine_record_of("n-7", "two"))].into(),
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -38,7 +38,7 @@
 impl Core {
     /// Places the ready tasks of a partition if a placement is due, and preempts work of lower
     /// priority for those without capacity.
-    pub(crate) fn place(&mut self, name: &str) {
+    pub(crate) fn place_queue(&mut self, name: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.placement_is_due(now))
         else {
@@ -54,7 +54,8 @@
         for id in partition.queue_order(&self.config, &self.run_times, now) {
             if let Some(job) = partition.jobs.get_mut(&id) {
                 job.can_wait_for_heartbeat = many_machines
-                    && urgency(&self.config, &self.run_times, job, now).latest > next_heartbeat_by;
+                    && urgency(&self.config, &self.run_times, job, now).latest_start
+                        > next_heartbeat_by;
             }
             if partition.place_tasks(&self.config, &id, None, now) {
                 partition.add_job_without_capacity(id);
@@ -65,10 +66,12 @@
     }
 
     /// Starts tasks that found no capacity in the last placement on one machine.
-    pub(crate) fn fill(&mut self, name: &str, machine: &str) {
+    pub(crate) fn place_on_machine(&mut self, name: &str, machine: &str) {
         let now = self.now;
-        let Some(partition) = self.partitions.get_mut(name).filter(|p| p.active()) else { return };
-        if !partition.machines.get(machine).is_some_and(|m| m.usable() && m.free.cpus > 0.0) {
+        let Some(partition) = self.partitions.get_mut(name).filter(|p| p.is_loaded()) else {
+            return;
+        };
+        if !partition.machines.get(machine).is_some_and(|m| m.is_usable() && m.free.cpus > 0.0) {
             return;
         }
         let waiting = std::mem::take(&mut partition.jobs_without_capacity);
@@ -92,7 +95,7 @@
     fn placement_is_due(&self, now: Micros) -> bool {
         let is_requested =
             self.placement_wanted || self.placement_due_at.is_some_and(|at| now >= at);
-        self.active() && is_requested && now >= self.next_placement_at && self.types.is_some()
+        self.is_loaded() && is_requested && now >= self.next_placement_at && self.types.is_some()
     }
 
     /// Clears the requests for a placement and the results of the last one.
@@ -130,12 +133,12 @@
             return false;
         }
         let Some(job) = self.jobs.get(id) else { return false };
-        let (spec, need, service) = (job.spec(), job.need(), job.service());
+        let (spec, need, service) = (job.spec(), job.required_resources(), job.is_service());
         let machines = self.feasible_machines(config, job, only_machine, now);
         let zone_constrained = spec.one_zone || spec.spread;
         let allowance = self.team_allowance(config, spec, &need);
         let on_trial = job.fails_everywhere() && !service;
-        let mut left = allowance.min(job.placeable());
+        let mut left = allowance.min(job.placeable_count());
         // Replicas are spread, one per machine in each round; other tasks fill one machine after
         // the other.
         let (rounds, per_round) = if service { (left, 1) } else { (1, u32::MAX) };
@@ -160,11 +163,11 @@
             return false;
         }
         if job.fails_everywhere() {
-            self.try_to_clear(config, id, now);
+            self.clear_failures_if_outlasted(config, id, now);
             self.schedule_placement(now + TRIAL_CHECK_INTERVAL);
         }
-        let forgives_at = self.jobs.get(id).and_then(|j| j.forgives_at());
-        if let Some(at) = forgives_at.filter(|at| *at > now) {
+        let retry_at = self.jobs.get(id).and_then(|j| j.retry_failed_machines_at());
+        if let Some(at) = retry_at.filter(|at| *at > now) {
             self.schedule_placement(at);
         }
         true
@@ -204,17 +207,18 @@
     /// the number of tasks started.
     fn start_tasks_on(&mut self, placement: &JobPlacement, machine: &str, max_tasks: u32) -> u32 {
         let JobPlacement { config, id, need, zone_constrained, now } = placement;
-        let most = self.machines.get(machine).map_or(0, |m| m.free.count(need)).min(max_tasks);
+        let most =
+            self.machines.get(machine).map_or(0, |m| m.free.count_fitting(need)).min(max_tasks);
         let mut started = 0;
         while started < most {
             if *zone_constrained && !self.zone_has_capacity(&config.zones, id, machine) {
                 break;
             }
             let Some(index) = self.jobs.get(*id).and_then(|j| j.ready.lowest()) else { break };
-            self.start(id, index, machine, *now);
+            self.start_task(id, index, machine, *now);
             started += 1;
         }
-        self.refresh(machine);
+        self.refresh_machine(machine);
         started
     }
 
@@ -228,7 +232,7 @@
         if !self.recovery_complete || config.partition_of_team(&team.name) != self.name {
             return 0;
         }
-        let (used, certain) = self.team_use(&team.name);
+        let (used, certain) = self.team_usage(&team.name);
         if !certain {
             return 0;
         }
@@ -238,12 +242,12 @@
             gpus: remaining(team.gpus_max, used.gpus),
             ram_gb: f64::INFINITY,
         };
-        left.count(need)
+        left.count_fitting(need)
     }
 
     /// Assigns a ready task to a machine as a new attempt, and queues a call to the machine. The
     /// caller refreshes the machine afterwards.
-    pub fn start(&mut self, id: &str, index: u32, machine_name: &str, now: Micros) {
+    pub fn start_task(&mut self, id: &str, index: u32, machine_name: &str, now: Micros) {
         let attempt = self.next_attempt();
         let (Some(job), Some(machine)) =
             (self.jobs.get_mut(id), self.machines.get_mut(machine_name))
@@ -266,7 +270,7 @@
     /// call to its machine.
     pub fn stop_attempt(&mut self, machine_name: &str, key: &AttemptKey, leeway_s: f64) {
         if let Some(machine) = self.machines.get_mut(machine_name) {
-            machine.stop(key, leeway_s);
+            machine.mark_unwanted(key, leeway_s);
             self.call_queue.add_urgent(machine_name);
         }
     }
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -18,7 +18,7 @@
 
 /// Reports whether a job's constraints allow machines of this type and zone, spot or not. Capacity
 /// is not checked.
-pub fn offer_allowed(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
+pub fn constraints_allow(spec: &JobSpec, machine_type: &str, zone: &str, spot: bool) -> bool {
     spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == machine_type))
         && spec.zone.as_ref().is_none_or(|z| z == zone)
         && (spec.spot || !spot)
@@ -27,7 +27,7 @@
 /// Reports whether a job's constraints allow a machine. Capacity is not checked.
 pub(super) fn machine_allowed(spec: &JobSpec, machine: &Machine) -> bool {
     let record = &machine.record;
-    offer_allowed(spec, &record.machine_type, &record.zone, record.spot)
+    constraints_allow(spec, &record.machine_type, &record.zone, record.spot)
 }
 
 /// Selects, of the machines that a job's constraints allow, those on which a task may start now.
@@ -54,10 +54,10 @@
         // A job is tried again on machines where it failed only if it fails everywhere, or after a
         // delay.
         let retries_failed_machines =
-            job.fails_everywhere() || job.forgives_at().is_some_and(|at| at <= now);
+            job.fails_everywhere() || job.retry_failed_machines_at().is_some_and(|at| at <= now);
         Feasibility {
             spec: job.spec(),
-            need: job.need(),
+            need: job.required_resources(),
             job,
             retries_failed_machines,
             reservations: &partition.reservations,
@@ -71,8 +71,8 @@
         !self.reservations.is_reserved_for_other_job(&machine.name, &self.spec.id)
             && machine.accepts_tasks(self.now, self.max_silence)
             && machine.free.fits(&self.need)
-            && (self.retries_failed_machines || !self.job.failures.includes(&machine.name))
-            && !machine.failures.in_doubt(self.now)
+            && (self.retries_failed_machines || !self.job.failures.has_failed_on(&machine.name))
+            && !machine.failures.is_undecided(self.now)
             && !self.reservations.is_reserved_for_higher_priority(
                 &machine.name,
                 self.spec.priority,
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -18,13 +18,13 @@
     FreeCapacity, Load, PeerAnswer, PeerRequest, ThiefCapacity,
 };
 pub(crate) use quartzlever_wire::store::{
-    ActiveJobRecord, CLUSTER_VERSION_KEY, Change, ClusterRecord, Event, KeyValue, ListPage,
+    ActiveJobRecord, CLUSTER_VERSION_KEY, Change, ClusterVersionRecord, Event, KeyValue, ListPage,
     MachineRecord, MachineRecords, NodeRecord, PartitionRecord, Share, StoreCall, StoreReply,
     TerminalJobRecord, WatchAnswer, large_group_key,
 };
 pub(crate) use quartzlever_wire::users::{JobPhase, JobSpec, Priority, Shape};
 pub(crate) use quartzlever_wire::workers::{
-    Cause, Heartbeat, TaskId, TaskPhase, TaskStatus, WorkerCall, WorkerCommand, WorkerReply,
+    AttemptStatus, ExitCause, Heartbeat, TaskId, TaskPhase, WorkerCall, WorkerCommand, WorkerReply,
 };
 pub(crate) use quartzlever_wire::{CallError, Json, Micros, Ranges, SECOND};
 pub(crate) use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
 
 /// Returns the record of job "req-1" with four tasks: `one` are those in partition "one", `two`
 /// those in partition "two".
-pub(crate) fn record(one: &str, two: &str) -> ActiveJobRecord {
+pub(crate) fn job_record(one: &str, two: &str) -> ActiveJobRecord {
     let share = |partition: &str, term, tasks: &str| Share {
         partition: partition.into(),
         term,
@@ -69,7 +69,7 @@
         store_rps: 300.0,
         store_write_rps: 300.0,
         value_bytes: 16 * 1024,
-        group_bytes: 16 * 1024,
+        present_value_bytes: 16 * 1024,
         txn_ops: 24,
         version: crate::upgrade::VERSION,
         machine_capacity: 10_000,
@@ -114,11 +114,11 @@
 /// phase and cause.
 pub(crate) fn heartbeat_with(
     sequence: u64,
-    tasks: &[(u64, TaskPhase, Option<Cause>)],
+    tasks: &[(u64, TaskPhase, Option<ExitCause>)],
 ) -> Heartbeat {
     let tasks = tasks
         .iter()
-        .map(|(attempt, phase, cause)| TaskStatus {
+        .map(|(attempt, phase, cause)| AttemptStatus {
             task: TaskId { job: "req-1".into(), index: 0 },
             attempt: *attempt,
             phase: *phase,
@@ -148,7 +148,7 @@
     fencing_token: u64,
     attempts: &[u64],
 ) -> Heartbeat {
-    let tasks = attempts.iter().map(|attempt| TaskStatus {
+    let tasks = attempts.iter().map(|attempt| AttemptStatus {
         task: TaskId { job: "req-1".into(), index: 0 },
         attempt: *attempt,
         phase: TaskPhase::Running,
@@ -171,13 +171,13 @@
 
 /// Applies the record of a job submitted at `since`, with all its tasks in partition "one".
 pub(crate) fn reconcile_test_job(core: &mut Core, spec: &JobSpec, mod_revision: u64, since: u64) {
-    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(spec.tasks) };
+    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::up_to(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), since, vec![share]);
     core.reconcile_job(record, mod_revision);
 }
 
 /// Returns the call ids of the transactions among the effects that have a condition on a key.
-pub(crate) fn changes(effects: &[Effect], key: &str) -> Vec<CallId> {
+pub(crate) fn transactions_on(effects: &[Effect], key: &str) -> Vec<CallId> {
     let matching_call_id = |e: &Effect| match e {
         Effect::Store { call_id, call: StoreCall::Txn(txn), .. } => {
             txn.conditions.iter().any(|c| c.path == key).then_some(*call_id)
@@ -195,7 +195,7 @@
 
 /// Returns the record of a cluster version raised to the current one.
 pub(crate) fn raised_version(mod_revision: u64) -> KeyValue {
-    let value = Json::of(&ClusterRecord { version: crate::upgrade::VERSION });
+    let value = Json::of(&ClusterVersionRecord { version: crate::upgrade::VERSION });
     KeyValue { key: CLUSTER_VERSION_KEY.into(), value, mod_revision, lease_id: None }
 }
 
@@ -213,7 +213,7 @@
 
 /// Returns a controller with a loaded cache in which these partitions are led: name, node and
 /// modification revision of the key.
-pub(crate) fn with_cache(partitions: &[(&str, &str, u64)]) -> Core {
+pub(crate) fn core_with_cache(partitions: &[(&str, &str, u64)]) -> Core {
     let mut core = core();
     core.cache.set_loaded(true);
     core.wall_offset = Some(0);
@@ -264,7 +264,7 @@
 }
 
 /// Returns the number of machines that the effects scale in.
-pub(crate) fn returned(effects: &[Effect]) -> usize {
+pub(crate) fn scaled_in_count(effects: &[Effect]) -> usize {
     let scaled_in = |e: &Effect| match e {
         Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } => machines.len(),
         _ => 0,
@@ -275,14 +275,14 @@
 /// Queues job "req-1" in partition "one", with tasks of 3 s on `cpus` processors each.
 pub(crate) fn queue_tasks(core: &mut Core, tasks: u32, priority: Priority, cpus: f64) {
     let job = JobSpec { priority, cpus, ..spec(tasks) };
-    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(tasks) };
+    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::up_to(tasks) };
     let shares = vec![share];
     let finished = Ranges::default();
     core.reconcile_job(ActiveJobRecord { finished, ..ActiveJobRecord::new(job, NOW, shares) }, 10);
 }
 
 /// Makes machine "n-1" of partition "one" usable by its first heartbeat.
-pub(crate) fn ready_machine(core: &mut Core) {
+pub(crate) fn make_machine_usable(core: &mut Core) {
     let config = core.config.clone();
     if let Some(partition) = core.partitions.get_mut("one") {
         partition.apply_heartbeat(
@@ -299,13 +299,13 @@
 pub(crate) fn record_of(number: u32, tasks: u32, partition: &str) -> ActiveJobRecord {
     let mut job = spec(tasks);
     job.id = format!("req-{number}");
-    let shares = vec![Share { partition: partition.into(), term: 5, tasks: Ranges::first(tasks) }];
+    let shares = vec![Share { partition: partition.into(), term: 5, tasks: Ranges::up_to(tasks) }];
     ActiveJobRecord::new(job, NOW, shares)
 }
 
 /// Returns a heartbeat of machine "n-1", which runs an attempt of task 0 of job "req-1" or nothing.
-pub(crate) fn report_of_one(sequence: u64, attempt: Option<u64>) -> Heartbeat {
-    let running = |attempt| TaskStatus {
+pub(crate) fn heartbeat_of_one(sequence: u64, attempt: Option<u64>) -> Heartbeat {
+    let running = |attempt| AttemptStatus {
         task: TaskId { job: "req-1".into(), index: 0 },
         attempt,
         phase: TaskPhase::Running,
@@ -328,7 +328,7 @@
 
 /// Returns a controller with a loaded cache in which each of the nodes "one" and "two" leads its
 /// own partition.
-pub(crate) fn with_leaders(machine_capacity: usize) -> Core {
+pub(crate) fn core_with_leaders(machine_capacity: usize) -> Core {
     let mut core = core();
     core.config.machine_capacity = machine_capacity;
     core.cache.set_loaded(true);
@@ -342,7 +342,7 @@
 
 /// Replaces machine "n-1" of partition "one" by usable machines of 8 processors: name, type ("m" or
 /// "x"), zone, spot.
-pub(crate) fn machines(core: &mut Core, list: &[(&str, &str, &str, bool)]) {
+pub(crate) fn set_machines(core: &mut Core, list: &[(&str, &str, &str, bool)]) {
     // With a single partition, the jobs of limited teams run in it too.
     core.config.nodes = vec!["one".into()];
     let config = core.config.clone();
@@ -389,15 +389,15 @@
 
 /// Queues a job in partition "one" and places the queue 50 ms later.
 pub(crate) fn queue_job(core: &mut Core, spec: &JobSpec, mod_revision: u64) {
-    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::first(spec.tasks) };
+    let share = Share { partition: "one".into(), term: 5, tasks: Ranges::up_to(spec.tasks) };
     let record = ActiveJobRecord::new(spec.clone(), NOW, vec![share]);
     core.reconcile_job(record, mod_revision);
     core.now += quartzlever_wire::SECOND / 20;
-    core.place("one");
+    core.place_queue("one");
 }
 
 /// Returns the number of a job's attempts on each machine that has any, with the machine's name.
-pub(crate) fn placed(core: &Core, id: &str) -> Vec<(String, usize)> {
+pub(crate) fn task_counts_by_machine(core: &Core, id: &str) -> Vec<(String, usize)> {
     let attempts_on = |m: &crate::machines::machine::Machine| {
         m.attempts.keys().filter(|key| key.task.job == id).count()
     };
@@ -418,9 +418,9 @@
 }
 
 /// Lists all records again, with these entries at this revision as the result.
-pub(crate) fn list_records(core: &mut Core, entries: &[KeyValue], revision: u64) {
+pub(crate) fn relist_records(core: &mut Core, entries: &[KeyValue], revision: u64) {
     core.listing.begin(core.now, &mut core.outbox);
-    let number = core.listing.latest();
+    let number = core.listing.latest_number();
     for section in Section::ALL {
         let in_section = |entry: &&KeyValue| entry.key.starts_with(section.prefix());
         let entries = entries.iter().filter(in_section).cloned().collect();
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -50,15 +50,15 @@
         store_rps: 300.0,
         store_write_rps: 300.0,
         value_bytes: 16 * 1024,
-        group_bytes: 16 * 1024,
+        present_value_bytes: 16 * 1024,
         txn_ops: 24,
         version: quartzlever_core::VERSION,
         machine_capacity: 10_000,
         operator: Operator {
-            lease_life: 5 * SECOND,
+            lease_lifetime: 5 * SECOND,
             takeover_after: SECOND,
             handback_after: 2 * SECOND,
-            silent_return: 4 * SECOND,
+            silent_machine_timeout: 4 * SECOND,
             ..Operator::default()
         },
         log_level: LogLevel::Error,
@@ -414,7 +414,7 @@
     pub fn run_with_lookups(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
-            for job in self.rules.accepted() {
+            for job in self.rules.accepted_jobs() {
                 let n = self.rng.random_range(0..self.names.len());
                 if self.cores[n].is_some() {
                     self.lookup(n, &job);
@@ -481,7 +481,7 @@
             self.counts.expired_leases += usize::from(busy && worker.incarnation() > incarnation);
         }
         self.check_completions();
-        self.workers.retain(|name, _| !self.cloud.gone.contains(name));
+        self.workers.retain(|name, _| !self.cloud.terminated.contains(name));
         let due: Vec<(Micros, u64, Message)> = {
             let (mut due, rest): (Vec<_>, Vec<_>) =
                 std::mem::take(&mut self.in_flight).into_iter().partition(|m| m.0 <= now);
@@ -502,7 +502,7 @@
             let mut batch = batches.remove(&n).unwrap_or_default();
             let behind = self.stalled.remove(&n);
             if behind || now.is_multiple_of(4 * STEP) {
-                batch.push(Command::Tick { wall: now, behind });
+                batch.push(Command::Tick { wall: now, was_stalled: behind });
             }
             let Some(core) = self.cores[n].as_mut() else { continue };
             let effects = core.step(now, batch);
--- a/crates/quartzlever-testkit/src/worker.rs
+++ b/crates/quartzlever-testkit/src/worker.rs
@@ -4,7 +4,8 @@
 
 use quartzlever_wire::cloud::Instance;
 use quartzlever_wire::workers::{
-    Cause, Heartbeat, TaskId, TaskPhase, TaskStatus, WorkerCommand, WorkerCommands, WorkerReply,
+    AttemptStatus, ExitCause, Heartbeat, TaskId, TaskPhase, WorkerCommand, WorkerCommands,
+    WorkerReply,
 };
 use quartzlever_wire::{Micros, SECOND};
 
@@ -12,7 +13,7 @@
 #[derive(Clone, Debug)]
 struct Attempt {
     started: Micros,
-    exited: Option<Cause>,
+    exited: Option<ExitCause>,
 }
 
 /// A fake worker on one machine.
@@ -39,7 +40,7 @@
     /// Whether tasks with an odd index keep running until this is unset.
     pub odd_tasks_wait: bool,
     /// Whether every task on this machine fails.
-    pub faulty: bool,
+    pub fails_all_tasks: bool,
     /// Jobs whose tasks fail wherever they run.
     pub fails_everywhere: BTreeSet<String>,
     /// Whether the worker hangs: its tasks make no progress and answers to its heartbeats are
@@ -67,7 +68,7 @@
             endless_jobs: BTreeSet::new(),
             warning_s: None,
             odd_tasks_wait: false,
-            faulty: false,
+            fails_all_tasks: false,
             fails_everywhere: BTreeSet::new(),
             hung: false,
             started: Vec::new(),
@@ -100,16 +101,16 @@
             return;
         }
         let (endless_jobs, odd_tasks_wait) = (&self.endless_jobs, self.odd_tasks_wait);
-        let (faulty, fails_everywhere) = (self.faulty, &self.fails_everywhere);
+        let (faulty, fails_everywhere) = (self.fails_all_tasks, &self.fails_everywhere);
         let keeps_running = |task: &TaskId| {
             endless_jobs.contains(&task.job) || (odd_tasks_wait && task.index % 2 == 1)
         };
         for ((task, _), attempt) in self.attempts.iter_mut().filter(|(_, a)| a.exited.is_none()) {
             let fails = faulty || fails_everywhere.contains(&task.job);
             if fails && now >= attempt.started + SECOND / 2 {
-                attempt.exited = Some(Cause::Error);
+                attempt.exited = Some(ExitCause::Error);
             } else if now >= attempt.started + self.run_time && !keeps_running(task) {
-                attempt.exited = Some(Cause::Done);
+                attempt.exited = Some(ExitCause::Done);
                 self.completed.push(task.clone());
             }
         }
@@ -131,7 +132,7 @@
             tasks: self
                 .attempts
                 .iter()
-                .map(|((task, attempt), a)| TaskStatus {
+                .map(|((task, attempt), a)| AttemptStatus {
                     task: task.clone(),
                     attempt: *attempt,
                     phase: if a.exited.is_some() { TaskPhase::Exited } else { TaskPhase::Running },
@@ -144,7 +145,7 @@
 
     /// Reports whether a heartbeat contains the current state of all attempts on the machine.
     pub fn is_reported_by(&self, heartbeat: &Heartbeat) -> bool {
-        let exited = |t: &TaskStatus| t.phase == TaskPhase::Exited;
+        let exited = |t: &AttemptStatus| t.phase == TaskPhase::Exited;
         self.incarnation == heartbeat.incarnation
             && self.fencing_token == heartbeat.fencing_token
             && self.attempts.len() == heartbeat.tasks.len()
@@ -159,7 +160,7 @@
     ///
     /// Ignores the response if it comes more than 4 s after the heartbeat, belongs to another
     /// incarnation or has a lower fencing token.
-    pub fn answered(
+    pub fn receive_reply(
         &mut self,
         commands: &WorkerCommands,
         sent: Micros,
@@ -182,7 +183,7 @@
     /// Receives commands sent to its own address.
     ///
     /// Refuses them if they have a lower fencing token or do not name the current incarnation.
-    pub fn command(&mut self, commands: &WorkerCommands, now: Micros) -> WorkerReply {
+    pub fn receive_commands(&mut self, commands: &WorkerCommands, now: Micros) -> WorkerReply {
         if commands.fencing_token < self.fencing_token
             || commands.incarnation != Some(self.incarnation)
         {
@@ -201,7 +202,7 @@
             return;
         }
         let busy = self.attempts.iter().any(|((t, _), a)| t == task && a.exited.is_none());
-        let exited = busy.then_some(Cause::Busy);
+        let exited = busy.then_some(ExitCause::Busy);
         if exited.is_none() {
             self.started.push((task.clone(), now));
         }
@@ -214,7 +215,7 @@
                 WorkerCommand::Run { task, attempt } => self.start_attempt(task, *attempt, now),
                 WorkerCommand::Kill { task, attempt, .. } => {
                     if let Some(a) = self.attempts.get_mut(&(task.clone(), *attempt)) {
-                        a.exited = a.exited.or(Some(Cause::Halted));
+                        a.exited = a.exited.or(Some(ExitCause::Halted));
                     }
                 }
                 WorkerCommand::Clear { task, attempt } => {
