--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -176,8 +176,9 @@
         for id in self.queue_order(config, run_times, now) {
             let Some(job) = self.jobs.get(&id) else { continue };
             if job.fails_everywhere() && supply.can_run(types, job.spec()) {
-                // More machines would not help the job, but without any it could never prove to be
-                // sound: all machines that it has failed on may have been faulty, and be gone.
+                // More machines would not help the job, but without any it could never prove that
+                // it is sound: all machines that it has failed on may have been faulty, and be
+                // gone.
                 continue;
             }
             self.scale_out_for_job(context, job, &mut supply, &mut wanted);
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -57,7 +57,7 @@
                 .extend(partition.fleet.pending_instances.take_abandoned(&types, now, remaining));
         }
         let late = partition.fleet.pending_instances.late_count_change(&types, now);
-        let reasons = partition.begin_scale_in(&machine_names);
+        let reasons = partition.mark_scaling_in(&machine_names);
         let partition = Some((name.to_owned(), partition.term));
         if let Some((late, awaited)) = late {
             self.outbox.log(LogLevel::Info, || LogEvent::MachinesLate {
@@ -177,7 +177,7 @@
 
     /// Marks machines as being terminated. Returns the reason of each for the log, `None` for a
     /// machine that never came up.
-    fn begin_scale_in(&mut self, machines: &[String]) -> Vec<Option<ScaleInReason>> {
+    fn mark_scaling_in(&mut self, machines: &[String]) -> Vec<Option<ScaleInReason>> {
         let mut reasons = Vec::new();
         for machine_name in machines {
             let machine = self.machines.get_mut(machine_name);
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -96,7 +96,8 @@
 /// when the cloud's list of machines is read.
 const REASONS: [ReasonRule; 7] = [
     (ScaleInReason::Silent, |rules, machine| rules.silence(machine) > rules.max_silence(machine)),
-    // The heartbeats that confirm the end may still be unread on a node that was not listening.
+    // The heartbeats that confirm the attempt's end may still be unread on a node that was not
+    // listening.
     (ScaleInReason::LingeringAttempt, |rules, machine| {
         rules.has_listened()
             && machine.has_lingering_attempt(rules.now, rules.config.attempt_exit_timeout())
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -446,11 +446,11 @@
     requested: u32,
 }
 
-/// The cloud lists a price for spot machines and has none. The price cap must not apply to a
-/// partition without cheap machines: an empty partition could not afford its first machine, and
-/// nothing was ever launched (`nothing_ran`). Nor may the cap prevent the start of a job
-/// permanently. A job that failed on faulty machines, all of them gone, must be able to prove to be
-/// sound.
+/// The cloud lists a price for spot machines but has no such machines. The price cap must not apply
+/// to a partition without cheap machines: an empty partition could not afford its first machine,
+/// and nothing was ever launched (rule `nothing_ran` of the testkit). Nor may the cap prevent the
+/// start of a job permanently. A job that failed on faulty machines, all of them gone, must get a
+/// chance to prove that it is sound.
 #[test]
 fn the_price_cap_does_not_stop_scale_out_without_cheap_machines() {
     let base = PriceCapCase {
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -128,7 +128,8 @@
     pub run_attempts: Vec<AttemptKey>,
     /// Whether the call confirms that an unknown machine exists.
     pub confirms_presence: bool,
-    /// Whether the call only tests whether this process reaches any worker.
+    /// Whether the call is the probe of a node that is cut off from the workers; the reply shows
+    /// that the node reaches them again.
     pub probe: bool,
 }
 
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -53,8 +53,8 @@
 const MAX_BACKOFF: Micros = 600 * SECOND;
 /// Interval of the probes of the home partition's machines.
 const PROBE_INTERVAL: Micros = 2 * SECOND;
-/// How long other nodes have to acquire a partition that this node gave up before this node may
-/// acquire it again: by then no other node is going to.
+/// How much longer this node waits before it acquires a partition without a leader while it is cut
+/// off from the workers, so that other nodes acquire it first.
 pub(crate) const PEER_TAKEOVER_WINDOW: Micros = 10 * SECOND;
 
 /// Which workers' heartbeats this node and its peers receive, and the state of the probes.
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -288,7 +288,7 @@
         now: Micros,
     ) -> Option<WorkerCommands> {
         let machine = self.machines.get_mut(&heartbeat.machine)?;
-        // The worker drops the answer to a late heartbeat. Its lease is taken as renewed all the
+        // The worker drops an answer that comes too late. Its lease is taken as renewed all the
         // same, which is the safe assumption.
         machine.last_answered_at = now;
         let commands = if is_newer {
@@ -328,9 +328,10 @@
         commands
     }
 
-    /// Returns the kills that the answer to an outdated heartbeat carries, as the answer still
-    /// renews the worker's lease and so keeps everything that it runs alive. An attempt that is
-    /// unwanted or whose job has ended may be killed however old the heartbeat is.
+    /// Returns the kills that the answer to an outdated heartbeat carries: the answer may still
+    /// renew the worker's lease, which keeps alive all that the worker runs. An attempt that is
+    /// unwanted and has no leeway, or whose job has ended, may be killed however old the heartbeat
+    /// is.
     pub fn kills_for(
         &self,
         heartbeat: &Heartbeat,
--- a/crates/quartzlever-core/src/machines/ownership/group_update.rs
+++ b/crates/quartzlever-core/src/machines/ownership/group_update.rs
@@ -31,7 +31,7 @@
 
 impl GroupUpdate {
     /// Plans the write of a group: removes the terminated machines, and adds those with a pending
-    /// claim that fit into the value.
+    /// claim for which the group's value has space.
     pub fn plan(key: &str, pending: &PendingGroupChange, context: &GroupContext) -> Self {
         let Versioned { record: records, mod_revision } =
             context.cache.group(key).cloned().unwrap_or_default();
@@ -55,7 +55,8 @@
         update
     }
 
-    /// Adds the machines with a pending claim that fit into the value.
+    /// Adds the machines with a pending claim, unless they are claimed already or the group's value
+    /// would exceed the limit.
     fn add_claims(&mut self, claims: &BTreeMap<String, OwnershipClaim>, context: &GroupContext) {
         // The group is serialized once to measure it, then each added record by itself.
         // Serializing the whole group for each record took most of the time of a start.
--- a/crates/quartzlever-core/src/router/lookups.rs
+++ b/crates/quartzlever-core/src/router/lookups.rs
@@ -55,7 +55,7 @@
             Ok(StoreReply::Revision(revision)) => {
                 self.cache.record_revision_read(revision, sent);
                 if !lookups.is_empty() {
-                    self.lookups.wait_for(revision, lookups);
+                    self.lookups.queue_until(revision, lookups);
                 }
             }
             _ => {
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -82,8 +82,8 @@
         let (wall, value_bytes) = (self.wall(), self.limits.value_bytes());
         let planned = submission::plan_acceptance(&spec, entry, wall, value_bytes);
         let Some(Acceptance { txn, record }) = planned else {
-            // The record of such a job can never be stored; a job that exists is still answered as
-            // such.
+            // The record is too long for the store. If a job with this id exists, the answer is its
+            // state all the same; otherwise the submission is rejected permanently.
             return self.read_job(JobReadPurpose::Submit {
                 id,
                 job: spec.id.clone(),
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -20,8 +20,8 @@
 /// Minimum time between two placements of a partition's whole queue. With hundreds of machines, one
 /// placement takes longer than the handling of a heartbeat may.
 const PLACEMENT_INTERVAL: Micros = SECOND / 10;
-/// Interval at which a job that fails everywhere is checked for an attempt that outlasts its
-/// failures.
+/// Interval of the check whether an attempt of a job that fails everywhere has run longer than all
+/// failed ones.
 const TRIAL_CHECK_INTERVAL: Micros = SECOND;
 
 /// The placement of one job's tasks.
--- a/crates/quartzlever-core/src/scheduling/queue_order.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order.rs
@@ -16,8 +16,8 @@
 /// Time after the submission from which on a job that has not begun is placed before all others.
 /// Users expect a job to begin within four minutes.
 const STARVED_AFTER: Micros = 150 * SECOND;
-/// A job that begins later than `STARVED_AFTER` is not preempted while it has at most this many
-/// tasks on machines and none finished.
+/// A job older than `STARVED_AFTER` is not preempted for higher priorities while it has at most
+/// this many tasks on machines and none finished.
 const MAX_PROTECTED_FIRST_TASKS: usize = 4;
 /// Age from which on a job is not preempted for higher priorities, and is queued with urgent
 /// priority.
@@ -133,9 +133,11 @@
         now.saturating_sub(self.submitted_at) > aged_after
     }
 
-    /// Reports whether the job's tasks are not preempted for higher priorities: it is aged, or its
-    /// first tasks begin late. Without the latter, these tasks, as the youngest, were preempted
-    /// repeatedly while they pulled their image, and the job had not begun after 250 s.
+    /// Reports whether the job's tasks are not preempted for higher priorities: the job is aged, or
+    /// it is older than `STARVED_AFTER`, none of its tasks has finished, and at most
+    /// `MAX_PROTECTED_FIRST_TASKS` are on machines. Without the second case, the first tasks of a
+    /// late job, as the youngest, were preempted repeatedly while they pulled their image, and the
+    /// job had not begun after 250 s.
     pub(super) fn is_protected(&self, now: Micros) -> bool {
         let late = now.saturating_sub(self.submitted_at) > STARVED_AFTER;
         let only_first_tasks = self.assignments.len() <= MAX_PROTECTED_FIRST_TASKS
--- a/crates/quartzlever-core/src/stealing/selection.rs
+++ b/crates/quartzlever-core/src/stealing/selection.rs
@@ -172,7 +172,7 @@
 }
 
 /// Returns how many of the job's ready tasks, at most `max_tasks`, fit in the thief's free
-/// capacity, and subtracts them from it.
+/// capacity, and subtracts what they need from the capacity.
 fn allot_free_capacity(free: &mut [FreeCapacity], job: &PartitionJob, max_tasks: u32) -> u32 {
     let need = job.required_resources();
     let mut count = 0;
--- a/crates/quartzlever-core/src/store/listing.rs
+++ b/crates/quartzlever-core/src/store/listing.rs
@@ -97,8 +97,8 @@
         })
     }
 
-    /// Requests `next` after a page of `section`. If the listing is complete, returns when its
-    /// first page was requested.
+    /// Requests `next` after a page of `section`. If the listing is complete, ends it and returns
+    /// the time at which its first page was requested.
     pub fn request_next(
         &mut self,
         section: Section,
--- a/crates/quartzlever-core/src/store/lookups.rs
+++ b/crates/quartzlever-core/src/store/lookups.rs
@@ -76,7 +76,7 @@
     }
 
     /// Queues lookups until the cache reaches `revision`.
-    pub fn wait_for(&mut self, revision: u64, lookups: Vec<PendingLookup>) {
+    pub fn queue_until(&mut self, revision: u64, lookups: Vec<PendingLookup>) {
         self.awaiting_cache.push_back(LookupBatch { revision, lookups });
     }
 
--- a/crates/quartzlever-core/src/store/lookups/tests.rs
+++ b/crates/quartzlever-core/src/store/lookups/tests.rs
@@ -45,7 +45,7 @@
     let ids = |batch: Option<Vec<PendingLookup>>| batch.map(|lookups| lookups[0].id);
     let mut lookups = Lookups::default();
     for (revision, id) in [(10, 1), (12, 2), (11, 3)] {
-        lookups.wait_for(revision, batch(id));
+        lookups.queue_until(revision, batch(id));
     }
     assert_eq!(ids(lookups.take_answerable(&Cache::default())), None, "the cache is not loaded");
     assert_eq!(ids(lookups.take_answerable(&cache(11))), Some(1));
@@ -69,7 +69,7 @@
     assert!(!lookups.enqueue(NOW, 0, "req-1".into()));
     // Lookups that wait for the cache count as well.
     let batch = read_revision(&mut lookups, NOW).unwrap_or_default();
-    lookups.wait_for(12, batch);
+    lookups.queue_until(12, batch);
     assert!(!lookups.enqueue(NOW, 0, "req-1".into()));
     assert_eq!(
         lookups.take_answerable(&cache(12)).map(|batch| batch.len()),
--- a/crates/quartzlever-core/src/upgrade/tests.rs
+++ b/crates/quartzlever-core/src/upgrade/tests.rs
@@ -4,7 +4,7 @@
 use crate::testing::*;
 use quartzlever_wire::store::NodeRecord;
 
-/// Applies the announcement of a process.
+/// Applies the record in which a process announces its version, as if read from the store.
 fn announce(core: &mut Core, node: &str, version: u32, process: u64, mod_revision: u64) {
     let v = Json::of(&NodeRecord { version, process });
     let path = format!("cluster/nodes/{node}");
--- a/crates/quartzlever-recovery/src/detection.rs
+++ b/crates/quartzlever-recovery/src/detection.rs
@@ -32,7 +32,7 @@
         /// The store's current revision, as a revision of the generation.
         to: u64,
     },
-    /// The witness counter of this controller is lower than the controller has written it.
+    /// The witness counter of this controller is lower than the one that the controller wrote last.
     #[error(
         "a key of this controller is older than it has written it: {found} instead of {written}"
     )]
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -7,9 +7,9 @@
 //!
 //! ```text
 //! no identity, identity lost or given up -> Electing   -> (lock won) next generation written -> Joining
-//! generation of the own history          -> Verifying  -> opened, or records missing -> GivingUp
+//! generation of its own history          -> Verifying  -> opened, or records missing -> GivingUp
 //! records missing                        -> GivingUp   -> Electing
-//! generation newer than the own history  -> Joining    -> own jobs contributed -> opened
+//! generation newer than its own history  -> Joining    -> own jobs contributed -> opened
 //! ```
 //!
 //! Invariant: the process opens the store only in `Verifying` and `Joining`, after all records were
@@ -49,11 +49,13 @@
 /// State of the process, determined from one observation of the store.
 #[derive(Debug)]
 enum State {
-    /// The generation of the own history is serving; its records are compared with the history.
+    /// The generation of this process's history is serving; its records are compared with the
+    /// history.
     Verifying(Generation),
-    /// A generation newer than the own history is serving; jobs that it lacks are contributed.
+    /// A generation newer than this process's history is serving; jobs that the generation lacks
+    /// are contributed.
     Joining(Generation),
-    /// The generation of the own history is serving but lacks records.
+    /// The generation of this process's history is serving but lacks records that the history has.
     GivingUp { generation: Generation, loss: Loss },
     /// No generation is serving; the controllers elect the one that writes the next generation.
     Electing(Cause),
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -90,8 +90,7 @@
     pub changes: Vec<(String, Option<String>)>,
 }
 
-/// The capacity of a partition that steals, so that the victim does not move tasks that would only
-/// wait there.
+/// The capacity of a partition that steals. The victim moves no tasks that would only wait there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ThiefCapacity {
     /// For an idle partition, the free capacity of each machine that accepts tasks, including what
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Sleeps until a command arrives or the tick is due.
+    /// Sleeps until a command arrives. Without one, sleeps until the tick is due if a placement is
+    /// pending, and one interval longer otherwise. Returns at once if the tick is due already.
     fn await_commands(&self) {
         let now = self.clock.now();
         if now < self.tick_at {
--- a/crates/quartzlever/src/server/admission/tests.rs
+++ b/crates/quartzlever/src/server/admission/tests.rs
@@ -1,10 +1,11 @@
-//! Tests the limits on connections that follow from the machine's limits.
+//! Tests the limits on connections, which follow from the machine's sockets, threads and memory.
 
 use super::*;
 
 #[test]
 fn workers_always_leave_connections_to_users() {
-    // (sockets, threads, memory, all connections, connections that workers leave at least to users)
+    // (sockets, threads, memory, all connections, the least number of connections that workers
+    // leave to users)
     for (sockets, threads, memory_mb, total, users) in [
         (2500, 2000, 200.0, 1880, 280),
         (2500, 2000, 85.0, 1699, 250),
--- a/crates/quartzlever/src/settings/operator.rs
+++ b/crates/quartzlever/src/settings/operator.rs
@@ -13,7 +13,7 @@
 
 const PEERS_ASKED_RANGE: Range = Range::new(1.0, 1000.0);
 
-/// The operator's file. Every key may be left out.
+/// The operator's file as written, before its values are checked. A key left out has its default.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct OperatorFile {
