--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -12,7 +12,7 @@
 //! partition stays.
 //!
 //! The node requests its partition again only after a direct call has reached one of its machines.
-//! Each further release of a partition doubles the delay before that.
+//! Repeated releases double the delay before that call, up to [`MAX_BACKOFF`].
 //!
 //! [`Reachability`] counts and decides; it holds no partition itself. It never gives up a partition
 //! on the counts of peers alone, nor before this process has listened long enough to judge.
@@ -48,8 +48,8 @@
 /// Delay before the first probe after a partition was given up, unless another was given up
 /// recently.
 const INITIAL_BACKOFF: Micros = 15 * SECOND;
-/// Upper bound of that delay. Also how long after the end of the latest backoff a release starts
-/// again at [`INITIAL_BACKOFF`].
+/// Maximum backoff. A release that comes at least this long after the end of the latest backoff
+/// starts again at [`INITIAL_BACKOFF`].
 const MAX_BACKOFF: Micros = 600 * SECOND;
 /// Interval of the probes of the home partition's machines.
 const PROBE_INTERVAL: Micros = 2 * SECOND;
@@ -65,7 +65,7 @@
     /// When machines of other nodes' partitions last sent a heartbeat here, by partition and
     /// machine.
     foreign_heartbeats: BTreeMap<String, HashMap<String, Micros>>,
-    /// The number of machines that a peer receives heartbeats from, by partition held here.
+    /// The number of machines that a peer receives heartbeats from, by partition led here.
     machines_seen: BTreeMap<String, PeerCount>,
     /// Set while this node is cut off from the workers: the earliest time at which it probes
     /// whether it reaches them again.
@@ -92,7 +92,7 @@
     pub machines: u32,
 }
 
-/// The times of the last heartbeats received here from the machines of a partition held here.
+/// The times of the last heartbeats received here from the machines of a partition led here.
 #[derive(Debug)]
 pub(crate) struct OwnHeartbeats<'a, I> {
     pub partition: &'a str,
@@ -166,8 +166,9 @@
         is_due
     }
 
-    /// Returns the counts to report to the leaders of other partitions. Forgets machines that have
-    /// sent nothing here for two heartbeat intervals.
+    /// Returns the counts to report to the leaders of other partitions, for each partition of which
+    /// at least [`MIN_MACHINES`] machines sent heartbeats here. Forgets machines that have sent
+    /// nothing here for two heartbeat intervals.
     pub fn foreign_machines(&mut self, now: Micros, config: &Config) -> Vec<ForeignMachines> {
         let recent = config.workers.heartbeat_interval * 2;
         let mut reports = Vec::new();
@@ -202,7 +203,7 @@
         outbox.call_store(CallPriority::Work, StoreCall::Txn(txn), PendingStoreCall::Ignored);
     }
 
-    /// Reports whether a peer receives heartbeats from most machines of a partition held here while
+    /// Reports whether a peer receives heartbeats from most machines of a partition led here while
     /// this node receives them from almost none.
     pub fn peer_sees_more_machines(
         &self,
--- a/crates/quartzlever-core/src/leadership/unmet_conditions.rs
+++ b/crates/quartzlever-core/src/leadership/unmet_conditions.rs
@@ -31,7 +31,8 @@
     /// Machines for a partition's ready tasks: it has no machine, no pending instance and no
     /// scale-out request.
     Machines { partition: String, ready: u32 },
-    /// Write budget: the account for the store's write limit is in debt.
+    /// Write budget: new submissions have to wait, because the debt exceeds the changes of one
+    /// second or a more urgent kind of change is starved.
     WriteBudget,
 }
 
--- a/crates/quartzlever-core/src/machines.rs
+++ b/crates/quartzlever-core/src/machines.rs
@@ -2,9 +2,11 @@
 //!
 //! - [`machine`], `attempt`, `resources`: the state of a machine and of the task attempts on it.
 //! - `membership`: adding and removing machines of a partition, and the recovery barrier.
-//! - `heartbeats`, `presence`: routing of heartbeats, and confirmation that an unknown machine exists.
+//! - `heartbeats`, `presence`: routing of heartbeats, and confirmation that an unknown machine
+//!   exists.
 //! - `reconciliation`, `attempt_outcomes`: processing of worker statuses and of ended attempts.
-//! - `call_queue`, `commands`: the workers to call, and the commands in calls and heartbeat answers.
+//! - `call_queue`, `commands`: the workers to call, and the commands in calls and heartbeat
+//!   answers.
 //! - `ownership`: the machines' records in the store.
 //! - `failures`: attribution of task failures to a job or to a machine.
 
--- a/crates/quartzlever-core/src/machines/attempt_outcomes.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes.rs
@@ -30,11 +30,11 @@
     /// How long it ran; `None` if it was never reported as running.
     pub run_time: Option<Micros>,
     pub class: String,
-    pub expect: Micros,
+    pub expected_run_time: Micros,
 }
 
 /// Records the end of a replica, which does not count against its machine. A healthy replica is
-/// restarted at once, one that ended too soon after the retry delay.
+/// restarted at once; one that ended too soon is restarted only after the retry delay.
 fn record_replica_end(job: &mut PartitionJob, ended: &EndedAttempt, now: Micros) {
     if ended.run_time.is_some_and(|run_time| run_time > REPLICA_HEALTHY_AFTER) {
         job.mark_healthy();
@@ -119,8 +119,9 @@
         let task = &ended.status.task;
         if let Some(machine) = self.machines.get_mut(ended.machine) {
             machine.failures.reset();
-            if let Some(run_time) = ended.run_time.filter(|_| ended.expect > 0) {
-                let pace = (run_time.saturating_mul(1000) / ended.expect).min(1_000_000) as u32;
+            if let Some(run_time) = ended.run_time.filter(|_| ended.expected_run_time > 0) {
+                let pace =
+                    (run_time.saturating_mul(1000) / ended.expected_run_time).min(1_000_000) as u32;
                 machine.recent_paces.push(run_times.relative_to_class(&ended.class, pace));
                 run_times.record(&ended.class, pace);
                 if machine.recent_paces.len() > MAX_RECENT_PACES {
--- a/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
+++ b/crates/quartzlever-core/src/machines/attempt_outcomes/tests.rs
@@ -53,7 +53,7 @@
             placed_at: NOW,
             run_time: (run_time > 0).then_some(run_time * SECOND),
             class: spec(1).class,
-            expect: 5 * SECOND,
+            expected_run_time: 5 * SECOND,
         };
         partition.handle_ended_attempt(&config, &mut RunTimes::default(), &ended, now);
         let case = format!("{shape:?} {cause:?} {run_time}");
@@ -81,14 +81,14 @@
             cause,
             kept: None,
         };
-        let (class, expect) = (spec(1).class, 5 * SECOND);
+        let (class, expected_run_time) = (spec(1).class, 5 * SECOND);
         let ended = EndedAttempt {
             machine: "n-1",
             status: &status,
             placed_at: NOW,
             run_time: None,
             class,
-            expect,
+            expected_run_time,
         };
         partition.handle_ended_attempt(&config, &mut RunTimes::default(), &ended, NOW + SECOND);
         let job = &partition.jobs["req-1"];
--- a/crates/quartzlever-core/src/machines/commands.rs
+++ b/crates/quartzlever-core/src/machines/commands.rs
@@ -27,10 +27,10 @@
 const CALL_RETRY_DELAY: Micros = 3 * SECOND;
 /// The same delay for a machine that is not verified yet and so delays the partition's recovery.
 const FENCING_CALL_RETRY_DELAY: Micros = SECOND;
-/// Maximum number of direct calls in flight, high enough that hung machines do not block the
-/// others. A call takes a few milliseconds, so thousands of machines are reached in seconds. Hung
-/// machines, at 2 s each, could delay the rest for minutes, but the rest send a heartbeat by
-/// themselves within one interval.
+/// Maximum number of direct calls in flight; there are several so that one hung machine does not
+/// block the others. A call takes a few milliseconds, so thousands of machines are reached in
+/// seconds. Many hung machines, at 2 s each, could delay the calls to the rest for minutes, but the
+/// rest send a heartbeat by themselves within one interval.
 const MAX_WORKER_CALLS: usize = 32;
 /// Maximum number of calls in flight to fence machines while most of them are still due to send a
 /// heartbeat.
@@ -44,7 +44,8 @@
 pub(crate) enum DirectCallOutcome {
     /// The worker's status was received and applied; the machine may have free capacity now.
     StatusReceived,
-    /// The call failed, or its reply came from another machine or showed a later term.
+    /// The call failed, its reply came from another machine or showed a later term, or the
+    /// partition no longer has the machine.
     NoStatus,
 }
 
@@ -168,9 +169,9 @@
     }
 
     /// Returns the number of calls in flight up to which fencing calls are made. Most machines are
-    /// fenced by their own heartbeats and only the rest need a call. A call costs more than a
-    /// heartbeat, so a processor that lacks time for both first waits half an interval for
-    /// heartbeats.
+    /// fenced by their own heartbeats and only the rest need a call. A call costs more processor
+    /// time than a heartbeat, so a partition with more than half of the machines that the processor
+    /// can serve gets no fencing calls in the first half interval after its acquisition.
     fn max_fencing_calls(&self, config: &Config, now: Micros) -> usize {
         let since = now.saturating_sub(self.acquired_at);
         let heartbeat_interval = config.workers.heartbeat_interval;
@@ -278,13 +279,13 @@
     }
 
     /// Returns the answer to a heartbeat; `None` if the partition does not have the machine.
-    /// `is_newer` says whether the heartbeat was newer than the known state, and `is_over` reports
-    /// whether a job has ended.
+    /// `is_newer` says whether the heartbeat was newer than the known state, and `is_terminal`
+    /// reports whether a job has ended.
     pub(crate) fn heartbeat_answer(
         &mut self,
         heartbeat: &Heartbeat,
         is_newer: bool,
-        is_over: impl Fn(&str) -> bool,
+        is_terminal: impl Fn(&str) -> bool,
         now: Micros,
     ) -> Option<WorkerCommands> {
         let machine = self.machines.get_mut(&heartbeat.machine)?;
@@ -294,7 +295,7 @@
         let commands = if is_newer {
             self.commands_for(&heartbeat.machine, true)
         } else {
-            self.kills_for(heartbeat, is_over)
+            self.kills_for(heartbeat, is_terminal)
         };
         Some(WorkerCommands { fencing_token: self.term, incarnation: None, commands })
     }
@@ -334,7 +335,7 @@
     pub fn kills_for(
         &self,
         heartbeat: &Heartbeat,
-        is_over: impl Fn(&str) -> bool,
+        is_terminal: impl Fn(&str) -> bool,
     ) -> Vec<WorkerCommand> {
         let attempts = self.machines.get(&heartbeat.machine).map(|m| &m.attempts);
         let is_unwanted = |t: &AttemptStatus| {
@@ -344,7 +345,7 @@
         let must_end = |t: &&AttemptStatus| {
             t.phase != TaskPhase::Exited
                 && (is_unwanted(t)
-                    || (!self.jobs.contains_key(&t.task.job) && is_over(&t.task.job)))
+                    || (!self.jobs.contains_key(&t.task.job) && is_terminal(&t.task.job)))
         };
         let kill = |t: &AttemptStatus| WorkerCommand::Kill {
             task: t.task.clone(),
--- a/crates/quartzlever-core/src/machines/commands/tests.rs
+++ b/crates/quartzlever-core/src/machines/commands/tests.rs
@@ -286,10 +286,10 @@
         let mut outbox = Outbox::new(LogLevel::Info, NOW);
         partition.call_workers(&config, NOW, NOW + 1, &mut outbox);
         let effects = outbox.take_effects();
-        let [Effect::Worker { call_id, deadline: until, .. }] = &effects[..] else {
+        let [Effect::Worker { call_id, deadline, .. }] = &effects[..] else {
             panic!("{effects:?}")
         };
-        assert_eq!(*until, NOW + 1, "{name}: no call after the end of the leader's authority");
+        assert_eq!(*deadline, NOW + 1, "{name}: no call after the end of the leader's authority");
         let call = outbox.take_worker_call(*call_id).expect("the call is in flight");
         let direct_command = |partition: &Partition| {
             partition.machines["n-1"].attempts.values().next().map(|attempt| attempt.direct_command)
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -31,8 +31,8 @@
     pub verified: bool,
     /// When the latest newer status arrived, as a heartbeat or as the reply to a direct call.
     pub last_heartbeat_at: Micros,
-    /// When a heartbeat was last answered with status 200. The worker's lease runs from an earlier
-    /// moment.
+    /// When a heartbeat was last answered with status 200. The worker's lease runs from when it
+    /// sent that heartbeat, which is earlier.
     pub last_answered_at: Micros,
     pub idle_since: Option<Micros>,
     /// The approximate time at which the cloud reclaims the spot instance, if it gave notice.
--- a/crates/quartzlever-core/src/machines/ownership.rs
+++ b/crates/quartzlever-core/src/machines/ownership.rs
@@ -39,7 +39,9 @@
 /// Minimum time between two writes of a group with claims, so that a burst of heartbeats makes one
 /// write.
 const CLAIM_INTERVAL: Micros = SECOND / 2;
-/// Minimum time after a write that only removes machines, which no request waits for.
+/// Minimum time between a write that only removes machines and the next write of the group, since
+/// no request waits for a removal; a claim shortens it to [`CLAIM_INTERVAL`]. Also the delay before
+/// an oversized group is checked again.
 const REMOVAL_INTERVAL: Micros = 2 * SECOND;
 /// Delay before a write that the store rejected as too large is retried.
 const TOO_LARGE_RETRY_DELAY: Micros = 5 * SECOND;
@@ -77,7 +79,9 @@
     claims: BTreeMap<String, OwnershipClaim>,
     /// Terminated machines, with the partition and term that terminated them.
     removals: BTreeMap<String, PartitionTerm>,
+    /// Whether a write or a reread of the group is in flight.
     writing: bool,
+    /// The earliest time of the next write.
     not_before: Micros,
 }
 
@@ -247,7 +251,7 @@
 
     /// Handles the result of the write of a group, and returns the outcome for the caller to act
     /// on.
-    pub fn write_answered(
+    pub fn write_replied(
         &mut self,
         write: &GroupWrite,
         result: &Result<StoreReply, CallError>,
@@ -309,7 +313,7 @@
     }
 
     /// Handles the end of a read of a group. `is_read` says whether the read succeeded.
-    pub fn read_answered(&mut self, key: &str, is_read: bool, now: Micros) {
+    pub fn read_replied(&mut self, key: &str, is_read: bool, now: Micros) {
         if let Some(change) = self.changes.get_mut(key) {
             change.writing = false;
             change.not_before = now + if is_read { CLAIM_INTERVAL } else { RETRY_DELAY };
--- a/crates/quartzlever-core/src/machines/ownership/group_update.rs
+++ b/crates/quartzlever-core/src/machines/ownership/group_update.rs
@@ -1,4 +1,5 @@
-//! Planning the write of one group: pending changes, within the size limits, become one transaction.
+//! Planning the write of one group: pending changes, within the size limits, become one
+//! transaction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -65,7 +65,7 @@
 
     /// Handles the result of a step of a split. Returns its modification revision if it was
     /// committed.
-    pub fn split_answered(
+    pub fn split_replied(
         &mut self,
         result: &Result<StoreReply, CallError>,
         now: Micros,
--- a/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting/tests.rs
@@ -102,7 +102,7 @@
             0,
             "a step is in flight"
         );
-        assert_eq!(ownership.split_answered(&Ok(StoreReply::Committed(20)), now), Some(20));
+        assert_eq!(ownership.split_replied(&Ok(StoreReply::Committed(20)), now), Some(20));
         if let [Effect::Store { call: StoreCall::Txn(txn), .. }] = &effects[..] {
             for change in &txn.changes {
                 let Change::Write { write, v, .. } = change else { continue };
@@ -148,7 +148,7 @@
     for result in [Err(CallError::Unknown), Ok(StoreReply::Conflict(vec![LARGE_KEY.to_owned()]))] {
         let (core, mut ownership) = (core_with_large_group("one"), Ownership::default());
         assert!(!split(&mut ownership, &core, true, LAYOUT, NOW).is_empty());
-        assert_eq!(ownership.split_answered(&result, NOW), None);
+        assert_eq!(ownership.split_replied(&result, NOW), None);
         let early = split(&mut ownership, &core, true, LAYOUT, NOW + SECOND / 2 - 1);
         assert!(early.is_empty(), "{result:?}");
         let later = split(&mut ownership, &core, true, LAYOUT, NOW + SECOND / 2);
--- a/crates/quartzlever-core/src/machines/ownership/tests.rs
+++ b/crates/quartzlever-core/src/machines/ownership/tests.rs
@@ -146,7 +146,7 @@
         assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW)));
         let later = write(&mut ownership, &core, true, LAYOUT, NOW + 60 * SECOND);
         assert!(later.is_empty(), "another write while one is in flight: {later:?}");
-        assert_eq!(ownership.write_answered(&group_write(), &result, NOW), outcome, "{result:?}");
+        assert_eq!(ownership.write_replied(&group_write(), &result, NOW), outcome, "{result:?}");
         let early = write(&mut ownership, &core, true, LAYOUT, NOW + again_after - 1);
         assert!(early.is_empty(), "{result:?}: {early:?}");
         assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + again_after)));
@@ -165,7 +165,7 @@
             matches!(&reads[..], [Effect::Store { call: StoreCall::Get(path), .. }] if *path == key)
         );
         assert!(write(&mut ownership, &core, true, LAYOUT, NOW + 60 * SECOND).is_empty());
-        ownership.read_answered(&key, is_read, NOW);
+        ownership.read_replied(&key, is_read, NOW);
         assert!(write(&mut ownership, &core, true, LAYOUT, NOW + delay - 1).is_empty());
         assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + delay)));
     }
@@ -190,7 +190,7 @@
                 matches!(&txn.changes[..], [Change::Delete { delete }] if delete == "hosts/n-~0")
             );
             let failed = Err(CallError::Refused);
-            ownership.write_answered(&group_write(), &failed, NOW);
+            ownership.write_replied(&group_write(), &failed, NOW);
             assert!(write(&mut ownership, &core, true, LAYOUT, NOW + RETRY_DELAY - 1).is_empty());
             assert!(is_write(&write(&mut ownership, &core, true, LAYOUT, NOW + REMOVAL_INTERVAL)));
         }
--- a/crates/quartzlever-core/src/machines/presence.rs
+++ b/crates/quartzlever-core/src/machines/presence.rs
@@ -1,8 +1,10 @@
-//! Presence checks: before an unexpected machine is claimed, a status call to it confirms that it exists.
+//! Presence checks: before an unexpected machine is claimed, a status call to it confirms that it
+//! exists.
 //!
-//! Without the check, a late copy of a heartbeat could claim again a machine that was terminated. At most one check
-//! is in flight per machine, and at most [`MAX_PRESENCE_CHECKS`] in total. Each ends with an answer to the heartbeat
-//! that began it, which the caller gives when it handles the outcome.
+//! Without the check, a late copy of a heartbeat could claim again a machine that was terminated.
+//! At most one check is in flight per machine, and at most [`MAX_PRESENCE_CHECKS`] in total. Each
+//! ends with an answer to the heartbeat that began it, which the caller gives when it handles the
+//! outcome.
 
 use std::collections::HashMap;
 
@@ -14,9 +16,9 @@
 use crate::messages::RequestId;
 use crate::outbox::Outbox;
 
-/// Maximum number of presence checks in flight. Heartbeats of further machines get a 503 and are repeated
-/// after a second, so that thousands of machines which this node did not launch are checked within a few
-/// seconds.
+/// Maximum number of presence checks in flight. Heartbeats of further machines get a 503 and are
+/// repeated after a second, so that thousands of machines which this node did not launch are
+/// checked within a few seconds.
 const MAX_PRESENCE_CHECKS: usize = 16;
 
 /// The presence checks in flight, by machine.
@@ -42,9 +44,9 @@
 }
 
 impl PresenceChecks {
-    /// Asks the machine that sent this heartbeat for its status, on behalf of a partition. The call is not
-    /// sent after `until`. The request is rejected if a check of the machine is in flight already, or too
-    /// many checks are.
+    /// Asks the machine that sent this heartbeat for its status, on behalf of a partition. The call
+    /// is not sent after `until`. The request is rejected if a check of the machine is in flight
+    /// already, or too many checks are.
     pub fn begin(
         &mut self,
         id: RequestId,
@@ -70,7 +72,8 @@
         outbox.call_worker(address, WorkerCall::Status, pending, until);
     }
 
-    /// Ends the check of a machine with the result of its status call; `None` if no check is in flight.
+    /// Ends the check of a machine with the result of its status call; `None` if no check is in
+    /// flight.
     pub fn answered(
         &mut self,
         machine: &str,
--- a/crates/quartzlever-core/src/machines/presence/tests.rs
+++ b/crates/quartzlever-core/src/machines/presence/tests.rs
@@ -19,7 +19,7 @@
 #[test]
 fn presence_checks_are_limited_to_one_per_machine_and_to_a_maximum_in_total() {
     let (mut checks, mut outbox) = (PresenceChecks::default(), Outbox::new(LogLevel::Info, NOW));
-    let calls_worker = |effects: &[Effect]| matches!(effects, [Effect::Worker { call: WorkerCall::Status, deadline: until, .. }] if *until == NOW + 1);
+    let calls_worker = |effects: &[Effect]| matches!(effects, [Effect::Worker { call: WorkerCall::Status, deadline, .. }] if *deadline == NOW + 1);
     let rejects = |effects: &[Effect], request: u64| matches!(effects, [Effect::Answer { id, status: 503, .. }] if *id == request);
     for n in 0..MAX_PRESENCE_CHECKS as u64 {
         assert!(calls_worker(&begin(&mut checks, &mut outbox, n, &format!("n-{n}"))), "{n}");
--- a/crates/quartzlever-core/src/machines/reconciliation.rs
+++ b/crates/quartzlever-core/src/machines/reconciliation.rs
@@ -1,10 +1,10 @@
 //! Reconciliation of the state that a worker reports with the state that this leader wants.
 //!
 //! Each status of a worker is applied once, in the order of incarnation and sequence. An attempt
-//! that an earlier leader started is adopted if the partition owns the task and has no other
-//! attempt of it, and killed otherwise. A machine counts as verified only after it shows this
-//! term's fencing token or after a full lease without an answer. A task is requeued only when no
-//! command in flight can still start the attempt.
+//! that an earlier leader started is adopted if the partition owns the task, which is neither
+//! finished nor moving nor has another attempt, and killed otherwise. A machine counts as verified
+//! only after it shows this term's fencing token or after a full lease without an answer. A task is
+//! requeued only when no command in flight can still start the attempt.
 
 use quartzlever_wire::workers::{AttemptStatus, Heartbeat, TaskPhase};
 use quartzlever_wire::{Micros, micros_from_secs};
@@ -209,13 +209,14 @@
             placed_at: attempt.placed_at,
             run_time: attempt.running_since.map(|since| now.saturating_sub(since)),
             class: attempt.class.clone(),
-            expect: attempt.expected_run_time,
+            expected_run_time: attempt.expected_run_time,
         };
         self.handle_ended_attempt(config, run_times, &ended, now);
     }
 
-    /// Adds an attempt that this leader has not started: wanted if the partition owns the task and
-    /// has no other attempt of it, and to be killed otherwise.
+    /// Adds an attempt that this leader has not started. It is wanted if it has not exited, the
+    /// settings have its job's team, and the partition owns the task, which is neither finished nor
+    /// moving nor on another machine; otherwise it is to be killed.
     fn reconcile_attempt(
         &mut self,
         config: &Config,
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -218,8 +218,8 @@
                     self.dispatch_peer_reply(pending, result);
                 }
             }
-            Command::Tick { wall, was_stalled: behind } => {
-                if behind {
+            Command::Tick { wall, was_stalled } => {
+                if was_stalled {
                     self.reachability.restart_listening(self.now);
                 }
                 self.wall_offset = Some(wall as i64 - self.now as i64);
--- a/crates/quartzlever-core/src/router/leadership/tests.rs
+++ b/crates/quartzlever-core/src/router/leadership/tests.rs
@@ -67,8 +67,8 @@
     assert!(core.may_act());
 }
 
-/// The maximum view age plus the worker lease stays below the cancellation deadline for all
-/// settings; where it cannot, the controller logs so at its start.
+/// The maximum view age plus the worker lease stays below the cancellation deadline wherever the
+/// settings allow it; where they do not, the controller logs so at its start.
 #[test]
 fn view_age_and_worker_lease_fit_within_the_cancellation_deadline() {
     // (lease and cancel in seconds, whether the lease alone meets cancel)
--- a/crates/quartzlever-core/src/router/ownership.rs
+++ b/crates/quartzlever-core/src/router/ownership.rs
@@ -66,7 +66,7 @@
         is_complete: bool,
         result: &Result<StoreReply, CallError>,
     ) {
-        let Some(mod_revision) = self.ownership.split_answered(result, self.now) else { return };
+        let Some(mod_revision) = self.ownership.split_replied(result, self.now) else { return };
         for (key, records) in small_groups {
             self.cache.record_group(&key, records, mod_revision);
         }
@@ -81,7 +81,7 @@
         write: GroupWrite,
         result: &Result<StoreReply, CallError>,
     ) {
-        match self.ownership.write_answered(&write, result, self.now) {
+        match self.ownership.write_replied(&write, result, self.now) {
             GroupWriteOutcome::Committed { mod_revision } => {
                 let GroupWrite { key, records, added, .. } = write;
                 self.apply_group_change(&key, records, mod_revision);
@@ -105,7 +105,7 @@
     /// Handles the reply to the reread of a group.
     pub(super) fn group_read(&mut self, key: &str, result: Result<StoreReply, CallError>) {
         let is_read = matches!(result, Ok(StoreReply::Read(_)));
-        self.ownership.read_answered(key, is_read, self.now);
+        self.ownership.read_replied(key, is_read, self.now);
         match result {
             Ok(StoreReply::Read(Some(entry))) => self.apply_group_record(&entry, true),
             // The watch reports the deletion with its revision; 0 applies whatever revision is
--- a/crates/quartzlever-core/src/router/reachability/tests.rs
+++ b/crates/quartzlever-core/src/router/reachability/tests.rs
@@ -9,7 +9,7 @@
     // The partition has ten machines. (seconds since the leader last received a heartbeat, how many
     // machines send heartbeats now, how many a peer reports, whether the leader was stalled,
     // whether it gives the partition up)
-    for (name, silent, own, peer, behind, given_up) in [
+    for (name, silent, own, peer, was_stalled, given_up) in [
         ("only this node is cut off from the workers", 4, 0, 9, false, true),
         ("some heartbeats still arrive", 4, 1, 9, false, false),
         ("a zone or the machines failed", 4, 0, 0, false, false),
@@ -21,7 +21,7 @@
         with_ten_machines(&mut core, NOW);
         let now = NOW + silent * SECOND;
         let mut commands = vec![
-            Command::Tick { wall: NOW, was_stalled: behind },
+            Command::Tick { wall: NOW, was_stalled },
             Command::PeerRequest {
                 id: 1,
                 request: PeerRequest::MachinesSeen { partition: "one".into(), machines: peer },
--- a/crates/quartzlever-core/src/router/user_requests.rs
+++ b/crates/quartzlever-core/src/router/user_requests.rs
@@ -58,7 +58,9 @@
         self.user_requests.read(purpose, &mut self.outbox);
     }
 
-    /// Handles a submission: accepts the job, or reads it if it may exist already or is refused.
+    /// Handles a submission: accepts the job, or rejects it as retryable while too much is in
+    /// flight or the write budget is exhausted. If the job is refused, cannot be stored or finds no
+    /// partition to enter, reads it first, since a job that exists already is answered as such.
     pub(super) fn submit(&mut self, id: RequestId, spec: Box<JobSpec>) {
         if let Some(terminal) = self.terminal_jobs.get(&spec.id) {
             let phase = terminal.phase;
@@ -126,7 +128,7 @@
             AcceptOutcome::Committed { mod_revision } => {
                 // Other leaders learn of the job from their watch; here its tasks may start now.
                 self.reconcile_job(record, mod_revision);
-                // The job may have ended already, and another node may have told a user so.
+                // The job may have ended already, and another node may have reported so.
                 match self.terminal_jobs.get(&job).map(|terminal| terminal.phase) {
                     Some(phase) => self.answer_phase(id, 200, &job, phase),
                     None => self.answer_phase(id, 201, &job, JobPhase::Queued),
--- a/crates/quartzlever-core/src/store/limits/tests.rs
+++ b/crates/quartzlever-core/src/store/limits/tests.rs
@@ -23,7 +23,7 @@
 fn a_rejected_transaction_lowers_the_limits_to_no_less_than_the_end_of_a_job_needs() {
     // (value bytes and changes of the rejected transaction; after it: the limit on values, the
     // limit according to the store alone, and the limit on changes)
-    for (value, ops, value_bytes, learned, txn_ops) in [
+    for (largest_value_bytes, changes, value_bytes, learned, txn_ops) in [
         (4_000, 10, 3_000, 3_000, 9),
         (600, 3, 512, 512, 2),
         (512, 2, 8_000, usize::MAX, 40),
@@ -33,7 +33,7 @@
         let mut limits = limits(8_000, 40);
         let (mut write_budget, mut outbox) =
             (WriteBudget::new(NOW), Outbox::new(LogLevel::Error, NOW));
-        let size = TransactionSize { largest_value_bytes: value, changes: ops };
+        let size = TransactionSize { largest_value_bytes, changes };
         limits.adapt_to_result(
             NOW,
             size,
@@ -46,8 +46,8 @@
         assert_eq!(limits.txn_ops(), txn_ops, "{size:?}");
         // A second rejection of the same size changes nothing and is not logged as an error.
         let event = LogEvent::TransactionTooLarge {
-            changes: ops,
-            value_bytes: value,
+            changes,
+            value_bytes: largest_value_bytes,
             changes_limit: txn_ops,
             value_bytes_limit: value_bytes,
             lowered: true,
--- a/crates/quartzlever-core/src/store/write_budget.rs
+++ b/crates/quartzlever-core/src/store/write_budget.rs
@@ -10,8 +10,10 @@
 
 use quartzlever_wire::{Micros, SECOND};
 
-/// Kinds of changes that depend on the budget, the most urgent first. Changes to leases,
-/// partitions, submissions and cancellations are always made, and may leave the budget in debt.
+/// Kinds of changes that depend on the budget, the most urgent first. Changes for leases,
+/// partition keys, admitted submissions and cancellations are made whatever the balance, and may
+/// leave the budget in debt; new submissions are rejected while it is
+/// [exhausted](WriteBudget::is_exhausted).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteKind {
     /// The end of a job.
@@ -130,8 +132,9 @@
         true
     }
 
-    /// Spends `count` changes if [`has`](Self::has) allows them; reports whether it did. Otherwise
-    /// the denial is recorded as by [`try_reserve`](Self::try_reserve).
+    /// Spends `count` changes if [`allows`](Self::allows) permits them; reports whether it did.
+    /// Otherwise the denial is recorded as by
+    /// [`check_or_record_denial`](Self::check_or_record_denial).
     pub fn try_spend(&mut self, write_kind: WriteKind, count: usize) -> bool {
         let is_available = self.check_or_record_denial(write_kind, count);
         if is_available {
