--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Calls the cloud. The call is valid only for as long as this process certainly holds its
-    /// lease.
+    /// Calls the cloud. A call that terminates machines is sent only while this process certainly
+    /// holds its lease.
     pub(super) fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall) {
         self.outbox.call_cloud(call, pending, self.lease.valid_until());
     }
@@ -148,7 +148,7 @@
                     self.scale_in_replied(&partition, term, machines, result);
                 }
             }
-            PendingCloudCall::List { instances: seen } => self.list_replied(seen, result),
+            PendingCloudCall::List { instances } => self.list_replied(instances, result),
         }
     }
 
@@ -203,10 +203,10 @@
         }
     }
 
-    /// Requests the page of the list of machines that follows those in `seen`.
-    fn list_instances(&mut self, from: Option<String>, seen: Vec<Instance>) {
+    /// Requests the page of the list of machines that follows those in `instances`.
+    fn list_instances(&mut self, from: Option<String>, instances: Vec<Instance>) {
         self.cloud.begin_list_call();
-        self.call_cloud(CloudCall::List { from }, PendingCloudCall::List { instances: seen });
+        self.call_cloud(CloudCall::List { from }, PendingCloudCall::List { instances });
     }
 
     fn list_replied(&mut self, mut seen: Vec<Instance>, result: Result<CloudReply, CallError>) {
--- a/crates/quartzlever-core/src/autoscaling/demand.rs
+++ b/crates/quartzlever-core/src/autoscaling/demand.rs
@@ -25,7 +25,7 @@
 /// How long a service waits for the preemption of lower-priority work before a machine is
 /// requested.
 const PREEMPTION_GRACE: Micros = 2 * SECOND;
-/// Ratio of the time that a queue takes to its work divided by the processors.
+/// Factor by which a queue takes longer to drain than its work divided by the processors.
 const DRAIN_TIME_FACTOR: f64 = 1.2;
 /// Maximum number of machines that one round requests for the queue.
 const MAX_MACHINES_PER_ROUND: u32 = 150;
--- a/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/pending_instances/tests.rs
@@ -23,8 +23,8 @@
     BTreeMap::from([("m".to_owned(), machine_type)])
 }
 
-fn requested_at(since: Micros) -> PendingInstance {
-    PendingInstance { offer: MachineOffer::new("m", "a", true), requested_at: since }
+fn instance_requested_at(requested_at: Micros) -> PendingInstance {
+    PendingInstance { offer: MachineOffer::new("m", "a", true), requested_at }
 }
 
 /// (seconds since the request; services no longer wait, the machine is late, it is terminated)
@@ -38,7 +38,7 @@
         (50, [true, true, false]),
         (51, [true, true, true]),
     ] {
-        let machine = requested_at(NOW - waited * SECOND);
+        let machine = instance_requested_at(NOW - waited * SECOND);
         let types = types();
         let found = [
             machine.is_too_late_for_services(&types, NOW),
@@ -66,11 +66,11 @@
         let types = types();
         let mut pending_instances = PendingInstances::default();
         for n in 0..late {
-            pending_instances.add(&format!("late-{n}"), requested_at(NOW + 10 * SECOND));
+            pending_instances.add(&format!("late-{n}"), instance_requested_at(NOW + 10 * SECOND));
         }
         for (n, (since, at)) in arrived.iter().enumerate() {
             let machine = format!("arrived-{n}");
-            pending_instances.add(&machine, requested_at(NOW + since * SECOND));
+            pending_instances.add(&machine, instance_requested_at(NOW + since * SECOND));
             pending_instances.record_arrival(&machine, Some(&types), NOW + at * SECOND);
         }
         let offers = pending_instances.late_offers(&types, NOW + 40 * SECOND);
@@ -84,7 +84,7 @@
 fn late_machines_are_logged_once() {
     let types = types();
     let mut pending_instances = PendingInstances::default();
-    pending_instances.add("n-1", requested_at(NOW));
+    pending_instances.add("n-1", instance_requested_at(NOW));
     for (after, logged) in [(5, None), (25, Some((1, 1))), (26, None)] {
         assert_eq!(
             pending_instances.late_count_change(&types, NOW + after * SECOND),
@@ -93,7 +93,7 @@
         );
     }
     for n in 2..5 {
-        pending_instances.add(&format!("n-{n}"), requested_at(NOW));
+        pending_instances.add(&format!("n-{n}"), instance_requested_at(NOW));
     }
     assert_eq!(pending_instances.late_count_change(&types, NOW + 27 * SECOND), Some((4, 4)));
     // At most as many as one call may name; the others follow with the next call.
--- a/crates/quartzlever-core/src/autoscaling/requests.rs
+++ b/crates/quartzlever-core/src/autoscaling/requests.rs
@@ -151,7 +151,7 @@
         now: Micros,
     ) {
         let fleet = &mut self.fleet;
-        let since = fleet.remove_request(&request.name).unwrap_or(now);
+        let requested_at = fleet.remove_request(&request.name).unwrap_or(now);
         let offer = MachineOffer::of_request(request);
         if (machines.len() as u32) < request.count {
             fleet.record_refusal(offer.clone(), now + REFUSAL_RETENTION);
@@ -160,7 +160,7 @@
             if !cache.is_claimed(machine) && !fleet.terminated.contains(machine) {
                 fleet
                     .pending_instances
-                    .add(machine, PendingInstance { offer: offer.clone(), requested_at: since });
+                    .add(machine, PendingInstance { offer: offer.clone(), requested_at });
             }
         }
     }
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -129,14 +129,21 @@
         self.fleet.record_unreachable_zones(zones, until, now);
     }
 
-    /// Returns the zones that seem to be unreachable: all of several machines there are silent.
-    fn find_unreachable_zones(&self, now: Micros, silent_return: Micros) -> BTreeSet<String> {
+    /// Returns the zones that seem to be unreachable: those with at least
+    /// `MIN_MACHINES_OF_UNREACHABLE_ZONE` machines, all of which have sent no heartbeat for more
+    /// than half of `silent_machine_timeout`.
+    fn find_unreachable_zones(
+        &self,
+        now: Micros,
+        silent_machine_timeout: Micros,
+    ) -> BTreeSet<String> {
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| !m.scaling_in) {
             let entry = zones.entry(machine.record.zone.as_str()).or_default();
             entry.0 += 1;
-            entry.1 +=
-                usize::from(now.saturating_sub(machine.last_heartbeat_at) > silent_return / 2);
+            entry.1 += usize::from(
+                now.saturating_sub(machine.last_heartbeat_at) > silent_machine_timeout / 2,
+            );
         }
         let unreachable = zones
             .into_iter()
--- a/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in/reasons.rs
@@ -20,11 +20,12 @@
 /// Number of failed direct calls after which the next heartbeat of an unverified machine is not
 /// waited for.
 const UNREACHABLE_AFTER_FAILED_CALLS: u32 = 2;
-/// Number of machines, or a tenth of all if that is more, whose heartbeats may be late while a late
-/// machine with service replicas is still terminated early.
+/// Maximum number of machines, or a tenth of all if that is more, with late heartbeats at which a
+/// late machine with service replicas is terminated early. If more are late, the machines are not
+/// at fault.
 const MAX_LATE_MACHINES: usize = 3;
-/// Number of machines, or a tenth of all if that is more, that may ignore commands at once and are
-/// terminated for it.
+/// Maximum number of machines, or a tenth of all if that is more, that ignore commands at once and
+/// are terminated for it. If more do, none is: the fault is assumed to be this node's.
 const MAX_IGNORING_MACHINES: usize = 2;
 /// Mean run time relative to the usual, in thousandths, above which a machine is slow.
 const SLOW_RUN_TIME_PERMILLE: u32 = 2200;
@@ -38,9 +39,9 @@
 pub enum ScaleInReason {
     /// It has been silent for longer than any heartbeat may be late.
     Silent,
-    /// An attempt of a job that is over is not confirmed as ended in time. The lease ends the
-    /// attempt, unless the machine hangs or a late command starts the attempt after all: then only
-    /// a termination does.
+    /// An unwanted attempt is not confirmed as ended in time: its job is over, or it was never
+    /// reported and its `run` command may still arrive. The lease ends such an attempt, unless the
+    /// machine hangs or the late command starts it after all: then only a termination does.
     LingeringAttempt,
     /// Its heartbeats show no effect of the commands in the answers.
     IgnoresCommands,
@@ -95,7 +96,9 @@
 /// that a faulty machine does not stay until its tasks end. `Failed` is not in the table: it is set
 /// when the cloud's list of machines is read.
 const REASONS: [ReasonRule; 7] = [
-    (ScaleInReason::Silent, |rules, machine| rules.silence(machine) > rules.max_silence(machine)),
+    (ScaleInReason::Silent, |rules, machine| {
+        rules.silence(machine) > rules.silence_before_termination(machine)
+    }),
     // The heartbeats that confirm the end may still be unread on a node that was not listening.
     (ScaleInReason::LingeringAttempt, |rules, machine| {
         rules.has_listened()
@@ -180,7 +183,7 @@
     }
 
     /// Returns how long a machine may be silent before it is terminated.
-    fn max_silence(&self, machine: &Machine) -> Micros {
+    fn silence_before_termination(&self, machine: &Machine) -> Micros {
         let (operator, heartbeat_interval) =
             (&self.config.operator, self.config.workers.heartbeat_interval);
         if self.unreachable_zones.contains(&machine.record.zone) {
--- a/crates/quartzlever-core/src/autoscaling/tests.rs
+++ b/crates/quartzlever-core/src/autoscaling/tests.rs
@@ -174,7 +174,7 @@
 fn no_machine_counts_as_silent_on_a_node_that_did_not_listen() {
     // (seconds since the last heartbeat; whether the process is behind after a stall; number of
     // heartbeats in the first batch after that; machines terminated)
-    for (name, silence_s, behind, reporting, terminated) in [
+    for (name, silence_s, was_stalled, reporting, terminated) in [
         ("all machines are silent, and the node listened", 13, false, 0, 10),
         ("the node stalled and has read nothing yet", 13, true, 0, 0),
         ("the node stalled and has read some heartbeats", 13, true, 4, 0),
@@ -183,12 +183,12 @@
         let mut core = core_with_cache(&[("one", "one", 5)]);
         with_ten_machines(&mut core, NOW);
         let now = NOW + silence_s * SECOND;
-        let mut commands = vec![Command::Tick { wall: NOW, was_stalled: behind }];
+        let mut commands = vec![Command::Tick { wall: NOW, was_stalled }];
         for n in 1..=reporting {
             let heartbeat = idle_heartbeat(&format!("n-{n}"), 9, 5);
             commands.push(Command::Heartbeat { id: n, heartbeat });
         }
-        assert_eq!(scaled_in_count(&core.step(now, commands)), terminated, "{name}");
+        assert_eq!(terminated_count(&core.step(now, commands)), terminated, "{name}");
         // The silent machines are terminated later in each case.
         let mut late = 0;
         for step in 1..=30 {
@@ -197,7 +197,7 @@
                 id: 100 + n,
                 heartbeat: idle_heartbeat(&format!("n-{n}"), 10 + step, 5),
             });
-            late += scaled_in_count(&core.step(now, heartbeats.collect()));
+            late += terminated_count(&core.step(now, heartbeats.collect()));
         }
         assert_eq!(late + terminated, 10 - reporting as usize, "{name}: in total");
     }
@@ -411,7 +411,7 @@
 /// Some machines take several times as long to boot as others, or never come up: another one is
 /// requested for services.
 #[test]
-fn services_do_not_wait_for_a_late_machine() {
+fn services_do_not_wait_for_a_slowly_booting_machine() {
     // (boot times of its type since the machine was requested, whether it still counts as warm
     // capacity)
     for (boots, counted) in [(0.5, true), (1.1, true), (1.3, false)] {
--- a/crates/quartzlever-core/src/calls.rs
+++ b/crates/quartzlever-core/src/calls.rs
@@ -19,7 +19,7 @@
 pub(crate) enum PendingStoreCall {
     /// Nothing depends on the reply: the call writes a hint for a peer or removes an unused key.
     Ignored,
-    /// A read or a write of the stored catalogue.
+    /// A read or a write of the stored catalogue; nothing follows from the reply to a write.
     StoredCatalogue,
     Grant {
         sent: Micros,
@@ -219,7 +219,7 @@
 #[derive(Debug)]
 pub(crate) enum JobReadPurpose {
     /// Finds out whether the job of a submission that cannot be accepted exists already. If it does
-    /// not, `refuse` tells whether the submission is rejected permanently.
+    /// not, `reject_if_unknown` tells whether the submission is rejected permanently.
     Submit {
         id: RequestId,
         job: String,
--- a/crates/quartzlever-core/src/config.rs
+++ b/crates/quartzlever-core/src/config.rs
@@ -61,7 +61,7 @@
 pub struct Operator {
     /// Number of random peers that an idle controller asks for work.
     pub peers_asked: usize,
-    /// Share of the victim's ready tasks that a steal moves.
+    /// Maximum share of the victim's movable ready tasks that a steal moves.
     pub steal_fraction: f64,
     /// Delay after the first failed steal.
     pub steal_start: Micros,
@@ -74,13 +74,13 @@
     pub takeover_after: Micros,
     /// How long a home node must have been up again before its partition is handed back.
     pub handback_after: Micros,
-    /// How long a machine at the lowest price of its type may be idle before it is scaled in, as a
+    /// How long a machine at the lowest price of its type may be idle before it is terminated, as a
     /// multiple of the type's boot time. A more expensive machine is kept for proportionally less.
     pub max_idle_boot_times: f64,
     /// Maximum total price of a partition's machines, as a multiple of the sum of the lowest prices
     /// of their types. Beyond it, only machines near the lowest price of their type are launched.
     pub price_cap: f64,
-    /// How long a machine may send no heartbeat before it is scaled in.
+    /// How long a machine may send no heartbeat before it is terminated.
     pub silent_machine_timeout: Micros,
     /// Minimum time between two writes of one job's progress.
     pub progress_write: Micros,
@@ -233,9 +233,10 @@
         MAX_WATCH_HOLD.min(self.max_view_age() / 3)
     }
 
-    /// Returns how long after the end of a job its attempts may remain on a machine, or not be
-    /// known to have exited, before the machine is scaled in. The rest of `cancel` is left for
-    /// scaling in, which takes a few seconds, and longer while the cloud refuses it.
+    /// Returns how long an unwanted attempt may stay unconfirmed as ended before its machine is
+    /// terminated: counted from the end of its job, or from its placement if it was never reported.
+    /// The rest of `cancel` is left for the termination, which takes a few seconds, and longer
+    /// while the cloud refuses it.
     pub fn attempt_exit_timeout(&self) -> Micros {
         self.workers.cancel / 2
     }
--- a/crates/quartzlever-core/src/events.rs
+++ b/crates/quartzlever-core/src/events.rs
@@ -93,7 +93,7 @@
         /// Number of pending machines, including the late ones.
         pending: usize,
     },
-    /// Machines are scaled in.
+    /// Machines are terminated.
     MachinesTerminated { partition: String, machines: Vec<TerminatedMachine> },
     /// Tasks on a machine are preempted for tasks of a more urgent job.
     TasksPreempted {
@@ -123,7 +123,8 @@
         /// Time since the submission of the job, in microseconds.
         since_submission: Micros,
     },
-    /// A job fails on every machine that it is tried on. From now on it runs one task at a time.
+    /// A job fails on every machine that it is tried on. Unless it is a service, it runs one task
+    /// at a time until an attempt outlasts the failed ones.
     JobFailsEverywhere { partition: String, job: String },
     /// The store has refused a transaction because of its size.
     TransactionTooLarge {
@@ -162,7 +163,7 @@
     pub count: u32,
 }
 
-/// A machine that is scaled in; displayed as `machine:reason`.
+/// A terminated machine; displayed as `machine:reason`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TerminatedMachine {
     pub machine: String,
@@ -279,8 +280,8 @@
                 .field("machine_type", machine_type)
                 .field("zone", zone)
                 .field("spot", spot),
-            LogEvent::MachinesLate { partition, late, pending: awaited } => {
-                fields.field("partition", partition).field("late", late).field("awaited", awaited)
+            LogEvent::MachinesLate { partition, late, pending } => {
+                fields.field("partition", partition).field("late", late).field("awaited", pending)
             }
             LogEvent::MachinesTerminated { partition, machines } => fields
                 .field("partition", partition)
--- a/crates/quartzlever-core/src/jobs/cancellation.rs
+++ b/crates/quartzlever-core/src/jobs/cancellation.rs
@@ -11,7 +11,8 @@
 use crate::jobs::records::terminal_job_key;
 use crate::store::active_job_key;
 
-/// How often a record is read again that changes each time between its read and the cancellation.
+/// Maximum number of times that a record is read again because it changed between its read and the
+/// cancellation.
 const MAX_CANCEL_RETRIES: u32 = 6;
 /// Number of changes in the transaction of a cancellation.
 pub(crate) const CANCELLATION_CHANGES: usize = 2;
--- a/crates/quartzlever-core/src/jobs/pages.rs
+++ b/crates/quartzlever-core/src/jobs/pages.rs
@@ -141,7 +141,7 @@
 
     /// Removes pages of one job that has ended, if the write budget allows, on condition that the
     /// job has no active record. `leader` is a transaction conditional on the term of the first
-    /// partition, so that only its leader can commit it.
+    /// partition by name, so that a single node, its leader, can commit it.
     pub fn remove_leftovers(
         &mut self,
         now: Micros,
--- a/crates/quartzlever-core/src/jobs/pages/tests.rs
+++ b/crates/quartzlever-core/src/jobs/pages/tests.rs
@@ -326,8 +326,8 @@
     assert_eq!(ready(&core), "3", "the page lists one more finished task");
 }
 
-/// Pages of an ended job are removed by the leader of the first partition alone, within the write
-/// budget, and on condition that the job has no active record.
+/// Pages of an ended job are removed by the leader of the first partition by name alone, within the
+/// write budget, and on condition that the job has no active record.
 #[test]
 fn leftover_pages_are_removed() {
     // (whether the job is active; whether this node leads the first partition; pages removed)
--- a/crates/quartzlever-core/src/jobs/partition_job.rs
+++ b/crates/quartzlever-core/src/jobs/partition_job.rs
@@ -318,8 +318,9 @@
         (self.succeeded == 0 || self.is_service()) && self.failures.is_job_at_fault()
     }
 
-    /// Returns how many ready tasks may be placed now. A job that fails everywhere gets at most
-    /// `MAX_TRIAL_TASKS` tasks at a time, so that it uses few resources until it is cancelled.
+    /// Returns how many ready tasks may be placed now. A job that fails everywhere and is not a
+    /// service gets at most `MAX_TRIAL_TASKS` tasks at a time, so that it uses few resources until
+    /// it is cancelled.
     pub fn placeable_count(&self) -> u32 {
         if self.fails_everywhere() && !self.is_service() {
             MAX_TRIAL_TASKS.saturating_sub(self.assignments.len() as u32).min(self.ready.len())
--- a/crates/quartzlever-core/src/jobs/submission.rs
+++ b/crates/quartzlever-core/src/jobs/submission.rs
@@ -105,7 +105,7 @@
     fn less_loaded(&self, own: &str) -> Option<EntryPartition> {
         let others = || {
             self.cache.partitions().iter().filter(|(name, leader)| {
-                // Each partition is named after the node that it belongs to.
+                // Only partitions led by their own node, which has the same name as the partition.
                 *name != own && leader.record.node == **name && !(self.leads)(name)
             })
         };
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -124,8 +124,8 @@
 /// An output of the core, to be carried out by the program.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Answers an HTTP request. From `until` on the answer must not be sent any more; a 503 is sent
-    /// instead.
+    /// Answers an HTTP request. From `deadline` on the answer must not be sent any more; a 503 is
+    /// sent instead.
     Answer {
         id: RequestId,
         status: u16,
@@ -144,13 +144,13 @@
         call_priority: CallPriority,
         call: StoreCall,
     },
-    /// Calls the cloud. Machines are not scaled in any more from `until` on.
+    /// Calls the cloud. Machines are not terminated any more from `deadline` on.
     Cloud {
         call_id: CallId,
         call: CloudCall,
         deadline: Micros,
     },
-    /// Calls a worker, but not after `until`.
+    /// Calls a worker. From `deadline` on the call is not sent any more.
     Worker {
         call_id: CallId,
         address: String,
--- a/crates/quartzlever-core/src/outbox.rs
+++ b/crates/quartzlever-core/src/outbox.rs
@@ -74,32 +74,33 @@
     ) {
         let call_id = self.next_call_id();
         if let StoreCall::Txn(txn) = &call {
-            let value = txn.changes.iter().map(value_bytes).max().unwrap_or(0);
-            let size = TransactionSize { largest_value_bytes: value, changes: txn.changes.len() };
+            let largest_value_bytes = txn.changes.iter().map(value_bytes).max().unwrap_or(0);
+            let size = TransactionSize { largest_value_bytes, changes: txn.changes.len() };
             self.transaction_sizes.insert(call_id, size);
         }
         self.store_calls.insert(call_id, pending);
         self.effects.push(Effect::Store { call_id, call_priority: priority, call });
     }
 
-    /// Calls the cloud. Machines are not scaled in any more from `until` on.
-    pub fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall, until: Micros) {
+    /// Calls the cloud. Machines are not terminated any more from `deadline` on.
+    pub fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall, deadline: Micros) {
         let call_id = self.next_call_id();
         self.cloud_calls.insert(call_id, pending);
-        self.effects.push(Effect::Cloud { call_id, call, deadline: until });
+        self.effects.push(Effect::Cloud { call_id, call, deadline });
     }
 
-    /// Calls a worker, but not after `until`. Returns the id of the call.
+    /// Calls a worker; from `deadline` on the call is not sent any more. Returns the id of the
+    /// call.
     pub fn call_worker(
         &mut self,
         address: String,
         call: WorkerCall,
         pending: PendingWorkerCall,
-        until: Micros,
+        deadline: Micros,
     ) -> CallId {
         let call_id = self.next_call_id();
         self.worker_calls.insert(call_id, pending);
-        self.effects.push(Effect::Worker { call_id, address, call, deadline: until });
+        self.effects.push(Effect::Worker { call_id, address, call, deadline });
         call_id
     }
 
@@ -120,14 +121,14 @@
         self.effects.push(Effect::Answer { id, status, body, retry_after_s: None, deadline: None });
     }
 
-    /// Answers an HTTP request with 200. From `until` on, a 503 is sent instead.
-    pub fn answer_until(&mut self, id: RequestId, body: Answer, until: Micros) {
+    /// Answers an HTTP request with 200. From `deadline` on, a 503 is sent instead.
+    pub fn answer_until(&mut self, id: RequestId, body: Answer, deadline: Micros) {
         self.effects.push(Effect::Answer {
             id,
             status: 200,
             body,
             retry_after_s: None,
-            deadline: Some(until),
+            deadline: Some(deadline),
         });
     }
 
@@ -193,7 +194,8 @@
         self.store_calls.remove(&call_id)
     }
 
-    /// Removes and returns the size of the transaction of a call, or `None` if the call was none.
+    /// Removes and returns the size of the transaction of a call, or `None` if the call is not a
+    /// transaction.
     pub fn take_transaction_size(&mut self, call_id: CallId) -> Option<TransactionSize> {
         self.transaction_sizes.remove(&call_id)
     }
--- a/crates/quartzlever-core/src/partition.rs
+++ b/crates/quartzlever-core/src/partition.rs
@@ -49,7 +49,7 @@
     /// Number of attempts created in this term.
     last_attempt: u64,
     pub fleet: Fleet,
-    /// Events to be logged after the next decisions.
+    /// Events that the next decision step logs, before it places tasks.
     pub log_events: Vec<LogEvent>,
     /// Machine types by name; `None` until the catalogue is known.
     pub types: Option<Types>,
--- a/crates/quartzlever-core/src/peers.rs
+++ b/crates/quartzlever-core/src/peers.rs
@@ -35,15 +35,15 @@
                 self.job_terminated(&job, TerminalJobRecord { phase: JobPhase::Cancelled, done });
                 PeerAnswer::Empty
             }
-            PeerRequest::ScaledOut { partition, machines: launched } => {
-                for machine in launched {
+            PeerRequest::ScaledOut { partition, machines } => {
+                for machine in machines {
                     self.cloud.add_launch_hint(machine, &partition, self.now);
                 }
                 PeerAnswer::Empty
             }
             // Answered once the move has committed or failed.
-            PeerRequest::Steal { partition, term, priority, capacity: thief, load } => {
-                return self.steal_requested(id, partition, term, priority, thief, load);
+            PeerRequest::Steal { partition, term, priority, capacity, load } => {
+                return self.steal_requested(id, partition, term, priority, capacity, load);
             }
         };
         self.outbox.answer_peer(id, answer);
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -154,8 +154,9 @@
         allowance > 0 && left > 0 && !on_trial
     }
 
-    /// Reports whether tasks of a job may start now, and schedules a placement for the time when
-    /// more tasks or machines become eligible.
+    /// Reports whether tasks of a job may start now. Also clears a job that failed everywhere if
+    /// one of its attempts has outlasted the failed ones, and schedules a placement for the time
+    /// when more tasks or machines become eligible.
     fn may_start_tasks(&mut self, config: &Config, id: &str, now: Micros) -> bool {
         let Some(job) = self.jobs.get(id).filter(|j| !j.ready.is_empty()) else { return false };
         if job.no_start_before > now {
--- a/crates/quartzlever-core/src/scheduling/feasibility.rs
+++ b/crates/quartzlever-core/src/scheduling/feasibility.rs
@@ -1,9 +1,9 @@
 //! Feasibility: the machines on which tasks of a job may start now.
 //!
 //! A machine is feasible if it satisfies the job's constraints, has the capacity free, is not
-//! reserved for other jobs, has no undecided failures, and is not one that the job failed on.
-//! Whether a job could ever run on any machine is decided in `jobs::feasibility`. Nothing here
-//! ranks machines.
+//! reserved for other jobs, is not in doubt after failures of several jobs, and is not one that the
+//! job failed on (unless the job is tried again there). Whether a job could ever run on any machine
+//! is decided in `jobs::feasibility`. Nothing here ranks machines.
 
 use quartzlever_wire::Micros;
 use quartzlever_wire::users::JobSpec;
--- a/crates/quartzlever-core/src/scheduling/queue_order.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order.rs
@@ -98,9 +98,7 @@
         StartDeadlines { any: false, .. } => {
             Urgency { missed: false, latest_start: job.submitted_at + DEFAULT_START_WITHIN }
         }
-        StartDeadlines { next: Some(latest), .. } => {
-            Urgency { missed: false, latest_start: latest }
-        }
+        StartDeadlines { next: Some(latest_start), .. } => Urgency { missed: false, latest_start },
         StartDeadlines { next: None, .. } => {
             Urgency { missed: true, latest_start: job.submitted_at }
         }
--- a/crates/quartzlever-core/src/scheduling/reservations.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations.rs
@@ -132,8 +132,8 @@
         Some(most_free.0.clone())
     }
 
-    /// Removes the reservations of preempted capacity for which no job without capacity waits any
-    /// more.
+    /// Removes the reservations of preempted capacity that have expired, or for which no job of
+    /// their priority or a higher one waits any more.
     pub(super) fn release_preempted_capacity(&mut self, now: Micros) {
         let waiting = self
             .jobs_without_capacity
--- a/crates/quartzlever-core/src/stealing/commit.rs
+++ b/crates/quartzlever-core/src/stealing/commit.rs
@@ -1,9 +1,9 @@
 //! The write of a move of tasks, and the handling of its outcome.
 //!
-//! The paper's victim hands tasks over with its answer (algorithm 2). Here the store decides: a
-//! committed move is sent to the thief, and a failed one is rolled back, which returns its ranges
-//! to the queue. After an unknown outcome they stay out of the queues, so that no task is ever in
-//! two queues.
+//! In the work-stealing design (docs/design.md), the victim hands tasks over with its answer
+//! (algorithm 2). Here the store decides: a committed move is sent to the thief, and a failed one
+//! is rolled back, which returns its ranges to the queue. After an unknown outcome they stay out of
+//! the queues, so that no task is ever in two queues.
 
 use quartzlever_wire::peers::PeerAnswer;
 use quartzlever_wire::store::{StoreCall, StoreReply};
--- a/crates/quartzlever-core/src/stealing/load.rs
+++ b/crates/quartzlever-core/src/stealing/load.rs
@@ -1,7 +1,7 @@
 //! The lengths of the partitions' queues, and the free capacity of their machines.
 //!
-//! Everything here only reads. The comparison of queues departs from the paper, whose thieves have
-//! no work at all (2.3.1; docs/design.md, exceptions).
+//! Everything here only reads. The comparison of queues departs from the work-stealing design
+//! (docs/design.md), whose thieves have no work at all (2.3.1; docs/design.md, exceptions).
 
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
 use quartzlever_wire::users::Priority;
--- a/crates/quartzlever-core/src/stealing/selection.rs
+++ b/crates/quartzlever-core/src/stealing/selection.rs
@@ -1,9 +1,9 @@
 //! Selection of the ranges of ready tasks that move from the victim's queue to a thief.
 //!
-//! The paper moves half of the victim's ready tasks (2.3.3 (b), figure 8). Here that is the
-//! maximum: no more tasks move than the thief has capacity for, or than balances the two queues
-//! (docs/design.md, exceptions). The selected tasks are `moving` until the outcome of the write is
-//! known (`commit`).
+//! The work-stealing design (docs/design.md) moves half of the victim's ready tasks (2.3.3 (b),
+//! figure 8). Here that is the maximum: no more tasks move than the thief has capacity for, or than
+//! balances the two queues (docs/design.md, exceptions). The selected tasks are `moving` until the
+//! outcome of the write is known (`commit`).
 
 use quartzlever_wire::peers::{FreeCapacity, Load, ThiefCapacity};
 use quartzlever_wire::store::{PARTITION_PREFIX, Txn};
--- a/crates/quartzlever-core/src/stealing/thief.rs
+++ b/crates/quartzlever-core/src/stealing/thief.rs
@@ -1,10 +1,10 @@
 //! The thief's side: when a partition looks for work, which peers it asks, and from which it
 //! steals.
 //!
-//! Algorithm 1 of the paper (dynamic neighbours) is `poll_stealing`, which asks random peers for
-//! their load. Algorithm 2 is `steal_from_most`, which asks the most loaded of them for tasks, with
-//! the adaptive polling interval of `steal_failed` and `steal_succeeded`. At most one round of
-//! count requests and one steal request are in flight.
+//! Algorithm 1 of the work-stealing design (docs/design.md; dynamic neighbours) is `poll_stealing`,
+//! which asks random peers for their load. Algorithm 2 is `steal_from_most`, which asks the most
+//! loaded of them for tasks, with the adaptive polling interval of `steal_failed` and
+//! `steal_succeeded`. At most one round of count requests and one steal request are in flight.
 
 use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, ThiefCapacity};
 use quartzlever_wire::store::ActiveJobRecord;
@@ -201,7 +201,7 @@
     }
 
     /// Steals from another partition of this node by the same move, without a message to a peer.
-    /// Returns whether any task could be moved.
+    /// Returns whether a move was attempted; it may still move no task.
     fn steal_locally(&mut self, thief: &Thief) -> bool {
         let priority = thief.priority;
         let victim = self
@@ -232,9 +232,9 @@
     }
 
     /// Moves work of a partition without machines to another partition of this node. Returns
-    /// whether any could be moved. The queues of one node are not balanced beyond that: the
-    /// standard tasks of a partition with many urgent ones moved to other partitions, and none were
-    /// left there to be preempted for the urgent ones.
+    /// whether a move was attempted; it may still move no task. The queues of one node are not
+    /// balanced beyond that: the standard tasks of a partition with many urgent ones moved to other
+    /// partitions, and none were left there to be preempted for the urgent ones.
     fn balance_locally(&mut self, thief: &Thief) -> bool {
         let Some(partition) = self.partitions.get(&thief.partition) else { return false };
         let (own_load, term) = (self.queue_load(partition), partition.term);
@@ -336,11 +336,11 @@
         partition: String,
         term: u64,
         priority: Priority,
-        thief: ThiefCapacity,
+        capacity: ThiefCapacity,
         load: Option<Load>,
     ) {
         let pending = PendingPeerCall::Steal { partition: partition.clone() };
-        let request = PeerRequest::Steal { partition, term, priority, capacity: thief, load };
+        let request = PeerRequest::Steal { partition, term, priority, capacity, load };
         self.stealing.steal_in_flight = true;
         self.outbox.call_peer(node, request, pending);
     }
--- a/crates/quartzlever-core/src/stealing/victim.rs
+++ b/crates/quartzlever-core/src/stealing/victim.rs
@@ -1,8 +1,8 @@
 //! The victim's side: the counts that a node reports, and the queue that a thief steals from.
 //!
-//! The paper's schedulers answer a request for their load, and a thief's request with half of their
-//! ready tasks (2.3.1, algorithms 1 and 2; 2.3.3 (b)). Here only movable tasks are counted and
-//! moved.
+//! The schedulers of the work-stealing design (docs/design.md) answer a request for their load, and
+//! a thief's request with half of their ready tasks (2.3.1, algorithms 1 and 2; 2.3.3 (b)). Here
+//! only movable tasks are counted and moved.
 
 use quartzlever_wire::peers::{Load, PeerAnswer, PeerRequest, ThiefCapacity};
 use quartzlever_wire::users::Priority;
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -257,19 +257,19 @@
         if let Some(machine) = partition.machines.get_mut(&name) {
             (machine.last_heartbeat_at, machine.last_answered_at, machine.incarnation) =
                 (last_heartbeat_at, last_heartbeat_at, 1);
-            // Keeps the machines from being scaled in as idle.
+            // Keeps the machines from being terminated as idle.
             machine.idle_since = Some(NOW + 900 * SECOND);
         }
     }
 }
 
-/// Returns the number of machines that the effects scale in.
-pub(crate) fn scaled_in_count(effects: &[Effect]) -> usize {
-    let scaled_in = |e: &Effect| match e {
+/// Returns the number of machines that the effects terminate.
+pub(crate) fn terminated_count(effects: &[Effect]) -> usize {
+    let terminated = |e: &Effect| match e {
         Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } => machines.len(),
         _ => 0,
     };
-    effects.iter().map(scaled_in).sum()
+    effects.iter().map(terminated).sum()
 }
 
 /// Queues job "req-1" in partition "one", with tasks of 3 s on `cpus` processors each.
