--- a/crates/quartzlever-clients/src/http.rs
+++ b/crates/quartzlever-clients/src/http.rs
@@ -69,7 +69,7 @@
 
     /// Sends a POST request with `message` as its JSON body.
     pub fn post(&self, url: &str, message: &impl Serialize) -> Result<Reply, CallError> {
-        // Nothing was sent if this fails, which the types of quartzlever-wire never do.
+        // The types of quartzlever-wire always serialize. If one did not, nothing would be sent.
         let body = serde_json::to_vec(message).map_err(|_| CallError::Refused)?;
         let request = self.agent.post(url).set("Content-Type", "application/json");
         receive(request.send_bytes(&body))
--- a/crates/quartzlever-clients/src/peer.rs
+++ b/crates/quartzlever-clients/src/peer.rs
@@ -20,7 +20,9 @@
     /// Sends a request to a peer and waits for the answer.
     ///
     /// # Errors
-    /// [`CallError::Refused`] if no connection can be made, otherwise [`CallError::Unknown`].
+    /// [`CallError::Refused`] if no connection can be made, otherwise [`CallError::Unknown`]. If the
+    /// request was sent over the idle connection before the new one failed, it may have been carried
+    /// out in spite of [`CallError::Refused`].
     pub fn call(&self, peer: SocketAddr, request: &PeerRequest) -> Result<PeerAnswer, CallError> {
         let pooled = self.idle.lock().unwrap_or_else(|e| e.into_inner()).remove(&peer);
         // The peer may have closed the idle connection since its last use; the request is then
--- a/crates/quartzlever-core/tests/simulation/combination.rs
+++ b/crates/quartzlever-core/tests/simulation/combination.rs
@@ -15,14 +15,14 @@
 /// A combination of faults, as a row of a table.
 pub struct FaultCombination {
     pub name: &'static str,
-    /// The first of its [`SEEDS`] consecutive seeds, which depends neither on the name nor on the place
-    /// in the table.
+    /// The first of its [`SEEDS`] consecutive seeds, which depends neither on the name nor on the
+    /// place in the table.
     pub first_seed: u64,
     /// Changes the settings to make the combination harder.
     pub adjust_config: fn(&mut Config),
     pub inject: fn(&mut Simulation),
-    /// Reports from the counts over all seeds whether the faults took effect, and nothing happened that
-    /// must not.
+    /// Reports from the counts over all seeds whether the faults took effect, and nothing happened
+    /// that must not.
     pub took_effect: fn(&Counts, &RuleChecker) -> bool,
 }
 
@@ -33,8 +33,8 @@
     config.operator.lease_lifetime = 15 * SECOND;
 }
 
-/// Submits `count` jobs of four tasks, numbered from `from` and changed by `change`, and returns their
-/// ids.
+/// Submits `count` jobs of four tasks, numbered from `from` and changed by `change`, and returns
+/// their ids.
 pub fn submit(
     w: &mut Simulation,
     from: u32,
@@ -129,7 +129,8 @@
 }
 
 /// Lets the store refuse the busiest leader alone, and cancels three jobs at the next node after
-/// `pause`. Then the store refuses all nodes, and `faults` are injected with the ids of the three jobs.
+/// `pause`. Then the store refuses all nodes, and `faults` are injected with the ids of the three
+/// jobs.
 pub fn cancel_while_leader_refused(
     w: &mut Simulation,
     ids: &[String],
@@ -166,8 +167,8 @@
     w.isolated_from_peers.insert(node);
 }
 
-/// Ends the faults, gives the controllers time to recover, and checks that no rule was broken and that
-/// every accepted job has the expected final phase.
+/// Ends the faults, gives the controllers time to recover, and checks that no rule was broken and
+/// that every accepted job has the expected final phase.
 pub fn recover_and_check(w: &mut Simulation, name: &str) {
     w.clear_faults();
     let since = w.now;
--- a/crates/quartzlever-core/tests/simulation/fault_combinations.rs
+++ b/crates/quartzlever-core/tests/simulation/fault_combinations.rs
@@ -1,5 +1,5 @@
-//! Combinations of faults. Each row injects one, checks that it took effect, and must break no rule.
-//! `docs/fault-combinations.md` names the code that handles each.
+//! Combinations of faults. Each row injects one, checks that it took effect, and must break no
+//! rule. `docs/fault-combinations.md` names the code that handles each.
 
 use quartzlever_wire::SECOND;
 use quartzlever_wire::users::Priority;
@@ -57,8 +57,8 @@
         name: "the store recovers, and the former leader finds lost tasks of cancelled jobs",
         first_seed: 0xe98f_e029_f8e5_1a2d,
         adjust_config: |config| {
-            // When the store is back, the leader's view is still within its allowed age, but its lease
-            // has expired.
+            // When the store is back, the leader's view is still within its allowed age, but its
+            // lease has expired.
             config.operator.lease_lifetime = 20 * SECOND;
             config.workers.cancel = 60 * SECOND;
         },
--- a/crates/quartzlever-core/tests/simulation/large_fleet.rs
+++ b/crates/quartzlever-core/tests/simulation/large_fleet.rs
@@ -15,14 +15,16 @@
     config.operator.silent_machine_timeout = 9 * SECOND;
 }
 
-/// Returns a job whose tasks fill a machine each, with 100 tasks more than its share of the machines.
+/// Returns a job whose tasks fill a machine each, with 100 tasks more than its share of the
+/// machines.
 fn machine_filling_job(number: u32) -> JobSpec {
     let tasks = MACHINES as u32 / JOBS + 100;
     JobSpec { cpus: 8.0, expect_s: 45.0, ..job(number, tasks) }
 }
 
 /// No limit in the controller lies below this number of machines: all are launched and claimed, and
-/// after all controllers but one have crashed, that one takes them over and runs the remaining tasks.
+/// after all controllers but one have crashed, that one takes them over and runs the remaining
+/// tasks.
 #[test]
 fn one_controller_takes_over_more_than_4000_machines() {
     let mut simulation = Simulation::with(4_200, NODES, large_fleet_config);
--- a/crates/quartzlever-core/tests/simulation/large_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/large_jobs.rs
@@ -1,5 +1,6 @@
-//! A large job whose tasks finish in the worst order for the record, every second one first, under low
-//! limits of the store: recorded tasks survive crashes and changes of leader, and never run again.
+//! A large job whose tasks finish in the worst order for the record, every second one first, under
+//! low limits of the store: recorded tasks survive crashes and changes of leader, and never run
+//! again.
 
 use std::collections::BTreeMap;
 
--- a/crates/quartzlever-core/tests/simulation/limits.rs
+++ b/crates/quartzlever-core/tests/simulation/limits.rs
@@ -1,6 +1,6 @@
-//! The limits of the store drop below those in the settings at some time: before, during or after an
-//! upgrade, in a burst of jobs, or in a recovery. Refused transactions are not retried in a loop, no
-//! machine or job is lost, and every job finishes.
+//! The limits of the store drop below those in the settings at some time: before, during or after
+//! an upgrade, in a burst of jobs, or in a recovery. Refused transactions are not retried in a
+//! loop, no machine or job is lost, and every job finishes.
 
 use quartzlever_core::Config;
 use quartzlever_wire::SECOND;
@@ -11,8 +11,8 @@
 use crate::upgrade::{FaultBetween, first_version_simulation, replace_controllers};
 
 const JOBS: u32 = 9;
-/// Bound on transactions refused for their size: those by which three controllers learn the limit, and
-/// as many for splitting the values that exceed it by then.
+/// Bound on transactions refused for their size: those by which three controllers learn the limit,
+/// and as many for splitting the values that exceed it by then.
 const MAX_REFUSED: usize = 60;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/quartzlever-core/tests/simulation/liveness.rs
+++ b/crates/quartzlever-core/tests/simulation/liveness.rs
@@ -11,9 +11,9 @@
 
 const NODES: &[&str] = &["one", "two", "three"];
 
-/// The catalogue has a price for spot instances, but the cloud has none or too few. A controller that
-/// compares the price of ordinary machines with the spot price does not launch the first machine of a
-/// partition, so that no task starts while the queue is short.
+/// The catalogue has a price for spot instances, but the cloud has none or too few. A controller
+/// that compares the price of ordinary machines with the spot price does not launch the first
+/// machine of a partition, so that no task starts while the queue is short.
 #[test]
 fn jobs_run_where_the_cloud_has_no_spot_machines() {
     // (available spot instances, tasks of each job)
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Runs the start, then clears the faults. Returns an error unless the rules hold, each partition has
-    /// a controller that acts for it, and each job has started.
+    /// Runs the start, then clears the faults. Returns an error unless the rules hold, each
+    /// partition has a controller that acts for it, and each job has started.
     fn run(&self) -> Result<(), String> {
         let names = &["one", "two", "three", "four", "five"][..self.nodes];
         let mut simulation = Simulation::with(self.seed, names, self.adjust_config);
@@ -196,9 +196,9 @@
 const REGRESSION_SEEDS: [u64; 12] =
     [219, 316, 519, 682, 751, 765, 1002, 1048, 2612, 2628, 2704, 2720];
 
-/// Several calls fail, while the store returns one or two keys per page, or keeps so few changes that
-/// the records have to be listed repeatedly. When listings could interleave, two controllers acted for
-/// one partition, and tasks ran twice.
+/// Several calls fail, while the store returns one or two keys per page, or keeps so few changes
+/// that the records have to be listed repeatedly. When listings could interleave, two controllers
+/// acted for one partition, and tasks ran twice.
 #[test]
 fn tasks_start_despite_combined_faults_at_startup() {
     // A search sets a larger number of seeds, see docs/fault-combinations.md.
--- a/crates/quartzlever-core/tests/simulation/main.rs
+++ b/crates/quartzlever-core/tests/simulation/main.rs
@@ -1,5 +1,6 @@
 //! Scenarios of several whole controllers in a deterministic simulation: its store, cloud, network,
-//! workers and users fail in every way that the protocol allows, and a checker looks for broken rules.
+//! workers and users fail in every way that the protocol allows, and a checker looks for broken
+//! rules.
 
 mod combination;
 mod fault_combinations;
--- a/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
+++ b/crates/quartzlever-core/tests/simulation/mistaken_jobs.rs
@@ -1,5 +1,6 @@
-//! Jobs that were submitted with a mistake fail on every machine until they are cancelled. They barely
-//! delay other jobs, no machine is terminated because of them, and faulty machines are still found.
+//! Jobs that were submitted with a mistake fail on every machine until they are cancelled. They
+//! barely delay other jobs, no machine is terminated because of them, and faulty machines are still
+//! found.
 
 use quartzlever_wire::SECOND;
 use quartzlever_wire::users::{JobPhase, JobSpec, Priority};
@@ -24,9 +25,9 @@
 /// A change to the specification of a job.
 type Change = fn(&mut JobSpec);
 
-/// For jobs of any size and kind, before and after a restart of all leaders: after the first round, one
-/// or two tasks of the failing job are tried at a time, less and less often; other jobs finish as if it
-/// did not exist; lookups find it throughout, and a cancellation stops its tasks at once.
+/// For jobs of any size and kind, before and after a restart of all leaders: after the first round,
+/// one or two tasks of the failing job are tried at a time, less and less often; other jobs finish
+/// as if it did not exist; lookups find it throughout, and a cancellation stops its tasks at once.
 #[test]
 fn a_job_that_fails_everywhere_barely_delays_other_jobs() {
     let cases: &[(&str, u32, Change)] = &[
@@ -89,8 +90,8 @@
     }
 }
 
-/// The failures were caused by the machines, which are then repaired: the job finishes within a minute,
-/// however long it has been failing.
+/// The failures were caused by the machines, which are then repaired: the job finishes within a
+/// minute, however long it has been failing.
 #[test]
 fn a_job_that_failed_everywhere_runs_once_the_cause_is_gone() {
     for (seed, span) in [(0, 5), (1, 20), (2, 60)] {
--- a/crates/quartzlever-core/tests/simulation/on_call.rs
+++ b/crates/quartzlever-core/tests/simulation/on_call.rs
@@ -1,6 +1,6 @@
-//! Incidents from operation: isolated and paused controllers, floods of lookups, machines that boot late
-//! or never, best-effort jobs, bursts of small jobs, and jobs that fail everywhere. Each occurs alone and
-//! combined with other faults.
+//! Incidents from operation: isolated and paused controllers, floods of lookups, machines that boot
+//! late or never, best-effort jobs, bursts of small jobs, and jobs that fail everywhere. Each
+//! occurs alone and combined with other faults.
 
 use quartzlever_wire::SECOND;
 use quartzlever_wire::users::{JobSpec, Priority};
--- a/crates/quartzlever-core/tests/simulation/safety.rs
+++ b/crates/quartzlever-core/tests/simulation/safety.rs
@@ -1,5 +1,5 @@
-//! The safety rules hold while messages are reordered, repeated, lost and delayed, processes are killed
-//! and paused, machines hang, and network links are severed.
+//! The safety rules hold while messages are reordered, repeated, lost and delayed, processes are
+//! killed and paused, machines hang, and network links are severed.
 
 use crate::sim::{FaultRates, Simulation, job};
 use quartzlever_wire::SECOND;
@@ -19,11 +19,11 @@
     Outage(u64),
     /// Hangs one machine for this many seconds.
     Hang(u64),
-    /// Severs the links between a node and all machines for this many seconds. Commands on a severed
-    /// link arrive 8 s late.
+    /// Severs the links between a node and all machines for this many seconds. Commands on a
+    /// severed link arrive 8 s late.
     SeverNode(usize, u64),
-    /// Severs the links of all machines for this many seconds and restarts all nodes meanwhile. With
-    /// `true`, the cloud is up and can terminate the machines.
+    /// Severs the links of all machines for this many seconds and restarts all nodes meanwhile.
+    /// With `true`, the cloud is up and can terminate the machines.
     SeverAllMachines(u64, bool),
     /// Severs the links of one busy machine for this many seconds, with the cloud down.
     SeverOneMachine(u64),
@@ -266,8 +266,8 @@
 
 #[test]
 fn a_lost_or_late_steal_transaction_moves_no_task_twice() {
-    // One node gets all jobs and the others steal from it. The answers to the transactions of the steals
-    // are lost, or the transactions are committed late.
+    // One node gets all jobs and the others steal from it. The answers to the transactions of the
+    // steals are lost, or the transactions are committed late.
     for seed in 0..40 {
         let mut simulation = Simulation::new(seed, NODES);
         simulation.run(3 * SECOND);
@@ -296,8 +296,8 @@
 
 #[test]
 fn preempting_a_task_whose_start_is_in_flight_starts_no_task_twice() {
-    // Urgent jobs keep preempting tasks whose `run` is still in flight in either of two ways: in the
-    // answer to a heartbeat and in a direct command.
+    // Urgent jobs keep preempting tasks whose `run` is still in flight in either of two ways: in
+    // the answer to a heartbeat and in a direct command.
     for seed in 0..25 {
         let mut simulation = Simulation::new(seed, NODES);
         simulation.run(3 * SECOND);
--- a/crates/quartzlever-core/tests/simulation/sim.rs
+++ b/crates/quartzlever-core/tests/simulation/sim.rs
@@ -81,7 +81,8 @@
     ToNode(usize, u64, Box<Command>),
     /// A call to the store: caller, its epoch, number, call, and whether the answer is lost.
     StoreCall(usize, u64, u64, StoreCall, bool),
-    /// A call to a worker: caller, its epoch, number, address, call, and whether the answer is lost.
+    /// A call to a worker: caller, its epoch, number, address, call, and whether the answer is
+    /// lost.
     WorkerCall(usize, u64, u64, String, WorkerCall, bool),
     /// The answer to a heartbeat: node, machine, commands, when the heartbeat was sent, and the
     /// worker's incarnation.
@@ -105,8 +106,8 @@
 pub struct FaultRates {
     /// Answers that are lost, so that the caller does not learn the outcome.
     pub lost_answers: u32,
-    /// Calls that time out for their caller and are executed later: transactions within 90 s, direct
-    /// commands within 30 s. Also answers to heartbeats that are delayed by up to 3 s.
+    /// Calls that time out for their caller and are executed later: transactions within 90 s,
+    /// direct commands within 30 s. Also answers to heartbeats that are delayed by up to 3 s.
     pub late_calls: u32,
     /// Transactions that are committed although their answer is lost.
     pub unanswered_txns: u32,
@@ -114,8 +115,8 @@
     pub late_txns: u32,
     /// Heartbeats of which a copy arrives again, from 2 s to two leases later.
     pub heartbeat_copies: u32,
-    /// Heartbeats of which a copy is kept until a partition is next acquired, and sent to every node
-    /// then.
+    /// Heartbeats of which a copy is kept until a partition is next acquired, and sent to every
+    /// node then.
     pub copies_for_next_leader: u32,
 }
 
@@ -169,8 +170,8 @@
     end: Micros,
 }
 
-/// A simulated cluster of controllers with its store, cloud, workers and users. Tests inject faults by
-/// setting the public fields. All randomness comes from one seed.
+/// A simulated cluster of controllers with its store, cloud, workers and users. Tests inject faults
+/// by setting the public fields. All randomness comes from one seed.
 pub struct Simulation {
     pub now: Micros,
     /// Names of the nodes; each has a partition of the same name.
@@ -202,7 +203,8 @@
     pub isolated_from_peers: BTreeSet<usize>,
     /// Nodes whose processes are paused: messages for them wait.
     pub paused: BTreeSet<usize>,
-    /// Nodes that have been paused since their last step: their next tick says that they are behind.
+    /// Nodes that have been paused since their last step: their next tick says that they were
+    /// stalled.
     stalled: BTreeSet<usize>,
     /// Machines whose heartbeats reach no node.
     pub silent_machines: BTreeSet<String>,
@@ -500,9 +502,9 @@
                 continue;
             }
             let mut batch = batches.remove(&n).unwrap_or_default();
-            let behind = self.stalled.remove(&n);
-            if behind || now.is_multiple_of(4 * STEP) {
-                batch.push(Command::Tick { wall: now, was_stalled: behind });
+            let was_stalled = self.stalled.remove(&n);
+            if was_stalled || now.is_multiple_of(4 * STEP) {
+                batch.push(Command::Tick { wall: now, was_stalled });
             }
             let Some(core) = self.cores[n].as_mut() else { continue };
             let effects = core.step(now, batch);
--- a/crates/quartzlever-core/tests/simulation/sim/calls.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/calls.rs
@@ -17,7 +17,8 @@
     ExecutedTwice,
     /// The controller crashes before it sends the call, and restarts after a fraction of a second.
     CrashBeforeCall,
-    /// The controller crashes while the call is in flight, and restarts after a fraction of a second.
+    /// The controller crashes while the call is in flight, and restarts after a fraction of a
+    /// second.
     CrashAfterCall,
     /// The controller is paused for longer than the lifetime of its lease.
     ControllerPaused,
@@ -232,8 +233,8 @@
         self.call_faults.get(&self.calls).copied()
     }
 
-    /// Schedules the execution of a call for when its caller no longer waits for it: a second one if
-    /// the call was answered, else the first.
+    /// Schedules the execution of a call for when its caller no longer waits for it: a second one
+    /// if the call was answered, else the first.
     pub(super) fn schedule_late_execution(&mut self, effect: Effect, answered: bool) {
         let late = match effect {
             Effect::Store { call: StoreCall::Watch { .. }, .. } => return,
@@ -315,8 +316,8 @@
         self.schedule(RESTART_DELAY, Message::Start(n));
     }
 
-    /// Executes one effect without a fault of its own; [`FaultRates`] and the state of the simulation
-    /// apply.
+    /// Executes one effect without a fault of its own; [`FaultRates`] and the state of the
+    /// simulation apply.
     pub(super) fn execute_without_fault(&mut self, n: usize, effect: Effect) {
         let epoch = self.epochs[n];
         match effect {
@@ -356,8 +357,8 @@
                 let command = Command::CloudReply { call_id, result };
                 self.schedule(200_000, Message::ToNode(n, epoch, Box::new(command)));
             }
-            Effect::Worker { call_id, address, call, deadline: until } => {
-                assert!(until > self.now, "a command was sent after its deadline");
+            Effect::Worker { call_id, address, call, deadline } => {
+                assert!(deadline > self.now, "a command was sent after its deadline");
                 let (lost, late) = self.draw_faults();
                 let delay = self.draw_latency();
                 let delayed = self.command_delay > 0 && matches!(call, WorkerCall::Command(_));
@@ -403,9 +404,9 @@
                     self.schedule(delay, Message::ToNode(caller, epoch, Box::new(command)));
                 }
             }
-            Effect::Answer { id, status, body, deadline: until, .. } => {
+            Effect::Answer { id, status, body, deadline, .. } => {
                 assert!(
-                    until.is_none_or(|u| u > self.now),
+                    deadline.is_none_or(|deadline| deadline > self.now),
                     "an answer was sent after its deadline"
                 );
                 let body = serde_json::to_value(body).expect("serialize the answer as JSON");
--- a/crates/quartzlever-core/tests/simulation/sim/checks.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/checks.rs
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Checks that the store holds only keys and values that the first version can read, as required
-    /// while a process of it may run.
+    /// Checks that the store holds only keys and values that the first version can read, as
+    /// required while a process of it may run.
     pub(super) fn check_first_version_formats(&mut self) {
         let now = self.now;
         if let Some(key) = self.store.key_unknown_to_first_version() {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Counts acquisitions of partitions, and after one sends the kept copies of heartbeats to all nodes.
+    /// Counts acquisitions of partitions, and after one sends the kept copies of heartbeats to all
+    /// nodes.
     pub(super) fn track_acquisitions(&mut self) {
         let mut new = 0;
         for name in self.names.clone() {
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Checks that each partition has exactly one controller that acts for it, and that every job class
-    /// with a waiting job that could run has seen a start since `since`, the end of the faults. Each
-    /// broken rule is recorded with the conditions that the controllers wait for.
+    /// Checks that each partition has exactly one controller that acts for it, and that every job
+    /// class with a waiting job that could run has seen a start since `since`, the end of the
+    /// faults. Each broken rule is recorded with the conditions that the controllers wait for.
     pub fn check_liveness(&mut self, since: Micros) {
         let now = self.now;
         let before = self.rules.violations.len();
@@ -135,8 +136,8 @@
         each.collect()
     }
 
-    /// Reports whether a machine that does not hang runs fewer than four tasks, so that one more of the
-    /// usual size fits.
+    /// Reports whether a machine that does not hang runs fewer than four tasks, so that one more of
+    /// the usual size fits.
     pub fn has_free_capacity(&self) -> bool {
         self.workers.values().any(|w| !w.hung && w.running().len() < 4)
     }
--- a/crates/quartzlever-core/tests/simulation/sim/digest.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/digest.rs
@@ -1,8 +1,8 @@
 //! Digest of everything that leaves the controllers of a simulation, to verify that a change of the
 //! code does not change behaviour: `tools/compare-digests` compares the digests of two commits.
 //!
-//! The hash covers wire formats, and fixed numbers where there is none, so that it does not depend on
-//! the names of types, fields and variants. Log events are left out.
+//! The hash covers wire formats, and fixed numbers where there is none, so that it does not depend
+//! on the names of types, fields and variants. Log events are left out.
 
 use std::cell::Cell;
 use std::fs::OpenOptions;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Appends a line with the test, the simulation, the number of effects and the hash to the test's
-    /// file.
+    /// Appends a line with the test, the simulation, the number of effects and the hash to the
+    /// test's file.
     fn write(&self) -> io::Result<()> {
         let Some(directory) = &self.directory else { return Ok(()) };
         let thread = thread::current();
@@ -137,13 +137,13 @@
 
     fn effect(&mut self, effect: &Effect) {
         match effect {
-            Effect::Answer { id, status, body, retry_after_s, deadline: until } => {
+            Effect::Answer { id, status, body, retry_after_s, deadline } => {
                 self.number(1);
                 self.number(*id);
                 self.number(u64::from(*status));
                 self.json(body);
                 self.optional_number(retry_after_s.map(u64::from));
-                self.optional_number(*until);
+                self.optional_number(*deadline);
             }
             Effect::Log(_) => {}
             Effect::AnswerPeer { id, answer } => {
@@ -157,18 +157,18 @@
                 self.number(priority_number(*call_priority));
                 self.store_call(call);
             }
-            Effect::Cloud { call_id, call, deadline: until } => {
+            Effect::Cloud { call_id, call, deadline } => {
                 self.number(4);
                 self.number(*call_id);
                 self.cloud_call(call);
-                self.number(*until);
+                self.number(*deadline);
             }
-            Effect::Worker { call_id, address, call, deadline: until } => {
+            Effect::Worker { call_id, address, call, deadline } => {
                 self.number(5);
                 self.number(*call_id);
                 self.text(address);
                 self.worker_call(call);
-                self.number(*until);
+                self.number(*deadline);
             }
             Effect::Peer { call_id, node, request } => {
                 self.number(6);
--- a/crates/quartzlever-core/tests/simulation/sim/users.rs
+++ b/crates/quartzlever-core/tests/simulation/sim/users.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Simulation {
-    /// Sends a request of a user to a node, and returns the number under which the answer will be found
-    /// in `answers`.
+    /// Sends a request of a user to a node, and returns the number under which the answer will be
+    /// found in `answers`.
     pub fn send_request(&mut self, n: usize, make: impl FnOnce(u64) -> Command) -> u64 {
         self.last_request += 1;
         let id = self.last_request;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Advances the time until a request is answered, and returns the status and body; returns `None`
-    /// after `within`.
+    /// Advances the time until a request is answered, and returns the status and body; returns
+    /// `None` after `within`.
     pub fn wait_for_answer(&mut self, id: u64, within: Micros) -> Option<(u16, serde_json::Value)> {
         let end = self.now + within;
         while self.now < end && !self.answers.contains_key(&id) {
@@ -93,8 +93,8 @@
         0
     }
 
-    /// Cancels a job at one node after another until that is confirmed, and returns the job's phase;
-    /// returns `None` after 60 attempts.
+    /// Cancels a job at one node after another until that is confirmed, and returns the job's
+    /// phase; returns `None` after 60 attempts.
     pub fn cancel_until_confirmed(&mut self, mut n: usize, job: &str) -> Option<String> {
         for _ in 0..60 {
             let id = self.cancel(n, job);
--- a/crates/quartzlever-core/tests/simulation/upgrade.rs
+++ b/crates/quartzlever-core/tests/simulation/upgrade.rs
@@ -1,5 +1,6 @@
-//! Rolling upgrades: controllers of the first version and of the current one share the store, peers and
-//! workers. They are replaced in several orders with faults in between, then the store's limits drop.
+//! Rolling upgrades: controllers of the first version and of the current one share the store, peers
+//! and workers. They are replaced in several orders with faults in between, then the store's limits
+//! drop.
 
 use quartzlever_core::Config;
 use quartzlever_wire::Json;
@@ -20,8 +21,8 @@
     (config.value_bytes, config.txn_ops, config.store_write_rps) = (VALUE_BYTES, 8, 60.0);
 }
 
-/// Sets upcoming limits with fewer changes per transaction than splitting a group of machines in one
-/// transaction takes.
+/// Sets upcoming limits with fewer changes per transaction than splitting a group of machines in
+/// one transaction takes.
 fn upcoming_limits_with_small_txns(config: &mut Config) {
     (config.value_bytes, config.txn_ops, config.store_write_rps) = (VALUE_BYTES, 3, 60.0);
 }
@@ -36,7 +37,8 @@
     NewRestarts,
     /// The store is down for a few seconds.
     Outage,
-    /// The store refuses the replaced node, so that one on the first version takes over its partition.
+    /// The store refuses the replaced node, so that one on the first version takes over its
+    /// partition.
     NewRefusedByStore,
 }
 
@@ -104,8 +106,8 @@
             for k in 0..10 {
                 assert_eq!(w.submit_until_accepted(k as usize % 3, &job(k, 30)), 201, "{name}");
             }
-            // A service is not accepted while a controller of the first version runs, which cannot read
-            // it.
+            // A service is not accepted while a controller of the first version runs, which cannot
+            // read it.
             let early = w.submit(0, service(50, 2));
             assert_eq!(
                 w.wait_for_answer(early, SECOND).map(|a| a.0),
--- a/crates/quartzlever-recovery/src/detection.rs
+++ b/crates/quartzlever-recovery/src/detection.rs
@@ -1,8 +1,8 @@
 //! The rules by which the store's data counts as lost.
 //!
 //! Pure functions that compare the current state of the store with the state that was known before.
-//! Invariant: only a reply of the store can show a loss. An outage, a rejected call, or a watch that
-//! is late or starts at a compacted revision never counts as one.
+//! Invariant: only a reply of the store can show a loss. An outage, a rejected call, or a watch
+//! that is late or starts at a compacted revision never counts as one.
 
 use std::collections::BTreeMap;
 
@@ -32,7 +32,8 @@
         /// The store's current revision, as a revision of the generation.
         to: u64,
     },
-    /// The witness counter of this controller is lower than the controller has written it.
+    /// The witness counter of this controller in the store is lower than the last value that the
+    /// controller wrote.
     #[error(
         "a key of this controller is older than it has written it: {found} instead of {written}"
     )]
@@ -148,8 +149,8 @@
         || [CLUSTER_VERSION_KEY, GROUP_SIZE_KEY, CATALOGUE_KEY].contains(&key)
 }
 
-/// Reports whether a known record is missing from the store's records, or older there, and no change
-/// explains that. The store's records must have been listed after the record became known.
+/// Reports whether a known record is missing from the store's records, or older there, and no
+/// change explains that. The store's records must have been listed after the record became known.
 fn is_missing(key: &str, record: &Record, store: &BTreeMap<String, Record>) -> bool {
     if let Some(found) = store.get(key) {
         return found.mod_revision < record.mod_revision;
--- a/crates/quartzlever-recovery/src/generation.rs
+++ b/crates/quartzlever-recovery/src/generation.rs
@@ -1,13 +1,14 @@
 //! Translation between the keys and revisions of a generation and those of the store.
 //!
 //! The rest of the program sees revisions that never decrease, and only the keys of its generation.
-//! In the store, each generation's keys have a prefix of their own, the namespace, and the revisions
-//! restart if the store was replaced by an empty one. This is the only module that translates
-//! between the two. It keeps no state and makes no calls.
+//! In the store, the generation's keys have a prefix, the namespace, and the revisions restart if
+//! the store was replaced by an empty one. A generation whose revisions continue those of the
+//! previous one keeps its namespace and base. This is the only module that translates between the
+//! two. It keeps no state and makes no calls.
 //!
 //! Invariant: no transaction of an earlier generation can be committed in a later one. Every
 //! transaction has the modification revision of the identity's key as an additional condition, and
-//! conditions on modification revisions from before the generation never hold.
+//! conditions on modification revisions up to the generation's base never hold.
 
 use quartzlever_wire::store::{
     Change, Condition, Event, KeyValue, ListPage, StoreCall, StoreReply, Txn, WatchAnswer,
@@ -15,11 +16,11 @@
 
 use crate::identity::{IDENTITY_KEY, Identity, RECOVERY_PREFIX, Versioned};
 
-/// Prefix of the namespaces of all generations that have one; the first has an empty namespace.
+/// Prefix of all namespaces that are not empty.
 pub(crate) const GENERATION_PREFIX: &str = "generation/";
 
-/// A modification revision that no key ever has. It replaces modification revisions from before the
-/// generation in conditions, so that these never hold.
+/// A modification revision that no key ever has. In conditions it replaces modification revisions
+/// up to the generation's base, so that these never hold.
 const UNMATCHED_REVISION: u64 = u64::MAX >> 2;
 
 /// The generation that a process works with.
@@ -65,8 +66,8 @@
     /// Translates a call to the store's keys and revisions.
     pub fn to_store(&self, call: &StoreCall) -> StoreCall {
         match call {
-            // A listing of the identity's key returns the revision together with the generation that
-            // it belongs to.
+            // A listing of the identity's key returns the revision together with the generation
+            // that it belongs to.
             StoreCall::Revision => StoreCall::List { prefix: IDENTITY_KEY.into(), from: None },
             StoreCall::Get(key) => StoreCall::Get(self.key_to_store(key)),
             StoreCall::List { prefix, from } => StoreCall::List {
--- a/crates/quartzlever-recovery/src/guard.rs
+++ b/crates/quartzlever-recovery/src/guard.rs
@@ -5,8 +5,8 @@
 //! renews a lease and with it the right to act, is returned only after the identity of the records
 //! was read again and found unchanged.
 //!
-//! Invariant: no reply of a store that has lost data is returned. An outage or a rejected call never
-//! counts as a loss.
+//! Invariant: no reply of a store that has lost data is returned. An outage or a rejected call
+//! never counts as a loss.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -48,8 +48,8 @@
         Guard { generation, latest_store_revision: AtomicU64::new(store_revision) }
     }
 
-    /// Makes a call with the generation's keys and revisions. `is_known` reports whether this process
-    /// knows a record at a key that must therefore be in the store.
+    /// Makes a call with the generation's keys and revisions. `is_known` reports whether this
+    /// process knows a record at a key that must therefore be in the store.
     ///
     /// # Errors
     /// Returns a [`GuardError`]. After [`GuardError::Lost`], replies to earlier calls may not be acted
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Checks an observation against the identity and against `min_revision`, the latest revision of
-    /// the store that was known when the call was sent, and returns the store's revision.
+    /// Checks an observation against the identity and against `min_revision`, the latest revision
+    /// of the store that was known when the call was sent, and returns the store's revision.
     ///
     /// # Errors
     /// Returns [`GuardError::Lost`] if the identity is absent or has changed, or if the store's
--- a/crates/quartzlever-recovery/src/identity.rs
+++ b/crates/quartzlever-recovery/src/identity.rs
@@ -1,5 +1,5 @@
-//! The keys under `recovery/`: the identity of the store's records, and what the controllers exchange
-//! during a rebuild.
+//! The keys under `recovery/`: the identity of the store's records, and what the controllers
+//! exchange during a rebuild.
 //!
 //! This module defines the keys and the JSON of their values. Controllers of other versions read
 //! both, so neither may change. The keys belong to no generation, so that a controller finds them
@@ -22,16 +22,16 @@
 pub const CANDIDATE_PREFIX: &str = "recovery/candidates/";
 /// Prefix of the keys of [`ExtraPiece`]s, followed by the node's name and the number of the piece.
 pub(crate) const EXTRA_PREFIX: &str = "recovery/extra/";
-/// Prefix of the keys of [`AbsentNode`]s, followed by the node's name. They mark controllers that were
-/// up before a loss and did not take part in the rebuild. Until such a controller returns, the
+/// Prefix of the keys of [`AbsentNode`]s, followed by the node's name. They mark controllers that
+/// were up before a loss and did not take part in the rebuild. Until such a controller returns, the
 /// records lack the jobs that only it knows.
 pub(crate) const ABSENT_PREFIX: &str = "recovery/absent/";
 /// Prefix of keys, followed by the node's name, that mark controllers without a history. Such a
 /// controller cannot tell whether a missing record never existed or was lost, until a controller
 /// with a history has compared the records with its own.
 pub const UNVERIFIED_PREFIX: &str = "recovery/unvouched/";
-/// Key of the [`PendingFinalStates`], which exists while some final states of the previous generation
-/// are not written yet.
+/// Key of the [`PendingFinalStates`], which exists while some final states of the previous
+/// generation are not written yet.
 pub const PENDING_FINAL_STATES_KEY: &str = "recovery/inheriting";
 /// Prefix of the keys of [`Witness`]es, followed by the node's name.
 pub const WITNESS_PREFIX: &str = "recovery/witness/";
@@ -46,26 +46,27 @@
     Rebuilding,
 }
 
-/// The identity of a cluster's records. Every transaction has the modification revision of its key as
-/// a condition, so a decision made before a rebuild cannot be committed after it.
+/// The identity of a cluster's records. Every transaction has the modification revision of its key
+/// as a condition, so a decision made before a rebuild cannot be committed after it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Random identifier of the cluster, chosen when the cluster was founded.
     pub cluster: String,
     /// Number of the generation, which each rebuild increments.
     pub generation: u32,
-    /// Prefix of the generation's keys in the store; empty for the first generation.
+    /// Prefix of the generation's keys in the store. It is empty until a rebuild cannot continue
+    /// the revisions of the previous generation, and so chooses a new prefix.
     pub namespace: String,
     /// Difference between the generation's revisions and the store's. Fencing tokens and attempt
-    /// numbers are derived from the generation's revisions and may never decrease, although an empty
-    /// store starts its revisions again.
+    /// numbers are derived from the generation's revisions and may never decrease, although an
+    /// empty store starts its revisions again.
     pub base: u64,
     /// Whether controllers may act on the records.
     pub phase: Phase,
 }
 
-/// The announcement of a controller that waits for an intact store, with the revisions of the records
-/// that it could rebuild from. The key is bound to the controller's lease.
+/// The announcement of a controller that waits for an intact store, with the revisions of the
+/// records that it could rebuild from. The key is attached to the controller's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Candidate {
     /// The generation of the controller's history; `None` if it has no history.
@@ -83,7 +84,7 @@
     pub is_verified: bool,
 }
 
-/// The lock of the controller that performs the rebuild, bound to the controller's lease.
+/// The lock of the controller that performs the rebuild, attached to the controller's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lock {
     /// Name of the controller.
@@ -92,8 +93,8 @@
     pub process: u64,
 }
 
-/// A piece of a change that a candidate knows and another candidate may lack. The key is bound to the
-/// candidate's lease.
+/// A piece of a change that a candidate knows and another candidate may lack. The key is attached
+/// to the candidate's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ExtraPiece {
     /// Key of the record that was changed.
@@ -108,8 +109,9 @@
 }
 
 /// Marks that some final states of the previous generation are not written yet. Until they are,
-/// controllers answer from their own records, so a controller may serve only if its history includes
-/// all changes up to [`PendingFinalStates::known_up_to`], or if it has a history of this generation.
+/// controllers answer from their own records, so a controller may serve only if its history
+/// includes all changes up to [`PendingFinalStates::known_up_to`], or if it has a history of this
+/// generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingFinalStates {
     /// Revision of the previous generation up to which every candidate knew all changes.
@@ -125,7 +127,8 @@
 }
 
 /// The witness counter of a controller, which counts the writes of its own key. A store that was
-/// restored from a backup has a lower count, even if its revision has since passed the one last seen.
+/// restored from a backup has a lower count, even if its revision has since passed the one last
+/// seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witness {
     /// Number of writes; the first write has the count one.
@@ -169,14 +172,14 @@
 }
 
 impl StoreObservation {
-    /// Reports whether other controllers may know jobs that the records lack, from the point of view
-    /// of `node`.
+    /// Reports whether other controllers may know jobs that the records lack, from the point of
+    /// view of `node`.
     pub fn may_lack_jobs(&self, node: &str) -> bool {
         !self.absent.is_empty() || self.unverified.contains_key(node)
     }
 
-    /// Decodes a listing of `recovery/`, or of the identity's key alone. Entries that cannot be decoded
-    /// are ignored.
+    /// Decodes a listing of `recovery/`, or of the identity's key alone. Entries that cannot be
+    /// decoded are ignored.
     pub fn from_page(page: &ListPage) -> StoreObservation {
         let mut observed =
             StoreObservation { revision: page.revision, ..StoreObservation::default() };
--- a/crates/quartzlever-recovery/src/plan.rs
+++ b/crates/quartzlever-recovery/src/plan.rs
@@ -1,5 +1,5 @@
-//! The records that a rebuild writes, which come from the records that the controller knows and from
-//! those that the store still has.
+//! The records that a rebuild writes, which come from the records that the controller knows and
+//! from those that the store still has.
 //!
 //! Pure functions. Invariant: a final state takes precedence over the record of its job as active,
 //! and of two records of a key the later one takes precedence if their revisions can be compared.
@@ -22,8 +22,8 @@
 pub struct SurvivingRecords {
     /// The records by the generation's own keys.
     pub rows: BTreeMap<String, Record>,
-    /// Whether the store's revisions continue those that were known, so that its records and the known
-    /// ones can be compared by their modification revisions.
+    /// Whether the store's revisions continue those that were known, so that its records and the
+    /// known ones can be compared by their modification revisions.
     pub same_lineage: bool,
 }
 
@@ -34,7 +34,8 @@
     active_jobs: usize,
     /// Number of jobs that are done or cancelled.
     ended_jobs: usize,
-    /// Number of machines. Each will be asked for its tasks, and is terminated if it does not reply.
+    /// Number of machines. Each will be asked for its tasks: it is kept with them if it replies,
+    /// and is terminated if it does not.
     machines: usize,
     /// Number of planned records that the store lacks.
     restored: usize,
@@ -54,9 +55,9 @@
     pub summary: Summary,
 }
 
-/// Reports whether records at this key are bound to the lease of a process. A rebuild leaves them out,
-/// since processes write them again.
-fn is_bound_to_lease(key: &str) -> bool {
+/// Reports whether records at this key are attached to the lease of a process. A rebuild leaves
+/// them out, since processes write them again.
+fn is_attached_to_lease(key: &str) -> bool {
     [PARTITION_PREFIX, MACHINES_SEEN_PREFIX, NODE_PREFIX]
         .iter()
         .any(|prefix| key.starts_with(prefix))
@@ -85,8 +86,8 @@
     }
 }
 
-/// Reports whether a record is superseded by `records`: the record of an active job or a page if the
-/// job has a final state, and a page also if its job has no record.
+/// Reports whether a record is superseded by `records`: the record of an active job or a page if
+/// the job has a final state, and a page also if its job has no record.
 fn is_obsolete(key: &str, records: &BTreeMap<String, String>) -> bool {
     if let Some(job) = key.strip_prefix(ACTIVE_JOB_PREFIX) {
         return records.contains_key(&format!("{TERMINAL_JOB_PREFIX}{job}"));
@@ -102,7 +103,7 @@
 pub fn plan(known: &RecordSet, survivors: &SurvivingRecords) -> Plan {
     let keys = known.rows().keys().chain(survivors.rows.keys());
     let mut records: BTreeMap<String, String> = BTreeMap::new();
-    for key in keys.filter(|key| !is_bound_to_lease(key)) {
+    for key in keys.filter(|key| !is_attached_to_lease(key)) {
         if let Some(record) = preferred_record(key, known, survivors) {
             records.insert(key.clone(), record.value.clone());
         }
@@ -128,7 +129,7 @@
             records.map_or(0, |records| records.len())
         },
     );
-    let store = survivors.rows.iter().filter(|(key, _)| !is_bound_to_lease(key));
+    let store = survivors.rows.iter().filter(|(key, _)| !is_attached_to_lease(key));
     Summary {
         active_jobs: count(ACTIVE_JOB_PREFIX),
         ended_jobs: count(TERMINAL_JOB_PREFIX),
@@ -140,10 +141,11 @@
 }
 
 impl Plan {
-    /// Returns the changes that turn the store's records into the planned ones, by the generation's own
-    /// keys. If the generation keeps its namespace, these are the differences. Otherwise they write all
-    /// planned records except the final states up to `known_up_to`, the revision up to which every
-    /// candidate knows all changes; these are carried over and written after the rebuild.
+    /// Returns the changes that turn the store's records into the planned ones, by the generation's
+    /// own keys. If the generation keeps its namespace, these are the differences. Otherwise they
+    /// write all planned records except the final states up to `known_up_to`, the revision up to
+    /// which every candidate knows all changes; these are carried over and written after the
+    /// rebuild.
     pub fn changes(
         &self,
         survivors: &SurvivingRecords,
--- a/crates/quartzlever-recovery/src/rebuild.rs
+++ b/crates/quartzlever-recovery/src/rebuild.rs
@@ -4,7 +4,7 @@
 //! [`open`] runs the whole procedure. A controller that finds the store intact, or already rebuilt
 //! by another controller, continues at once. Otherwise every controller announces itself as a
 //! candidate, with the revisions of the records that it could rebuild from. The candidate with the
-//! latest records acquires a lock that is bound to its lease, writes the records, and makes them
+//! latest records acquires a lock that is attached to its lease, writes the records, and makes them
 //! the next generation by one conditional write.
 //!
 //! Invariant: only that write creates a generation, on condition of the lock and of the identity
--- a/crates/quartzlever-recovery/src/rebuild/election.rs
+++ b/crates/quartzlever-recovery/src/rebuild/election.rs
@@ -56,8 +56,8 @@
     Following { best: String },
     /// This candidate has the latest records, and the lock is free.
     Locking,
-    /// Another process holds the lock.
-    AwaitingLock { leader: String },
+    /// A process of this controller holds the lock.
+    AwaitingLock { controller: String },
     /// This process holds the lock, and these candidates have not published their last changes.
     AwaitingExtras { from: Vec<String> },
     /// This process holds the lock, and all last changes are published.
@@ -130,8 +130,8 @@
             Stage::Following { best } => {
                 session.log_progress(RebuildEvent::RebuildLeftTo { controller: best });
             }
-            Stage::AwaitingLock { leader } => {
-                session.log_progress(RebuildEvent::RebuildLockAwaited { controller: leader })
+            Stage::AwaitingLock { controller } => {
+                session.log_progress(RebuildEvent::RebuildLockAwaited { controller })
             }
             Stage::AwaitingExtras { from } => {
                 session.log_progress(RebuildEvent::LastChangesAwaited { controllers: from })
@@ -210,7 +210,7 @@
 fn lock_stage(settings: &RebuildSettings, observed: &StoreObservation) -> Stage {
     let Some(lock) = &observed.lock else { return Stage::Locking };
     if lock.value.process != settings.process || lock.value.node != settings.node {
-        return Stage::AwaitingLock { leader: lock.value.node.clone() };
+        return Stage::AwaitingLock { controller: lock.value.node.clone() };
     }
     let from = extras::unpublished_candidates(observed);
     if !from.is_empty() {
--- a/crates/quartzlever-recovery/src/rebuild/final_states.rs
+++ b/crates/quartzlever-recovery/src/rebuild/final_states.rs
@@ -3,8 +3,8 @@
 //! Most records are final states, which are only read, so writing them can wait. Those that every
 //! candidate knows are carried over: until they are written, each controller keeps them among its
 //! own records, with the base revision of the generation as their modification revision, which
-//! counts as the end of the previous generation. Invariant: a controller serves a generation only if it
-//! has every final state, from the store or from its own history.
+//! counts as the end of the previous generation. Invariant: a controller serves a generation only
+//! if it has every final state, from the store or from its own history.
 
 use quartzlever_wire::store::{StoreCall, StoreReply, TERMINAL_JOB_PREFIX, Txn};
 use quartzlever_wire::{CallError, Json};
@@ -23,8 +23,8 @@
     Incomplete,
 }
 
-/// Writes carried-over final states, which must fit into one transaction, and returns the update if it
-/// was committed. Other controllers write them too, so nothing is written if any of the records
+/// Writes carried-over final states, which must fit into one transaction, and returns the update if
+/// it was committed. Other controllers write them too, so nothing is written if any of the records
 /// exists already.
 ///
 /// # Errors
@@ -62,7 +62,8 @@
         };
     };
     if history.identity.generation == generation.identity.generation {
-        // Final states that were carried over before this process restarted, and are not written yet.
+        // Final states that were carried over before this process restarted, and are not written
+        // yet.
         carry_over(records, history.records.carried_over(base, ""), base);
         return FinalStates::Complete;
     }
--- a/crates/quartzlever-recovery/src/rebuild/settings.rs
+++ b/crates/quartzlever-recovery/src/rebuild/settings.rs
@@ -19,7 +19,7 @@
     pub process: u64,
     /// How long to wait for other controllers that might have later records, in microseconds.
     pub gather_timeout: Micros,
-    /// Lifetime of the lease that candidates and the lock are bound to, in microseconds.
+    /// Lifetime of the lease that candidates and the lock are attached to, in microseconds.
     pub lease_lifetime: Micros,
     /// Lifetime of a worker's lease, in microseconds.
     pub worker_lease_lifetime: Micros,
--- a/crates/quartzlever-recovery/src/rebuild/state_machine.rs
+++ b/crates/quartzlever-recovery/src/rebuild/state_machine.rs
@@ -178,7 +178,7 @@
         Ok(StepOutcome::ObserveAgain)
     }
 
-    /// Resets the state that is bound to the lease, which may have expired when a step fails.
+    /// Resets the state that is attached to the lease, which may have expired when a step fails.
     fn reset_leased_state(&mut self) {
         self.session.forget_lease();
         self.candidacy.reset_extras();
--- a/crates/quartzlever-recovery/src/rebuild/successor.rs
+++ b/crates/quartzlever-recovery/src/rebuild/successor.rs
@@ -13,10 +13,10 @@
 use crate::identity::{Identity, Phase, StoreObservation, Versioned};
 use crate::plan::SurvivingRecords;
 
-/// Distance of the base of a new revision sequence above the highest revision that was seen. It
-/// exceeds the number of changes that any store commits within months, and so between a
-/// controller's last write to its log and the loss. Thousands of rebuilds stay below 2^42, the
-/// limit of the revisions that attempt numbers can be derived from.
+/// Distance of the base of a new lineage of revisions above the highest revision that was seen. The
+/// store may have committed changes after the last one that any candidate knows; this is more than
+/// any store commits within months. Thousands of rebuilds stay below 2^42, the limit of the
+/// revisions that attempt numbers can be derived from.
 const REVISION_HEADROOM: u64 = 1 << 30;
 
 /// Reads the records that the store still holds of the generation that this process knows.
--- a/crates/quartzlever-recovery/src/records.rs
+++ b/crates/quartzlever-recovery/src/records.rs
@@ -1,8 +1,8 @@
 //! The records that a controller knows, complete up to a revision.
 //!
-//! A [`RecordSet`] is held in memory. Updates are applied to it; it never calls the store. Invariant:
-//! in whatever order updates are applied, and however often, the latest change of each key wins, and
-//! all changes up to [`RecordSet::revision`] are included.
+//! A [`RecordSet`] is held in memory. Updates are applied to it; it never calls the store.
+//! Invariant: in whatever order updates are applied, and however often, the latest change of each
+//! key wins, and all changes up to [`RecordSet::revision`] are included.
 
 mod update;
 
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Returns the carried-over records that are not written yet, at keys greater than `after`. These
-    /// are the records with modification revisions up to the generation's `base`.
+    /// Returns the carried-over records that are not written yet, at keys greater than `after`.
+    /// These are the records with modification revisions up to the generation's `base`.
     pub fn carried_over<'a>(
         &'a self,
         base: u64,
--- a/crates/quartzlever-recovery/tests/rebuilding/main.rs
+++ b/crates/quartzlever-recovery/tests/rebuilding/main.rs
@@ -198,8 +198,8 @@
     expected.extend([("live/req-5", long.as_str()), ("over/req-1", "{}"), ("over/req-7", "{}")]);
     expected.sort();
     // Final states that some candidate does not know must be written at once, since that candidate
-    // answers from its own records: a controller whose disk had been full reported a finished job as
-    // running.
+    // answers from its own records: a controller whose disk had been full reported a finished job
+    // as running.
     let in_store = world.borrow().store.keys("generation/");
     for (job, there) in [("req-1", true), ("req-7", true), ("req-3", false)] {
         let found = in_store.iter().any(|key| key.ends_with(&format!("/over/{job}")));
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -15,10 +15,10 @@
 
 /// Time after which a user gives up on a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two attempts of [`until`].
+/// Pause between two attempts of [`retry_until`].
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which [`until`] fails the test. Far longer than any takeover, so reaching it means a
-/// fault.
+/// Time after which [`retry_until`] fails the test. Far longer than any takeover, so reaching it
+/// means a fault.
 const MAX_WAIT: Duration = Duration::from_secs(120);
 
 /// The reply to a request of a user.
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -173,9 +173,12 @@
         /// Whether the store has answered recently.
         reached: bool,
     },
-    /// Acknowledges a request that has no other answer, or reports that nothing could be moved.
+    /// Acknowledges a request that has no other answer, or reports that the request was not carried
+    /// out: nothing could be moved, the changes were not logged, or the core did not answer in
+    /// time.
     Empty,
-    /// Answer to [`PeerRequest::LogChanges`]: the changes are on the receiver's disk.
+    /// Answer to [`PeerRequest::LogChanges`]: the receiver has accepted the changes for its log.
+    /// They are on its disk, unless the disk has failed or is too slow.
     Logged,
 }
 
--- a/crates/quartzlever-wire/src/store.rs
+++ b/crates/quartzlever-wire/src/store.rs
@@ -296,7 +296,7 @@
     pub process: u64,
 }
 
-/// The tasks of a job that belong to one partition since one term.
+/// The tasks of a job that were assigned to one partition under one of its terms.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The partition.
--- a/crates/quartzlever/src/clock.rs
+++ b/crates/quartzlever/src/clock.rs
@@ -1,7 +1,7 @@
 //! The monotonic clock and the wall clock, in whole microseconds.
 //!
-//! Deadlines use the monotonic clock. The wall clock is only for times that outlive the process, such as
-//! those in stored records.
+//! Deadlines use the monotonic clock. The wall clock is only for times that outlive the process,
+//! such as those in stored records.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -28,7 +28,8 @@
     }
 }
 
-/// Returns the wall-clock time in microseconds since the Unix epoch; 0 if the clock is set before it.
+/// Returns the wall-clock time in microseconds since the Unix epoch; 0 if the clock is set before
+/// it.
 pub fn wall() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
 }
--- a/crates/quartzlever/src/inbox.rs
+++ b/crates/quartzlever/src/inbox.rs
@@ -1,7 +1,7 @@
 //! The command queues of the core's thread.
 //!
-//! Also holds the state that the core's thread publishes for connections, so that they can answer some
-//! requests without it. Commands pass through without being inspected.
+//! Also holds the state that the core's thread publishes for connections, so that they can answer
+//! some requests without it. Commands pass through without being inspected.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -145,8 +145,8 @@
         starting
     }
 
-    /// Reports whether the node is ready, as last published by the core's thread. The published state
-    /// expires, so that a node whose core's thread stalls is no longer ready.
+    /// Reports whether the node is ready, as last published by the core's thread. The published
+    /// state expires, so that a node whose core's thread stalls is no longer ready.
     pub fn is_ready(&self, now: Micros) -> bool {
         now < self.published.ready_until.load(Ordering::Relaxed)
     }
--- a/crates/quartzlever/src/log.rs
+++ b/crates/quartzlever/src/log.rs
@@ -12,8 +12,8 @@
 use quartzlever_recovery::format::WriteTimes;
 use quartzlever_wire::fields::Fields;
 
-/// An event of the program itself, outside the core. Durations are logged in milliseconds (keys with
-/// `_ms`), but those of log writes in microseconds (`_us`).
+/// An event of the program itself, outside the core. Durations are logged in milliseconds (keys
+/// with `_ms`), but those of log writes in microseconds (`_us`).
 #[derive(Debug)]
 pub enum ProgramEvent<'a> {
     /// The HTTP port is bound; it may not be listening yet.
--- a/crates/quartzlever/src/main.rs
+++ b/crates/quartzlever/src/main.rs
@@ -1,7 +1,7 @@
 //! The quartzlever controller.
 //!
-//! Modules depend on each other in one direction only. From the lowest layer to the highest, each uses
-//! only the layers before it:
+//! Modules depend on each other in one direction only. From the lowest layer to the highest, each
+//! uses only the layers before it:
 //!
 //! 1. `clock`, `exit_status`, `log`, `random`, `thread_pool`: use nothing of this program but `clock`.
 //! 2. `settings`: the settings files.
@@ -38,7 +38,8 @@
 
 /// A cluster scheduler with adaptive work stealing.
 ///
-/// Logs go to standard error; the environment variable LOG_LEVEL (error, info, debug) sets their level.
+/// Logs go to standard error; the environment variable LOG_LEVEL (error, info, debug) sets their
+/// level.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
--- a/crates/quartzlever/src/node.rs
+++ b/crates/quartzlever/src/node.rs
@@ -1,8 +1,8 @@
 //! A node: the core's thread, the threads that execute its effects, and the servers.
 //!
-//! This module only starts them, in order. `core_thread` runs the core, `executors` call the external
-//! systems, `peer_server` serves the other controllers, `pending` keeps the requests that wait for an
-//! answer, and `startup` covers the time before the store may be used.
+//! This module only starts them, in order. `core_thread` runs the core, `executors` call the
+//! external systems, `peer_server` serves the other controllers, `pending` keeps the requests that
+//! wait for an answer, and `startup` covers the time before the store may be used.
 
 mod core_thread;
 mod executors;
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -1,7 +1,7 @@
 //! The core's thread, the only owner of the scheduling state.
 //!
-//! It passes commands to the core in batches and executes the resulting effects. It never blocks except
-//! to wait for commands: anything that may take long is left to an executor.
+//! It passes commands to the core in batches and executes the resulting effects. It never blocks
+//! except to wait for commands: anything that may take long is left to an executor.
 
 use std::io;
 use std::time::Duration;
@@ -24,8 +24,9 @@
 const STALL_THRESHOLD: Micros = 1_000_000;
 /// Stalls longer than this are logged; shorter ones are normal where CPU time is scarce.
 const LOGGED_STALL_THRESHOLD: Micros = 4_000_000;
-/// After an iteration longer than this, HTTP requests whose clients have closed the connection are
-/// dropped.
+/// After an iteration longer than this, some clients may have timed out. HTTP requests whose
+/// clients have closed the connection are then dropped, as they are when the priority queue holds
+/// more than [`PRIORITY_BATCH`] commands.
 const LATE_THRESHOLD: Micros = 400_000;
 /// The port is opened once the store has been read, or else after this time, so that users and
 /// workers are told when to retry.
@@ -54,7 +55,7 @@
     /// The time at which commands were last taken from the queues.
     last_batch_at: Micros,
     /// Commands have had to wait since the last tick.
-    behind: bool,
+    was_stalled: bool,
 }
 
 impl CoreThread {
@@ -78,7 +79,7 @@
             open_at: now + MAX_OPEN_DELAY,
             tick_at: now,
             last_batch_at: now,
-            behind: false,
+            was_stalled: false,
         }
     }
 
@@ -93,8 +94,8 @@
             self.last_batch_at = now;
             if now >= self.tick_at {
                 self.tick_at = now + TICK_INTERVAL;
-                let behind = std::mem::take(&mut self.behind);
-                batch.push(Command::Tick { wall: wall(), was_stalled: behind });
+                let was_stalled = std::mem::take(&mut self.was_stalled);
+                batch.push(Command::Tick { wall: wall(), was_stalled });
             }
             if batch.is_empty() {
                 continue;
@@ -111,8 +112,9 @@
     fn await_commands(&self) {
         let now = self.clock.now();
         if now < self.tick_at {
-            // A tick is processed along with any command that arrives. Waking up for a tick alone
-            // costs more than the tick itself, so it is delayed unless a placement is due.
+            // A tick that is due is processed along with any command that arrives. Waking up for a
+            // tick alone costs more than the tick itself, so it may be late by another interval,
+            // unless a placement is wanted or scheduled.
             let delay = if self.core.has_pending_placement() { 0 } else { TICK_INTERVAL };
             self.incoming.sleep(Duration::from_micros(self.tick_at + delay - now));
         }
@@ -134,7 +136,8 @@
         if stall > LOGGED_STALL_THRESHOLD {
             ProgramEvent::ProcessStalled { duration: Duration::from_micros(stall) }.log();
         }
-        self.behind |= stall > STALL_THRESHOLD || self.incoming.priority.len() > PRIORITY_BATCH;
+        self.was_stalled |=
+            stall > STALL_THRESHOLD || self.incoming.priority.len() > PRIORITY_BATCH;
     }
 
     /// Publishes the state from which connections answer some requests without the core.
@@ -156,8 +159,8 @@
     fn execute(&mut self, effect: Effect) {
         let CoreThread { executors, pending, clock, .. } = self;
         match effect {
-            Effect::Answer { id, status, body, retry_after_s, deadline: until } => {
-                if until.is_some_and(|until| clock.now() >= until) {
+            Effect::Answer { id, status, body, retry_after_s, deadline } => {
+                if deadline.is_some_and(|deadline| clock.now() >= deadline) {
                     // This node's authority to act has expired meanwhile.
                     pending.refuse_busy(id);
                 } else {
@@ -172,11 +175,11 @@
             Effect::Store { call_id, call_priority, call } => {
                 executors.store.submit(call_id, call_priority, call)
             }
-            Effect::Cloud { call_id, call, deadline: until } => {
-                executors.cloud.submit(call_id, call, until)
+            Effect::Cloud { call_id, call, deadline } => {
+                executors.cloud.submit(call_id, call, deadline)
             }
-            Effect::Worker { call_id, address, call, deadline: until } => {
-                executors.workers.submit(call_id, address, call, until);
+            Effect::Worker { call_id, address, call, deadline } => {
+                executors.workers.submit(call_id, address, call, deadline);
             }
             Effect::Peer { call_id, node, request } => {
                 executors.peers.submit(call_id, node, request)
--- a/crates/quartzlever/src/node/executors.rs
+++ b/crates/quartzlever/src/node/executors.rs
@@ -1,9 +1,9 @@
 //! The threads that execute effects: an executor for each external system.
 //!
-//! Each executor has a queue, a fixed number of threads and, where the system has a rate limit, a budget.
-//! The core decides which calls are made. The result of every call, also of one that was not made, goes
-//! to the inbox as a command. The threads are never joined: each lives as long as the process and blocks
-//! while its system hangs, which must not keep the process from exiting.
+//! Each executor has a queue, a fixed number of threads and, where the system has a rate limit, a
+//! budget. The core decides which calls are made. The result of every call, also of one that was
+//! not made, goes to the inbox as a command. The threads are never joined: each lives as long as
+//! the process and blocks while its system hangs, which must not keep the process from exiting.
 
 mod cloud;
 mod limit;
--- a/crates/quartzlever/src/node/executors/cloud.rs
+++ b/crates/quartzlever/src/node/executors/cloud.rs
@@ -1,6 +1,6 @@
 //! Calls to the cloud, within this node's share of the cloud's rate limit.
 //!
-//! Machines are never terminated after the deadline of the call, when this node's authority to do so has
+//! A scale-in is not sent after its deadline, when this node's authority to terminate machines has
 //! expired.
 
 use std::io;
@@ -26,7 +26,7 @@
 struct QueuedCall {
     call_id: CallId,
     call: CloudCall,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// Makes calls to the cloud.
@@ -57,10 +57,10 @@
         Ok(CloudExecutor { queue, limit })
     }
 
-    /// Enqueues a call. A scale-in is made only before `until`.
-    pub fn submit(&self, call_id: CallId, call: CloudCall, until: Micros) {
+    /// Enqueues a call. A scale-in is sent only before `deadline`.
+    pub fn submit(&self, call_id: CallId, call: CloudCall, deadline: Micros) {
         // Fails only if the executor's threads have ended, and then the result is not needed.
-        let _ = self.queue.send(QueuedCall { call_id, call, until });
+        let _ = self.queue.send(QueuedCall { call_id, call, deadline });
     }
 
     /// Sets this node's share of the cloud's rate limit.
@@ -80,10 +80,10 @@
 
 impl CloudThread {
     fn run(self) {
-        for QueuedCall { call_id, call, until } in &self.calls {
+        for QueuedCall { call_id, call, deadline } in &self.calls {
             let allowed = self.limit.wait(RESERVE, BUDGET_TIMEOUT);
             // A later leader of the partition may have received heartbeats from the machines.
-            let late = matches!(call, CloudCall::ScaleIn(_)) && self.clock.now() >= until;
+            let late = matches!(call, CloudCall::ScaleIn(_)) && self.clock.now() >= deadline;
             let allowed = allowed && !late;
             let result = if allowed { self.client.call(&call) } else { Err(CallError::Refused) };
             self.inbox.deliver(Command::CloudReply { call_id, result });
--- a/crates/quartzlever/src/node/executors/limit.rs
+++ b/crates/quartzlever/src/node/executors/limit.rs
@@ -1,6 +1,7 @@
 //! A rate limit that all nodes share.
 //!
-//! The core sets how large this node's share is; which other nodes share the limit is not known here.
+//! The core sets how large this node's share is; which other nodes share the limit is not known
+//! here.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/quartzlever/src/node/executors/store.rs
+++ b/crates/quartzlever/src/node/executors/store.rs
@@ -1,7 +1,8 @@
-//! Calls to the store, in one lane for each priority, within this node's share of the store's rate limit.
+//! Calls to the store, in one lane for each priority, within this node's share of the store's rate
+//! limit.
 //!
-//! Only requests are limited here. The core limits the number of changes, since it knows which of them
-//! are the most important.
+//! Only requests are limited here. The core limits the number of changes, since it knows which of
+//! them are the most important.
 
 use std::collections::HashMap;
 use std::io;
--- a/crates/quartzlever/src/node/executors/workers.rs
+++ b/crates/quartzlever/src/node/executors/workers.rs
@@ -1,7 +1,7 @@
 //! Calls to workers.
 //!
-//! A worker is never called after the deadline of the call, when this node's authority to command it has
-//! expired.
+//! A worker is never called after the deadline of the call, when this node's authority to command
+//! it has expired.
 
 use std::io;
 
@@ -15,15 +15,15 @@
 use crate::clock::Clock;
 use crate::inbox::Inbox;
 
-/// As many as the core makes direct calls at a time, so that machines that hang do not block calls to
-/// others.
+/// As many as the core makes direct calls at a time, so that machines that hang do not block calls
+/// to others.
 const THREADS: usize = 32;
 
 struct QueuedCall {
     call_id: CallId,
     address: String,
     call: WorkerCall,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// Makes calls to workers.
@@ -48,10 +48,10 @@
         Ok(WorkerExecutor { queue })
     }
 
-    /// Enqueues a call, which is made only if a thread takes it before `until`.
-    pub fn submit(&self, call_id: CallId, address: String, call: WorkerCall, until: Micros) {
+    /// Enqueues a call, which is made only if a thread takes it before `deadline`.
+    pub fn submit(&self, call_id: CallId, address: String, call: WorkerCall, deadline: Micros) {
         // Fails only if the executor's threads have ended, and then the result is not needed.
-        let _ = self.queue.send(QueuedCall { call_id, address, call, until });
+        let _ = self.queue.send(QueuedCall { call_id, address, call, deadline });
     }
 }
 
@@ -65,9 +65,9 @@
 
 impl WorkerThread {
     fn run(self) {
-        for QueuedCall { call_id, address, call, until } in &self.calls {
+        for QueuedCall { call_id, address, call, deadline } in &self.calls {
             // This node's authority may have expired while the call was queued.
-            let allowed = self.clock.now() < until;
+            let allowed = self.clock.now() < deadline;
             let result =
                 if allowed { self.client.call(&address, &call) } else { Err(CallError::Refused) };
             self.inbox.deliver(Command::WorkerReply { call_id, result });
--- a/crates/quartzlever/src/node/peer_server.rs
+++ b/crates/quartzlever/src/node/peer_server.rs
@@ -1,6 +1,7 @@
 //! The server for the other controllers: a thread for each connection, with one request at a time.
 //!
-//! Requests go to the core, except for logged changes of other controllers, which go to the recovery log.
+//! Requests go to the core, except for logged changes of other controllers, which go to the
+//! recovery log.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/quartzlever/src/node/pending.rs
+++ b/crates/quartzlever/src/node/pending.rs
@@ -1,6 +1,7 @@
 //! Requests that wait for the core's answers.
 //!
-//! Each is kept until the core answers it. An HTTP request whose deadline passes gets a 503 instead.
+//! Each is kept until the core answers it. An HTTP request whose deadline passes gets a 503
+//! instead.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/crates/quartzlever/src/recovery.rs
+++ b/crates/quartzlever/src/recovery.rs
@@ -93,8 +93,9 @@
     let opened =
         rebuild::open(&mut access, &rebuild_settings(settings, &recovery_settings), &local)
             .map_err(io::Error::other)?;
-    // The witness counter of the history counts only in its own generation. In another
-    // one this controller has written no witness yet.
+    // The witness counter of the history is compared only within its own generation. In another one
+    // the witness key may be absent, or may still have the count that was written last, so counting
+    // starts again at 0.
     let is_same_generation =
         local.history.as_ref().is_some_and(|h| h.identity == opened.generation.identity);
     let witness = if is_same_generation { witness } else { 0 };
--- a/crates/quartzlever/src/recovery/journal.rs
+++ b/crates/quartzlever/src/recovery/journal.rs
@@ -1,9 +1,10 @@
 //! The journal: the thread that owns the set of all records and appends each change to the log
 //! before the rest of the program learns of it.
 //!
-//! So the program never acts on a record that its log lacks. If the disk fails or is too slow, the
-//! program writes a log event, removes the mark in the directory, and then continues without the
-//! log.
+//! So the program never acts on a record that its log lacks, as long as the disk works. If the disk
+//! fails or is too slow, the program reports that to the operator, tries to remove the mark in the
+//! directory, and continues without the log. If the mark cannot be removed, the age of the last
+//! heartbeat in the log shows that the log was not written.
 //!
 //! Owns the record set and the files of the directory. Never calls the store. The thread is not
 //! joined; it ends when every `Journal` is dropped, which is when the process ends.
--- a/crates/quartzlever/src/recovery/replication.rs
+++ b/crates/quartzlever/src/recovery/replication.rs
@@ -62,7 +62,7 @@
     }
 
     /// Sends the changes of a transaction to all other controllers. Returns once one of them has
-    /// logged them, after the timeout, or when no controller is left that may acknowledge.
+    /// acknowledged them, after the timeout, or when no controller is left that may acknowledge.
     pub fn replicate(&self, update: &Update) {
         let Some(mod_revision) = update.changes.first().map(|change| change.mod_revision) else {
             return;
--- a/crates/quartzlever/src/responder.rs
+++ b/crates/quartzlever/src/responder.rs
@@ -1,7 +1,7 @@
 //! The sockets of HTTP connections, and the answers that are written to them.
 //!
-//! There is exactly one answer for each request. The thread that sends the core's answer never blocks on
-//! the socket.
+//! There is exactly one answer for each request. The thread that sends the core's answer never
+//! blocks on the socket.
 
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
@@ -88,7 +88,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the socket does. With `close` it always returns an error, which ends the connection.
+    /// Fails if the socket does. With `close` it always returns an error, which ends the
+    /// connection.
     pub fn answer(&self, head: ResponseHead, body: &[u8], close: bool) -> io::Result<()> {
         self.mark_taken();
         let mut message = Vec::new();
@@ -133,8 +134,8 @@
         self.socket.awaits_answer.store(false, Ordering::Release);
     }
 
-    /// Sends an answer, using `scratch` as the buffer. Never blocks: the part that the socket does not
-    /// accept at once is left to a thread of its own.
+    /// Sends an answer, using `scratch` as the buffer. Never blocks: the part that the socket does
+    /// not accept at once is left to a thread of its own.
     pub fn send(self, head: &ResponseHead, body: &[u8], scratch: &mut Vec<u8>) {
         scratch.clear();
         write_message(scratch, head, body, self.close);
@@ -153,8 +154,8 @@
         }
     }
 
-    /// Sends the rest of an answer on a thread of its own. The thread is not joined: it ends once the
-    /// rest is sent, or on an error or timeout of the socket.
+    /// Sends the rest of an answer on a thread of its own. The thread is not joined: it ends once
+    /// the rest is sent, or on an error or timeout of the socket.
     fn send_rest_on_thread(self, rest: Vec<u8>) {
         let thread = thread::Builder::new().name("slow-answer".into()).stack_size(STACK_BYTES);
         // If no thread can be started, the answer stays truncated and the client times out.
--- a/crates/quartzlever/src/server.rs
+++ b/crates/quartzlever/src/server.rs
@@ -1,15 +1,16 @@
 //! The HTTP server for users, workers and health checks.
 //!
-//! One thread accepts connections for as long as the process lives, and one serves each connection. All
-//! decisions about jobs and machines are the core's. The modules follow the steps of a request:
-//! `admission` (limits on connections), `connection` (the order of the steps), `reader` and `request`
-//! (reading and parsing), `routing` (method and path), `shedding` (requests that are not passed to the
-//! core), `dispatch` (commands to the core).
+//! One thread accepts connections for as long as the process lives, and one serves each connection.
+//! All decisions about jobs and machines are the core's. The modules follow the steps of a request:
+//! `admission` (limits on connections), `connection` (the order of the steps), `reader` and
+//! `request` (reading and parsing), `routing` (method and path), `shedding` (requests that are not
+//! passed to the core), `dispatch` (commands to the core).
 //!
-//! `tiny_http` is not used because it keeps a thread for every open connection without a limit, has no
-//! time limit for a partly sent request, cannot close idle connections, and hides the sockets, with which
-//! all of this could be done. This server follows the same model, a blocking thread for each connection,
-//! with the `httparse` parser, a limit on connections and a deadline on every step.
+//! `tiny_http` is not used because it keeps a thread for every open connection without a limit, has
+//! no time limit for a partly sent request, cannot close idle connections, and hides the sockets,
+//! with which all of this could be done. This server follows the same model, a blocking thread for
+//! each connection, with the `httparse` parser, a limit on connections and a deadline on every
+//! step.
 
 mod admission;
 mod connection;
@@ -35,9 +36,9 @@
 /// How many connections the operating system queues until they are accepted.
 const BACKLOG: i32 = 128;
 
-/// A port that is bound but not listening yet, so that the operating system refuses connections at no
-/// cost to the process. All workers connect every second to a node that has just started; rejecting
-/// them one by one added 14 s to its start.
+/// A port that is bound but not listening yet, so that the operating system refuses connections at
+/// no cost to the process. All workers connect every second to a node that has just started;
+/// rejecting them one by one added 14 s to its start.
 pub struct Port {
     socket: Socket,
     limits: ConnectionLimits,
--- a/crates/quartzlever/src/server/admission.rs
+++ b/crates/quartzlever/src/server/admission.rs
@@ -6,8 +6,8 @@
 
 use crate::settings::Limits;
 
-/// Memory budgeted for each connection, above the 14 to 30 KB that one takes among hundreds: the
-/// touched part of its thread's stack, its buffers, and the core's state of its worker.
+/// Memory budgeted for each connection. With hundreds of connections open, each takes 14 to 30 KB:
+/// the touched part of its thread's stack, its buffers, and the core's state of its worker.
 const CONNECTION_MB: f64 = 0.035;
 /// Share of the sockets that connections may use.
 const SOCKETS_SHARE: f64 = 0.8;
--- a/crates/quartzlever/src/server/connection.rs
+++ b/crates/quartzlever/src/server/connection.rs
@@ -1,7 +1,7 @@
 //! An HTTP connection, from its first request to its end.
 //!
-//! Defines the order of the steps of a request. Runs on the connection's own thread, and reaches the core
-//! only through the inbox.
+//! Defines the order of the steps of a request. Runs on the connection's own thread, and reaches
+//! the core only through the inbox.
 
 use std::io;
 use std::ops::ControlFlow;
@@ -19,8 +19,8 @@
 
 /// An open HTTP connection.
 pub struct Connection<'a> {
-    /// Must be the first field: it is dropped before the socket, so that the connection is no longer
-    /// counted when the client sees it closed.
+    /// Must be the first field: it is dropped before the socket, so that the connection is no
+    /// longer counted when the client sees it closed.
     slot: ConnectionSlot<'a>,
     socket: Arc<ClientSocket>,
     reader: RequestReader<'a>,
--- a/crates/quartzlever/src/server/dispatch.rs
+++ b/crates/quartzlever/src/server/dispatch.rs
@@ -14,8 +14,9 @@
 use crate::inbox::{Inbox, RequestQueue};
 use crate::responder::ClientSocket;
 
-// Users time out after 5 s, lookups after 2 s and workers after 4 s. The timeouts here are shorter,
-// since the core's thread checks the deadlines only once per iteration.
+// Clients time out by themselves: after 5 s when they submit or cancel a job, after 2 s when they
+// look one up, and workers after 4 s. The timeouts here are shorter, since the core's thread checks
+// the deadlines only once per iteration.
 const USER_TIMEOUT: Micros = 4_500_000;
 const LOOKUP_TIMEOUT: Micros = 1_700_000;
 const WORKER_TIMEOUT: Micros = 3_500_000;
--- a/crates/quartzlever/src/server/reader.rs
+++ b/crates/quartzlever/src/server/reader.rs
@@ -13,9 +13,10 @@
 
 /// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// When nearly all allowed connections are open, idle ones are closed after this time, before new ones
-/// are refused.
-const NEARLY_FULL_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// An idle connection waits in steps of this length. It is closed at the end of a step if nearly
+/// all allowed connections are open, before new ones are refused. [`IDLE_TIMEOUT`] is a multiple of
+/// it.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// A request must be complete within this time from its first bytes.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Bytes read at once; most requests are shorter.
@@ -107,11 +108,11 @@
     fn await_request(&mut self) -> io::Result<bool> {
         let mut waited = Duration::ZERO;
         loop {
-            match self.read_some(NEARLY_FULL_IDLE_TIMEOUT) {
+            match self.read_some(IDLE_CHECK_INTERVAL) {
                 Err(e)
                     if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) =>
                 {
-                    waited += NEARLY_FULL_IDLE_TIMEOUT;
+                    waited += IDLE_CHECK_INTERVAL;
                     if self.admission.is_nearly_full() || waited >= IDLE_TIMEOUT {
                         return Ok(false);
                     }
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Reads and discards a body that is too long, up to a limit. Closing the connection with unread
-    /// bytes would reset it, and the client would lose the answer.
+    /// Reads and discards a body that is too long, up to a limit. Closing the connection with
+    /// unread bytes would reset it, and the client would lose the answer.
     fn skip_body(&mut self, content_length: usize, deadline: Instant) -> io::Result<()> {
         let mut left = content_length.min(MAX_SKIPPED_BYTES);
         left -= self.buffer.len().min(left);
--- a/crates/quartzlever/src/server/routing.rs
+++ b/crates/quartzlever/src/server/routing.rs
@@ -11,9 +11,9 @@
     Heartbeat,
     /// Submits a job.
     Submit,
-    /// Looks up the job with this reference.
+    /// Looks up the job with this id.
     Lookup(String),
-    /// Cancels the job with this reference.
+    /// Cancels the job with this id.
     Cancel(String),
     /// Not a valid operation; answered with this error at once.
     Refused { status: u16, reason: &'static str },
@@ -42,7 +42,7 @@
             return METHOD_NOT_ALLOWED;
         }
         match route {
-            // No job can have been accepted under an invalid reference.
+            // No job can have been accepted under an invalid id.
             Route::Lookup(job) | Route::Cancel(job) if !is_valid_id(&job) => UNKNOWN_JOB,
             route => route,
         }
--- a/crates/quartzlever/src/server/shedding.rs
+++ b/crates/quartzlever/src/server/shedding.rs
@@ -1,5 +1,5 @@
-//! Requests that are not passed to the core: those that can be answered without it, and those that no
-//! client waits for.
+//! Requests that are not passed to the core: those that can be answered without it, and those that
+//! no client waits for.
 
 use super::routing::Route;
 use crate::clock::Clock;
@@ -33,9 +33,9 @@
     }
 }
 
-/// Reports whether the client has closed the connection before its request was handled. Without this
-/// check, a node that is far behind processes only heartbeats of workers that have already connected
-/// elsewhere, and never catches up.
+/// Reports whether the client has closed the connection before its request was handled. Without
+/// this check, a node that is far behind processes only heartbeats of workers that have already
+/// connected elsewhere, and never catches up.
 pub fn is_abandoned(socket: &ClientSocket, has_trailing_bytes: bool) -> bool {
     !has_trailing_bytes && socket.is_closed_by_client()
 }
--- a/crates/quartzlever/src/settings/operator.rs
+++ b/crates/quartzlever/src/settings/operator.rs
@@ -100,7 +100,7 @@
         let field = Field { name: "peers_asked", value: count as f64, range: PEERS_ASKED_RANGE };
         core.peers_asked = check.amount(field)? as usize;
     }
-    let Operator { steal_fraction, max_idle_boot_times: idle_boots, price_cap, .. } = core;
+    let Operator { steal_fraction, max_idle_boot_times, price_cap, .. } = core;
     let amounts: [Override<f64>; 3] = [
         Override::new(
             "steal_fraction",
@@ -108,7 +108,7 @@
             steal_fraction,
             Range::new(0.01, 1.0),
         ),
-        Override::new("idle_boots", entry.idle_boots, idle_boots, Range::new(0.0, 1000.0)),
+        Override::new("idle_boots", entry.idle_boots, max_idle_boot_times, Range::new(0.0, 1000.0)),
         Override::new("price_cap", entry.price_cap, price_cap, Range::new(1.0, 1000.0)),
     ];
     amounts.into_iter().try_for_each(|amount| amount.apply(|field| check.amount(field)))
--- a/crates/quartzlever/src/thread_pool.rs
+++ b/crates/quartzlever/src/thread_pool.rs
@@ -1,9 +1,9 @@
 //! Accepts connections and serves them on a pool of threads.
 //!
-//! While all workers look for the leader of their partition, each makes a connection per second for a
-//! single answer. Starting a thread for each of them costs more than everything else, so a thread that
-//! has finished waits some time for another connection. It parks, since the receiver of a channel would
-//! spin first.
+//! While all workers look for the leader of their partition, each makes a connection per second for
+//! a single answer. Starting a thread for each of them costs more than everything else, so a thread
+//! that has finished waits some time for another connection. It parks, since the receiver of a
+//! channel would spin first.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -19,9 +19,10 @@
 /// Pause after a failed accept, and longest wait between checks of the number of new connections.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Most connections that may be new, which means that the core has not taken their first request yet.
-/// Further ones wait to be accepted. Without this limit, hundreds of runnable threads, whose workers
-/// had already closed their connections, delayed the renewal of a lease until it had expired.
+/// Most connections that may be new, which means that the core has not taken their first request
+/// yet. Further ones wait to be accepted. Without this limit, hundreds of runnable threads, whose
+/// workers had already closed their connections, delayed the renewal of a lease until it had
+/// expired.
 const MAX_NEW_CONNECTIONS: usize = 32;
 
 /// The number of connections that are new.
@@ -80,9 +81,9 @@
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Accepts connections on a thread of its own and serves at most `max_connections` at a time; further
-/// ones are closed at once. The accepting thread lives as long as the process; the serving threads end
-/// after [`IDLE_TIMEOUT`] without a connection. None of them is joined.
+/// Accepts connections on a thread of its own and serves at most `max_connections` at a time;
+/// further ones are closed at once. The accepting thread lives as long as the process; the serving
+/// threads end after [`IDLE_TIMEOUT`] without a connection. None of them is joined.
 pub fn accept_loop(
     name: &str,
     listener: TcpListener,
@@ -116,8 +117,8 @@
 }
 
 impl<H: Fn(AcceptedConnection) + Send + Sync + 'static> ThreadPool<H> {
-    /// Serves a connection on an idle thread, or else on a new one. Returns `false` if no thread can
-    /// be started.
+    /// Serves a connection on an idle thread, or else on a new one. Returns `false` if no thread
+    /// can be started.
     fn assign(self: Arc<Self>, thread_name: &str, accepted: AcceptedConnection) -> bool {
         let idle_thread = lock(&self.idle).pop();
         if let Some(idle_thread) = idle_thread {
