--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -33,7 +33,8 @@
 /// Assumed boot time of a type that is not in the catalogue.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 
-/// The launch hints of this process, and the state of its periodic calls to the cloud.
+/// The launch hints known to this process, the state of its periodic calls to the cloud, and the
+/// time of its next autoscaling pass.
 #[derive(Debug, Default)]
 pub(crate) struct Cloud {
     /// Machines that this process or a peer has launched, with the partition that each is for.
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -131,7 +131,7 @@
 
     /// Returns the zones that seem to be unreachable: those with at least
     /// `MIN_MACHINES_OF_UNREACHABLE_ZONE` machines, all of which have sent no heartbeat for more
-    /// than half of `silent_machine_timeout`.
+    /// than half of `silent_machine_timeout`. Machines that are being scaled in are not counted.
     fn find_unreachable_zones(
         &self,
         now: Micros,
--- a/crates/quartzlever-core/src/leadership/reachability.rs
+++ b/crates/quartzlever-core/src/leadership/reachability.rs
@@ -128,7 +128,8 @@
     }
 
     /// Reports whether this node gave up a partition because it received no heartbeats from its
-    /// workers and has reached none of them since.
+    /// workers and has reached none of them since. Returns `false` again once a due probe finds no
+    /// machines.
     pub fn is_isolated_from_workers(&self) -> bool {
         self.probe_not_before.is_some()
     }
@@ -183,8 +184,8 @@
         reports
     }
 
-    /// Writes a count for a leader that could not be reached to the store, under a key attached to
-    /// this lease.
+    /// Writes to the store how many machines of a partition send heartbeats to this node. The count
+    /// is for the partition's leader, which could not be reached. The key is attached to `lease`.
     pub fn store_machines_seen(
         config: &Config,
         partition: &str,
--- a/crates/quartzlever-core/src/leadership/reachability/tests.rs
+++ b/crates/quartzlever-core/src/leadership/reachability/tests.rs
@@ -136,9 +136,9 @@
     assert_eq!(probe(&mut reachability, due + 2 * SECOND, &machines), ["n-2:9000"]);
     reachability.handle_probe_result(true, &mut unused_outbox);
     assert!(!reachability.is_isolated_from_workers());
-    // Without machines to probe, the node no longer counts as cut off.
     reachability.record_release(due + 3 * SECOND, "one", 5, &mut unused_outbox);
     assert!(reachability.is_isolated_from_workers());
+    // Once a probe finds no machines, the node no longer counts as cut off.
     assert!(probe(&mut reachability, due + 60 * SECOND, &MachineRecords::new()).is_empty());
     assert!(!reachability.is_isolated_from_workers());
 }
--- a/crates/quartzlever-core/src/machines/machine.rs
+++ b/crates/quartzlever-core/src/machines/machine.rs
@@ -190,7 +190,7 @@
         free
     }
 
-    /// Reports whether the machine pulls an image for a task, or is about to.
+    /// Reports whether the machine pulls `image` for a task, or is about to.
     pub fn is_pulling(&self, image: &str) -> bool {
         let is_starting = |a: &Attempt| matches!(a.phase, None | Some(TaskPhase::Pulling));
         self.attempts.values().any(|a| is_starting(a) && a.image == image)
--- a/crates/quartzlever-core/src/machines/ownership/splitting.rs
+++ b/crates/quartzlever-core/src/machines/ownership/splitting.rs
@@ -73,8 +73,8 @@
         self.splitting = false;
         match result {
             Ok(StoreReply::Committed(mod_revision)) => Some(*mod_revision),
-            // If the step took effect all the same, the watch reports it. The next attempt starts
-            // from the state of the cache then.
+            // A step whose call failed may have taken effect. The watch then reports it, and the
+            // next attempt starts from the updated cache.
             _ => {
                 self.next_split_at = now + RETRY_DELAY;
                 None
--- a/crates/quartzlever-core/src/messages.rs
+++ b/crates/quartzlever-core/src/messages.rs
@@ -144,7 +144,7 @@
         call_priority: CallPriority,
         call: StoreCall,
     },
-    /// Calls the cloud. Machines are not terminated any more from `deadline` on.
+    /// Calls the cloud. A scale-in is not made from `deadline` on.
     Cloud {
         call_id: CallId,
         call: CloudCall,
--- a/crates/quartzlever-core/src/outbox.rs
+++ b/crates/quartzlever-core/src/outbox.rs
@@ -82,7 +82,7 @@
         self.effects.push(Effect::Store { call_id, call_priority: priority, call });
     }
 
-    /// Calls the cloud. Machines are not terminated any more from `deadline` on.
+    /// Calls the cloud. A scale-in is not made from `deadline` on.
     pub fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall, deadline: Micros) {
         let call_id = self.next_call_id();
         self.cloud_calls.insert(call_id, pending);
--- a/crates/quartzlever-core/src/router.rs
+++ b/crates/quartzlever-core/src/router.rs
@@ -381,7 +381,7 @@
                 self.outbox.log(event.level(), || event);
             }
             if self.may_act() {
-                self.place_queue(name);
+                self.place_ready_tasks(name);
                 self.call_workers(name);
             }
         }
--- a/crates/quartzlever-core/src/router/heartbeats.rs
+++ b/crates/quartzlever-core/src/router/heartbeats.rs
@@ -116,7 +116,7 @@
         let (run_times, source) = (&mut self.run_times, StatusSource::Heartbeat);
         let is_newer = partition.apply_heartbeat(&self.config, run_times, heartbeat, source, now);
         self.complete_recovery(name);
-        self.place_queue(name);
+        self.place_ready_tasks(name);
         self.place_on_machine(name, &heartbeat.machine);
         let cache = &self.cache;
         let Some(partition) = self.partitions.get_mut(name) else { return };
--- a/crates/quartzlever-core/src/router/leadership.rs
+++ b/crates/quartzlever-core/src/router/leadership.rs
@@ -218,8 +218,9 @@
         }
     }
 
-    /// Handles a home node's request for its partition. The request is ignored if the node runs the
-    /// first version and the cluster version has been raised.
+    /// Handles a home node's request for its partition. The request is ignored if the cluster
+    /// version has been raised and the node has not announced itself, as processes of version 1 do
+    /// not.
     pub(crate) fn handback_requested(&mut self, partition: &str) {
         if self.cluster.may_lead(partition) {
             self.partition_keys.note_handback_request(self.now, partition);
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -38,7 +38,7 @@
 impl Core {
     /// Places the ready tasks of a partition if a placement is due, and preempts work of lower
     /// priority for those without capacity.
-    pub(crate) fn place_queue(&mut self, name: &str) {
+    pub(crate) fn place_ready_tasks(&mut self, name: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.placement_is_due(now))
         else {
--- a/crates/quartzlever-core/src/scheduling/preemption/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/preemption/tests.rs
@@ -29,7 +29,7 @@
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.placement_wanted = true;
         }
-        core.place_queue("one");
+        core.place_ready_tasks("one");
         assert_eq!(
             unwanted(&core),
             stopped,
@@ -64,7 +64,7 @@
         core.now = NOW + SECOND;
         let partition = core.partitions.get_mut("one").expect("partition one exists");
         partition.placement_wanted = true;
-        core.place_queue("one");
+        core.place_ready_tasks("one");
         let partition = &core.partitions["one"];
         let unwanted = partition.machines["n-1"].attempts.values().filter(|s| !s.wanted).count();
         assert_eq!(unwanted, stopped, "{running_priority:?} {checkpoint_s} {waiting_priority:?}");
@@ -102,7 +102,7 @@
         if let Some(partition) = core.partitions.get_mut("one") {
             partition.placement_wanted = true;
         }
-        core.place_queue("one");
+        core.place_ready_tasks("one");
         let attempts = core.partitions["one"].machines["n-1"].attempts.values();
         assert_eq!(attempts.filter(|s| !s.wanted).count(), stopped, "{waited_s} {tasks} {done}");
     }
--- a/crates/quartzlever-core/src/scheduling/queue_order.rs
+++ b/crates/quartzlever-core/src/scheduling/queue_order.rs
@@ -13,13 +13,13 @@
 use crate::jobs::partition_job::PartitionJob;
 use crate::partition::Partition;
 
-/// Time after the submission from which on a job that has not begun is placed before all others.
+/// Age beyond which a job that has not begun is placed before all others.
 /// Users expect a job to begin within four minutes.
 const STARVED_AFTER: Micros = 150 * SECOND;
 /// A job older than `STARVED_AFTER` is not preempted for higher priorities while it has at most
 /// this many tasks on machines and none finished.
 const MAX_PROTECTED_FIRST_TASKS: usize = 4;
-/// Age from which on a job is not preempted for higher priorities, and is queued with urgent
+/// Age beyond which a job is not preempted for higher priorities, and is queued with urgent
 /// priority.
 const AGED_AFTER: Micros = 240 * SECOND;
 /// The same age for best-effort jobs with checkpoints, which progress in the capacity that other
--- a/crates/quartzlever-core/src/scheduling/reservations/tests.rs
+++ b/crates/quartzlever-core/src/scheduling/reservations/tests.rs
@@ -35,7 +35,7 @@
             partition.placement_wanted = true;
         }
         core.now += SECOND;
-        core.place_queue("one");
+        core.place_ready_tasks("one");
         assert_eq!(
             task_counts_by_machine(&core, "req-1").len(),
             old_starts,
@@ -60,7 +60,7 @@
     let place = |core: &mut Core, now| {
         core.now = now;
         core.partitions.get_mut("one").expect("partition one exists").placement_wanted = true;
-        core.place_queue("one");
+        core.place_ready_tasks("one");
     };
     place(&mut core, NOW + SECOND);
     let stopped = |core: &Core| -> Vec<crate::machines::attempt::AttemptKey> {
--- a/crates/quartzlever-core/src/stealing/tests.rs
+++ b/crates/quartzlever-core/src/stealing/tests.rs
@@ -57,8 +57,8 @@
 
 #[test]
 fn a_partition_with_a_queue_steals_only_from_a_much_longer_one() {
-    // (tasks submitted, of which four run; the peer's number of movable tasks, its queued work and
-    // processors; whether the partition asks it for tasks)
+    // (name; tasks submitted, of which four run; the peer's number of movable tasks, its queued work
+    // in processor-seconds, its processors; whether the partition asks the peer for tasks)
     for (name, tasks, ready, work, cpus, steals) in [
         ("both queues take 12 s", 20, 16, 96.0, 8.0, false),
         ("longer", 20, 16, 240.0, 8.0, false),
@@ -88,8 +88,9 @@
 
 #[test]
 fn a_steal_balances_two_queues_and_moves_no_urgent_task_of_a_victim_with_machines() {
-    // (priority, processors of a task, whether the victim has a machine of 8 processors, the
-    // thief's queued work; number of tasks that move, of 20, of which 4 run if there is a machine)
+    // (name; priority, processors of a task, whether the victim has a machine of 8 processors, the
+    // thief's queued work in processor-seconds; number of tasks that move, of 20, of which 4 run if
+    // there is a machine)
     for (name, priority, cpus, machine, work, moves) in [
         ("half of what is ready", Priority::Standard, 2.0, true, 0.0, 8),
         ("the thief has a queue", Priority::Standard, 2.0, true, 48.0, 4),
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -281,7 +281,7 @@
     core.reconcile_job(ActiveJobRecord { finished, ..ActiveJobRecord::new(job, NOW, shares) }, 10);
 }
 
-/// Makes machine "n-1" of partition "one" usable by its first heartbeat.
+/// Applies a first heartbeat of machine "n-1" to partition "one", which makes the machine usable.
 pub(crate) fn make_machine_usable(core: &mut Core) {
     let config = core.config.clone();
     if let Some(partition) = core.partitions.get_mut("one") {
@@ -393,7 +393,7 @@
     let record = ActiveJobRecord::new(spec.clone(), NOW, vec![share]);
     core.reconcile_job(record, mod_revision);
     core.now += quartzlever_wire::SECOND / 20;
-    core.place_queue("one");
+    core.place_ready_tasks("one");
 }
 
 /// Returns the number of a job's attempts on each machine that has any, with the machine's name.
--- a/crates/quartzlever-core/src/upgrade.rs
+++ b/crates/quartzlever-core/src/upgrade.rs
@@ -140,8 +140,8 @@
             })
     }
 
-    /// Reports whether a node may request its partition. After the cluster version is raised, a
-    /// node that runs version 1 may not.
+    /// Reports whether a node's request for its partition is accepted. After the cluster version is
+    /// raised, the node must have announced itself, which processes of version 1 do not.
     pub fn may_lead(&self, node: &str) -> bool {
         !self.supports_services() || self.announcements.contains_key(node)
     }
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -42,18 +42,18 @@
         Users { fleet }
     }
 
-    /// Submits a job.
+    /// Submits a job at a controller, and passes the request and the reply to the checker.
     pub fn submit(&self, controller: SocketAddr, spec: &JobSpec) -> UserReply {
         let body = serde_json::to_string(spec).expect("a job specification serializes to JSON");
         self.send_and_record(controller, UserRequest::Submit, &spec.id, Some(spec), Some(&body))
     }
 
-    /// Looks up a job.
+    /// Looks up a job at a controller, and passes the request and the reply to the checker.
     pub fn look_up(&self, controller: SocketAddr, job: &str) -> UserReply {
         self.send_and_record(controller, UserRequest::Lookup, job, None, None)
     }
 
-    /// Cancels a job.
+    /// Cancels a job at a controller, and passes the request and the reply to the checker.
     pub fn cancel(&self, controller: SocketAddr, job: &str) -> UserReply {
         self.send_and_record(controller, UserRequest::Cancel, job, None, Some(""))
     }
--- a/crates/quartzlever/src/node/core_thread.rs
+++ b/crates/quartzlever/src/node/core_thread.rs
@@ -33,9 +33,12 @@
 const MAX_OPEN_DELAY: Micros = 5_000_000;
 /// How long the node counts as ready after the core was last found ready.
 const READY_LIFETIME: Micros = 2_000_000;
-/// The largest batch of the priority queue before the users' queues are served.
+/// Maximum number of commands taken from the priority queue at a time. With more queued, this
+/// thread counts as late and as stalled.
 const PRIORITY_BATCH: usize = 64;
+/// Maximum number of commands taken from the queue of lookups at a time.
 const LOOKUP_BATCH: usize = 64;
+/// Maximum number of commands taken from the queue of submissions at a time.
 const SUBMISSION_BATCH: usize = 16;
 
 /// The core with its queues and executors. It runs on the main thread, for as long as the process
--- a/crates/quartzlever/src/node/executors/cloud.rs
+++ b/crates/quartzlever/src/node/executors/cloud.rs
@@ -18,7 +18,7 @@
 use crate::inbox::Inbox;
 
 const THREADS: usize = 2;
-/// How long a call waits for the budget.
+/// How long a call waits for this node's budget of requests.
 const BUDGET_TIMEOUT: Duration = Duration::from_secs(5);
 /// Share of the budget that calls must leave unused: none, as all of them are calls to the cloud.
 const RESERVE: f64 = 0.0;
--- a/crates/quartzlever/src/node/executors/limit.rs
+++ b/crates/quartzlever/src/node/executors/limit.rs
@@ -20,12 +20,13 @@
 }
 
 impl SharedLimit {
-    /// Creates a limit of which this node uses `share`.
+    /// Creates a limit of which this node uses `share`, a share of the whole limit.
     pub fn new(total: f64, share: f64) -> SharedLimit {
         SharedLimit { total, budget: Arc::new(Budget::new(total * share)) }
     }
 
-    /// Sets this node's share of the part of the limit that all nodes use ([`NODES_SHARE`]).
+    /// Sets this node's share of what all nodes use together, which is [`NODES_SHARE`] of the
+    /// limit.
     pub fn set_share(&self, share: f64) {
         self.budget.set_rate(self.total * share * NODES_SHARE);
     }
--- a/crates/quartzlever/src/node/executors/store.rs
+++ b/crates/quartzlever/src/node/executors/store.rs
@@ -24,7 +24,7 @@
     threads: usize,
     /// Share of the budget that is left to other lanes.
     reserve: f64,
-    /// How long a call waits for the budget.
+    /// How long a call waits for this node's budget of requests.
     timeout: Duration,
 }
 
--- a/crates/quartzlever/src/server/shedding.rs
+++ b/crates/quartzlever/src/server/shedding.rs
@@ -16,7 +16,8 @@
     pub body: &'static [u8],
 }
 
-/// Returns the answer to a request that need not or must not wait for the core, if it is one.
+/// Returns the answer to a request that is answered without the core, or `None` if the core has to
+/// answer it.
 pub fn answer_without_core(route: &Route, inbox: &Inbox, clock: Clock) -> Option<FixedAnswer> {
     match route {
         // While the core is starting, all workers connect every second. The core's thread need not
--- a/crates/quartzlever/src/settings/platform.rs
+++ b/crates/quartzlever/src/settings/platform.rs
@@ -1,7 +1,8 @@
 //! The platform's settings (TOML).
 //!
 //! Owns the format of the platform's file, and the ranges and defaults of its fields. Never reads
-//! the operator's file. Fields and kinds of objectives that this version does not know are ignored.
+//! the operator's file. Fields and kinds of objectives that this version does not know are ignored,
+//! as are "wait" and "finished" objectives without `within_s`.
 
 use std::net::SocketAddr;
 
@@ -289,8 +290,8 @@
     })
 }
 
-/// Converts an objective. Returns `None` for a kind that this version does not know, which is
-/// ignored as new fields are.
+/// Converts an objective. Returns `None` for a kind that this version does not know, and for a
+/// "wait" or "finished" objective without `within_s`. Both are ignored, as new fields are.
 fn parse_objective(entry: &ObjectiveEntry) -> Option<ServiceLevelObjective> {
     let (class, share) = (entry.class.clone(), entry.share);
     match entry.kind.as_str() {
