--- a/crates/quartzlever-core/src/autoscaling/cloud.rs
+++ b/crates/quartzlever-core/src/autoscaling/cloud.rs
@@ -33,7 +33,8 @@
 /// Assumed boot time of a type that is not in the catalogue.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 
-/// The launch hints of this process, and the state of its periodic calls to the cloud.
+/// The launch hints known to this process, the state of its periodic calls to the cloud, and the
+/// time of its next autoscaling pass.
 #[derive(Debug, Default)]
 pub(crate) struct Cloud {
     /// Machines that this process or a peer has launched, with the partition that each is for.
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Calls the cloud. The call is valid only for as long as this process certainly holds its
-    /// lease.
+    /// Calls the cloud. A call that terminates machines is sent only while this process certainly
+    /// holds its lease.
     pub(super) fn call_cloud(&mut self, call: CloudCall, pending: PendingCloudCall) {
         self.outbox.call_cloud(call, pending, self.lease.valid_until());
     }
@@ -148,7 +149,7 @@
                     self.scale_in_replied(&partition, term, machines, result);
                 }
             }
-            PendingCloudCall::List { instances: seen } => self.list_replied(seen, result),
+            PendingCloudCall::List { instances } => self.list_replied(instances, result),
         }
     }
 
@@ -203,10 +204,10 @@
         }
     }
 
-    /// Requests the page of the list of machines that follows those in `seen`.
-    fn list_instances(&mut self, from: Option<String>, seen: Vec<Instance>) {
+    /// Requests the page of the list of machines that follows those in `instances`.
+    fn list_instances(&mut self, from: Option<String>, instances: Vec<Instance>) {
         self.cloud.begin_list_call();
-        self.call_cloud(CloudCall::List { from }, PendingCloudCall::List { instances: seen });
+        self.call_cloud(CloudCall::List { from }, PendingCloudCall::List { instances });
     }
 
     fn list_replied(&mut self, mut seen: Vec<Instance>, result: Result<CloudReply, CallError>) {
--- a/crates/quartzlever-core/src/autoscaling/scale_in.rs
+++ b/crates/quartzlever-core/src/autoscaling/scale_in.rs
@@ -57,7 +57,7 @@
                 .extend(partition.fleet.pending_instances.take_abandoned(&types, now, remaining));
         }
         let late = partition.fleet.pending_instances.late_count_change(&types, now);
-        let reasons = partition.begin_scale_in(&machine_names);
+        let reasons = partition.mark_scaling_in(&machine_names);
         let partition = Some((name.to_owned(), partition.term));
         if let Some((late, awaited)) = late {
             self.outbox.log(LogLevel::Info, || LogEvent::MachinesLate {
@@ -129,14 +129,21 @@
         self.fleet.record_unreachable_zones(zones, until, now);
     }
 
-    /// Returns the zones that seem to be unreachable: all of several machines there are silent.
-    fn find_unreachable_zones(&self, now: Micros, silent_return: Micros) -> BTreeSet<String> {
+    /// Returns the zones that seem to be unreachable: those with at least
+    /// `MIN_MACHINES_OF_UNREACHABLE_ZONE` machines, all of which have sent no heartbeat for more
+    /// than half of `silent_machine_timeout`. Machines that are being scaled in are not counted.
+    fn find_unreachable_zones(
+        &self,
+        now: Micros,
+        silent_machine_timeout: Micros,
+    ) -> BTreeSet<String> {
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for machine in self.machines.values().filter(|m| !m.scaling_in) {
             let entry = zones.entry(machine.record.zone.as_str()).or_default();
             entry.0 += 1;
-            entry.1 +=
-                usize::from(now.saturating_sub(machine.last_heartbeat_at) > silent_return / 2);
+            entry.1 += usize::from(
+                now.saturating_sub(machine.last_heartbeat_at) > silent_machine_timeout / 2,
+            );
         }
         let unreachable = zones
             .into_iter()
@@ -177,7 +184,7 @@
 
     /// Marks machines as being terminated. Returns the reason of each for the log, `None` for a
     /// machine that never came up.
-    fn begin_scale_in(&mut self, machines: &[String]) -> Vec<Option<ScaleInReason>> {
+    fn mark_scaling_in(&mut self, machines: &[String]) -> Vec<Option<ScaleInReason>> {
         let mut reasons = Vec::new();
         for machine_name in machines {
             let machine = self.machines.get_mut(machine_name);
--- a/crates/quartzlever-core/src/scheduling/assignment.rs
+++ b/crates/quartzlever-core/src/scheduling/assignment.rs
@@ -20,8 +20,8 @@
 /// Minimum time between two placements of a partition's whole queue. With hundreds of machines, one
 /// placement takes longer than the handling of a heartbeat may.
 const PLACEMENT_INTERVAL: Micros = SECOND / 10;
-/// Interval at which a job that fails everywhere is checked for an attempt that outlasts its
-/// failures.
+/// Interval of the check whether an attempt of a job that fails everywhere has run longer than all
+/// failed ones.
 const TRIAL_CHECK_INTERVAL: Micros = SECOND;
 
 /// The placement of one job's tasks.
@@ -38,7 +38,7 @@
 impl Core {
     /// Places the ready tasks of a partition if a placement is due, and preempts work of lower
     /// priority for those without capacity.
-    pub(crate) fn place_queue(&mut self, name: &str) {
+    pub(crate) fn place_ready_tasks(&mut self, name: &str) {
         let now = self.now;
         let Some(partition) = self.partitions.get_mut(name).filter(|p| p.placement_is_due(now))
         else {
@@ -154,8 +154,9 @@
         allowance > 0 && left > 0 && !on_trial
     }
 
-    /// Reports whether tasks of a job may start now, and schedules a placement for the time when
-    /// more tasks or machines become eligible.
+    /// Reports whether tasks of a job may start now. Also clears a job that failed everywhere if
+    /// one of its attempts has outlasted the failed ones, and schedules a placement for the time
+    /// when more tasks or machines become eligible.
     fn may_start_tasks(&mut self, config: &Config, id: &str, now: Micros) -> bool {
         let Some(job) = self.jobs.get(id).filter(|j| !j.ready.is_empty()) else { return false };
         if job.no_start_before > now {
--- a/crates/quartzlever-core/src/testing.rs
+++ b/crates/quartzlever-core/src/testing.rs
@@ -257,19 +257,19 @@
         if let Some(machine) = partition.machines.get_mut(&name) {
             (machine.last_heartbeat_at, machine.last_answered_at, machine.incarnation) =
                 (last_heartbeat_at, last_heartbeat_at, 1);
-            // Keeps the machines from being scaled in as idle.
+            // Keeps the machines from being terminated as idle.
             machine.idle_since = Some(NOW + 900 * SECOND);
         }
     }
 }
 
-/// Returns the number of machines that the effects scale in.
-pub(crate) fn scaled_in_count(effects: &[Effect]) -> usize {
-    let scaled_in = |e: &Effect| match e {
+/// Returns the number of machines that the effects terminate.
+pub(crate) fn terminated_count(effects: &[Effect]) -> usize {
+    let terminated = |e: &Effect| match e {
         Effect::Cloud { call: CloudCall::ScaleIn(machines), .. } => machines.len(),
         _ => 0,
     };
-    effects.iter().map(scaled_in).sum()
+    effects.iter().map(terminated).sum()
 }
 
 /// Queues job "req-1" in partition "one", with tasks of 3 s on `cpus` processors each.
@@ -281,7 +281,7 @@
     core.reconcile_job(ActiveJobRecord { finished, ..ActiveJobRecord::new(job, NOW, shares) }, 10);
 }
 
-/// Makes machine "n-1" of partition "one" usable by its first heartbeat.
+/// Applies a first heartbeat of machine "n-1" to partition "one", which makes the machine usable.
 pub(crate) fn make_machine_usable(core: &mut Core) {
     let config = core.config.clone();
     if let Some(partition) = core.partitions.get_mut("one") {
@@ -393,7 +393,7 @@
     let record = ActiveJobRecord::new(spec.clone(), NOW, vec![share]);
     core.reconcile_job(record, mod_revision);
     core.now += quartzlever_wire::SECOND / 20;
-    core.place_queue("one");
+    core.place_ready_tasks("one");
 }
 
 /// Returns the number of a job's attempts on each machine that has any, with the machine's name.
--- a/crates/quartzlever-testkit/src/users.rs
+++ b/crates/quartzlever-testkit/src/users.rs
@@ -15,10 +15,10 @@
 
 /// Time after which a user gives up on a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two attempts of [`until`].
+/// Pause between two attempts of [`retry_until`].
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which [`until`] fails the test. Far longer than any takeover, so reaching it means a
-/// fault.
+/// Time after which [`retry_until`] fails the test. Far longer than any takeover, so reaching it
+/// means a fault.
 const MAX_WAIT: Duration = Duration::from_secs(120);
 
 /// The reply to a request of a user.
@@ -42,18 +42,18 @@
         Users { fleet }
     }
 
-    /// Submits a job.
+    /// Submits a job at a controller, and passes the request and the reply to the checker.
     pub fn submit(&self, controller: SocketAddr, spec: &JobSpec) -> UserReply {
         let body = serde_json::to_string(spec).expect("a job specification serializes to JSON");
         self.send_and_record(controller, UserRequest::Submit, &spec.id, Some(spec), Some(&body))
     }
 
-    /// Looks up a job.
+    /// Looks up a job at a controller, and passes the request and the reply to the checker.
     pub fn look_up(&self, controller: SocketAddr, job: &str) -> UserReply {
         self.send_and_record(controller, UserRequest::Lookup, job, None, None)
     }
 
-    /// Cancels a job.
+    /// Cancels a job at a controller, and passes the request and the reply to the checker.
     pub fn cancel(&self, controller: SocketAddr, job: &str) -> UserReply {
         self.send_and_record(controller, UserRequest::Cancel, job, None, Some(""))
     }
--- a/crates/quartzlever-wire/src/peers.rs
+++ b/crates/quartzlever-wire/src/peers.rs
@@ -90,8 +90,7 @@
     pub changes: Vec<(String, Option<String>)>,
 }
 
-/// The capacity of a partition that steals, so that the victim does not move tasks that would only
-/// wait there.
+/// The capacity of a partition that steals. The victim moves no tasks that would only wait there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ThiefCapacity {
     /// For an idle partition, the free capacity of each machine that accepts tasks, including what
@@ -173,9 +172,12 @@
         /// Whether the store has answered recently.
         reached: bool,
     },
-    /// Acknowledges a request that has no other answer, or reports that nothing could be moved.
+    /// Acknowledges a request that has no other answer, or reports that the request was not carried
+    /// out: nothing could be moved, the changes were not logged, or the core did not answer in
+    /// time.
     Empty,
-    /// Answer to [`PeerRequest::LogChanges`]: the changes are on the receiver's disk.
+    /// Answer to [`PeerRequest::LogChanges`]: the receiver has accepted the changes for its log.
+    /// They are on its disk, unless the disk has failed or is too slow.
     Logged,
 }
 
